--- a/cmd/lilaccove/audit_test.go
+++ b/cmd/lilaccove/audit_test.go
@@ -19,7 +19,7 @@
 )
 
 // records are those that some gateways tell.
-func (p *party) records(list ...int) (all []audit.Sealed) {
+func (p *party) records(list ...int) (all []audit.ChainedRecord) {
 	p.t.Helper()
 	for _, i := range list {
 		text, err := p.Node(i).Call("GET", "/v1/fleet/audit")
@@ -27,7 +27,7 @@
 		var r peer.AuditReport
 		require.NoError(p.t, json.Unmarshal(text, &r))
 		for _, line := range r.Records {
-			s, err := audit.Open(line)
+			s, err := audit.ParseRecord(line)
 			require.NoError(p.t, err)
 			all = append(all, s)
 		}
@@ -50,7 +50,7 @@
 
 // found are the findings of a kind in what all gateways tell.
 func (p *party) found(kind string) (list []audit.Finding) {
-	for _, f := range audit.Judge(p.records(p.all()...), audit.DefaultBounds()) {
+	for _, f := range audit.Analyze(p.records(p.all()...), audit.DefaultTolerances()) {
 		if f.Kind == kind {
 			list = append(list, f)
 		}
@@ -62,7 +62,7 @@
 func TestFleetAuditTwoPrimaries(t *testing.T) {
 	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
 	p.written(5)
-	assert.Empty(t, audit.Judge(p.records(p.all()...), audit.DefaultBounds()), "a fleet at work has no findings")
+	assert.Empty(t, audit.Analyze(p.records(p.all()...), audit.DefaultTolerances()), "a fleet at work has no findings")
 	members := p.World().Members()
 	old, claims := members[0], members[1]
 	require.Equal(t, old.Group, claims.Group)
@@ -111,8 +111,8 @@
 	p.Mesh().Partition(sides, true)
 	host := p.World().Members()[0]
 	p.word(2, host.ID, "suspend")
-	p.eventually("it is found", func() bool { return len(p.found(audit.AfterWord)) > 0 })
-	for _, f := range p.found(audit.AfterWord) {
+	p.eventually("it is found", func() bool { return len(p.found(audit.AfterOverride)) > 0 })
+	for _, f := range p.found(audit.AfterOverride) {
 		assert.Equal(t, []string{"n0"}, f.Gateways)
 		assert.Equal(t, host.ID, f.Database)
 	}
@@ -126,12 +126,12 @@
 func TestFleetAuditFile(t *testing.T) {
 	p := newPartyOf(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, audit: true", 1))
 	file := p.AuditFile(1)
-	read := func() (list []audit.Sealed, sessions map[string]bool) {
+	read := func() (list []audit.ChainedRecord, sessions map[string]bool) {
 		lines, err := auditfile.Lines(file)
 		require.NoError(t, err)
 		sessions = map[string]bool{}
 		for _, l := range lines {
-			s, err := audit.Open(l)
+			s, err := audit.ParseRecord(l)
 			require.NoError(t, err)
 			list = append(list, s)
 			sessions[s.Session] = true
@@ -153,7 +153,7 @@
 		return len(sessions) == 2 && len(list) >= len(before)+3
 	})
 	list, _ := read()
-	assert.Empty(t, audit.Judge(list, audit.DefaultBounds()))
+	assert.Empty(t, audit.Analyze(list, audit.DefaultTolerances()))
 	require.NoError(t, p.Node(1).Term())
 	ended, _ := read()
 	assert.Greater(t, len(ended), len(list), "the last span is written at the end")
@@ -164,11 +164,11 @@
 	lines := strings.SplitAfter(string(text), "\n")
 	require.NoError(t, os.WriteFile(file, []byte(strings.Join(append(lines[:1:1], lines[2:]...), "")), 0o600))
 	list, _ = read()
-	found := audit.Judge(list, audit.DefaultBounds())
+	found := audit.Analyze(list, audit.DefaultTolerances())
 	require.Len(t, found, 1)
-	assert.Equal(t, audit.Broken, found[0].Kind)
+	assert.Equal(t, audit.BrokenChain, found[0].Kind)
 	changed := strings.Replace(lines[1], `"list":1`, `"list":7`, 1)
 	require.NotEqual(t, lines[1], changed)
-	_, err = audit.Open([]byte(changed))
+	_, err = audit.ParseRecord([]byte(changed))
 	assert.ErrorContains(t, err, "changed")
 }
--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -202,12 +202,12 @@
 }
 
 // kept are the records of all processes there were, from the gateways' files.
-func (c *chaos) kept() (all []audit.Sealed) {
+func (c *chaos) kept() (all []audit.ChainedRecord) {
 	for i := range c.n {
 		lines, err := auditfile.Lines(c.AuditFile(i))
 		require.NoError(c.t, err)
 		for _, l := range lines {
-			if s, err := audit.Open(l); err == nil { // a killed process may leave half a line
+			if s, err := audit.ParseRecord(l); err == nil { // a killed process may leave half a line
 				all = append(all, s)
 			}
 		}
@@ -252,7 +252,7 @@
 			})
 			c.judge(0.3)
 			findings := map[string][]string{}
-			for _, f := range audit.Judge(c.kept(), audit.DefaultBounds()) {
+			for _, f := range audit.Analyze(c.kept(), audit.DefaultTolerances()) {
 				findings[f.Kind] = append(findings[f.Kind], fmt.Sprintf("%+v", f))
 			}
 			for _, kind := range []string{"two-primaries", "after-drain", "after-word", "two-processes", "broken-chain"} {
@@ -271,7 +271,7 @@
 
 // plant has it happen.
 func (c *chaos) plant() (x incident) {
-	x.kind = []string{"", audit.TwoPrimaries, audit.AfterWord, audit.AfterDrain}[c.rnd.IntN(4)]
+	x.kind = []string{"", audit.TwoPrimaries, audit.AfterOverride, audit.AfterDrain}[c.rnd.IntN(4)]
 	x.victim = c.rnd.IntN(c.n)
 	members := c.World().Members()
 	sides := [][]int{{x.victim}, c.but(x.victim)}
@@ -279,7 +279,7 @@
 	case audit.TwoPrimaries:
 		x.host = members[1+4*c.rnd.IntN(2)]
 		x.host.Claim()
-	case audit.AfterWord: // it does not reach one
+	case audit.AfterOverride: // it does not reach one
 		x.host = members[4*c.rnd.IntN(2)]
 		c.Mesh().Partition(sides, true)
 		c.word((x.victim+1)%c.n, x.host.ID, "suspend")
@@ -317,8 +317,8 @@
 			world := c.report.World.(standin.Counts)
 			assert.Zero(t, world.Duplicates+world.Stale)
 			kinds := map[string]int{}
-			for _, f := range audit.Judge(c.kept(), audit.DefaultBounds()) {
-				named := f.Kind == x.kind || x.kind == audit.AfterDrain && f.Kind == audit.Behind
+			for _, f := range audit.Analyze(c.kept(), audit.DefaultTolerances()) {
+				named := f.Kind == x.kind || x.kind == audit.AfterDrain && f.Kind == audit.LaggingList
 				switch {
 				case slices.Contains([]string{audit.Gap, audit.Incomplete, audit.Unordered}, f.Kind):
 					continue // kills and stops leave them
@@ -326,7 +326,7 @@
 					assert.Fail(t, "nothing of the kind was done", "%+v", f)
 				case f.Kind == audit.TwoPrimaries:
 					assert.Equal(t, x.host.Group, f.Group)
-				case f.Kind == audit.AfterWord || f.Kind == audit.AfterDrain:
+				case f.Kind == audit.AfterOverride || f.Kind == audit.AfterDrain:
 					assert.Equal(t, x.host.ID, f.Database)
 					fallthrough
 				default:
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -299,7 +299,7 @@
 	flagged := func(i int) bool {
 		r, err := p.Node(i).Fleet()
 		return err == nil && len(r.View.Members) == 4 &&
-			slices.ContainsFunc(r.View.Members, func(m peer.ReportMember) bool { return m.Name == "n1" && m.Twice })
+			slices.ContainsFunc(r.View.Members, func(m peer.ReportMember) bool { return m.Name == "n1" && m.DuplicateName })
 	}
 	p.eventually("each view tells", func() bool { return flagged(0) && flagged(2) && flagged(3) })
 	for _, n := range []*lab.Node{first, second} {
--- a/cmd/lilaccove/main.go
+++ b/cmd/lilaccove/main.go
@@ -101,20 +101,20 @@
 	}
 	pool := backend.New(loop, core, options)
 	if budgets != nil {
-		budgets.Granted = pool.Granted
+		budgets.OnGrant = pool.Granted
 	}
 	// Clients get half of the descriptors at most: idle ones must never keep the gateway
 	// from the databases, which get all but what discovery and turning clients away take.
 	ops := &operations{loop: loop, core: core, side: side, watch: side.Watch, pool: pool, counts: side.Counts, links: side.Links, guard: side.Guard}
 	clients := front.New(loop, core, front.Options{
-		Classes: set.Classes, Most: sockets / 2, Reserve: sockets / 8, Large: memory / 6, Free: pool.DropIdle,
+		Classes: set.Classes, MaxClients: sockets / 2, Reserve: sockets / 8, MaxLargeStatementBytes: memory / 6, FreeDescriptor: pool.CloseOldestIdle,
 		Guard: side.Guard, Servable: ops.servable,
 	})
 	side.Connect(pool)
-	ops.front, ops.list, ops.memory, ops.sockets = clients, set.Policy.List, memory, sockets
+	ops.front, ops.list, ops.memory, ops.sockets = clients, set.Policy.ListSource, memory, sockets
 	ops.longest, ops.begunAt = longest(set.Policy.Classes), loop.Now()
 	side.Join(ops.drainedByFleet)
-	clients.Hold(!ops.servable()) // until the list is compared, and what operators told the fleet is known
+	clients.SetStarting(!ops.servable()) // until the list is compared, and what operators told the fleet is known
 	manage := ""
 	if cfg.Management != "" {
 		addr, err := netip.ParseAddrPort(cfg.Management)
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -58,10 +58,10 @@
 	memory, sockets int
 	longest         time.Duration // deadline of a class
 	begunAt         time.Duration
-	share           *handover.Share // nil: no other process can be met
-	held            bool            // what operators told the processes before this one is not known yet
-	beside          bool            // another process of this gateway lives
-	drained         bool            // by an operator, who said so here or to the fleet
+	share           *handover.SharedState // nil: no other process can be met
+	held            bool                  // what operators told the processes before this one is not known yet
+	beside          bool                  // another process of this gateway lives
+	drained         bool                  // by an operator, who said so here or to the fleet
 	drainHere       bool
 	drainFleet      bool
 	ending          bool // SIGTERM has come
@@ -96,8 +96,8 @@
 		log.Printf("event=alone reason=%q", "TMPDIR is not set")
 	} else {
 		o.share = handover.Join(dir)
-		o.held = !o.share.Known()
-		o.core.Fleet(policy.Held{On: o.held})
+		o.held = !o.share.Loaded()
+		o.core.FleetEvent(policy.OverridesPending{Active: o.held})
 		o.adopt(o.share.State())
 		o.poll()
 	}
@@ -106,10 +106,10 @@
 
 // open begins to accept clients: at once, or beside a process that serves them, when it can do as well.
 func (o *operations) open() error {
-	if o.links != nil && !o.links.CaughtUp() {
+	if o.links != nil && !o.links.Synced() {
 		return nil
 	}
-	if o.beside && (o.core.Members() == 0 || !o.watch.Heard()) && o.loop.Now() < o.begunAt+policy.CompareTime {
+	if o.beside && (o.core.ListSize() == 0 || !o.watch.Heard()) && o.loop.Now() < o.begunAt+policy.StartupTimeout {
 		return nil
 	}
 	return o.front.Open()
@@ -130,17 +130,17 @@
 }
 
 // kept tells whether a successor would know all words that were given here.
-func (o *operations) kept() bool { return o.share == nil || o.share.Kept() }
+func (o *operations) kept() bool { return o.share == nil || o.share.Persisted() }
 
 // tell answers an operator. All answers to words go through it, so that a yes for one that is not kept shows.
 func (o *operations) tell(then func(kept bool), yes bool) {
-	o.guard.Keeping(!yes || o.kept())
+	o.guard.CheckOverrideKept(!yes || o.kept())
 	then(yes)
 }
 
 // agreed tells whether all words that were given here are kept, and have been acted on by the process beside this one.
 func (o *operations) agreed() bool {
-	return o.kept() && (!o.beside || o.share.Agreed())
+	return o.kept() && (!o.beside || o.share.Acknowledged())
 }
 
 // await calls then when all agree on the words given so far, or after agreeTime.
@@ -158,9 +158,9 @@
 	if o.share == nil {
 		return
 	}
-	if o.held && o.share.Known() {
+	if o.held && o.share.Loaded() {
 		o.held = false
-		o.core.Fleet(policy.Held{On: false})
+		o.core.FleetEvent(policy.OverridesPending{Active: false})
 	}
 	if beside := o.share.Poll(o.adopt); beside != o.beside {
 		o.beside = beside
@@ -173,11 +173,11 @@
 
 // comeBack accepts clients again until the end: the successor has ended before this process has, and nobody else does.
 func (o *operations) comeBack() {
-	if err := o.front.Return(); err != nil {
+	if err := o.front.ResumeAccepting(); err != nil {
 		log.Printf("event=not_open err=%q", err) // tried again by the next poll
 		return
 	}
-	log.Printf("event=successor_lost owed=%d clients=%d", o.core.Owed(), o.front.Clients())
+	log.Printf("event=successor_lost owed=%d clients=%d", o.core.Unanswered(), o.front.Clients())
 	o.leaving = false
 }
 
@@ -190,19 +190,19 @@
 	log.Printf("event=processes beside=%t", o.beside)
 	o.loop.SetLimit(o.sockets / part)
 	o.loop.SetBuffers(o.memory / 4 / part)
-	o.front.SetMost(o.sockets / 2 / part)
+	o.front.SetMaxClients(o.sockets / 2 / part)
 	limitHeap(o.memory / part)
 	if o.links != nil {
-		o.links.SetBeside(o.beside)
+		o.links.SetSibling(o.beside)
 	}
 }
 
 // adopt does what another process was told, or a predecessor.
 func (o *operations) adopt(s handover.State) {
 	for id, e := range s.Suspended {
-		o.core.SetSuspended(policy.HostID(id), o.side.Alone(id, e.On))
+		o.core.SetSuspended(policy.HostID(id), o.side.Alone(id, e.Active))
 	}
-	o.drainHere = s.Drained.On
+	o.drainHere = s.Drained.Active
 	o.drain()
 }
 
@@ -223,15 +223,15 @@
 		return "drained by a word to the fleet", false
 	case o.drained:
 		return "drained", false
-	case o.core.Members() == 0:
+	case o.core.ListSize() == 0:
 		return "no databases are known", false
-	case !o.front.Opened():
+	case !o.front.Accepting():
 		return "starting", false
 	case o.comparing():
 		return "waiting for what its agent has", false
 	case o.waitsForWords():
 		return "waiting for what operators told the process before", false
-	case o.links != nil && !o.links.CaughtUp():
+	case o.links != nil && !o.links.Synced():
 		return "catching up with the fleet", false
 	case o.links != nil && o.links.Fenced():
 		return "shut out: it cannot vouch for what it knows", false
@@ -241,7 +241,7 @@
 
 // Metrics adds the figures.
 func (o *operations) Metrics(b []byte) []byte {
-	b = o.counts.Append(b, o.core.Figures())
+	b = o.counts.Append(b, o.core.Gauges())
 	b = o.front.Metrics(b)
 	return o.side.Metrics(b)
 }
@@ -271,7 +271,7 @@
 func (o *operations) drainedByFleet(on bool) {
 	if on != o.drainFleet {
 		o.drainFleet = on
-		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", on, o.front.Clients(), o.core.Owed())
+		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
 		o.drain()
 	}
 }
@@ -293,7 +293,7 @@
 }
 
 // Fence takes an operator's word to shut this gateway out, or to go on with what it has; false: it has no fence.
-func (o *operations) Fence(out bool) bool { return o.links != nil && o.links.SayFence(out) }
+func (o *operations) Fence(out bool) bool { return o.links != nil && o.links.SetFence(out) }
 
 // FleetAudit tells what this gateway did, by what it acted on; false: it is in no fleet.
 func (o *operations) FleetAudit() ([]byte, bool) {
@@ -305,10 +305,10 @@
 
 // FleetSuspend has the whole fleet leave a database out, or use it again.
 func (o *operations) FleetSuspend(id string, out bool, then func(said string)) bool {
-	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.Out(id) {
+	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.OverrideActive(id) {
 		return false
 	}
-	if _, ok := state.GatewayOf(id); ok {
+	if _, ok := state.ParseGatewayKey(id); ok {
 		return false
 	}
 	waits, said := 2, ""
@@ -317,7 +317,7 @@
 			then(said)
 		}
 	}
-	if !o.links.Say(id, out, func(text string) { said = text; done() }) {
+	if !o.links.SetOverride(id, out, func(text string) { said = text; done() }) {
 		return false
 	}
 	if !o.core.Suspend(policy.HostID(id), out || o.side.LeftOut(id), done) {
@@ -329,12 +329,12 @@
 // FleetDrain takes a word that drains a gateway of the fleet, or has it work again. Its owner carries it out, whenever it
 // hears of it: it holds for one that is cut off, or not started.
 func (o *operations) FleetDrain(name string, on bool, then func(said string)) bool {
-	return o.links != nil && (o.links.Knows(name) || o.links.Out(state.OnGateway(name))) && o.links.Say(state.OnGateway(name), on, then)
+	return o.links != nil && (o.links.Knows(name) || o.links.OverrideActive(state.GatewayKey(name))) && o.links.SetOverride(state.GatewayKey(name), on, then)
 }
 
 // Drain empties the gateway, or has it work again, as far as the fleet's word lets it.
 func (o *operations) Drain(on bool, then func(kept bool)) {
-	log.Printf("event=drain on=%t clients=%d owed=%d", on, o.front.Clients(), o.core.Owed())
+	log.Printf("event=drain on=%t clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
 	o.drainHere = on
 	o.drain()
 	if o.share != nil {
@@ -352,12 +352,12 @@
 	switch {
 	case on == o.drained:
 	case on:
-		o.front.Empty(o.loop.Now() + drainTime)
+		o.front.Drain(o.loop.Now() + drainTime)
 		if o.links != nil {
 			o.links.Leave()
 		}
 	default:
-		o.front.Fill()
+		o.front.Activate()
 		if o.links != nil && !o.ending {
 			o.links.Join()
 		}
@@ -372,15 +372,15 @@
 		return
 	}
 	o.look()
-	o.ending, o.leaving = true, o.beside && o.front.Opened()
-	log.Printf("event=ending owed=%d clients=%d successor=%t", o.core.Owed(), o.front.Clients(), o.leaving)
+	o.ending, o.leaving = true, o.beside && o.front.Accepting()
+	log.Printf("event=ending owed=%d clients=%d successor=%t", o.core.Unanswered(), o.front.Clients(), o.leaving)
 	if o.links != nil {
 		o.links.Leave()
 	}
 	now, last := o.loop.Now(), acceptOn
 	o.killAt = now + max(o.longest, killLeast) + acceptOn
 	if o.leaving {
-		o.front.Leave(now + leaveTime)
+		o.front.HandOver(now + leaveTime)
 		last = leaveMost
 	}
 	o.loop.At(now+last, o.closeFront)
@@ -389,29 +389,29 @@
 func (o *operations) closeFront() {
 	if !o.closed {
 		o.closed = true
-		o.front.Drain(o.killAt - lastAnswer)
+		o.front.Shutdown(o.killAt - lastAnswer)
 	}
 }
 
 // comparing tells that the list of the start has not been compared with what an agent has: it may be too old to serve by.
 func (o *operations) comparing() bool {
-	return o.list == policy.ListFromAgent && !o.watch.Heard() && o.loop.Now() < o.begunAt+policy.CompareTime
+	return o.list == policy.ListFromAgent && !o.watch.Heard() && o.loop.Now() < o.begunAt+policy.StartupTimeout
 }
 
 // waitsForWords tells that what operators told the processes before this one cannot be read yet.
 func (o *operations) waitsForWords() bool {
-	return o.held && o.loop.Now() < o.begunAt+policy.CompareTime
+	return o.held && o.loop.Now() < o.begunAt+policy.StartupTimeout
 }
 
 // servable tells whether requests can be served: the list is known and compared, and so is what operators told.
 func (o *operations) servable() bool {
-	return !o.comparing() && !o.waitsForWords() && (o.links == nil || o.links.CaughtUp())
+	return !o.comparing() && !o.waitsForWords() && (o.links == nil || o.links.Synced())
 }
 
 // check is called behind each round: it begins to serve, and exits once nothing is owed.
 func (o *operations) check() {
 	if !o.ending {
-		o.front.Hold(!o.servable() || o.links != nil && o.links.Fenced())
+		o.front.SetStarting(!o.servable() || o.links != nil && o.links.Fenced())
 		if err := o.open(); err != nil {
 			log.Printf("event=not_open err=%q", err)
 			o.loop.Stop()
@@ -421,10 +421,10 @@
 	if o.leaving && o.front.Clients() == 0 {
 		o.closeFront()
 	}
-	if !o.closed || o.core.Owed() > 0 || !o.front.Quiet() {
+	if !o.closed || o.core.Unanswered() > 0 || !o.front.ShutdownComplete() {
 		return
 	}
-	o.pool.CloseIdle()
+	o.pool.CloseAllIdle()
 	if o.loop.Lingering() == 0 {
 		log.Printf("event=ended")
 		o.loop.Stop()
--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -50,7 +50,7 @@
 	p.t.Helper()
 	p.eventually("all copies are equal", func() bool {
 		for i := range p.n {
-			if s := p.state(i); !s.CaughtUp || s.Digest != p.state(0).Digest {
+			if s := p.state(i); !s.Synced || s.Digest != p.state(0).Digest {
 				return false
 			}
 		}
@@ -248,11 +248,11 @@
 // have lost their disks: no message is too large to arrive.
 func TestFleetStateOfManyProcesses(t *testing.T) {
 	const databases, processes = 6, 20
-	var words []state.Word
+	var words []state.Override
 	for d := range databases {
-		w := state.Word{Host: fmt.Sprintf("database-%d", d), Out: true, Vector: map[string]uint64{}, By: "n0"}
+		w := state.Override{Key: fmt.Sprintf("database-%d", d), Active: true, VersionVector: map[string]uint64{}, Origin: "n0"}
 		for k := range processes {
-			w.Vector[fmt.Sprintf("n%d@%016x", k%4, k+1)] = uint64(d + 1)
+			w.VersionVector[fmt.Sprintf("n%d@%016x", k%4, k+1)] = uint64(d + 1)
 		}
 		words = append(words, w)
 	}
@@ -261,7 +261,7 @@
 		for i := range 4 {
 			require.NoError(t, os.RemoveAll(p.WordsDir(i)))
 		}
-		store, _, err := wordstore.Open(wordstore.Options{Dir: p.WordsDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Horizon: time.Minute})
+		store, _, err := wordstore.Open(wordstore.Options{Dir: p.WordsDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
 		require.NoError(t, err)
 		saved := make(chan error, 1)
 		store.Save(words, func(err error) { saved <- err })
@@ -270,7 +270,7 @@
 	}, p.all()...)
 	p.eventually("all have all words", func() bool {
 		for i := range 4 {
-			if len(p.state(i).Words) != databases {
+			if len(p.state(i).Overrides) != databases {
 				return false
 			}
 		}
--- a/cmd/lilaccove/versions_test.go
+++ b/cmd/lilaccove/versions_test.go
@@ -37,7 +37,7 @@
 				return false
 			}
 			for _, v := range r.Versions {
-				lists[v.List] = true
+				lists[v.ListVersion] = true
 			}
 		}
 		return len(lists) == 1
--- a/cmd/lilaccove/words_test.go
+++ b/cmd/lilaccove/words_test.go
@@ -73,7 +73,7 @@
 		}
 		_, err := p.Start(i)
 		require.NoError(t, err)
-		p.eventually("it is back in the front", func() bool { return p.Front().Admitted() == 4 && p.state(i).CaughtUp })
+		p.eventually("it is back in the front", func() bool { return p.Front().Admitted() == 4 && p.state(i).Synced })
 		reads := p.World().Counts().Reads
 		p.eventually("reads go on", func() bool { return p.World().Counts().Reads > reads+200 })
 	}
@@ -105,7 +105,7 @@
 	for range 2 {
 		p.restart(nil, 2, 3)
 		p.eventually("both are back in the front", func() bool {
-			return p.Front().Admitted() == 4 && p.state(2).CaughtUp && p.state(3).CaughtUp
+			return p.Front().Admitted() == 4 && p.state(2).Synced && p.state(3).Synced
 		})
 		reads := p.World().Counts().Reads
 		p.eventually("reads go on", func() bool { return p.World().Counts().Reads > reads+200 })
@@ -174,7 +174,7 @@
 	p.Mesh().Partition(sides, false)
 	p.eventually("it obeys", func() bool { return drained() && p.Front().Admitted() == 3 })
 	p.restart(nil, 2)
-	p.eventually("it obeys after a restart", func() bool { return drained() && p.state(2).CaughtUp })
+	p.eventually("it obeys after a restart", func() bool { return drained() && p.state(2).Synced })
 	_, err := p.Node(2).Call("PUT", "/v1/gateway/activate")
 	require.NoError(t, err)
 	p.agree(3, 0, 1, 3)
--- a/cmd/lilacctl/audit.go
+++ b/cmd/lilacctl/audit.go
@@ -21,7 +21,7 @@
 	from, to          string
 	database, gateway string
 	group             int
-	bounds            audit.Bounds
+	bounds            audit.Tolerances
 	asJSON            bool
 	plot              string
 	wait              time.Duration
@@ -29,14 +29,14 @@
 
 // auditResult is what --json prints.
 type auditResult struct {
-	Findings []audit.Finding `json:"findings"`
-	Records  []audit.Sealed  `json:"records"`
-	Silent   []string        `json:"silent,omitempty"`
-	Notes    []string        `json:"notes,omitempty"`
+	Findings []audit.Finding       `json:"findings"`
+	Records  []audit.ChainedRecord `json:"records"`
+	Silent   []string              `json:"silent,omitempty"`
+	Notes    []string              `json:"notes,omitempty"`
 }
 
 func auditCommand() *cobra.Command {
-	o := auditOptions{bounds: audit.DefaultBounds()}
+	o := auditOptions{bounds: audit.DefaultTolerances()}
 	c := &cobra.Command{
 		Use: "audit --at 127.0.0.1:7510 --file n0-audit.jsonl", Short: "What each gateway did on which versions, and what should not have been",
 		Long: "Collects records from live gateways and from their files, merges them, checks their chains and tells findings: two\n" +
@@ -54,11 +54,11 @@
 	f.StringVar(&o.database, "database", "", "findings about this database alone")
 	f.StringVar(&o.gateway, "gateway", "", "findings about this gateway alone")
 	f.IntVar(&o.group, "group", -1, "findings about this group alone")
-	f.DurationVar(&o.bounds.Slack, "slack", o.bounds.Slack, "by which clocks may differ")
-	f.DurationVar(&o.bounds.Grace, "grace", o.bounds.Grace, "for work at a database that drains")
-	f.DurationVar(&o.bounds.Word, "word", o.bounds.Word, "for operators' words to reach all gateways")
-	f.DurationVar(&o.bounds.Behind, "behind", o.bounds.Behind, "for a new list to reach all gateways")
-	f.DurationVar(&o.bounds.Beside, "beside", o.bounds.Beside, "for two processes of one name: an upgrade")
+	f.DurationVar(&o.bounds.ClockSkew, "slack", o.bounds.ClockSkew, "by which clocks may differ")
+	f.DurationVar(&o.bounds.DrainGrace, "grace", o.bounds.DrainGrace, "for work at a database that drains")
+	f.DurationVar(&o.bounds.OverrideSpread, "word", o.bounds.OverrideSpread, "for operators' words to reach all gateways")
+	f.DurationVar(&o.bounds.ListSpread, "behind", o.bounds.ListSpread, "for a new list to reach all gateways")
+	f.DurationVar(&o.bounds.Handover, "beside", o.bounds.Handover, "for two processes of one name: an upgrade")
 	f.BoolVar(&o.asJSON, "json", false, "print findings and records as JSON")
 	f.StringVar(&o.plot, "plot", "", "draw which gateway acted on which list, over time, to this file (.png or .svg)")
 	f.DurationVar(&o.wait, "timeout", 2*time.Second, "how long a gateway may take to answer")
@@ -66,18 +66,18 @@
 }
 
 // moment reads a time, or how long ago; empty: none.
-func moment(text, flag string, now time.Time) (audit.Stamp, error) {
+func moment(text, flag string, now time.Time) (audit.Timestamp, error) {
 	if text == "" {
 		return 0, nil
 	}
 	if d, err := time.ParseDuration(text); err == nil {
-		return audit.StampOf(time.Duration(now.Add(-d).UnixNano())), nil
+		return audit.TimestampAt(time.Duration(now.Add(-d).UnixNano())), nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
 		return 0, fmt.Errorf("--%s %q: a time like 2026-12-01T23:10:00Z is wanted, or 10m for ten minutes ago", flag, text)
 	}
-	return audit.StampOf(time.Duration(t.UnixNano())), nil
+	return audit.TimestampAt(time.Duration(t.UnixNano())), nil
 }
 
 func (o *auditOptions) run(w io.Writer, now time.Time) error {
@@ -96,8 +96,8 @@
 	if err := r.collect(o); err != nil {
 		return err
 	}
-	r.Records = slices.DeleteFunc(r.Records, func(x audit.Sealed) bool { return x.To < from || to > 0 && x.From > to })
-	r.Findings = append(r.Findings, audit.Judge(r.Records, o.bounds)...)
+	r.Records = slices.DeleteFunc(r.Records, func(x audit.ChainedRecord) bool { return x.To < from || to > 0 && x.From > to })
+	r.Findings = append(r.Findings, audit.Analyze(r.Records, o.bounds)...)
 	r.Findings = slices.DeleteFunc(r.Findings, func(f audit.Finding) bool {
 		return o.database != "" && !slices.Contains(strings.Fields(f.Database), o.database) || o.gateway != "" && !slices.Contains(f.Gateways, o.gateway) ||
 			o.group >= 0 && f.Group != o.group
@@ -120,9 +120,9 @@
 // collect reads all records. A line that is none is a finding; a gateway that does not answer is a line.
 func (r *auditResult) collect(o *auditOptions) error {
 	add := func(line []byte, where string) {
-		s, err := audit.Open(line)
+		s, err := audit.ParseRecord(line)
 		if err != nil {
-			r.Findings = append(r.Findings, audit.Finding{Kind: audit.Broken, Gateways: []string{s.Gateway}, Group: -1, Text: where + ": " + err.Error()})
+			r.Findings = append(r.Findings, audit.Finding{Kind: audit.BrokenChain, Gateways: []string{s.Gateway}, Group: -1, Text: where + ": " + err.Error()})
 			return
 		}
 		r.Records = append(r.Records, s)
@@ -152,18 +152,18 @@
 	return nil
 }
 
-func clockTime(s audit.Stamp) string {
+func clockTime(s audit.Timestamp) string {
 	if s == 0 {
 		return "-"
 	}
-	return time.Unix(0, int64(s.Moment())).UTC().Format("15:04:05.000")
+	return time.Unix(0, int64(s.WallTime())).UTC().Format("15:04:05.000")
 }
 
 // table prints which gateway acted on what, and the findings, in one screen.
 func (r *auditResult) table(w io.Writer) error {
 	type line struct {
 		gateway, session      string
-		from, to              audit.Stamp
+		from, to              audit.Timestamp
 		lists                 [2]int64
 		records, sent, writes uint64
 	}
@@ -172,13 +172,13 @@
 		i := slices.IndexFunc(lines, func(l *line) bool { return l.gateway == x.Gateway && l.session == x.Session })
 		if i < 0 {
 			i = len(lines)
-			lines = append(lines, &line{gateway: x.Gateway, session: x.Session, from: x.From, lists: [2]int64{x.List, x.List}})
+			lines = append(lines, &line{gateway: x.Gateway, session: x.Session, from: x.From, lists: [2]int64{x.ListVersion, x.ListVersion}})
 		}
 		l := lines[i]
 		l.from, l.to, l.records = min(l.from, x.From), max(l.to, x.To), l.records+1
-		l.lists = [2]int64{min(l.lists[0], x.List), max(l.lists[1], x.List)}
-		for _, a := range x.Acts {
-			l.sent, l.writes = l.sent+a.Sent, l.writes+a.Accepted
+		l.lists = [2]int64{min(l.lists[0], x.ListVersion), max(l.lists[1], x.ListVersion)}
+		for _, a := range x.Databases {
+			l.sent, l.writes = l.sent+a.Sent, l.writes+a.Writes
 		}
 	}
 	slices.SortFunc(lines, func(a, b *line) int { return strings.Compare(a.gateway+" "+a.session, b.gateway+" "+b.session) })
--- a/cmd/lilacctl/audit_test.go
+++ b/cmd/lilacctl/audit_test.go
@@ -21,17 +21,17 @@
 	now = time.Duration(time.Now().Add(-time.Minute).UnixNano())
 	a, b := audit.NewRecorder("n0", 1), audit.NewRecorder("n1", 2)
 	for _, r := range []*audit.Recorder{a, b} {
-		r.Set(now, audit.Version{List: 4})
+		r.Set(now, audit.Version{ListVersion: 4})
 	}
-	a.Set(now+time.Second, audit.Version{List: 5})
-	a.Drained(now+time.Second, "db-7", 3, true)
+	a.Set(now+time.Second, audit.Version{ListVersion: 5})
+	a.SetDraining(now+time.Second, "db-7", 3, true)
 	for i := range 12 {
 		b.Sent(now+time.Duration(i)*time.Second, "db-7", 3)
 		a.Tick(now + time.Duration(i)*time.Second)
 		b.Tick(now + time.Duration(i)*time.Second)
 	}
-	a.Cut(now + 13*time.Second)
-	b.Cut(now + 13*time.Second)
+	a.Flush(now + 13*time.Second)
+	b.Flush(now + 13*time.Second)
 	return a.Take(), b.Take(), now
 }
 
--- a/cmd/lilacctl/capacity_test.go
+++ b/cmd/lilacctl/capacity_test.go
@@ -46,8 +46,8 @@
 		report.View.Members = append(report.View.Members, m)
 		m.State, m.Incarnation = "alive", 1764649406123456
 		report.Known = append(report.Known, m)
-		versions.Versions = append(versions.Versions, peer.VersionReport{HeardMS: 12345, Version: audit.Version{
-			Name: m.Name, Session: 1 << 62, Count: 123456, List: 1234, Words: 1 << 62, View: 1 << 62, Config: m.Session, File: m.Session, Build: "9f3c5a1b2d4e",
+		versions.Versions = append(versions.Versions, peer.VersionReport{ReceivedMS: 12345, Version: audit.Version{
+			Name: m.Name, Session: 1 << 62, Count: 123456, ListVersion: 1234, OverridesDigest: 1 << 62, ViewDigest: 1 << 62, ConfigDigest: m.Session, FleetFileDigest: m.Session, Build: "9f3c5a1b2d4e",
 		}})
 	}
 	size = map[string]int{}
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -100,7 +100,7 @@
 			findings = append(findings, a.Fleet.Name+" at "+a.At+" has lost its name to another process")
 		}
 		for _, m := range a.Fleet.View.Members {
-			if f := "two processes are named " + m.Name; m.Twice && !slices.Contains(findings, f) {
+			if f := "two processes are named " + m.Name; m.DuplicateName && !slices.Contains(findings, f) {
 				findings = append(findings, f)
 			}
 		}
--- a/cmd/lilacctl/plot.go
+++ b/cmd/lilacctl/plot.go
@@ -13,15 +13,15 @@
 	"lilaccove/internal/fleet/audit"
 )
 
-func byTime(a, b audit.Sealed) int { return cmp.Compare(a.From, b.From) }
+func byTime(a, b audit.ChainedRecord) int { return cmp.Compare(a.From, b.From) }
 
 // drawLists draws the list that each process acted on over time, a step for each record.
-func drawLists(path string, records []audit.Sealed) error {
+func drawLists(path string, records []audit.ChainedRecord) error {
 	if len(records) == 0 {
 		return fmt.Errorf("--plot: there is no record to draw")
 	}
 	begun := slices.MinFunc(records, byTime).From
-	seconds := func(s audit.Stamp) float64 { return (s.Moment() - begun.Moment()).Seconds() }
+	seconds := func(s audit.Timestamp) float64 { return (s.WallTime() - begun.WallTime()).Seconds() }
 	lines := map[string]plotter.XYs{}
 	var names []string
 	slices.SortFunc(records, byTime)
@@ -30,7 +30,7 @@
 		if lines[name] == nil {
 			names = append(names, name)
 		}
-		lines[name] = append(lines[name], plotter.XY{X: seconds(r.From), Y: float64(r.List)}, plotter.XY{X: seconds(r.To), Y: float64(r.List)})
+		lines[name] = append(lines[name], plotter.XY{X: seconds(r.From), Y: float64(r.ListVersion)}, plotter.XY{X: seconds(r.To), Y: float64(r.ListVersion)})
 	}
 	slices.Sort(names)
 	p := plot.New()
--- a/cmd/lilacctl/state.go
+++ b/cmd/lilacctl/state.go
@@ -32,22 +32,22 @@
 			continue
 		}
 		digests[r.Digest] = true
-		if newest == nil || len(r.Words) > len(newest.Words) {
+		if newest == nil || len(r.Overrides) > len(newest.Overrides) {
 			newest = r
 		}
 		for _, h := range r.Conflicts {
 			findings = append(findings, r.Name+": words about "+h+" differ; it is left out until you say once more what holds")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%s\n", a, r.Name, r.CaughtUp, len(r.Words), r.Digest)
+		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%s\n", a, r.Name, r.Synced, len(r.Overrides), r.Digest)
 	}
-	if newest != nil && len(newest.Words) > 0 {
+	if newest != nil && len(newest.Overrides) > 0 {
 		fmt.Fprintf(t, "\nDATABASE\tWORD\tSAID AT\tTO\n")
-		for _, x := range newest.Words {
-			word := map[bool]string{true: "suspend", false: "resume"}[x.Out]
-			if _, ok := fleetstate.GatewayOf(x.Host); ok {
-				word = map[bool]string{true: "drain", false: "activate"}[x.Out]
+		for _, x := range newest.Overrides {
+			word := map[bool]string{true: "suspend", false: "resume"}[x.Active]
+			if _, ok := fleetstate.ParseGatewayKey(x.Key); ok {
+				word = map[bool]string{true: "drain", false: "activate"}[x.Active]
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", x.Host, word, time.UnixMilli(x.AtMS).UTC().Format(time.RFC3339), x.By)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", x.Key, word, time.UnixMilli(x.AtMS).UTC().Format(time.RFC3339), x.Origin)
 		}
 	}
 	if len(digests) > 1 {
--- a/cmd/lilacctl/versions.go
+++ b/cmd/lilacctl/versions.go
@@ -26,26 +26,26 @@
 			if !known {
 				names = append(names, v.Name)
 			}
-			if !known || v.Name == r.Name || old.HeardMS > v.HeardMS {
+			if !known || v.Name == r.Name || old.ReceivedMS > v.ReceivedMS {
 				newest[v.Name] = v
 			}
 		}
 	}
 	list := int64(0)
 	for _, v := range newest {
-		list = max(list, v.List)
+		list = max(list, v.ListVersion)
 	}
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "GATEWAY\tLIST\tBEHIND\tWORDS\tVIEW\tCONFIG\tFLEET FILE\tBUILD\tHEARD")
 	for _, n := range names {
 		v := newest[n]
 		behind := "-"
-		if v.List < list {
-			behind = (time.Duration(v.BehindMS) * time.Millisecond).String()
-			findings = append(findings, fmt.Sprintf("%s acts on list %d, the newest is %d", n, v.List, list))
+		if v.ListVersion < list {
+			behind = (time.Duration(v.LaggingMS) * time.Millisecond).String()
+			findings = append(findings, fmt.Sprintf("%s acts on list %d, the newest is %d", n, v.ListVersion, list))
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%x\t%x\t%s\t%s\t%s\t%v ago\n", n, v.List, behind, v.Words, v.View, v.Config, v.File, v.Build,
-			time.Duration(v.HeardMS)*time.Millisecond)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%x\t%x\t%s\t%s\t%s\t%v ago\n", n, v.ListVersion, behind, v.OverridesDigest, v.ViewDigest, v.ConfigDigest, v.FleetFileDigest, v.Build,
+			time.Duration(v.ReceivedMS)*time.Millisecond)
 	}
 	if err := show(w, asJSON, said, t.Flush); err != nil {
 		return err
--- a/deploy/sites_test.go
+++ b/deploy/sites_test.go
@@ -118,7 +118,7 @@
 		for i, c := range d.Class {
 			assert.Equal(t, c.Name, set.Classes[i])
 			assert.Equal(t, c.Deadline, float64(set.Policy.Classes[i].Deadline.Milliseconds()))
-			assert.Equal(t, c.Effect == "unsafe", set.Policy.Classes[i].Repeat == policy.Fragile)
+			assert.Equal(t, c.Effect == "unsafe", set.Policy.Classes[i].RetrySafety == policy.AtMostOnce)
 		}
 		_, err = policy.New(set.Policy, 1)
 		assert.NoError(t, err, d.Name)
--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -23,13 +23,13 @@
 
 // Options are a file's.
 type Options struct {
-	Path string
-	Most int64 // bytes of one file, over which it is renamed to PATH.1, that to PATH.2 and so on
-	Keep int   // files of old lines
+	Path     string
+	MaxBytes int64 // bytes of one file, over which it is renamed to PATH.1, that to PATH.2 and so on
+	Keep     int   // files of old lines
 }
 
-// State is how it went so far.
-type State struct {
+// Stats is how it went so far.
+type Stats struct {
 	Written, Lost uint64
 	Err           string // the last failure, empty once a line was written again
 }
@@ -44,7 +44,7 @@
 	told  time.Time
 
 	mu    sync.Mutex // between the writer and who asks for the state
-	state State
+	state Stats
 }
 
 // Open begins to write. A path that cannot be used is an error; what the system lacks for a moment costs lines, as later, and
@@ -95,8 +95,8 @@
 	}
 }
 
-// State is how it went so far.
-func (w *Writer) State() State {
+// Stats is how it went so far.
+func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state
@@ -118,7 +118,7 @@
 		w.note(err, err == nil)
 		if err != nil && time.Since(w.told) >= logEvery {
 			w.told = time.Now()
-			log.Printf("event=audit_file_failed lost=%d err=%q", w.State().Lost, err)
+			log.Printf("event=audit_file_failed lost=%d err=%q", w.Stats().Lost, err)
 		}
 	}
 	if w.file != nil {
@@ -141,7 +141,7 @@
 
 // write appends a line, whole or not at all as far as that can be had.
 func (w *Writer) write(line []byte) error {
-	if w.file != nil && w.size > 0 && w.size+int64(len(line)) > w.opt.Most {
+	if w.file != nil && w.size > 0 && w.size+int64(len(line)) > w.opt.MaxBytes {
 		if err := w.rotate(); err != nil {
 			return err
 		}
--- a/internal/auditfile/auditfile_test.go
+++ b/internal/auditfile/auditfile_test.go
@@ -26,7 +26,7 @@
 func TestLinesAndRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit")
 	require.NoError(t, os.WriteFile(path, []byte("one\ntw"), 0o600))
-	w, err := Open(Options{Path: path, Most: 100, Keep: 2})
+	w, err := Open(Options{Path: path, MaxBytes: 100, Keep: 2})
 	require.NoError(t, err)
 	for i := range 30 {
 		require.True(t, w.Write(fmt.Appendf(nil, "line %04d", i)))
@@ -35,12 +35,12 @@
 	got := texts(t, path)
 	assert.Equal(t, "line 0029", got[len(got)-1])
 	assert.Len(t, got, 21, "the current file and two old ones")
-	assert.Equal(t, State{Written: 30}, w.State())
+	assert.Equal(t, Stats{Written: 30}, w.Stats())
 	_, err = os.Stat(path + ".3")
 	assert.ErrorIs(t, err, os.ErrNotExist)
 
 	require.NoError(t, os.WriteFile(path+"x", []byte("one\ntw"), 0o600))
-	w, err = Open(Options{Path: path + "x", Most: 100, Keep: 2})
+	w, err = Open(Options{Path: path + "x", MaxBytes: 100, Keep: 2})
 	require.NoError(t, err)
 	w.Write([]byte("three"))
 	w.Close(time.Minute)
@@ -53,19 +53,19 @@
 	_, err := Open(Options{Path: filepath.Join(dir, "audit")})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 	require.NoError(t, os.Mkdir(dir, 0o700))
-	w, err := Open(Options{Path: filepath.Join(dir, "audit"), Most: 10, Keep: 1})
+	w, err := Open(Options{Path: filepath.Join(dir, "audit"), MaxBytes: 10, Keep: 1})
 	require.NoError(t, err)
 	defer w.Close(time.Minute)
 	w.Write([]byte("first line"))
-	require.Eventually(t, func() bool { return w.State().Written == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return w.Stats().Written == 1 }, time.Minute, time.Millisecond)
 	require.NoError(t, os.RemoveAll(dir))
 	w.Write([]byte("second line")) // to a new file, which has no place
-	require.Eventually(t, func() bool { return w.State().Lost == 1 }, time.Minute, time.Millisecond)
-	assert.NotEmpty(t, w.State().Err)
+	require.Eventually(t, func() bool { return w.Stats().Lost == 1 }, time.Minute, time.Millisecond)
+	assert.NotEmpty(t, w.Stats().Err)
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	w.Write([]byte("third line"))
-	require.Eventually(t, func() bool { return w.State().Written == 2 }, time.Minute, time.Millisecond)
-	assert.Empty(t, w.State().Err)
+	require.Eventually(t, func() bool { return w.Stats().Written == 2 }, time.Minute, time.Millisecond)
+	assert.Empty(t, w.Stats().Err)
 	assert.Equal(t, []string{"third line"}, texts(t, filepath.Join(dir, "audit")))
 }
 
@@ -74,7 +74,7 @@
 	w := &Writer{lines: make(chan []byte, 1), done: make(chan struct{})} // nobody reads
 	assert.True(t, w.Write([]byte("a")))
 	assert.False(t, w.Write([]byte("b")))
-	assert.Equal(t, State{Lost: 1}, w.State())
+	assert.Equal(t, Stats{Lost: 1}, w.Stats())
 	w.Close(time.Millisecond)
 }
 
@@ -87,13 +87,13 @@
 	none.Cur = 0
 	path := filepath.Join(t.TempDir(), "audit")
 	require.NoError(t, unix.Setrlimit(unix.RLIMIT_NOFILE, &none))
-	w, err := Open(Options{Path: path, Most: 1 << 20})
+	w, err := Open(Options{Path: path, MaxBytes: 1 << 20})
 	require.NoError(t, unix.Setrlimit(unix.RLIMIT_NOFILE, &limit))
 	require.NoError(t, err)
 	require.True(t, w.Write([]byte("later")))
 	w.Close(10 * time.Second)
 	assert.Equal(t, []string{"later"}, texts(t, path))
 
-	_, err = Open(Options{Path: filepath.Join(t.TempDir(), "none", "audit"), Most: 1 << 20})
+	_, err = Open(Options{Path: filepath.Join(t.TempDir(), "none", "audit"), MaxBytes: 1 << 20})
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -426,7 +426,7 @@
 	case pgwire.CodeReadOnly, pgwire.CodeTooFarBehind:
 		return policy.Miss
 	case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
-		return policy.Full
+		return policy.AtCapacity
 	case pgwire.CodeProtocolViolation:
 		p.spoilt.Printf(p.loop.Now(), "event=bad_statement host=%s text=%q", id, a.text)
 	}
@@ -446,7 +446,7 @@
 	case !c.up:
 		o := policy.ConnectFailed
 		if a := &c.answer; a.code == pgwire.CodeTooManyConnections {
-			o = policy.Full
+			o = policy.AtCapacity
 		}
 		c.drop()
 		c.pool.dialFailed(c.host, o)
--- a/internal/backend/late_test.go
+++ b/internal/backend/late_test.go
@@ -20,10 +20,10 @@
 	defer loop.Close()
 	core := &ends{}
 	pool := New(loop, core, Options{DialTimeout: time.Second})
-	pool.Listed(policy.ListFull, []gateway.Entry{{Member: policy.Member{Host: "h"}, Dial: netip.MustParseAddrPort("127.0.0.1:9")}})
+	pool.ListUpdated(policy.ListFull, []gateway.Entry{{Member: policy.Member{Host: "h"}, Dial: netip.MustParseAddrPort("127.0.0.1:9")}})
 	at := loop.Now() + 5*time.Millisecond
 	time.Sleep(10 * time.Millisecond) // in the middle of a round
-	pool.Send(&gateway.Attempt{Host: "h", Deadline: at, Begin: at})
-	pool.Send(&gateway.Attempt{Host: "unknown", Deadline: at + time.Minute, Begin: at + time.Minute})
+	pool.Send(&gateway.Attempt{Host: "h", Deadline: at, BeginBy: at})
+	pool.Send(&gateway.Attempt{Host: "unknown", Deadline: at + time.Minute, BeginBy: at + time.Minute})
 	assert.Equal(t, []policy.Outcome{policy.NotSent, policy.ConnectFailed}, core.outcomes)
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -24,7 +24,7 @@
 	Begun(a *gateway.Attempt, until time.Duration) (left time.Duration)
 	Written(a *gateway.Attempt) // its last byte was taken by the kernel
 	Began(a *gateway.Attempt) bool
-	Fleet(e policy.Event)
+	FleetEvent(e policy.Event)
 	Part(a *gateway.Attempt, b []byte) (more bool)
 }
 
@@ -41,8 +41,8 @@
 type Budget interface {
 	// Allowed is how many may be open and used from now until a moment.
 	Allowed(host policy.HostID, until time.Duration) int
-	// Need tells how many are used, and how many more are waited for.
-	Need(host policy.HostID, used, waiting int)
+	// ReportDemand tells how many are used, and how many more are waited for.
+	ReportDemand(host policy.HostID, used, waiting int)
 }
 
 const (
@@ -129,12 +129,12 @@
 	}
 	if !h.told || n != h.most {
 		h.told, h.most = true, n
-		p.core.Fleet(policy.Bounded{Host: h.id, Most: n})
+		p.core.FleetEvent(policy.ConcurrencyLimit{Host: h.id, Max: n})
 	}
 }
 
 func (p *Pool) need(h *host) {
-	p.opt.Budget.Need(h.id, h.open-len(h.idle), len(h.waiting))
+	p.opt.Budget.ReportDemand(h.id, h.open-len(h.idle), len(h.waiting))
 }
 
 // over is how many connections to h are open beyond what may be used until a moment; below zero: so many more may be.
@@ -163,9 +163,9 @@
 	}
 }
 
-// Listed keeps the addresses of hosts. Connections to where one was before, or to one
+// ListUpdated keeps the addresses of hosts. Connections to where one was before, or to one
 // that is gone, are of no use; a list that is not of changes holds all that are not gone.
-func (p *Pool) Listed(kind policy.ListKind, entries []gateway.Entry) {
+func (p *Pool) ListUpdated(kind policy.ListKind, entries []gateway.Entry) {
 	named := map[policy.HostID]bool{}
 	for _, e := range entries {
 		named[e.Host] = true
@@ -179,7 +179,7 @@
 			p.redial(h)
 		}
 		if moved || e.Status == policy.Gone {
-			p.HangUp(e.Host)
+			p.CloseIdleConnections(e.Host)
 		}
 		if p.opt.Budget != nil {
 			h.told = false // the module may have forgotten it meanwhile
@@ -188,7 +188,7 @@
 	}
 	for id, h := range p.hosts {
 		if (kind == policy.ListFull || kind == policy.ListCached) && !named[id] {
-			p.HangUp(id)
+			p.CloseIdleConnections(id)
 			p.leave(h, true)
 		}
 	}
@@ -214,8 +214,8 @@
 
 // Send starts an attempt.
 func (p *Pool) Send(a *gateway.Attempt) {
-	j := &job{attempt: a, host: p.hosts[a.Host], until: a.Deadline, begin: a.Begin}
-	a.Link = j
+	j := &job{attempt: a, host: p.hosts[a.Host], until: a.Deadline, begin: a.BeginBy}
+	a.BackendData = j
 	p.place(j)
 }
 
@@ -230,29 +230,29 @@
 	p.place(j)
 }
 
-// Resume lets an attempt's value go on.
-func (p *Pool) Resume(a *gateway.Attempt) {
-	if j, ok := a.Link.(*job); ok && j.conn != nil {
+// ResumeStream lets an attempt's value go on.
+func (p *Pool) ResumeStream(a *gateway.Attempt) {
+	if j, ok := a.BackendData.(*job); ok && j.conn != nil {
 		j.conn.resume()
 	}
 }
 
 // Cancel gives an attempt up. The database learns of it by the close.
 func (p *Pool) Cancel(a *gateway.Attempt) {
-	if j, ok := a.Link.(*job); ok {
+	if j, ok := a.BackendData.(*job); ok {
 		p.abandon(j, policy.Cancelled)
 	}
 }
 
-// Recall gives an attempt back if its last byte is not with the kernel: it has not run and must not any more.
-func (p *Pool) Recall(a *gateway.Attempt) {
-	if j, ok := a.Link.(*job); ok && (j.conn == nil || j.conn.owes()) {
+// CancelUnsent gives an attempt back if its last byte is not with the kernel: it has not run and must not any more.
+func (p *Pool) CancelUnsent(a *gateway.Attempt) {
+	if j, ok := a.BackendData.(*job); ok && (j.conn == nil || j.conn.owes()) {
 		p.abandon(j, policy.NotSent)
 	}
 }
 
-// HangUp closes the idle connections to a host.
-func (p *Pool) HangUp(id policy.HostID) {
+// CloseIdleConnections closes the idle connections to a host.
+func (p *Pool) CloseIdleConnections(id policy.HostID) {
 	if h := p.hosts[id]; h != nil {
 		for _, c := range slices.Concat(h.idle, h.resting) {
 			c.drop()
@@ -264,10 +264,10 @@
 	}
 }
 
-// Withdraw hangs up and gives back what waits for a connection to a host: not a byte of it was
+// StopUsingHost hangs up and gives back what waits for a connection to a host: not a byte of it was
 // written. What runs there goes on.
-func (p *Pool) Withdraw(id policy.HostID) {
-	p.HangUp(id)
+func (p *Pool) StopUsingHost(id policy.HostID) {
+	p.CloseIdleConnections(id)
 	if h := p.hosts[id]; h != nil {
 		list := h.waiting
 		h.waiting = nil
@@ -277,10 +277,10 @@
 	}
 }
 
-// CloseIdle closes all idle connections.
-func (p *Pool) CloseIdle() {
+// CloseAllIdle closes all idle connections.
+func (p *Pool) CloseAllIdle() {
 	for id := range p.hosts {
-		p.HangUp(id)
+		p.CloseIdleConnections(id)
 	}
 }
 
@@ -325,7 +325,7 @@
 		case j.begin < j.until && p.loop.Now() >= j.begin:
 			o = policy.NotSent // a repeat whose window is over
 		case p.over(j.host, j.until) >= 0:
-			o = policy.Full // the host is well: there is no connection to be had
+			o = policy.AtCapacity // the host is well: there is no connection to be had
 		case more > 0 && p.loop.Now() < j.begin:
 			p.expect(j, more)
 			return
@@ -348,7 +348,7 @@
 		p.need(h)
 		return
 	}
-	if p.loop.Spare() <= p.opt.Reserve && !p.DropIdle() {
+	if p.loop.Spare() <= p.opt.Reserve && !p.CloseOldestIdle() {
 		p.short.Printf(p.loop.Now(), "event=no_descriptor host=%s spare=%d", h.id, p.loop.Spare())
 		p.later(h)
 		return
@@ -379,8 +379,8 @@
 	h.shortAt = p.loop.Now()
 }
 
-// DropIdle closes the connection that has been idle longest; false: there is none.
-func (p *Pool) DropIdle() bool {
+// CloseOldestIdle closes the connection that has been idle longest; false: there is none.
+func (p *Pool) CloseOldestIdle() bool {
 	var oldest *host
 	for _, h := range p.hosts {
 		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleAt < oldest.idle[0].idleAt) {
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -29,7 +29,7 @@
 func (*ends) Probed(policy.HostID, policy.Outcome, gateway.Reply) {}
 func (*ends) Written(*gateway.Attempt)                            {}
 func (*ends) Began(*gateway.Attempt) bool                         { return true }
-func (*ends) Fleet(policy.Event)                                  {}
+func (*ends) FleetEvent(policy.Event)                             {}
 func (*ends) Part(*gateway.Attempt, []byte) bool                  { return true }
 
 // row is an answer with a value.
--- a/internal/backend/ready_test.go
+++ b/internal/backend/ready_test.go
@@ -22,7 +22,7 @@
 		want policy.Outcome
 	}{
 		"a value":   {row[:len(row)-6], policy.OK},
-		"a refusal": {busy, policy.Full},
+		"a refusal": {busy, policy.AtCapacity},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/backend/rig_test.go
+++ b/internal/backend/rig_test.go
@@ -35,7 +35,7 @@
 
 // list has the list say where the host is.
 func (r *rig) list(addr string) {
-	r.pool.Listed(policy.ListDelta, []gateway.Entry{{Member: policy.Member{Host: "h"}, Dial: netip.MustParseAddrPort(addr)}})
+	r.pool.ListUpdated(policy.ListDelta, []gateway.Entry{{Member: policy.Member{Host: "h"}, Dial: netip.MustParseAddrPort(addr)}})
 }
 
 // send begins an attempt at the host that may take so long, and returns when its time is over.
@@ -44,6 +44,6 @@
 	head, err := pgwire.ParseHead(text)
 	require.NoError(r.t, err)
 	until = r.loop.Now() + within
-	r.pool.Send(&gateway.Attempt{Host: "h", Statement: &pgwire.Statement{Text: text, Head: head}, Deadline: until, Begin: until})
+	r.pool.Send(&gateway.Attempt{Host: "h", Statement: &pgwire.Statement{Text: text, Head: head}, Deadline: until, BeginBy: until})
 	return until
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -144,7 +144,7 @@
 		{"internal/peer/envelope.go", `headSize\s+= 12\b`},
 		{"internal/peer/envelope.go", `tailSize\s+= 8\b`},
 		{"internal/peer/envelope.go", `mostFrame\s+= 480 << 10`},
-		{"internal/fleet/state/positions.go", `Tick\s+= 100 \* time\.Millisecond`},
+		{"internal/fleet/state/positions.go", `GossipInterval\s+= 100 \* time\.Millisecond`},
 		{"internal/fleet/state/positions.go", `fanout\s+= 3\b`},
 		{"internal/fleet/state/positions.go", `perSend\s+= 30\b`},
 		{"internal/fleet/audit/versions.go", `perSend\s+= 8\b`},
@@ -152,7 +152,7 @@
 		{"internal/fleet/audit/versions.go", `tellEvery\s+= time\.Second`},
 		{"internal/fleet/audit/versions.go", `knownMost\s+= 4096\b`},
 		{"internal/fleet/budget/budget.go", `keysMost\s+= 4096\b`},
-		{"internal/fleet/file.go", `MostMembers = 4096\b`},
+		{"internal/fleet/file.go", `MaxMembers = 4096\b`},
 		{"internal/front/limits.go", `idle: 5 \* time\.Second`},
 		{"cmd/lilacctl/main.go", `"timeout", 2\*time\.Second`},
 		{"cmd/lilacctl/members.go", `mostAnswer = 8 << 20\b`},
@@ -175,13 +175,13 @@
 	assert.InEpsilon(t, memberBytes, float64(len(a)+len(b)+2)/2, 0.03)
 
 	v := peer.VersionReport{Version: audit.Version{
-		Name: "g217", Session: 1 << 62, Count: 123456, List: 1234, Words: 1 << 62, View: 1 << 62, Config: "9f3c5a1b2d4e6f70", File: "9f3c5a1b2d4e6f70", Build: "9f3c5a1b2d4e",
-	}, HeardMS: 12345}
+		Name: "g217", Session: 1 << 62, Count: 123456, ListVersion: 1234, OverridesDigest: 1 << 62, ViewDigest: 1 << 62, ConfigDigest: "9f3c5a1b2d4e6f70", FleetFileDigest: "9f3c5a1b2d4e6f70", Build: "9f3c5a1b2d4e",
+	}, ReceivedMS: 12345}
 	c, err := json.Marshal(v)
 	require.NoError(t, err)
 	assert.InEpsilon(t, versionBytes, float64(len(c)+1), 0.03)
 
-	full, err := cbor.Marshal(fleetstate.Message{Positions: slices.Repeat([]fleetstate.Position{{Host: "g101-db2", At: 1764649406 * time.Second}}, 30)})
+	full, err := cbor.Marshal(fleetstate.PositionsMessage{Positions: slices.Repeat([]fleetstate.Position{{Host: "g101-db2", At: 1764649406 * time.Second}}, 30)})
 	require.NoError(t, err)
 	assert.InEpsilon(t, positionBytes, float64(len(full))/30, 0.03)
 
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -134,9 +134,9 @@
 // adapt fits the settings to real sockets.
 func adapt(set settings.Settings) policy.Settings {
 	p := set.Policy
-	p.OwnClock = true
-	if p.List == policy.ListUnasked {
-		p.List = policy.ListAsked // the settings do not say: here no list comes unasked
+	p.IndependentClock = true
+	if p.ListSource == policy.ListPushed {
+		p.ListSource = policy.ListFromService // the settings do not say: here no list comes unasked
 	}
 	p.Classes = append([]policy.Class(nil), p.Classes...)
 	for i, c := range p.Classes {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,9 +28,9 @@
 	Watch  *discovery.Client
 	Counts *stats.Counters
 	Guard  *invariant.Guard
-	Ask    netip.AddrPort // where discovery was told to be
-	Links  *peer.Links    // to the fleet; nil: without a fleet file
-	Spans  *peer.Spans    // what was done; only with links
+	Ask    netip.AddrPort      // where discovery was told to be
+	Links  *peer.Links         // to the fleet; nil: without a fleet file
+	Spans  *peer.AuditRecorder // what was done; only with links
 
 	cfg       Config
 	set       settings.Settings
@@ -50,7 +50,7 @@
 // violated logs what must never be.
 func (s *Side) violated(v invariant.Violation) {
 	s.broken.Printf(s.Loop.Now(), "event=violation name=%s request=%q client=%d database=%s list=%d transition=%s by_ms=%d",
-		v.Name, v.Request, v.Client, v.Database, s.Watch.Seq(), v.Transition, v.By.Milliseconds())
+		v.Name, v.Request, v.Client, v.Database, s.Watch.Seq(), v.Transition, v.Excess.Milliseconds())
 }
 
 // New makes one by a configuration, its settings as they were read, and a fleet file; nil: in no fleet.
@@ -68,14 +68,14 @@
 	s.Core = gateway.New(loop, router, set.MaxOpen, s.Counts)
 	s.Watch = discovery.New(loop, s.Core, ask, set.Zones)
 	s.Guard = invariant.New(set.Policy, s.violated)
-	s.Core.OnGuard(s.Guard)
+	s.Core.SetGuard(s.Guard)
 	if party == nil {
 		return s, nil
 	}
 	if s.Links, err = peer.New(loop, cfg.Name, zone(set), party, loop.Now()); err != nil {
 		return nil, err
 	}
-	if s.Spans, err = s.Links.Record(func(class int) bool { return set.Policy.Classes[class].Level == policy.Write }); err != nil {
+	if s.Spans, err = s.Links.StartAudit(func(class int) bool { return set.Policy.Classes[class].Level == policy.Write }); err != nil {
 		s.Links.Close()
 		return nil, fmt.Errorf("audit file: %w", err)
 	}
@@ -106,16 +106,16 @@
 	}
 	s.drain = drain
 	core, links := s.Core, s.Links
-	core.OnActs(s.Spans)
-	s.Spans.Listed(core.Hosts())
-	s.changed = append(s.changed, func() { s.Spans.Listed(core.Hosts()) })
-	links.OnWord(s.word)
+	core.SetObserver(s.Spans)
+	s.Spans.SetList(core.Hosts())
+	s.changed = append(s.changed, func() { s.Spans.SetList(core.Hosts()) })
+	links.OnOverride(s.word)
 	links.OnFence(core.Fence)
-	links.Tell(peer.Facts{
-		List: s.Watch.Seq, Ask: s.Watch.Renew, Config: sameSettings(s.cfg.Settings), File: digest(s.party.Common()), Build: build(),
+	links.ShareVersions(peer.LocalVersions{
+		ListVersion: s.Watch.Seq, RequestList: s.Watch.Renew, ConfigDigest: sameSettings(s.cfg.Settings), FleetFileDigest: digest(s.party.Common()), Build: build(),
 	})
-	if s.party.Repeats > 0 {
-		core.Fleet(policy.Repeats{Share: s.party.Repeats})
+	if s.party.RetryBudget > 0 {
+		core.FleetEvent(policy.RetryBudget{Share: s.party.RetryBudget})
 	}
 	if s.party.Subsets {
 		s.subsets = &subsets{loop: s.Loop, core: core, links: links, zones: s.set.Zones}
@@ -124,14 +124,14 @@
 		s.subsets.stir()
 	}
 	if s.party.Positions {
-		s.positions = links.SharePositions(core.InList, core.Hosts, core.Fleet)
+		s.positions = links.SharePositions(core.InList, core.Hosts, core.FleetEvent)
 		core.OnPosition(s.Position)
-		s.changed = append(s.changed, s.positions.Forget)
+		s.changed = append(s.changed, s.positions.ListChanged)
 	}
 	if s.party.Primaries {
-		s.primaries = links.SharePrimaries(core.InList, core.Hosts, core.Fleet)
+		s.primaries = links.SharePrimaries(core.InList, core.Hosts, core.FleetEvent)
 		core.OnPrimary(s.Primary)
-		s.changed = append(s.changed, s.primaries.Forget)
+		s.changed = append(s.changed, s.primaries.ListChanged)
 	}
 	core.OnList(func() {
 		for _, do := range s.changed {
@@ -143,14 +143,14 @@
 // Position takes in how far a database says that it has come.
 func (s *Side) Position(host policy.HostID, at time.Duration) {
 	if s.positions != nil {
-		s.positions.Learned(host, at-s.set.Policy.PositionGrain) // a write's position is rounded up
+		s.positions.Observe(host, at-s.set.Policy.PositionGranularity) // a write's position is rounded up
 	}
 }
 
 // Primary takes in that a database has answered as primary, and when it was asked.
 func (s *Side) Primary(host policy.HostID, at time.Duration) {
 	if s.primaries != nil {
-		s.primaries.Learned(host, at)
+		s.primaries.Observe(host, at)
 	}
 }
 
@@ -167,7 +167,7 @@
 	if s.positions == nil {
 		return 0, 0
 	}
-	return s.positions.News()
+	return s.positions.UpdateCounts()
 }
 
 // Preferred are the databases that this gateway uses first; none: the settings say which.
@@ -181,7 +181,7 @@
 // Step goes behind all that a round has brought.
 func (s *Side) Step() (again bool) {
 	if s.Links != nil {
-		s.Links.Guard()
+		s.Links.CheckFence()
 	}
 	return s.Core.Step()
 }
@@ -206,7 +206,7 @@
 
 // Metrics adds what was violated and given up, and the figures of the fleet, a line each; without one there are none.
 func (s *Side) Metrics(b []byte) []byte {
-	b = s.Core.GivenUp(s.Guard.Metrics(b))
+	b = s.Core.Metrics(s.Guard.Metrics(b))
 	if s.Links == nil {
 		return b
 	}
@@ -221,7 +221,7 @@
 	if s.alone[id] = out; !out {
 		delete(s.alone, id)
 	}
-	return out || s.Links.Out(id)
+	return out || s.Links.OverrideActive(id)
 }
 
 // LeftOut tells whether a word to this gateway alone leaves a database out.
@@ -229,13 +229,13 @@
 
 // word does what operators told the whole fleet. It binds at once, also of a database that the list does not name yet.
 func (s *Side) word(id string, out bool) {
-	if name, ok := state.GatewayOf(id); ok {
+	if name, ok := state.ParseGatewayKey(id); ok {
 		if name == s.Links.Name() {
 			s.drain(out)
 		}
 		return
 	}
-	s.Spans.Word(id, out)
+	s.Spans.Override(id, out)
 	s.Core.SetSuspended(policy.HostID(id), out || s.alone[id])
 }
 
--- a/internal/control/subsets.go
+++ b/internal/control/subsets.go
@@ -45,10 +45,10 @@
 		}
 		fleet = append(fleet, share.Gateway{Name: m.Name, Zone: slices.Index(s.zones, m.Zone)})
 	}
-	groups := map[policy.GroupID][]share.Member{}
+	groups := map[policy.GroupID][]share.Database{}
 	for _, h := range s.core.Hosts() {
 		if h.Status == policy.Healthy {
-			groups[h.Group] = append(groups[h.Group], share.Member{ID: string(h.Host), Zone: h.Zone})
+			groups[h.Group] = append(groups[h.Group], share.Database{ID: string(h.Host), Zone: h.Zone})
 		}
 	}
 	var hosts []policy.HostID
@@ -68,6 +68,6 @@
 	s.last, s.fleet = hosts, len(fleet)
 	log.Printf("event=fleet_subset gateways=%d hosts=%d of=%d", len(fleet), len(hosts), len(s.core.Hosts()))
 	if !same {
-		s.core.Fleet(policy.Preferred{Hosts: hosts})
+		s.core.FleetEvent(policy.PreferredHosts{Hosts: hosts})
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -40,7 +40,7 @@
 
 // Core takes the news.
 type Core interface {
-	Listed(kind policy.ListKind, entries []gateway.Entry)
+	ListUpdated(kind policy.ListKind, entries []gateway.Entry)
 }
 
 // Client is the one watch of a gateway.
@@ -94,7 +94,7 @@
 		return fmt.Errorf("known list: %w", err)
 	}
 	c.seq = l.Seq
-	c.core.Listed(policy.ListCached, c.entries(l.Hosts))
+	c.core.ListUpdated(policy.ListCached, c.entries(l.Hosts))
 	return nil
 }
 
@@ -188,9 +188,9 @@
 	c.drop()
 	kind := policy.ListFailed
 	if errors.Is(err, errCrowd) {
-		kind = policy.ListCrowded
+		kind = policy.ListQueueTimeout
 	}
-	c.core.Listed(kind, nil)
+	c.core.ListUpdated(kind, nil)
 }
 
 // drop ends the watch, if there is one.
@@ -273,7 +273,7 @@
 		kind = policy.ListFull
 	}
 	c.seq, c.told, c.heard = l.Seq, true, true
-	c.core.Listed(kind, c.entries(l.Hosts))
+	c.core.ListUpdated(kind, c.entries(l.Hosts))
 	return nil
 }
 
@@ -281,7 +281,7 @@
 // take a database out and bring none back; the whole list is asked for.
 func (c *Client) older(l listing) error {
 	careful := slices.DeleteFunc(l.Hosts, func(e line) bool { return status(e.Health) == policy.Healthy })
-	c.core.Listed(policy.ListDelta, c.entries(careful))
+	c.core.ListUpdated(policy.ListDelta, c.entries(careful))
 	c.seq = 0
 	return fmt.Errorf("%w: %d", errOlder, l.Seq)
 }
--- a/internal/fleet/antientropy/machine.go
+++ b/internal/fleet/antientropy/machine.go
@@ -22,33 +22,33 @@
 )
 
 const (
-	datagram    = 1200
-	paceBytes   = 200 // an ask may go out for so many bytes of its half of the budget
-	paceLeast   = 100 * time.Millisecond
-	paceMost    = time.Second
-	again       = 500 * time.Millisecond // after which a database is asked for again; doubled while that brings nothing
-	againMost   = 4 * time.Second
-	settled     = 5                // steps; of what is older the digest tells each moment, and any gain is news
-	ahead       = time.Second      // a moment so far past the own clock is not believed
-	byName      = 10 * time.Second // one whose list is another is asked by name for so long
-	othersMost  = 64
-	tellings    = 3    // of a rise that others will hardly have heard of
-	windowMost  = 128  // a wider one asks for the freshest of many, and leaves the oldest waiting
-	nearShare   = 0.75 // of asks go to the own zone
-	windowFirst = 64
-	windowLeast = 8
-	windowGrow  = 8
-	LeastBytes  = 400 // a second: one ask and one answer
-	MostBytes   = 1_000_000
+	datagram          = 1200
+	paceBytes         = 200 // an ask may go out for so many bytes of its half of the budget
+	paceLeast         = 100 * time.Millisecond
+	paceMost          = time.Second
+	again             = 500 * time.Millisecond // after which a database is asked for again; doubled while that brings nothing
+	againMost         = 4 * time.Second
+	settled           = 5                // steps; of what is older the digest tells each moment, and any gain is news
+	ahead             = time.Second      // a moment so far past the own clock is not believed
+	byName            = 10 * time.Second // one whose list is another is asked by name for so long
+	othersMost        = 64
+	tellings          = 3    // of a rise that others will hardly have heard of
+	windowMost        = 128  // a wider one asks for the freshest of many, and leaves the oldest waiting
+	nearShare         = 0.75 // of asks go to the own zone
+	windowFirst       = 64
+	windowLeast       = 8
+	windowGrow        = 8
+	MinBytesPerSecond = 400 // a second: one ask and one answer
+	MaxBytesPerSecond = 1_000_000
 )
 
 // Config is what a machine is told at its start.
 type Config struct {
-	Own, Zone string
-	Seed      uint64
-	Bytes     int           // a second, of all that is sent
-	Overhead  int           // bytes that each message takes besides its own
-	Step      time.Duration // less is no news
+	Name, Zone      string
+	Seed            uint64
+	BytesPerSecond  int           // a second, of all that is sent
+	MessageOverhead int           // bytes that each message takes besides its own
+	Step            time.Duration // less is no news
 }
 
 // Member is a gateway that can be asked.
@@ -62,20 +62,20 @@
 
 // Counts are what has happened since the start.
 type Counts struct {
-	Learned   uint64 // moments that this gateway heard from a database and that were news
-	Heard     uint64 // from other gateways
-	Old       uint64 // heard, and not news
-	Ahead     uint64 // heard, and past the clock
-	Unknown   uint64 // heard, of databases that are not listed here
-	Asked     uint64 // asks sent
-	Wanted    uint64 // databases in them
-	Answered  uint64 // asks answered
-	Told      uint64 // moments in answers and asks
-	Cut       uint64 // answers that had not room for all
-	Refused   uint64 // asks not answered for want of budget
-	WasBusy   uint64 // asks of this gateway that others refused
-	OtherList uint64 // asks by index that met another list, on either side
-	Bytes     uint64 // sent, with the overhead
+	Learned        uint64 // moments that this gateway heard from a database and that were news
+	Received       uint64 // from other gateways
+	Outdated       uint64 // heard, and not news
+	Future         uint64 // heard, and past the clock
+	Unknown        uint64 // heard, of databases that are not listed here
+	Requests       uint64 // asks sent
+	Wanted         uint64 // databases in them
+	Answered       uint64 // asks answered
+	EntriesSent    uint64 // moments in answers and asks
+	Truncated      uint64 // answers that had not room for all
+	Refused        uint64 // asks not answered for want of budget
+	PeerBusy       uint64 // asks of this gateway that others refused
+	ListMismatches uint64 // asks by index that met another list, on either side
+	Bytes          uint64 // sent, with the overhead
 }
 
 // database is what is known of one.
@@ -123,11 +123,11 @@
 }
 
 // most is what either half of the budget holds: what half a second of the whole brings.
-func (m *Machine) most() float64 { return float64(m.cfg.Bytes) / 2 }
+func (m *Machine) most() float64 { return float64(m.cfg.BytesPerSecond) / 2 }
 
 // fill has both halves grow. What one cannot hold is the other's.
 func (m *Machine) fill(now time.Duration) {
-	half := max(0, now-m.filled).Seconds() * float64(m.cfg.Bytes) / 2
+	half := max(0, now-m.filled).Seconds() * float64(m.cfg.BytesPerSecond) / 2
 	m.filled = max(now, m.filled)
 	m.asks += half
 	m.answers += half
@@ -137,11 +137,11 @@
 	m.answers = min(m.answers+over, m.most())
 }
 
-// Live tells who can be asked.
-func (m *Machine) Live(members []Member) {
+// SetMembers tells who can be asked.
+func (m *Machine) SetMembers(members []Member) {
 	m.all, m.near, m.retry = nil, nil, ""
 	for _, o := range members {
-		if o.Name == m.cfg.Own {
+		if o.Name == m.cfg.Name {
 			continue
 		}
 		m.all = append(m.all, o.Name)
@@ -151,8 +151,8 @@
 	}
 }
 
-// List tells which databases there are. What is known of others is dropped, and of no other anything is kept.
-func (m *Machine) List(hosts []string) {
+// SetDatabases tells which databases there are. What is known of others is dropped, and of no other anything is kept.
+func (m *Machine) SetDatabases(hosts []string) {
 	hosts = slices.Compact(slices.Sorted(slices.Values(hosts)))
 	hosts = slices.DeleteFunc(hosts, func(h string) bool { return h == "" || len(h) > hostMost })
 	hosts = hosts[:min(len(hosts), indexMost)]
@@ -169,8 +169,8 @@
 	m.digest = max(1, xxhash.Sum64String(strings.Join(hosts, "\x00")))
 }
 
-// Learned takes in what a database told this gateway; false: it is not listed.
-func (m *Machine) Learned(host string, at time.Duration) bool {
+// Observe takes in what a database told this gateway; false: it is not listed.
+func (m *Machine) Observe(host string, at time.Duration) bool {
 	i, ok := m.index[host]
 	if ok && m.raise(i, at, true) {
 		m.counts.Learned++
@@ -192,8 +192,8 @@
 }
 
 // place is where a claim's database stands in the list.
-func (m *Machine) place(msg *Message, c Claim) (i int, ok bool) {
-	if msg.List == 0 {
+func (m *Machine) place(msg *Message, c Entry) (i int, ok bool) {
+	if msg.ListDigest == 0 {
 		i, ok = m.index[c.Host]
 		return i, ok
 	}
@@ -201,27 +201,27 @@
 }
 
 // join takes in what another gateway tells.
-func (m *Machine) join(now time.Duration, msg *Message) (news []Claim) {
-	for _, c := range msg.Claims {
+func (m *Machine) join(now time.Duration, msg *Message) (news []Entry) {
+	for _, c := range msg.Entries {
 		i, ok := m.place(msg, c)
 		switch {
 		case c.At == 0: // a question alone
 		case !ok:
 			m.counts.Unknown++
 		case c.At > now+ahead:
-			m.counts.Ahead++
+			m.counts.Future++
 		case !m.raise(i, c.At, false):
-			m.counts.Old++
+			m.counts.Outdated++
 		default:
-			m.counts.Heard++
-			news = append(news, Claim{Index: i, Host: m.list[i].host, At: c.At})
+			m.counts.Received++
+			news = append(news, Entry{Index: i, Host: m.list[i].host, At: c.At})
 		}
 	}
 	return news
 }
 
-// Wake is when Tick is to be called.
-func (m *Machine) Wake() time.Duration { return m.next }
+// NextTick is when Tick is to be called.
+func (m *Machine) NextTick() time.Duration { return m.next }
 
 // Tick sends an ask if one is due, there is something to ask for or to tell, and the budget has room.
 func (m *Machine) Tick(now time.Duration) (out []Send) {
@@ -233,10 +233,10 @@
 	if len(m.all) == 0 || len(m.list) == 0 {
 		return nil
 	}
-	msg := Message{Kind: Ask, From: m.cfg.Own, List: m.digest}
+	msg := Message{Kind: Request, From: m.cfg.Name, ListDigest: m.digest}
 	to := m.partner()
 	if now < m.others[to] {
-		msg.List = 0
+		msg.ListDigest = 0
 	}
 	stale, aged, left := m.needed(now)
 	told := m.toTell()
@@ -248,7 +248,7 @@
 	for {
 		m.compose(&msg, told, stale, aged)
 		body = msg.Append(nil)
-		if len(body) <= min(int(m.asks), datagram)-m.cfg.Overhead {
+		if len(body) <= min(int(m.asks), datagram)-m.cfg.MessageOverhead {
 			break
 		}
 		told, stale, aged = told[:len(told)*3/4], stale[:len(stale)*3/4], aged[:len(aged)*3/4]
@@ -272,11 +272,11 @@
 		d.hold = now + d.wait
 		d.wait = min(2*d.wait, againMost)
 	}
-	m.asks -= float64(len(body) + m.cfg.Overhead)
+	m.asks -= float64(len(body) + m.cfg.MessageOverhead)
 	m.sent(body)
-	m.counts.Asked++
+	m.counts.Requests++
 	m.counts.Wanted += uint64(len(wanted))
-	m.counts.Told += uint64(len(told))
+	m.counts.EntriesSent += uint64(len(told))
 	m.last = wanted
 	return []Send{{To: to, Body: body}}
 }
@@ -294,7 +294,7 @@
 	return from[m.rnd.IntN(len(from))]
 }
 
-func (m *Machine) sent(body []byte) { m.counts.Bytes += uint64(len(body) + m.cfg.Overhead) }
+func (m *Machine) sent(body []byte) { m.counts.Bytes += uint64(len(body) + m.cfg.MessageOverhead) }
 
 // toTell are the databases whose rise others will hardly have heard of, the greatest first.
 func (m *Machine) toTell() (list []int) {
@@ -330,25 +330,25 @@
 
 // compose fills an ask.
 func (m *Machine) compose(msg *Message, told, stale, aged []int) {
-	msg.Want, msg.Names, msg.Floor = nil, nil, 0
+	msg.WantIndexes, msg.WantNames, msg.Floor = nil, nil, 0
 	for _, i := range aged {
 		msg.Floor = max(msg.Floor, m.list[i].at)
-		if msg.List != 0 {
-			msg.Want = append(msg.Want, i)
+		if msg.ListDigest != 0 {
+			msg.WantIndexes = append(msg.WantIndexes, i)
 		} else {
-			msg.Names = append(msg.Names, m.list[i].host)
+			msg.WantNames = append(msg.WantNames, m.list[i].host)
 		}
 	}
-	slices.Sort(msg.Want)
-	slices.Sort(msg.Names)
-	msg.Claims = m.claims(append(slices.Clone(told), stale...), msg.List)
+	slices.Sort(msg.WantIndexes)
+	slices.Sort(msg.WantNames)
+	msg.Entries = m.claims(append(slices.Clone(told), stale...), msg.ListDigest)
 }
 
-func (m *Machine) claims(list []int, digest uint64) (claims []Claim) {
+func (m *Machine) claims(list []int, digest uint64) (claims []Entry) {
 	for _, i := range slices.Compact(slices.Sorted(slices.Values(list))) {
-		c := Claim{Index: i, At: m.list[i].at}
+		c := Entry{Index: i, At: m.list[i].at}
 		if digest == 0 {
-			c = Claim{Host: m.list[i].host, At: c.At}
+			c = Entry{Host: m.list[i].host, At: c.At}
 		}
 		claims = append(claims, c)
 	}
@@ -356,30 +356,30 @@
 }
 
 // Receive takes in a message; it returns what is news here, and the answer.
-func (m *Machine) Receive(now time.Duration, msg Message) (out []Send, news []Claim) {
-	if msg.From == m.cfg.Own {
+func (m *Machine) Receive(now time.Duration, msg Message) (out []Send, news []Entry) {
+	if msg.From == m.cfg.Name {
 		return nil, nil
 	}
 	m.fill(now)
-	if msg.List != 0 && msg.List != m.digest {
-		m.counts.OtherList++
-		if msg.Kind == Ask {
-			return m.reply(&msg, Message{Kind: Other, From: m.cfg.Own}), nil
+	if msg.ListDigest != 0 && msg.ListDigest != m.digest {
+		m.counts.ListMismatches++
+		if msg.Kind == Request {
+			return m.reply(&msg, Message{Kind: ListMismatch, From: m.cfg.Name}), nil
 		}
 		return nil, nil
 	}
 	news = m.join(now, &msg)
 	switch msg.Kind {
-	case Ask:
+	case Request:
 		out = m.answer(&msg)
-	case Answer:
-		if !msg.Cut {
+	case Response:
+		if !msg.Truncated {
 			m.window = min(m.window+windowGrow, windowMost)
 		}
 	case Busy:
-		m.counts.WasBusy++
+		m.counts.PeerBusy++
 		m.window = max(windowLeast, m.window/2)
-	case Other:
+	case ListMismatch:
 		m.differs(now, msg.From)
 	}
 	return out, news
@@ -387,7 +387,7 @@
 
 // differs has a gateway asked once more, by name.
 func (m *Machine) differs(now time.Duration, name string) {
-	m.counts.OtherList++
+	m.counts.ListMismatches++
 	if !slices.Contains(m.all, name) || now < m.others[name] {
 		return
 	}
@@ -404,10 +404,10 @@
 // reply sends a message without claims, if there is room for it.
 func (m *Machine) reply(to *Message, msg Message) []Send {
 	body := msg.Append(nil)
-	if m.answers < float64(len(body)+m.cfg.Overhead) {
+	if m.answers < float64(len(body)+m.cfg.MessageOverhead) {
 		return nil
 	}
-	m.answers -= float64(len(body) + m.cfg.Overhead)
+	m.answers -= float64(len(body) + m.cfg.MessageOverhead)
 	m.sent(body)
 	return []Send{{To: to.From, Body: body}}
 }
@@ -422,17 +422,17 @@
 			list = append(list, i)
 		}
 	}
-	for _, c := range ask.Claims {
+	for _, c := range ask.Entries {
 		if i, ok := m.place(ask, c); ok {
 			add(i, c.At, grain)
 		}
 	}
-	for _, i := range ask.Want {
+	for _, i := range ask.WantIndexes {
 		if i < len(m.list) {
 			add(i, ask.Floor, m.cfg.Step)
 		}
 	}
-	for _, h := range ask.Names {
+	for _, h := range ask.WantNames {
 		if i, ok := m.index[h]; ok {
 			add(i, ask.Floor, m.cfg.Step)
 		}
@@ -441,23 +441,23 @@
 		return nil
 	}
 	slices.SortFunc(list, func(a, b int) int { return cmp.Compare(gain[b], gain[a]) })
-	msg := Message{Kind: Answer, From: m.cfg.Own, List: ask.List}
-	busy := Message{Kind: Busy, From: m.cfg.Own} // there is always room to say so once
-	room := min(int(m.answers)-len(busy.Append(nil))-m.cfg.Overhead, datagram) - m.cfg.Overhead
+	msg := Message{Kind: Response, From: m.cfg.Name, ListDigest: ask.ListDigest}
+	busy := Message{Kind: Busy, From: m.cfg.Name} // there is always room to say so once
+	room := min(int(m.answers)-len(busy.Append(nil))-m.cfg.MessageOverhead, datagram) - m.cfg.MessageOverhead
 	for {
-		msg.Claims = m.claims(list, msg.List)
+		msg.Entries = m.claims(list, msg.ListDigest)
 		body := msg.Append(nil)
 		if len(body) <= room {
-			m.answers -= float64(len(body) + m.cfg.Overhead)
+			m.answers -= float64(len(body) + m.cfg.MessageOverhead)
 			m.sent(body)
 			m.counts.Answered++
-			m.counts.Told += uint64(len(list))
-			if msg.Cut {
-				m.counts.Cut++
+			m.counts.EntriesSent += uint64(len(list))
+			if msg.Truncated {
+				m.counts.Truncated++
 			}
 			return []Send{{To: ask.From, Body: body}}
 		}
-		msg.Cut = true
+		msg.Truncated = true
 		list = list[:len(list)*7/8]
 		if len(list) == 0 {
 			m.counts.Refused++
@@ -466,8 +466,8 @@
 	}
 }
 
-// At is how far a database is known to be; 0: nothing is known.
-func (m *Machine) At(host string) time.Duration {
+// TimeOf is how far a database is known to be; 0: nothing is known.
+func (m *Machine) TimeOf(host string) time.Duration {
 	if i, ok := m.index[host]; ok {
 		return m.list[i].at
 	}
@@ -480,8 +480,8 @@
 // Window is how many databases an ask names at most, as flow control has it now.
 func (m *Machine) Window() int { return m.window }
 
-// AgeList is how old what is known is, in no order.
-func (m *Machine) AgeList(now time.Duration) (list []time.Duration) {
+// Ages is how old what is known is, in no order.
+func (m *Machine) Ages(now time.Duration) (list []time.Duration) {
 	for i := range m.list {
 		if at := m.list[i].at; at > 0 {
 			list = append(list, max(0, now-at))
@@ -490,10 +490,10 @@
 	return list
 }
 
-// Ages tells how old what is known is: of half of the databases, and of all but one in a hundred, it is no older. Unknown
+// AgePercentiles tells how old what is known is: of half of the databases, and of all but one in a hundred, it is no older. Unknown
 // are those of which nothing is known.
-func (m *Machine) Ages(now time.Duration) (p50, p99 time.Duration, unknown int) {
-	list := m.AgeList(now)
+func (m *Machine) AgePercentiles(now time.Duration) (p50, p99 time.Duration, unknown int) {
+	list := m.Ages(now)
 	if unknown = len(m.list) - len(list); len(list) == 0 {
 		return 0, 0, unknown
 	}
--- a/internal/fleet/antientropy/machine_test.go
+++ b/internal/fleet/antientropy/machine_test.go
@@ -31,7 +31,7 @@
 	late   time.Duration
 	cut    func(from, to int) bool
 	sent   [][]sending // by machine
-	heard  func(to int, news []Claim)
+	heard  func(to int, news []Entry)
 }
 
 type letter struct {
@@ -60,9 +60,9 @@
 		f.names = append(f.names, members[i].Name)
 	}
 	for i := range n {
-		m := New(Config{Own: f.names[i], Zone: members[i].Zone, Seed: f.rnd.Uint64(), Bytes: bytes, Overhead: overhead, Step: step}, f.now)
-		m.Live(members)
-		m.List(list)
+		m := New(Config{Name: f.names[i], Zone: members[i].Zone, Seed: f.rnd.Uint64(), BytesPerSecond: bytes, MessageOverhead: overhead, Step: step}, f.now)
+		m.SetMembers(members)
+		m.SetDatabases(list)
 		f.nodes = append(f.nodes, m)
 	}
 	return f
@@ -131,23 +131,23 @@
 // Whatever is learned, lost, asked and asked by many: no window holds more than the budget and its burst.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		bytes := rapid.IntRange(LeastBytes, 6000).Draw(r, "bytes")
+		bytes := rapid.IntRange(MinBytesPerSecond, 6000).Draw(r, "bytes")
 		list := hosts(rapid.IntRange(1, 300).Draw(r, "databases"))
 		f := newFleet(rapid.Uint64().Draw(r, "seed"), rapid.IntRange(2, 8).Draw(r, "n"), bytes, list)
 		f.loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
 		f.double = rapid.Float64Range(0, 0.5).Draw(r, "double")
 		rate := rapid.IntRange(0, 50).Draw(r, "rate")
 		flood := rapid.Bool().Draw(r, "flood")
-		asked := Message{Kind: Ask, From: "n1"}
+		asked := Message{Kind: Request, From: "n1"}
 		for _, h := range list {
-			asked.Claims = append(asked.Claims, Claim{Host: h})
+			asked.Entries = append(asked.Entries, Entry{Host: h})
 		}
 		idle := time.Duration(rapid.IntRange(0, 5).Draw(r, "idle")) * time.Second
 		f.now += idle // the buckets are full at most
 		f.run(r, 6*time.Second, func() {
 			for _, m := range f.nodes {
 				for range f.rnd.IntN(rate + 1) {
-					m.Learned(list[f.rnd.IntN(len(list))], f.now)
+					m.Observe(list[f.rnd.IntN(len(list))], f.now)
 				}
 			}
 			if flood {
@@ -164,7 +164,7 @@
 func TestConvergesToTheGreatest(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n, list := rapid.IntRange(2, 9).Draw(r, "n"), hosts(rapid.IntRange(1, 60).Draw(r, "databases"))
-		f := newFleet(rapid.Uint64().Draw(r, "seed"), n, rapid.IntRange(LeastBytes, 3000).Draw(r, "bytes"), list)
+		f := newFleet(rapid.Uint64().Draw(r, "seed"), n, rapid.IntRange(MinBytesPerSecond, 3000).Draw(r, "bytes"), list)
 		f.loss = rapid.Float64Range(0, 0.6).Draw(r, "loss")
 		f.double = rapid.Float64Range(0, 0.6).Draw(r, "double")
 		f.late = time.Duration(rapid.IntRange(0, 900).Draw(r, "late")) * time.Millisecond
@@ -186,7 +186,7 @@
 			}
 			at := f.now - time.Duration(f.rnd.Int64N(int64(time.Second)))
 			truth[list[i]] = max(truth[list[i]], at)
-			f.nodes[f.rnd.IntN(n)].Learned(list[i], at)
+			f.nodes[f.rnd.IntN(n)].Observe(list[i], at)
 		}
 		f.run(r, 10*time.Second, feed)
 		f.cut = nil
@@ -196,7 +196,7 @@
 		check()
 		for _, m := range f.nodes {
 			for h, at := range truth {
-				require.GreaterOrEqual(r, m.At(h), at.Truncate(grain), "%s at %s", h, m.cfg.Own)
+				require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(grain), "%s at %s", h, m.cfg.Name)
 			}
 		}
 	})
@@ -215,9 +215,9 @@
 					has[i] = append(has[i], h)
 				}
 			}
-			m.List(has[i])
+			m.SetDatabases(has[i])
 		}
-		f.heard = func(to int, news []Claim) {
+		f.heard = func(to int, news []Entry) {
 			for _, c := range news {
 				require.Contains(r, has[to], c.Host)
 				require.LessOrEqual(r, c.At, truth[c.Host])
@@ -228,20 +228,20 @@
 			h := has[i][f.rnd.IntN(len(has[i]))]
 			at := f.now - time.Duration(f.rnd.Int64N(int64(time.Minute)))
 			truth[h] = max(truth[h], at)
-			f.nodes[i].Learned(h, at)
-			f.nodes[i].Learned("s-999", at)
+			f.nodes[i].Observe(h, at)
+			f.nodes[i].Observe("s-999", at)
 		})
 		f.run(r, 120*time.Second, nil)
 		for i, m := range f.nodes {
 			for h, at := range truth {
 				if slices.Contains(has[i], h) {
-					require.GreaterOrEqual(r, m.At(h), at.Truncate(grain), "%s at %d", h, i)
-					require.LessOrEqual(r, m.At(h), at)
+					require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(grain), "%s at %d", h, i)
+					require.LessOrEqual(r, m.TimeOf(h), at)
 				} else {
-					require.Zero(r, m.At(h))
+					require.Zero(r, m.TimeOf(h))
 				}
 			}
-			require.Zero(r, m.At("s-999"))
+			require.Zero(r, m.TimeOf("s-999"))
 			require.Len(r, m.list, len(has[i]))
 		}
 	})
@@ -255,7 +255,7 @@
 		f.run(t, 10*time.Second, func() {
 			for _, m := range f.nodes {
 				for range 20 {
-					m.Learned(list[f.rnd.IntN(len(list))], f.now)
+					m.Observe(list[f.rnd.IntN(len(list))], f.now)
 				}
 			}
 		})
@@ -281,11 +281,11 @@
 	f := newFleet(1, 2, 1500, hosts(300))
 	a, b := f.nodes[0], f.nodes[1]
 	for _, h := range hosts(300) {
-		a.Learned(h, f.now)
+		a.Observe(h, f.now)
 	}
-	ask := Message{Kind: Ask, From: "n1", List: a.digest}
+	ask := Message{Kind: Request, From: "n1", ListDigest: a.digest}
 	for i := range 300 {
-		ask.Claims = append(ask.Claims, Claim{Index: i})
+		ask.Entries = append(ask.Entries, Entry{Index: i})
 	}
 	kinds := map[Kind]int{}
 	for range 20 {
@@ -300,16 +300,16 @@
 			switch {
 			case msg.Kind == Busy:
 				assert.Equal(t, max(windowLeast, was/2), b.Window())
-			case !msg.Cut:
+			case !msg.Truncated:
 				assert.Equal(t, was+windowGrow, b.Window())
 			default:
 				assert.Equal(t, was, b.Window())
 			}
 		}
 	}
-	assert.Positive(t, kinds[Answer])
+	assert.Positive(t, kinds[Response])
 	assert.Positive(t, kinds[Busy])
-	assert.Less(t, kinds[Answer]+kinds[Busy], 20, "then nothing")
+	assert.Less(t, kinds[Response]+kinds[Busy], 20, "then nothing")
 	assert.Positive(t, a.Counts().Refused)
 }
 
@@ -317,23 +317,23 @@
 func TestTheLargestGainGoesFirst(t *testing.T) {
 	f := newFleet(1, 2, 1500, hosts(600))
 	a := f.nodes[0]
-	ask := Message{Kind: Ask, From: "n1", List: a.digest}
+	ask := Message{Kind: Request, From: "n1", ListDigest: a.digest}
 	for i, h := range hosts(600) {
-		a.Learned(h, f.now+time.Duration(i%10)*100*time.Millisecond)
-		ask.Claims = append(ask.Claims, Claim{Index: i, At: f.now - time.Minute})
+		a.Observe(h, f.now+time.Duration(i%10)*100*time.Millisecond)
+		ask.Entries = append(ask.Entries, Entry{Index: i, At: f.now - time.Minute})
 	}
 	out, _ := a.Receive(f.now, ask)
 	require.Len(t, out, 1)
 	msg, err := Parse(out[0].Body)
 	require.NoError(t, err)
-	assert.True(t, msg.Cut)
-	require.NotEmpty(t, msg.Claims)
-	least := msg.Claims[0].At
-	for _, c := range msg.Claims {
+	assert.True(t, msg.Truncated)
+	require.NotEmpty(t, msg.Entries)
+	least := msg.Entries[0].At
+	for _, c := range msg.Entries {
 		least = min(least, c.At)
 	}
 	told := 0
-	for _, c := range msg.Claims {
+	for _, c := range msg.Entries {
 		if c.At > least {
 			told++
 		}
@@ -350,20 +350,20 @@
 func TestWhatIsNotBelieved(t *testing.T) {
 	f := newFleet(1, 2, 1500, []string{"s1", "s2"})
 	a := f.nodes[0]
-	_, news := a.Receive(f.now, Message{Kind: Answer, From: "n1", Claims: []Claim{
+	_, news := a.Receive(f.now, Message{Kind: Response, From: "n1", Entries: []Entry{
 		{Host: "s1", At: f.now - time.Second}, {Host: "s1", At: f.now - 2*time.Second}, {Host: "s1", At: f.now + time.Hour}, {Host: "s9", At: f.now},
 	}})
-	assert.Equal(t, []Claim{{Index: 0, Host: "s1", At: f.now - time.Second}}, news)
+	assert.Equal(t, []Entry{{Index: 0, Host: "s1", At: f.now - time.Second}}, news)
 	k := a.Counts()
-	assert.Equal(t, [4]uint64{1, 1, 1, 1}, [4]uint64{k.Heard, k.Old, k.Ahead, k.Unknown})
-	_, news = a.Receive(f.now, Message{Kind: Answer, From: "n1", List: a.digest + 1, Claims: []Claim{{Index: 1, At: f.now}}})
+	assert.Equal(t, [4]uint64{1, 1, 1, 1}, [4]uint64{k.Received, k.Outdated, k.Future, k.Unknown})
+	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.digest + 1, Entries: []Entry{{Index: 1, At: f.now}}})
 	assert.Empty(t, news, "an index of another list")
-	_, news = a.Receive(f.now, Message{Kind: Answer, From: "n1", List: a.digest, Claims: []Claim{{Index: 2, At: f.now}}})
+	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.digest, Entries: []Entry{{Index: 2, At: f.now}}})
 	assert.Empty(t, news, "an index past the list")
-	out, news := a.Receive(f.now, Message{Kind: Ask, From: "n0", Claims: []Claim{{Host: "s1", At: f.now}}})
-	assert.Empty(t, append(news, make([]Claim, len(out))...), "from itself")
-	a.List([]string{"s2"})
-	assert.Zero(t, a.At("s1"))
+	out, news := a.Receive(f.now, Message{Kind: Request, From: "n0", Entries: []Entry{{Host: "s1", At: f.now}}})
+	assert.Empty(t, append(news, make([]Entry, len(out))...), "from itself")
+	a.SetDatabases([]string{"s2"})
+	assert.Zero(t, a.TimeOf("s1"))
 }
 
 // A replica of which one gateway alone has heard is known to most within seconds, though each asks few.
@@ -374,16 +374,16 @@
 	feed := func() {
 		for _, m := range f.nodes {
 			for range 50 {
-				m.Learned(list[f.rnd.IntN(len(list)-1)], f.now)
+				m.Observe(list[f.rnd.IntN(len(list)-1)], f.now)
 			}
 		}
 	}
 	f.run(t, 20*time.Second, feed)
 	at := f.now
-	f.nodes[17].Learned(list[len(list)-1], at)
+	f.nodes[17].Observe(list[len(list)-1], at)
 	know := func() (k int) {
 		for _, m := range f.nodes {
-			if m.At(list[len(list)-1]) >= at.Truncate(grain) {
+			if m.TimeOf(list[len(list)-1]) >= at.Truncate(grain) {
 				k++
 			}
 		}
@@ -397,8 +397,8 @@
 
 func TestNoIndexPastAnyList(t *testing.T) {
 	for _, m := range []Message{
-		{Kind: Ask, From: "a", List: 7, Want: []int{indexMost}},
-		{Kind: Answer, From: "a", List: 7, Claims: []Claim{{Index: indexMost, At: epoch}}},
+		{Kind: Request, From: "a", ListDigest: 7, WantIndexes: []int{indexMost}},
+		{Kind: Response, From: "a", ListDigest: 7, Entries: []Entry{{Index: indexMost, At: epoch}}},
 	} {
 		_, err := Parse(m.Append(nil))
 		assert.ErrorIs(t, err, errMalformed)
@@ -407,10 +407,10 @@
 
 func FuzzMessage(f *testing.F) {
 	for _, m := range []Message{
-		{Kind: Ask, From: "a", List: 7, Floor: epoch, Want: []int{1, 2, 9}, Claims: []Claim{{Index: 4}, {Index: 5, At: epoch}}},
-		{Kind: Ask, From: "a", Floor: epoch, Names: []string{"s1", "s2"}, Claims: []Claim{{Host: "s1", At: epoch}}},
-		{Kind: Answer, Cut: true, From: "a", Claims: []Claim{{Host: "s1", At: epoch}, {Host: "s2", At: epoch - time.Second}}},
-		{Kind: Busy, From: "a"}, {Kind: Other, From: "a", List: 9},
+		{Kind: Request, From: "a", ListDigest: 7, Floor: epoch, WantIndexes: []int{1, 2, 9}, Entries: []Entry{{Index: 4}, {Index: 5, At: epoch}}},
+		{Kind: Request, From: "a", Floor: epoch, WantNames: []string{"s1", "s2"}, Entries: []Entry{{Host: "s1", At: epoch}}},
+		{Kind: Response, Truncated: true, From: "a", Entries: []Entry{{Host: "s1", At: epoch}, {Host: "s2", At: epoch - time.Second}}},
+		{Kind: Busy, From: "a"}, {Kind: ListMismatch, From: "a", ListDigest: 9},
 	} {
 		f.Add(m.Append(nil))
 	}
@@ -426,12 +426,12 @@
 	again, err := Parse(msg.Append(nil))
 	require.NoError(t, err)
 	require.Equal(t, msg, again)
-	m := New(Config{Own: "n1", Bytes: LeastBytes, Overhead: overhead, Step: step, Seed: 1}, epoch)
-	m.Live([]Member{{Name: "n2"}})
-	m.List([]string{"s1", "s2"})
-	m.Learned("s1", epoch)
-	for _, digest := range []uint64{msg.List, m.digest} {
-		msg.List = min(msg.List, digest)
+	m := New(Config{Name: "n1", BytesPerSecond: MinBytesPerSecond, MessageOverhead: overhead, Step: step, Seed: 1}, epoch)
+	m.SetMembers([]Member{{Name: "n2"}})
+	m.SetDatabases([]string{"s1", "s2"})
+	m.Observe("s1", epoch)
+	for _, digest := range []uint64{msg.ListDigest, m.digest} {
+		msg.ListDigest = min(msg.ListDigest, digest)
 		out, news := m.Receive(epoch, msg)
 		for _, c := range news {
 			require.Contains(t, []string{"s1", "s2"}, c.Host)
@@ -456,12 +456,12 @@
 		set := rapid.SliceOfNDistinct(rapid.IntRange(0, 900), 0, 200, rapid.ID).Draw(r, "want")
 		slices.Sort(set)
 		at := rapid.SliceOfN(rapid.Int64Range(0, int64(epoch/grain)), len(set), len(set)).Draw(r, "at")
-		msg := Message{Kind: Ask, From: "n2", List: 7, Floor: epoch, Want: set}
+		msg := Message{Kind: Request, From: "n2", ListDigest: 7, Floor: epoch, WantIndexes: set}
 		if len(set) == 0 {
-			msg.Want = nil
+			msg.WantIndexes = nil
 		}
 		for k, i := range set {
-			msg.Claims = append(msg.Claims, Claim{Index: i, At: time.Duration(at[k]) * grain})
+			msg.Entries = append(msg.Entries, Entry{Index: i, At: time.Duration(at[k]) * grain})
 		}
 		b := msg.Append(nil)
 		got, err := Parse(b)
@@ -486,8 +486,8 @@
 	for b.Loop() {
 		for range 20 {
 			for range 102 {
-				f.nodes[0].Learned(list[f.rnd.IntN(len(list))], f.now)
-				f.nodes[1].Learned(list[f.rnd.IntN(len(list))], f.now)
+				f.nodes[0].Observe(list[f.rnd.IntN(len(list))], f.now)
+				f.nodes[1].Observe(list[f.rnd.IntN(len(list))], f.now)
 			}
 			f.run(b, stride, nil)
 		}
--- a/internal/fleet/antientropy/message.go
+++ b/internal/fleet/antientropy/message.go
@@ -12,14 +12,14 @@
 
 // The kinds.
 const (
-	Ask    Kind = iota + 1 // a digest: of which databases what is newer than a floor is wanted; it tells news as well
-	Answer                 // what is newer
-	Busy                   // an ask had come, and the budget for answers is spent
-	Other                  // an ask by index had come, and the list here is another
+	Request      Kind = iota + 1 // a digest: of which databases what is newer than a floor is wanted; it tells news as well
+	Response                     // what is newer
+	Busy                         // an ask had come, and the budget for answers is spent
+	ListMismatch                 // an ask by index had come, and the list here is another
 )
 
-// Claim is a floor: all commits up to At are applied, or the database answered then.
-type Claim struct {
+// Entry is a floor: all commits up to At are applied, or the database answered then.
+type Entry struct {
 	Index int           // in the list that the message names
 	Host  string        // where it names none
 	At    time.Duration // 0: nothing is known
@@ -28,14 +28,14 @@
 // Message is what one gateway sends another. Databases are told as indices of a sorted list where List names one by its
 // digest, and by name where it is 0.
 type Message struct {
-	Kind   Kind
-	Cut    bool // an answer: there was more than the budget or a datagram carries
-	From   string
-	List   uint64
-	Floor  time.Duration // of an ask: of those in Want, or in Names, what is newer than this is wanted
-	Want   []int
-	Names  []string
-	Claims []Claim // sorted by index or by name; those of an ask are a digest, too: what is newer is wanted
+	Kind        Kind
+	Truncated   bool // an answer: there was more than the budget or a datagram carries
+	From        string
+	ListDigest  uint64
+	Floor       time.Duration // of an ask: of those in Want, or in Names, what is newer than this is wanted
+	WantIndexes []int
+	WantNames   []string
+	Entries     []Entry // sorted by index or by name; those of an ask are a digest, too: what is newer is wanted
 }
 
 const (
@@ -58,46 +58,46 @@
 // Append adds the message to b. Moments are rounded down to the grain.
 func (m *Message) Append(b []byte) []byte {
 	head := byte(m.Kind)
-	if m.Cut {
+	if m.Truncated {
 		head |= flagCut
 	}
-	if m.List != 0 {
+	if m.ListDigest != 0 {
 		head |= flagListed
 	}
 	start := len(b)
 	b = append(append(b, head, byte(len(m.From))), m.From...)
-	if m.List != 0 {
-		b = binary.BigEndian.AppendUint64(b, m.List)
+	if m.ListDigest != 0 {
+		b = binary.BigEndian.AppendUint64(b, m.ListDigest)
 	}
-	if m.Kind == Ask {
+	if m.Kind == Request {
 		b = binary.AppendUvarint(b, uint64(m.Floor/grain))
-		if m.List != 0 {
+		if m.ListDigest != 0 {
 			var bitmap bool
-			if b, bitmap = appendSet(b, m.Want); bitmap {
+			if b, bitmap = appendSet(b, m.WantIndexes); bitmap {
 				b[start] |= flagBitmap
 			}
 		} else {
-			b = binary.AppendUvarint(b, uint64(len(m.Names)))
-			for _, n := range m.Names {
+			b = binary.AppendUvarint(b, uint64(len(m.WantNames)))
+			for _, n := range m.WantNames {
 				b = append(binary.AppendUvarint(b, uint64(len(n))), n...)
 			}
 		}
 	}
-	if m.Kind > Answer {
+	if m.Kind > Response {
 		return b
 	}
 	base := time.Duration(0)
-	for _, c := range m.Claims {
+	for _, c := range m.Entries {
 		base = max(base, c.At/grain)
 	}
-	b = binary.AppendUvarint(b, uint64(len(m.Claims)))
-	if len(m.Claims) == 0 {
+	b = binary.AppendUvarint(b, uint64(len(m.Entries)))
+	if len(m.Entries) == 0 {
 		return b
 	}
 	b = binary.AppendUvarint(b, uint64(base))
 	next := 0
-	for _, c := range m.Claims {
-		if m.List != 0 {
+	for _, c := range m.Entries {
+		if m.ListDigest != 0 {
 			b = binary.AppendUvarint(b, uint64(c.Index-next))
 			next = c.Index + 1
 		} else {
@@ -167,27 +167,27 @@
 	if r.bad {
 		return m, errMalformed
 	}
-	m.Kind, m.Cut = Kind(head[0]&0x0f), head[0]&flagCut != 0
+	m.Kind, m.Truncated = Kind(head[0]&0x0f), head[0]&flagCut != 0
 	m.From = string(r.bytes(uint64(head[1])))
-	if head[0]&0x80 != 0 || m.Kind < Ask || m.Kind > Other || m.From == "" || len(m.From) > nameMost {
+	if head[0]&0x80 != 0 || m.Kind < Request || m.Kind > ListMismatch || m.From == "" || len(m.From) > nameMost {
 		return m, errMalformed
 	}
 	if head[0]&flagListed != 0 {
 		if d := r.bytes(8); d != nil {
-			m.List = binary.BigEndian.Uint64(d)
+			m.ListDigest = binary.BigEndian.Uint64(d)
 		}
-		if m.List == 0 {
+		if m.ListDigest == 0 {
 			return m, errMalformed
 		}
 	}
 	const momentMost = uint64(1<<62) / uint64(grain)
-	if m.Kind == Ask {
+	if m.Kind == Request {
 		m.Floor = time.Duration(r.number(momentMost)) * grain
 		r.want(&m, head[0]&flagBitmap != 0)
 	} else if head[0]&flagBitmap != 0 {
 		return m, errMalformed
 	}
-	if m.Kind <= Answer {
+	if m.Kind <= Response {
 		r.claims(&m, momentMost)
 	}
 	if r.bad || len(r.b) > 0 {
@@ -198,33 +198,33 @@
 
 func (r *reader) want(m *Message, bitmap bool) {
 	switch {
-	case bitmap && m.List == 0:
+	case bitmap && m.ListDigest == 0:
 		r.bad = true
 	case bitmap:
 		set := r.bytes(r.number(indexMost / 8))
 		for i, x := range set {
 			for ; x != 0; x &= x - 1 {
-				m.Want = append(m.Want, 8*i+bits.TrailingZeros8(x))
+				m.WantIndexes = append(m.WantIndexes, 8*i+bits.TrailingZeros8(x))
 			}
 		}
 		r.bad = r.bad || len(set) == 0 || set[len(set)-1] == 0 // there is one way to say it
-	case m.List != 0:
+	case m.ListDigest != 0:
 		next := uint64(0)
 		for range r.number(claimMost) {
 			i := next + r.number(indexMost)
 			if r.bad = r.bad || i >= indexMost; r.bad {
 				return
 			}
-			m.Want = append(m.Want, int(i))
+			m.WantIndexes = append(m.WantIndexes, int(i))
 			next = i + 1
 		}
 	default:
 		for range r.number(claimMost) {
 			n := r.name()
-			if r.bad = r.bad || len(m.Names) > 0 && m.Names[len(m.Names)-1] >= n; r.bad {
+			if r.bad = r.bad || len(m.WantNames) > 0 && m.WantNames[len(m.WantNames)-1] >= n; r.bad {
 				return
 			}
-			m.Names = append(m.Names, n)
+			m.WantNames = append(m.WantNames, n)
 		}
 	}
 }
@@ -242,14 +242,14 @@
 	}
 	base, next := r.number(momentMost), uint64(0)
 	for range count {
-		c := Claim{}
-		if m.List != 0 {
+		c := Entry{}
+		if m.ListDigest != 0 {
 			i := next + r.number(indexMost)
 			r.bad = r.bad || i >= indexMost
 			c.Index, next = int(i), i+1
 		} else {
 			c.Host = r.name()
-			r.bad = r.bad || len(m.Claims) > 0 && m.Claims[len(m.Claims)-1].Host >= c.Host
+			r.bad = r.bad || len(m.Entries) > 0 && m.Entries[len(m.Entries)-1].Host >= c.Host
 		}
 		if back := r.number(base); back > 0 {
 			c.At = time.Duration(base-(back-1)) * grain
@@ -257,6 +257,6 @@
 		if r.bad {
 			return
 		}
-		m.Claims = append(m.Claims, c)
+		m.Entries = append(m.Entries, c)
 	}
 }
--- a/internal/fleet/antientropy/trial_test.go
+++ b/internal/fleet/antientropy/trial_test.go
@@ -385,14 +385,14 @@
 		index[dbName(i)] = i
 	}
 	for g := range w.n {
-		m := &monger{w: w, g: g, p: state.New(name(g), uint64(g), w.step, func(string) bool { return true }), enc: enc, index: index}
-		m.p.Live(names)
+		m := &monger{w: w, g: g, p: state.NewPositions(name(g), uint64(g), w.step, func(string) bool { return true }), enc: enc, index: index}
+		m.p.SetMembers(names)
 		m.next = w.now + time.Duration(g%2)*simTick
 		w.nodes = append(w.nodes, m)
 	}
 }
 
-func (m *monger) learned(_ time.Duration, db int, at time.Duration) { m.p.Learned(dbNames[db], at) }
+func (m *monger) learned(_ time.Duration, db int, at time.Duration) { m.p.Observe(dbNames[db], at) }
 
 var dbNames = func() (list []string) {
 	for i := range 4096 {
@@ -405,7 +405,7 @@
 	if now < m.next {
 		return nil
 	}
-	m.next = now + state.Tick
+	m.next = now + state.GossipInterval
 	size := 0
 	for _, s := range m.p.Tick() {
 		if size == 0 {
@@ -421,7 +421,7 @@
 }
 
 func (m *monger) receive(now time.Duration, body any) []packet {
-	msg := body.(state.Message)
+	msg := body.(state.PositionsMessage)
 	for _, x := range msg.Positions {
 		m.w.told(m.g, m.index[x.Host], x.At)
 	}
@@ -466,13 +466,13 @@
 }
 
 func (w *world) reconciler(g, bytes int, members []Member) *reconciler {
-	m := New(Config{Own: members[g].Name, Zone: members[g].Zone, Seed: w.rnd.Uint64(), Bytes: bytes, Overhead: envelope + 3, Step: w.step}, w.now)
-	m.Live(members)
-	m.List(dbNames[:w.d])
+	m := New(Config{Name: members[g].Name, Zone: members[g].Zone, Seed: w.rnd.Uint64(), BytesPerSecond: bytes, MessageOverhead: envelope + 3, Step: w.step}, w.now)
+	m.SetMembers(members)
+	m.SetDatabases(dbNames[:w.d])
 	return &reconciler{w, g, m}
 }
 
-func (r *reconciler) learned(_ time.Duration, db int, at time.Duration) { r.m.Learned(dbNames[db], at) }
+func (r *reconciler) learned(_ time.Duration, db int, at time.Duration) { r.m.Observe(dbNames[db], at) }
 
 func (r *reconciler) tick(now time.Duration) []packet { return r.packets(r.m.Tick(now)) }
 
@@ -488,8 +488,8 @@
 	if err != nil {
 		panic(err)
 	}
-	for _, c := range msg.Claims {
-		if c.At > 0 && (msg.Kind == Answer || c.At > r.w.known[r.g][c.Index]) {
+	for _, c := range msg.Entries {
+		if c.At > 0 && (msg.Kind == Response || c.At > r.w.known[r.g][c.Index]) {
 			r.w.told(r.g, c.Index, c.At)
 		}
 	}
@@ -572,8 +572,8 @@
 			case mode == "rumours":
 				renew = func(g int) sharer {
 					m := *o[g].(*monger)
-					m.p = state.New(name(g), 99, w.step, func(string) bool { return true })
-					m.p.Live(w.names())
+					m.p = state.NewPositions(name(g), 99, w.step, func(string) bool { return true })
+					m.p.SetMembers(w.names())
 					return &m
 				}
 			case o != nil:
--- a/internal/fleet/audit/fence.go
+++ b/internal/fleet/audit/fence.go
@@ -30,12 +30,12 @@
 // NewFence is one that shuts out after being behind for longer than bound.
 func NewFence(bound time.Duration) *Fence { return &Fence{bound: bound} }
 
-// Say takes an operator's word. To go on is for the list that this process has: the next one is judged anew.
-func (f *Fence) Say(out bool, list int64) { f.word, f.wordFor = &out, list }
+// Override takes an operator's word. To go on is for the list that this process has: the next one is judged anew.
+func (f *Fence) Override(out bool, list int64) { f.word, f.wordFor = &out, list }
 
-// Woke notes how long the process has stood still, all in all. It is to be called before anything is sent; true: this
+// NotePause notes how long the process has stood still, all in all. It is to be called before anything is sent; true: this
 // process was away for so long that it cannot know what has changed.
-func (f *Fence) Woke(now, lost time.Duration) bool {
+func (f *Fence) NotePause(now, lost time.Duration) bool {
 	away := lost - f.lost
 	if f.lost = lost; away >= wakeLeast {
 		f.wokeAt = now
@@ -43,17 +43,17 @@
 	return f.wokeAt > 0
 }
 
-// WokeAt is until when this process stood still, where it has heard nothing since; 0: it has.
-func (f *Fence) WokeAt() time.Duration { return f.wokeAt }
+// PauseEnd is until when this process stood still, where it has heard nothing since; 0: it has.
+func (f *Fence) PauseEnd() time.Duration { return f.wokeAt }
 
 // Tick judges. own is the list that this process acts on, others what the rest tell; members are those of the view.
-func (f *Fence) Tick(now time.Duration, own int64, others []Known, members []string) {
+func (f *Fence) Tick(now time.Duration, own int64, others []KnownVersion, members []string) {
 	lists := []int64{own}
 	heard := false
 	for _, o := range others {
-		if slices.Contains(members, o.Name) && now-o.Heard < freshFor {
-			lists = append(lists, o.List)
-			heard = heard || o.Heard > f.wokeAt
+		if slices.Contains(members, o.Name) && now-o.ReceivedAt < freshFor {
+			lists = append(lists, o.ListVersion)
+			heard = heard || o.ReceivedAt > f.wokeAt
 		}
 	}
 	if heard || now-f.wokeAt >= wakeMost || len(members) < 2 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Out tells whether this process is shut out, and why.
-func (f *Fence) Out() (out bool, why string) {
+// Fenced tells whether this process is shut out, and why.
+func (f *Fence) Fenced() (out bool, why string) {
 	switch {
 	case f.word != nil && *f.word:
 		return true, "an operator shut it out"
--- a/internal/fleet/audit/fence_test.go
+++ b/internal/fleet/audit/fence_test.go
@@ -11,12 +11,12 @@
 )
 
 // fleetOf are tellings heard just now, one for each list.
-func fleetOf(now time.Duration, lists ...int64) (others []Known, members []string) {
+func fleetOf(now time.Duration, lists ...int64) (others []KnownVersion, members []string) {
 	members = []string{"me"}
 	for i, l := range lists {
 		name := fmt.Sprint("n", i)
 		members = append(members, name)
-		others = append(others, Known{Version: Version{Name: name, List: l}, Heard: now})
+		others = append(others, KnownVersion{Version: Version{Name: name, ListVersion: l}, ReceivedAt: now})
 	}
 	return others, members
 }
@@ -29,7 +29,7 @@
 }
 
 func out(f *Fence) bool {
-	on, _ := f.Out()
+	on, _ := f.Fenced()
 	return on
 }
 
@@ -45,9 +45,9 @@
 	assert.False(t, out(f))
 
 	// An operator's word goes before, to go on only for the list that was there.
-	f.Say(true, 5)
+	f.Override(true, 5)
 	assert.True(t, out(f))
-	f.Say(false, 5)
+	f.Override(false, 5)
 	f.over(day+6*time.Second, day+20*time.Second, 5, 6, 6, 6)
 	assert.False(t, out(f))
 	f.over(day+20*time.Second, day+30*time.Second, 6, 7, 7, 7)
@@ -99,17 +99,17 @@
 func TestFenceOfOneThatStoodStill(t *testing.T) {
 	f := NewFence(time.Hour)
 	f.over(day, day+time.Second, 4, 4, 4)
-	assert.False(t, f.Woke(day+time.Second, 50*time.Millisecond))
-	assert.True(t, f.Woke(day+5*time.Second, 4*time.Second))
+	assert.False(t, f.NotePause(day+time.Second, 50*time.Millisecond))
+	assert.True(t, f.NotePause(day+5*time.Second, 4*time.Second))
 	assert.True(t, out(f))
 	old, members := fleetOf(day+time.Second, 4, 4)
 	f.Tick(day+5*time.Second+100*time.Millisecond, 4, old, members)
 	assert.True(t, out(f), "what it had heard before tells nothing")
 	f.over(day+5*time.Second+200*time.Millisecond, day+5*time.Second+250*time.Millisecond, 4, 4, 4)
 	assert.False(t, out(f))
-	assert.False(t, f.Woke(day+6*time.Second, 4*time.Second))
+	assert.False(t, f.NotePause(day+6*time.Second, 4*time.Second))
 
-	assert.True(t, f.Woke(day+20*time.Second, 10*time.Second))
+	assert.True(t, f.NotePause(day+20*time.Second, 10*time.Second))
 	f.Tick(day+21*time.Second, 4, old, members)
 	assert.True(t, out(f))
 	f.Tick(day+22*time.Second, 4, old, members)
--- a/internal/fleet/audit/recorder.go
+++ b/internal/fleet/audit/recorder.go
@@ -16,14 +16,14 @@
 
 // Recorder keeps the spans of this process. It has no input or output: closed records are taken with Take.
 type Recorder struct {
-	clock   Clock
+	clock   HybridClock
 	name    string
 	session string
 	on      Version
 	begun   bool
-	from    Stamp
-	acts    map[string]*Acts
-	order   []*Acts
+	from    Timestamp
+	acts    map[string]*DatabaseActivity
+	order   []*DatabaseActivity
 	drained map[string]hold
 	out     map[string]hold
 	dropped uint64
@@ -36,19 +36,19 @@
 
 // hold is something that holds for a database.
 type hold struct {
-	since Stamp
+	since Timestamp
 	group int
 }
 
 // NewRecorder is one of a process.
 func NewRecorder(name string, session uint64) *Recorder {
 	return &Recorder{
-		name: name, session: strconv.FormatUint(session, 16), acts: map[string]*Acts{}, drained: map[string]hold{}, out: map[string]hold{},
+		name: name, session: strconv.FormatUint(session, 16), acts: map[string]*DatabaseActivity{}, drained: map[string]hold{}, out: map[string]hold{},
 	}
 }
 
 // Clock gives the stamps of this process.
-func (r *Recorder) Clock() *Clock { return &r.clock }
+func (r *Recorder) Clock() *HybridClock { return &r.clock }
 
 // Set tells what this process acts on from now on. A span ends where that changes.
 func (r *Recorder) Set(now time.Duration, v Version) {
@@ -62,14 +62,14 @@
 }
 
 // at finds the acts at a database; nil: there is no room.
-func (r *Recorder) at(database string, group int) *Acts {
+func (r *Recorder) at(database string, group int) *DatabaseActivity {
 	a := r.acts[database]
 	if a == nil {
 		if len(r.order) >= hostsMost {
 			r.dropped++
 			return nil
 		}
-		a = &Acts{Database: database, Group: group}
+		a = &DatabaseActivity{Database: database, Group: group}
 		r.acts[database] = a
 		r.order = append(r.order, a)
 	}
@@ -79,37 +79,37 @@
 // Sent notes an attempt that was begun.
 func (r *Recorder) Sent(now time.Duration, database string, group int) {
 	if a := r.at(database, group); a != nil {
-		if a.Last = r.clock.Read(now); a.Sent == 0 {
-			a.First = a.Last
+		if a.LastSent = r.clock.Read(now); a.Sent == 0 {
+			a.FirstSent = a.LastSent
 		}
 		a.Sent++
 	}
 }
 
-// Accepted notes a write that a database has taken as primary.
-func (r *Recorder) Accepted(now time.Duration, database string, group int) {
+// WriteAccepted notes a write that a database has taken as primary.
+func (r *Recorder) WriteAccepted(now time.Duration, database string, group int) {
 	if a := r.at(database, group); a != nil {
-		if a.Until = r.clock.Read(now); a.Accepted == 0 {
-			a.Since = a.Until
+		if a.LastWrite = r.clock.Read(now); a.Writes == 0 {
+			a.FirstWrite = a.LastWrite
 		}
-		a.Accepted++
+		a.Writes++
 	}
 }
 
-// Opened notes a breaker that opened on a database.
-func (r *Recorder) Opened(database string, group int) {
+// BreakerOpened notes a breaker that opened on a database.
+func (r *Recorder) BreakerOpened(database string, group int) {
 	if a := r.at(database, group); a != nil {
-		a.Opened++
+		a.BreakerOpened++
 	}
 }
 
-// Drained notes whether the list says that a database drains. Out does so for operators' words.
-func (r *Recorder) Drained(now time.Duration, database string, group int, on bool) {
+// SetDraining notes whether the list says that a database drains. Out does so for operators' words.
+func (r *Recorder) SetDraining(now time.Duration, database string, group int, on bool) {
 	r.mark(r.drained, now, database, group, on)
 }
 
-// Out notes whether operators leave a database out.
-func (r *Recorder) Out(now time.Duration, database string, group int, on bool) {
+// SetSuspended notes whether operators leave a database out.
+func (r *Recorder) SetSuspended(now time.Duration, database string, group int, on bool) {
 	r.mark(r.out, now, database, group, on)
 }
 
@@ -125,11 +125,11 @@
 	}
 }
 
-// Left forgets drains of databases that the list does not have any more, a while after they began: what is sent there still
+// DropUnlisted forgets drains of databases that the list does not have any more, a while after they began: what is sent there still
 // is found by then.
-func (r *Recorder) Left(now time.Duration, listed func(database string) bool) {
+func (r *Recorder) DropUnlisted(now time.Duration, listed func(database string) bool) {
 	for database, h := range r.drained {
-		if !listed(database) && r.clock.Read(now) > h.since+StampOf(leftAfter) {
+		if !listed(database) && r.clock.Read(now) > h.since+TimestampAt(leftAfter) {
 			r.mark(r.drained, now, database, h.group, false)
 		}
 	}
@@ -138,17 +138,17 @@
 // Tick closes a span that has lasted long enough.
 func (r *Recorder) Tick(now time.Duration) { r.cut(now, spanMost) }
 
-// Cut closes the span for somebody who reads, unless it has just begun.
-func (r *Recorder) Cut(now time.Duration) { r.cut(now, spanLeast) }
+// Flush closes the span for somebody who reads, unless it has just begun.
+func (r *Recorder) Flush(now time.Duration) { r.cut(now, spanLeast) }
 
 func (r *Recorder) cut(now, least time.Duration) {
-	if r.begun && r.clock.Read(now) >= r.from+StampOf(least) {
+	if r.begun && r.clock.Read(now) >= r.from+TimestampAt(least) {
 		r.close(now)
 	}
 }
 
-// Lost tells that so many closed records could not be written. The next one says so.
-func (r *Recorder) Lost(records uint64) { r.lost = records }
+// SetLost tells that so many closed records could not be written. The next one says so.
+func (r *Recorder) SetLost(records uint64) { r.lost = records }
 
 func (r *Recorder) close(now time.Duration) {
 	if !r.begun {
@@ -161,13 +161,13 @@
 	}
 	r.seq++
 	rec := Record{
-		Seq: r.seq, Prev: r.prev, Gateway: r.name, Session: r.session, From: r.from, To: r.clock.Now(now), List: r.on.List,
-		Words: strconv.FormatUint(r.on.Words, 16), View: strconv.FormatUint(r.on.View, 16), Config: r.on.Config, File: r.on.File, Build: r.on.Build,
+		Seq: r.seq, Prev: r.prev, Gateway: r.name, Session: r.session, From: r.from, To: r.clock.Now(now), ListVersion: r.on.ListVersion,
+		OverridesDigest: strconv.FormatUint(r.on.OverridesDigest, 16), ViewDigest: strconv.FormatUint(r.on.ViewDigest, 16), ConfigDigest: r.on.ConfigDigest, FleetFileDigest: r.on.FleetFileDigest, Build: r.on.Build,
 		Dropped: r.dropped, Lost: r.lost,
 	}
 	for _, a := range r.order {
-		a.Drained, a.Out = r.drained[a.Database].since, r.out[a.Database].since
-		rec.Acts = append(rec.Acts, *a)
+		a.DrainingSince, a.SuspendedSince = r.drained[a.Database].since, r.out[a.Database].since
+		rec.Databases = append(rec.Databases, *a)
 	}
 	var line []byte
 	line, r.prev = seal(rec)
@@ -186,5 +186,5 @@
 	return list
 }
 
-// Kept are the lines of the newest records, oldest first.
-func (r *Recorder) Kept() [][]byte { return r.kept }
+// Recent are the lines of the newest records, oldest first.
+func (r *Recorder) Recent() [][]byte { return r.kept }
--- a/internal/fleet/audit/versions_test.go
+++ b/internal/fleet/audit/versions_test.go
@@ -25,9 +25,9 @@
 		names = append(names, fmt.Sprintf("n%03d", i))
 	}
 	for i, name := range names {
-		v := New(Config{Name: name, Bound: 2 * time.Second, Pace: 100 * time.Millisecond, Seed: uint64(i)})
-		v.Live(names)
-		v.Set(Version{Session: 1, List: 5})
+		v := NewVersions(VersionsConfig{Name: name, MaxLag: 2 * time.Second, RequestSpread: 100 * time.Millisecond, Seed: uint64(i)})
+		v.SetMembers(names)
+		v.Set(Version{Session: 1, ListVersion: 5})
 		c.list = append(c.list, v)
 	}
 	return c
@@ -54,28 +54,28 @@
 func TestStragglerAsks(t *testing.T) {
 	c := newTroop(8)
 	for i := 1; i < 8; i++ {
-		c.list[i].Set(Version{Session: 1, List: 6})
+		c.list[i].Set(Version{Session: 1, ListVersion: 6})
 	}
 	begun := c.now
 	c.run(10*time.Second, func(i int) {
 		require.Zero(t, i)
-		c.list[0].Set(Version{Session: 1, List: 6})
+		c.list[0].Set(Version{Session: 1, ListVersion: 6})
 	})
 	require.Len(t, c.asked, 1)
 	assert.Greater(t, c.asked[0]-begun, 2*time.Second)
-	since, _ := c.list[0].Behind()
+	since, _ := c.list[0].Lagging()
 	assert.Zero(t, since)
 	for _, k := range c.list[3].All() {
-		assert.EqualValues(t, 6, k.List)
-		assert.Zero(t, k.Behind)
+		assert.EqualValues(t, 6, k.ListVersion)
+		assert.Zero(t, k.LaggingSince)
 	}
 }
 
 // Many stragglers do not ask at once.
 func TestStragglersTakeTurns(t *testing.T) {
 	c := newTroop(100)
-	c.list[0].Set(Version{Session: 1, List: 6})
-	c.run(30*time.Second, func(i int) { c.list[i].Set(Version{Session: 1, List: 6}) })
+	c.list[0].Set(Version{Session: 1, ListVersion: 6})
+	c.run(30*time.Second, func(i int) { c.list[i].Set(Version{Session: 1, ListVersion: 6}) })
 	require.Len(t, c.asked, 99)
 	in := map[time.Duration]int{}
 	for _, at := range c.asked {
@@ -89,17 +89,17 @@
 // A version that discovery does not have is asked for a few times only.
 func TestOddVersionIsGivenUp(t *testing.T) {
 	c := newTroop(3)
-	c.list[2].Set(Version{Session: 1, List: 1 << 40})
+	c.list[2].Set(Version{Session: 1, ListVersion: 1 << 40})
 	c.run(5*time.Minute, func(int) {})
 	assert.Len(t, c.asked, 2*asksMost)
 }
 
 func TestWhoSaysNothingIsForgotten(t *testing.T) {
-	v := New(Config{Name: "a", Bound: time.Second, Pace: time.Millisecond})
-	v.Receive(start, Message{Versions: []Version{{Name: "b", Session: 1, List: 3}, {Name: ""}, {Name: "a", List: 99}, {Name: "c", List: -1}}})
+	v := NewVersions(VersionsConfig{Name: "a", MaxLag: time.Second, RequestSpread: time.Millisecond})
+	v.Receive(start, VersionsMessage{Versions: []Version{{Name: "b", Session: 1, ListVersion: 3}, {Name: ""}, {Name: "a", ListVersion: 99}, {Name: "c", ListVersion: -1}}})
 	assert.Len(t, v.All(), 2)
-	v.Receive(start, Message{Versions: []Version{{Name: "b", Session: 1, List: 2}}})
-	assert.EqualValues(t, 3, v.All()[1].List, "an old telling changes nothing")
+	v.Receive(start, VersionsMessage{Versions: []Version{{Name: "b", Session: 1, ListVersion: 2}}})
+	assert.EqualValues(t, 3, v.All()[1].ListVersion, "an old telling changes nothing")
 	v.Tick(start + 2*keepAfter)
 	assert.Len(t, v.All(), 1)
 }
@@ -110,14 +110,14 @@
 	c := newTroop(16)
 	c.run(30*time.Second, func(int) {})
 	gone, returns := "n003", "n005"
-	c.list[3].Live(nil) // it tells nobody any more
-	c.list[5] = New(Config{Name: returns, Bound: 2 * time.Second, Pace: 100 * time.Millisecond, Seed: 99})
+	c.list[3].SetMembers(nil) // it tells nobody any more
+	c.list[5] = NewVersions(VersionsConfig{Name: returns, MaxLag: 2 * time.Second, RequestSpread: 100 * time.Millisecond, Seed: 99})
 	var names []string
 	for _, v := range c.list {
 		names = append(names, v.cfg.Name)
 	}
-	c.list[5].Live(names)
-	c.list[5].Set(Version{Session: 2, List: 5})
+	c.list[5].SetMembers(names)
+	c.list[5].Set(Version{Session: 2, ListVersion: 5})
 	c.run(10*time.Second, func(int) {})
 	for _, v := range c.list {
 		if v.cfg.Name != returns {
@@ -138,7 +138,7 @@
 	c := newTroop(fleet)
 	c.run(time.Minute, func(int) {})
 	gone := c.list[7].cfg.Name
-	c.list[7].Live(nil)
+	c.list[7].SetMembers(nil)
 	c.run(150*time.Second, func(int) {})
 	known := 0
 	for _, v := range c.list {
--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -34,27 +34,27 @@
 
 // The kinds.
 const (
-	Ask      Kind = iota + 1 // lend me Units
-	Grant                    // I have lent you Units, perhaps 0
-	Extend                   // may the loan go on
-	Extended                 // it may
-	Return                   // I have stopped using it
+	Request Kind = iota + 1 // lend me Units
+	Grant                   // I have lent you Units, perhaps 0
+	Renew                   // may the loan go on
+	Renewed                 // it may
+	Release                 // I have stopped using it
 )
 
 // Message is one between two holders.
 type Message struct {
-	Kind    Kind   `cbor:"1,keyasint"`
-	From    string `cbor:"2,keyasint"`
-	Session uint64 `cbor:"3,keyasint"` // of the borrower, which counts its loans
-	Key     string `cbor:"4,keyasint"`
-	Serial  uint64 `cbor:"5,keyasint"` // of the loan, drawn by the borrower
-	Units   int    `cbor:"6,keyasint,omitempty"`
-	Round   uint64 `cbor:"7,keyasint,omitempty"` // of an Extend, told back by its answer
+	Kind        Kind   `cbor:"1,keyasint"`
+	From        string `cbor:"2,keyasint"`
+	Session     uint64 `cbor:"3,keyasint"` // of the borrower, which counts its loans
+	Key         string `cbor:"4,keyasint"`
+	Serial      uint64 `cbor:"5,keyasint"` // of the loan, drawn by the borrower
+	Units       int    `cbor:"6,keyasint,omitempty"`
+	RenewSerial uint64 `cbor:"7,keyasint,omitempty"` // of an Extend, told back by its answer
 }
 
-// Sound tells whether a message can be one.
-func (m *Message) Sound() bool {
-	return m.Kind >= Ask && m.Kind <= Return && m.Key != "" && len(m.Key) <= 256 && m.Units >= 0 && m.Units <= 1<<20
+// Valid tells whether a message can be one.
+func (m *Message) Valid() bool {
+	return m.Kind >= Request && m.Kind <= Release && m.Key != "" && len(m.Key) <= 256 && m.Units >= 0 && m.Units <= 1<<20
 }
 
 // Send is a message to a holder.
@@ -67,7 +67,7 @@
 type Config struct {
 	Name    string
 	Holders []string // in the same order everywhere; a name that is not among them has no home part
-	Whole   int      // units of each key, of all holders together
+	Total   int      // units of each key, of all holders together
 	Lease   time.Duration
 	Drift   float64 // by how much a clock may run fast or slow, as a share
 	Session uint64
@@ -108,7 +108,7 @@
 
 // Counts are what has happened since the start.
 type Counts struct {
-	Asked, Granted, Lent, Returned, Lapsed, Extended, Refused uint64
+	Requested, Granted, Lent, Released, Expired, Renewed, Refused uint64
 }
 
 // Machine is one gateway's parts. Use New. Nothing here is locked.
@@ -148,9 +148,9 @@
 	return time.Duration(float64(d) * (1 - 2*drift))
 }
 
-// Home is the home part of a holder: the whole divided evenly, what is left over goes by a rotation that depends on
+// HomeShare is the home part of a holder: the whole divided evenly, what is left over goes by a rotation that depends on
 // the key, so that not the same holders get it everywhere.
-func Home(holders []string, whole int, name, key string) int {
+func HomeShare(holders []string, whole int, name, key string) int {
 	i := slices.Index(holders, name)
 	if i < 0 {
 		return 0
@@ -170,7 +170,7 @@
 func (m *Machine) account(key string) *account {
 	a := m.keys[key]
 	if a == nil {
-		a = &account{key: key, home: Home(m.cfg.Holders, m.cfg.Whole, m.cfg.Name, key)}
+		a = &account{key: key, home: HomeShare(m.cfg.Holders, m.cfg.Total, m.cfg.Name, key)}
 		m.keys[key] = a
 		m.order = append(m.order, a)
 	}
@@ -226,15 +226,15 @@
 		if l.until > m.now {
 			return false
 		}
-		m.counts.Lapsed++
+		m.counts.Expired++
 		return true
 	}
 	a.lent = slices.DeleteFunc(a.lent, over)
 	a.borrowed = slices.DeleteFunc(a.borrowed, over)
 }
 
-// Need tells how many units of a key are in use and how many more are waited for.
-func (m *Machine) Need(now time.Duration, key string, inUse, waiting int) {
+// SetDemand tells how many units of a key are in use and how many more are waited for.
+func (m *Machine) SetDemand(now time.Duration, key string, inUse, waiting int) {
 	m.now = max(m.now, now)
 	if m.keys[key] == nil && len(m.keys) >= keysMost {
 		return
@@ -245,12 +245,12 @@
 	m.want(a)
 }
 
-// Live tells which holders can be asked; it is a hint and nothing else.
-func (m *Machine) Live(names []string) { m.live = names }
+// SetLive tells which holders can be asked; it is a hint and nothing else.
+func (m *Machine) SetLive(names []string) { m.live = names }
 
-// SetBeside divides the home parts with another process of this gateway, which lives as part of an upgrade; second
+// SetSibling divides the home parts with another process of this gateway, which lives as part of an upgrade; second
 // is the one with the smaller half. A process that begins beside another waits until that has heard of it.
-func (m *Machine) SetBeside(now time.Duration, beside, second bool) {
+func (m *Machine) SetSibling(now time.Duration, beside, second bool) {
 	m.now = max(m.now, now)
 	if m.part, m.second = 1, second; !beside {
 		return
@@ -261,8 +261,8 @@
 	}
 }
 
-// SetNone takes the home parts away: another process of the name has them, and that is a fault.
-func (m *Machine) SetNone(now time.Duration, on bool) {
+// SetHomeDisabled takes the home parts away: another process of the name has them, and that is a fault.
+func (m *Machine) SetHomeDisabled(now time.Duration, on bool) {
 	m.now = max(m.now, now)
 	m.none = on
 }
@@ -289,8 +289,8 @@
 // Counts are figures since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// Sums are the units of all keys: at home and not lent, lent, borrowed.
-func (m *Machine) Sums() (own, lent, borrowed int) {
+// Totals are the units of all keys: at home and not lent, lent, borrowed.
+func (m *Machine) Totals() (own, lent, borrowed int) {
 	for _, a := range m.order {
 		own += m.own(a)
 		for _, l := range a.lent {
@@ -345,30 +345,30 @@
 			continue
 		}
 		m.serial++
-		m.counts.Asked++
+		m.counts.Requested++
 		a.asks = append(a.asks, ask{who: w, serial: m.serial, units: units, at: m.now})
-		m.send(w, Message{Kind: Ask, Session: m.cfg.Session, Key: a.key, Serial: m.serial, Units: units})
+		m.send(w, Message{Kind: Request, Session: m.cfg.Session, Key: a.key, Serial: m.serial, Units: units})
 	}
 }
 
 // Receive takes a message in.
 func (m *Machine) Receive(now time.Duration, msg Message) {
 	m.now = max(m.now, now)
-	if m.keys[msg.Key] == nil && (len(m.keys) >= keysMost || msg.Kind != Ask) || !slices.Contains(m.cfg.Holders, msg.From) || msg.From == m.cfg.Name {
+	if m.keys[msg.Key] == nil && (len(m.keys) >= keysMost || msg.Kind != Request) || !slices.Contains(m.cfg.Holders, msg.From) || msg.From == m.cfg.Name {
 		return
 	}
 	a := m.account(msg.Key)
 	m.lapse(a)
 	switch msg.Kind {
-	case Ask:
+	case Request:
 		m.asked(a, msg)
 	case Grant:
 		m.grant(a, msg)
-	case Extend:
+	case Renew:
 		m.extend(a, msg)
-	case Extended:
+	case Renewed:
 		m.extended(a, msg)
-	case Return:
+	case Release:
 		a.lent = slices.DeleteFunc(a.lent, func(l loan) bool { return same(l, msg) })
 	}
 }
@@ -448,11 +448,11 @@
 		return // it lapses
 	}
 	a.lent[i].until = max(a.lent[i].until, m.now+long(m.cfg.Lease, m.cfg.Drift))
-	m.send(msg.From, Message{Kind: Extended, Session: msg.Session, Key: a.key, Serial: msg.Serial, Round: msg.Round})
+	m.send(msg.From, Message{Kind: Renewed, Session: msg.Session, Key: a.key, Serial: msg.Serial, RenewSerial: msg.RenewSerial})
 }
 
 func (m *Machine) extended(a *account, msg Message) {
-	i := slices.IndexFunc(a.extends, func(q ask) bool { return q.who == msg.From && q.serial == msg.Serial && q.round == msg.Round })
+	i := slices.IndexFunc(a.extends, func(q ask) bool { return q.who == msg.From && q.serial == msg.Serial && q.round == msg.RenewSerial })
 	if i < 0 || msg.Session != m.cfg.Session {
 		return
 	}
@@ -461,7 +461,7 @@
 	for j := range a.borrowed {
 		if l := &a.borrowed[j]; l.who == msg.From && l.serial == msg.Serial {
 			l.until = max(l.until, q.at+short(m.cfg.Lease, m.cfg.Drift))
-			m.counts.Extended++
+			m.counts.Renewed++
 		}
 	}
 }
@@ -492,8 +492,8 @@
 			return false
 		}
 		have -= l.units
-		m.counts.Returned += uint64(l.units)
-		m.send(l.who, Message{Kind: Return, Session: l.session, Key: a.key, Serial: l.serial})
+		m.counts.Released += uint64(l.units)
+		m.send(l.who, Message{Kind: Release, Session: l.session, Key: a.key, Serial: l.serial})
 		return true
 	})
 	for _, l := range a.borrowed {
@@ -503,6 +503,6 @@
 		}
 		m.serial++
 		a.extends = append(a.extends, ask{who: l.who, serial: l.serial, round: m.serial, at: m.now})
-		m.send(l.who, Message{Kind: Extend, Session: l.session, Key: a.key, Serial: l.serial, Round: m.serial})
+		m.send(l.who, Message{Kind: Renew, Session: l.session, Key: a.key, Serial: l.serial, RenewSerial: m.serial})
 	}
 }
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -51,8 +51,8 @@
 
 func (w *world) start(i int) {
 	w.session++
-	w.ms[i] = New(Config{Name: w.names[i], Holders: w.names, Whole: w.whole, Lease: lease, Drift: drift, Session: w.session, Seed: 7}, w.clock(i))
-	w.ms[i].Live(w.names)
+	w.ms[i] = New(Config{Name: w.names[i], Holders: w.names, Total: w.whole, Lease: lease, Drift: drift, Session: w.session, Seed: 7}, w.clock(i))
+	w.ms[i].SetLive(w.names)
 }
 
 func (w *world) collect(i int) {
@@ -156,7 +156,7 @@
 	w.quieten()
 	w.msgs = nil
 	for i := range 2 {
-		w.ms[i].Need(w.clock(i), key, 3, 2)
+		w.ms[i].SetDemand(w.clock(i), key, 3, 2)
 		w.collect(i)
 	}
 	require.NotEmpty(t, w.msgs)
@@ -168,7 +168,7 @@
 			t.Fatalf("%d of %d in use after%s\n%s", n, w.whole, path, w.print())
 		}
 		for _, m := range w.ms {
-			if _, l, _ := m.Sums(); l > 0 {
+			if _, l, _ := m.Totals(); l > 0 {
 				lent++
 			}
 		}
@@ -219,7 +219,7 @@
 			switch rapid.SampledFrom([]string{"need", "need", "deliver", "deliver", "deliver", "all", "lose", "again", "tick", "pass", "crash", "stop"}).Draw(r, "what") {
 			case "need":
 				if !stopped[i] {
-					w.ms[i].Need(w.clock(i), key, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
+					w.ms[i].SetDemand(w.clock(i), key, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
 					w.collect(i)
 				}
 			case "deliver", "again":
@@ -271,7 +271,7 @@
 			for _, k := range []string{"a", "b", "s-0001"} {
 				sum, least, most := 0, whole, 0
 				for _, name := range w.names {
-					h := Home(w.names, whole, name, k)
+					h := HomeShare(w.names, whole, name, k)
 					sum, least, most = sum+h, min(least, h), max(most, h)
 				}
 				require.Equal(t, whole, sum)
@@ -279,7 +279,7 @@
 			}
 		}
 	}
-	assert.Zero(t, Home([]string{"a"}, 5, "b", "k"))
+	assert.Zero(t, HomeShare([]string{"a"}, 5, "b", "k"))
 }
 
 // jain is Jain's index of fairness: 1 is even.
@@ -300,7 +300,7 @@
 	for range 20 { // 50 ms each
 		for i, m := range w.ms {
 			use[i] = min(want[i], m.Allowed(w.clock(i), key, 0))
-			m.Need(w.clock(i), key, use[i], want[i]-use[i])
+			m.SetDemand(w.clock(i), key, use[i], want[i]-use[i])
 			w.collect(i)
 		}
 		w.settle()
@@ -321,14 +321,14 @@
 	for range 160 {
 		for i, m := range w.ms {
 			use[i] = min(want[i], m.Allowed(w.clock(i), key, 0))
-			m.Need(w.clock(i), key, use[i], want[i]-use[i])
+			m.SetDemand(w.clock(i), key, use[i], want[i]-use[i])
 			w.collect(i)
 		}
 		w.settle()
 		w.tick(50 * time.Millisecond)
 	}
 	assert.GreaterOrEqual(t, use[5], 24, "%v", use)
-	_, _, borrowed := w.ms[0].Sums()
+	_, _, borrowed := w.ms[0].Totals()
 	assert.Zero(t, borrowed)
 }
 
@@ -341,7 +341,7 @@
 		for end := w.now + d; w.now < end; {
 			for i, m := range w.ms {
 				use := min(want[i], m.Allowed(w.clock(i), key, 0))
-				m.Need(w.clock(i), key, use, want[i]-use)
+				m.SetDemand(w.clock(i), key, use, want[i]-use)
 				w.collect(i)
 			}
 			w.settle()
@@ -363,7 +363,7 @@
 func TestLoansAcrossAPartitionLapse(t *testing.T) {
 	w := newWorld(2, 8)
 	w.quieten()
-	w.ms[1].Need(w.clock(1), key, 4, 2) // its clock is slow, that of the lender fast
+	w.ms[1].SetDemand(w.clock(1), key, 4, 2) // its clock is slow, that of the lender fast
 	w.collect(1)
 	w.settle()
 	had := w.ms[1].Allowed(w.clock(1), key, 0)
@@ -383,13 +383,13 @@
 func TestStoodStillBeyondTheLease(t *testing.T) {
 	w := newWorld(2, 8)
 	w.quieten()
-	w.ms[0].Need(w.clock(0), key, 4, 2)
+	w.ms[0].SetDemand(w.clock(0), key, 4, 2)
 	w.collect(0)
 	w.settle()
 	had := w.ms[0].Allowed(w.clock(0), key, 0)
 	require.Greater(t, had, 4)
 	for range 100 {
-		w.ms[0].Need(w.clock(0), key, had, 0)
+		w.ms[0].SetDemand(w.clock(0), key, had, 0)
 		w.collect(0)
 		w.tick(100 * time.Millisecond)
 		w.settle()
@@ -403,14 +403,14 @@
 func TestUpgradeSharesTheHome(t *testing.T) {
 	w := newWorld(2, 9)
 	w.quieten()
-	next := New(Config{Name: "n0", Holders: w.names, Whole: 9, Lease: lease, Drift: drift, Session: 99, Seed: 1}, w.clock(0))
-	w.ms[0].SetBeside(w.clock(0), true, true)
-	next.SetBeside(w.clock(0), true, false)
+	next := New(Config{Name: "n0", Holders: w.names, Total: 9, Lease: lease, Drift: drift, Session: 99, Seed: 1}, w.clock(0))
+	w.ms[0].SetSibling(w.clock(0), true, true)
+	next.SetSibling(w.clock(0), true, false)
 	for range 12 {
 		assert.LessOrEqual(t, w.sum()+next.Allowed(w.clock(0), key, 0), 9)
 		w.tick(time.Second)
 	}
-	w.ms[0].SetNone(w.clock(0), true)
-	next.SetBeside(w.clock(0), false, false)
+	w.ms[0].SetHomeDisabled(w.clock(0), true)
+	next.SetSibling(w.clock(0), false, false)
 	assert.Equal(t, 9, w.sum()+next.Allowed(w.clock(0), key, 0))
 }
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -16,22 +16,22 @@
 
 // File is what it says.
 type File struct {
-	Fleet     string                    // its name; messages of another are dropped
-	Listen    netip.AddrPort            // UDP and TCP, for other gateways alone
-	Advertise netip.AddrPort            // where others find this gateway, if not at Listen
-	Seeds     []netip.AddrPort          // where others may be found at first
-	Dial      map[string]netip.AddrPort // where a gateway is found from here, before what it tells itself
-	Period    time.Duration             // of probes; 0: the default
-	Still     time.Duration             // how long a change holds before it counts; 0: the default
-	Most      int                       // members kept at most; 0: the default
-	Budgets   *Budgets                  // nil: none is divided
-	Positions bool                      // gateways tell each other how far databases have come
-	Primaries bool                      // and which of them answered as primary
-	Repeats   float64                   // of attempts, as a share of first ones; 0: not bounded
-	Subsets   bool                      // each gateway uses some replicas of a group first
-	Audit     *Audit                    // nil: records stay in memory
-	Words     *Words                    // nil: operators' words are not kept on a disk
-	Fence     time.Duration             // behind others for so long a gateway shuts itself out; 0: never
+	Fleet       string                    // its name; messages of another are dropped
+	Listen      netip.AddrPort            // UDP and TCP, for other gateways alone
+	Advertise   netip.AddrPort            // where others find this gateway, if not at Listen
+	Seeds       []netip.AddrPort          // where others may be found at first
+	Dial        map[string]netip.AddrPort // where a gateway is found from here, before what it tells itself
+	ProbePeriod time.Duration             // of probes; 0: the default
+	StableAfter time.Duration             // how long a change holds before it counts; 0: the default
+	MaxMembers  int                       // members kept at most; 0: the default
+	Budgets     *Budgets                  // nil: none is divided
+	Positions   bool                      // gateways tell each other how far databases have come
+	Primaries   bool                      // and which of them answered as primary
+	RetryBudget float64                   // of attempts, as a share of first ones; 0: not bounded
+	Subsets     bool                      // each gateway uses some replicas of a group first
+	Audit       *Audit                    // nil: records stay in memory
+	Overrides   *Overrides                // nil: operators' words are not kept on a disk
+	FenceAfter  time.Duration             // behind others for so long a gateway shuts itself out; 0: never
 
 	// What telling positions, and primaries, may send in bytes a second; 0: they go as rumours, whatever that takes.
 	PositionBytes, PrimaryBytes int
@@ -44,10 +44,10 @@
 	Lease       time.Duration // of what one holder lends another
 }
 
-// Words is where operators' words to the fleet are kept over restarts.
-type Words struct {
-	Dir  string        // a directory of this gateway's own
-	Keep time.Duration // a copy that was away for longer is not used; nothing younger is forgotten
+// Overrides is where operators' words to the fleet are kept over restarts.
+type Overrides struct {
+	Dir       string        // a directory of this gateway's own
+	Retention time.Duration // a copy that was away for longer is not used; nothing younger is forgotten
 }
 
 // Audit is where records of what this gateway did are kept.
@@ -59,12 +59,12 @@
 
 // Common is the part that is to be equal in all files of a fleet, as text.
 func (f *File) Common() []byte {
-	return fmt.Appendf(nil, "%s %v %v %d %s %t %t %v %t %v %v%s%s", f.Fleet, f.Period, f.Still, f.Most, f.Budgets.text(), f.Positions, f.Subsets, f.Fence, f.Primaries, f.Words.keep(), f.Repeats,
+	return fmt.Appendf(nil, "%s %v %v %d %s %t %t %v %t %v %v%s%s", f.Fleet, f.ProbePeriod, f.StableAfter, f.MaxMembers, f.Budgets.text(), f.Positions, f.Subsets, f.FenceAfter, f.Primaries, f.Overrides.keep(), f.RetryBudget,
 		bytesText(" positions", f.PositionBytes), bytesText(" primaries", f.PrimaryBytes))
 }
 
-// MostMembers bounds what a file may ask for.
-const MostMembers = 4096
+// MaxMembers bounds what a file may ask for.
+const MaxMembers = 4096
 
 // Parse reads a fleet file. Everything that is wrong with it is told at once, with its place.
 func Parse(file string, text []byte) (*File, error) {
@@ -81,7 +81,7 @@
 		return got[key]
 	}
 	if s, ok := r.Text(need("fleet"), "fleet"); ok {
-		if f.Fleet = s; !Name(s) {
+		if f.Fleet = s; !ValidName(s) {
 			r.Fail(got["fleet"], "fleet", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", s)
 		}
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	for name, v := range r.Fields(got["dial"], "dial") {
-		if !Name(name) {
+		if !ValidName(name) {
 			r.Fail(v, "dial", "%q is no name of a gateway", name)
 		}
 		f.Dial[name] = r.Addr(v, name)
@@ -115,11 +115,11 @@
 			}
 		}
 	}
-	span("period", &f.Period, 50*time.Millisecond, 10*time.Second)
-	span("still", &f.Still, 0, time.Minute)
-	span("fence", &f.Fence, time.Second, time.Hour)
+	span("period", &f.ProbePeriod, 50*time.Millisecond, 10*time.Second)
+	span("still", &f.StableAfter, 0, time.Minute)
+	span("fence", &f.FenceAfter, time.Second, time.Hour)
 	if n := got["most"]; n != nil {
-		f.Most = r.Count(n, "most", 2, MostMembers)
+		f.MaxMembers = r.Count(n, "most", 2, MaxMembers)
 	}
 	f.Positions, f.PositionBytes = shared(r, got["positions"], "positions")
 	f.Primaries, f.PrimaryBytes = shared(r, got["primaries"], "primaries")
@@ -140,12 +140,12 @@
 		}
 	}
 	if n := got["repeats"]; n != nil {
-		if f.Repeats = r.Share(n, "repeats"); f.Repeats <= 0 {
+		if f.RetryBudget = r.Share(n, "repeats"); f.RetryBudget <= 0 {
 			r.Fail(n, "repeats", "over 0%% up to 100%% would do, like 20%%; without the line they are not bounded")
 		}
 	}
 	if n := got["words"]; n != nil {
-		f.Words = words(r, n)
+		f.Overrides = words(r, n)
 	}
 	if n := got["budgets"]; n != nil {
 		f.Budgets = budgets(r, n)
@@ -165,7 +165,7 @@
 		for _, v := range list.Content {
 			name, _ := r.Text(v, "holders")
 			switch {
-			case !Name(name):
+			case !ValidName(name):
 				r.Fail(v, "holders", "%q is no name of a gateway", name)
 			case slices.Contains(b.Holders, name):
 				r.Fail(v, "holders", "%s stands twice", name)
@@ -186,8 +186,8 @@
 	return b
 }
 
-func words(r *yamlfile.Reader, n *yaml.Node) *Words {
-	w := &Words{Keep: 7 * 24 * time.Hour}
+func words(r *yamlfile.Reader, n *yaml.Node) *Overrides {
+	w := &Overrides{Retention: 7 * 24 * time.Hour}
 	f := r.Fields(n, "words", "dir", "keep")
 	if v := f["dir"]; v == nil {
 		r.Fail(n, "dir", "missing: a directory of this gateway's own, in which operators' words are kept over restarts")
@@ -199,21 +199,21 @@
 		if ok && (x < 1 || x > 366*24*3600) {
 			r.Fail(v, "keep", "from 1 s to 366 days would do; the same in every file")
 		} else {
-			w.Keep = time.Duration(x * float64(time.Second))
+			w.Retention = time.Duration(x * float64(time.Second))
 		}
 	}
 	return w
 }
 
-func (w *Words) keep() time.Duration {
+func (w *Overrides) keep() time.Duration {
 	if w == nil {
 		return 0
 	}
-	return w.Keep
+	return w.Retention
 }
 
-// Name tells whether a text can name a gateway or a fleet.
-func Name(s string) bool {
+// ValidName tells whether a text can name a gateway or a fleet.
+func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
 	}
@@ -244,9 +244,9 @@
 	if !ok {
 		return true, 0
 	}
-	if x != math.Trunc(x) || x < antientropy.LeastBytes || x > antientropy.MostBytes {
+	if x != math.Trunc(x) || x < antientropy.MinBytesPerSecond || x > antientropy.MaxBytesPerSecond {
 		r.Fail(v, "bytes", "a whole number from %d/s to %d/s would do: less does not carry a question and an answer a second; the same in every file",
-			antientropy.LeastBytes, antientropy.MostBytes)
+			antientropy.MinBytesPerSecond, antientropy.MaxBytesPerSecond)
 	}
 	return true, int(x)
 }
--- a/internal/fleet/file_test.go
+++ b/internal/fleet/file_test.go
@@ -16,7 +16,7 @@
 	assert.Equal(t, &File{
 		Fleet: "a", Listen: netip.MustParseAddrPort("0.0.0.0:7400"), Advertise: netip.MustParseAddrPort("127.0.0.1:7500"),
 		Seeds: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Dial: map[string]netip.AddrPort{"n2": netip.MustParseAddrPort("127.0.0.1:2")},
-		Period: 100 * time.Millisecond, Still: 2 * time.Second, Most: 50,
+		ProbePeriod: 100 * time.Millisecond, StableAfter: 2 * time.Second, MaxMembers: 50,
 	}, f)
 }
 
--- a/internal/fleet/membership/capacity_test.go
+++ b/internal/fleet/membership/capacity_test.go
@@ -43,10 +43,10 @@
 		for {
 			b, err := enc.Marshal(msg)
 			require.NoError(t, err)
-			if n := len(msg.News); s.Stream || len(b)+20 <= 1200 || n == 0 {
+			if n := len(msg.Updates); s.Stream || len(b)+20 <= 1200 || n == 0 {
 				return len(b) + 20
 			}
-			msg.News = msg.News[:len(msg.News)-1]
+			msg.Updates = msg.Updates[:len(msg.Updates)-1]
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		for _, o := range w.nodes {
 			k := o.m.Counts()
 			c.Probes += k.Probes
-			c.Failed += k.Failed
+			c.FailedProbes += k.FailedProbes
 		}
 		return c
 	}
@@ -89,7 +89,7 @@
 		r.MessagesOut += float64(w.sent[i]) / each
 		r.BytesOutMost = max(r.BytesOutMost, float64(w.bytes[i])/window.Seconds())
 	}
-	r.Probes, r.Failed = float64(is.Probes-was.Probes)/each, float64(is.Failed-was.Failed)/each
+	r.Probes, r.Failed = float64(is.Probes-was.Probes)/each, float64(is.FailedProbes-was.FailedProbes)/each
 	return r
 }
 
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -144,7 +144,7 @@
 	for _, a := range cfg.Seeds {
 		m.seeds = append(m.seeds, seed{addr: a})
 	}
-	m.nextProbe = now + m.part(cfg.Period)
+	m.nextProbe = now + m.part(cfg.ProbePeriod)
 	m.nextSync = now + m.part(syncEvery)
 	m.nextReach = now + m.part(reachFirst/4)
 	m.nextObserve = now
@@ -172,8 +172,8 @@
 // View is the stable view. It is not changed after it was given out.
 func (m *Machine) View() View { return m.view }
 
-// Own is this gateway's entry, and whether it is a member at the moment.
-func (m *Machine) Own() (Entry, bool) { return m.own, m.standing == active }
+// Self is this gateway's entry, and whether it is a member at the moment.
+func (m *Machine) Self() (Entry, bool) { return m.own, m.standing == active }
 
 // Superseded tells whether another process has this gateway's name.
 func (m *Machine) Superseded() bool { return m.standing == superseded }
@@ -201,16 +201,16 @@
 // Counts are figures since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// SetBeside tells whether another process of this name lives as part of an upgrade.
-func (m *Machine) SetBeside(on bool) {
-	if m.beside = on; on && m.own.Twice {
-		m.own.Twice = false
+// SetSibling tells whether another process of this name lives as part of an upgrade.
+func (m *Machine) SetSibling(on bool) {
+	if m.beside = on; on && m.own.DuplicateName {
+		m.own.DuplicateName = false
 		m.raise(m.own.Incarnation)
 	}
 }
 
-// Move tells that this process is now to be found at another address.
-func (m *Machine) Move(now time.Duration, addr netip.AddrPort) {
+// SetAddr tells that this process is now to be found at another address.
+func (m *Machine) SetAddr(now time.Duration, addr netip.AddrPort) {
 	m.clock(now)
 	m.own.Addr = addr
 	if m.standing == active {
@@ -226,8 +226,8 @@
 		m.standing, m.probe = left, nil
 		m.own.State = Left
 		m.tell(m.own)
-		m.spread(2 * m.cfg.Helpers)
-		m.nextObserve = now + m.cfg.Period/2
+		m.spread(2 * m.cfg.IndirectProbes)
+		m.nextObserve = now + m.cfg.ProbePeriod/2
 	}
 	m.finish()
 }
@@ -239,7 +239,7 @@
 		m.standing = active
 		m.own.State = Alive
 		m.raise(m.own.Incarnation)
-		m.nextProbe = now + m.part(m.cfg.Period)
+		m.nextProbe = now + m.part(m.cfg.ProbePeriod)
 	}
 	m.finish()
 }
@@ -264,15 +264,15 @@
 func (m *Machine) clock(now time.Duration) {
 	m.now = max(m.now, now)
 	gap := m.now - m.wake
-	if gap <= m.cfg.Period/2 || m.wake == 0 {
+	if gap <= m.cfg.ProbePeriod/2 || m.wake == 0 {
 		return
 	}
-	if gap > m.cfg.Period {
+	if gap > m.cfg.ProbePeriod {
 		m.counts.Pauses++
-		m.worsen(1 + int(gap/(4*m.cfg.Period)))
+		m.worsen(1 + int(gap/(4*m.cfg.ProbePeriod)))
 	}
 	m.probe = nil
-	m.nextProbe = m.now + m.cfg.Period
+	m.nextProbe = m.now + m.cfg.ProbePeriod
 	for _, o := range m.doubted {
 		o.doubt.at += gap
 		o.doubt.until += gap
@@ -314,7 +314,7 @@
 		at(o.doubt.until)
 	}
 	for _, o := range m.moving {
-		at(o.moved + m.cfg.Still)
+		at(o.moved + m.cfg.StableAfter)
 	}
 	for _, r := range m.relays {
 		if r.nack > 0 {
@@ -322,7 +322,7 @@
 		}
 		at(r.last)
 	}
-	if m.own.Twice {
+	if m.own.DuplicateName {
 		at(m.claimed + claimLasts)
 	}
 	m.wake = max(wake, m.now)
@@ -338,7 +338,7 @@
 		if o.doubt != nil && o.doubt.until <= m.now {
 			m.counts.Deaths++
 			e := o.Entry
-			e.State, e.By = Dead, ""
+			e.State, e.SuspectedBy = Dead, ""
 			m.set(o, e)
 			m.tell(e)
 		}
@@ -364,8 +364,8 @@
 	if m.nextReach <= m.now && m.canReach() {
 		m.reach()
 	}
-	if m.own.Twice && m.claimed+claimLasts <= m.now {
-		m.own.Twice = false
+	if m.own.DuplicateName && m.claimed+claimLasts <= m.now {
+		m.own.DuplicateName = false
 		m.raise(m.own.Incarnation)
 	}
 }
@@ -375,10 +375,10 @@
 	if p := m.probe; p != nil {
 		if p.next <= m.now {
 			// A datagram may just have been lost: it is sent again and again, and helpers are asked once.
-			if p.next = m.now + m.cfg.Timeout/2; !p.indirect {
+			if p.next = m.now + m.cfg.ProbeTimeout/2; !p.indirect {
 				p.indirect = true
 				ask := Message{Kind: PingReq, Seq: p.seq, Target: p.m.Name, Session: p.session, Addr: p.m.Addr}
-				for _, o := range m.pick(m.cfg.Helpers, p.m) {
+				for _, o := range m.pick(m.cfg.IndirectProbes, p.m) {
 					p.asked++
 					m.send(o, ask)
 				}
@@ -394,14 +394,14 @@
 		return
 	}
 	scale := time.Duration(m.health + 1)
-	m.nextProbe = m.now + m.cfg.Period*scale
+	m.nextProbe = m.now + m.cfg.ProbePeriod*scale
 	o := m.next()
 	if o == nil {
 		return
 	}
 	m.counts.Probes++
 	m.seq++
-	m.probe = &probe{m: o, seq: m.seq, session: o.Session, next: m.now + m.cfg.Timeout*scale, last: m.now + m.cfg.Period*scale}
+	m.probe = &probe{m: o, seq: m.seq, session: o.Session, next: m.now + m.cfg.ProbeTimeout*scale, last: m.now + m.cfg.ProbePeriod*scale}
 	m.ping(m.probe)
 }
 
@@ -429,7 +429,7 @@
 // failed is a probe without an answer. Whether this process is the one that is ill shows in the helpers that are
 // silent as well.
 func (m *Machine) failed(p *probe) {
-	m.counts.Failed++
+	m.counts.FailedProbes++
 	if p.asked == 0 {
 		m.worsen(1)
 	} else {
@@ -437,7 +437,7 @@
 	}
 	if o := p.m; o.Session == p.session && o.place >= 0 {
 		e := o.Entry
-		e.State, e.By = Suspect, m.own.Name
+		e.State, e.SuspectedBy = Suspect, m.own.Name
 		if m.suspect(o, e) {
 			m.counts.Suspicions++
 		}
@@ -449,7 +449,7 @@
 	least, most := m.patience()
 	k := min(confirmations, m.size()-2) // who may confirm it, besides the first
 	if o.doubt == nil {
-		o.doubt = &doubt{at: m.now, until: m.now + most, by: []string{e.By}}
+		o.doubt = &doubt{at: m.now, until: m.now + most, by: []string{e.SuspectedBy}}
 		if k < 1 {
 			o.doubt.until = m.now + least
 		}
@@ -458,10 +458,10 @@
 		m.tell(e)
 		return true
 	}
-	if len(o.doubt.by) > k || slices.Contains(o.doubt.by, e.By) {
+	if len(o.doubt.by) > k || slices.Contains(o.doubt.by, e.SuspectedBy) {
 		return false
 	}
-	o.doubt.by = append(o.doubt.by, e.By)
+	o.doubt.by = append(o.doubt.by, e.SuspectedBy)
 	c := float64(len(o.doubt.by) - 1)
 	d := most - time.Duration(float64(most-least)*math.Log(c+1)/math.Log(float64(k+1)))
 	o.doubt.until = min(o.doubt.until, o.doubt.at+max(least, d))
@@ -471,7 +471,7 @@
 
 // patience is how long a suspicion lasts: confirmed by others, and without.
 func (m *Machine) patience() (least, most time.Duration) {
-	least = time.Duration(suspicion * m.log10() * float64(m.cfg.Period))
+	least = time.Duration(suspicion * m.log10() * float64(m.cfg.ProbePeriod))
 	return least, suspicionMost * least
 }
 
@@ -479,8 +479,8 @@
 func (m *Machine) observe() {
 	m.nextObserve = m.now + observeEvery/2 + m.part(observeEvery)
 	if m.standing == left && slices.ContainsFunc(m.queue, func(n news) bool { return n.e.Session == m.own.Session }) {
-		m.spread(m.cfg.Helpers)
-		m.nextObserve = m.now + m.cfg.Period/2
+		m.spread(m.cfg.IndirectProbes)
+		m.nextObserve = m.now + m.cfg.ProbePeriod/2
 		return
 	}
 	for _, o := range m.pick(1, nil) {
@@ -587,15 +587,15 @@
 	switch {
 	case s.Stream && m.standing != superseded && msg.Kind != Exchange || s.Stream && m.standing == active:
 		for _, o := range m.names {
-			msg.News = append(msg.News, o.Entry)
+			msg.Updates = append(msg.Updates, o.Entry)
 		}
 	case s.Stream:
 		// an observer only asks
 	default:
-		msg.News = append(msg.News, m.fresh(s.To, session)...)
+		msg.Updates = append(msg.Updates, m.fresh(s.To, session)...)
 	}
-	for i := range msg.News {
-		msg.News[i].GoneMS = m.gone(&msg.News[i])
+	for i := range msg.Updates {
+		msg.Updates[i].GoneForMS = m.gone(&msg.Updates[i])
 	}
 	m.out = append(m.out, s)
 }
@@ -635,7 +635,7 @@
 func (m *Machine) tell(e Entry) {
 	k := e.Name
 	if e.State == Suspect {
-		k += "\x00" + e.By
+		k += "\x00" + e.SuspectedBy
 	}
 	m.queue = slices.DeleteFunc(m.queue, func(n news) bool {
 		return n.key == k || n.e.Name == e.Name && (e.State != Suspect || n.e.State != Suspect)
@@ -648,7 +648,7 @@
 	m.own.Incarnation = max(m.own.Incarnation, over) + 1
 	m.digest = 0
 	m.tell(m.own)
-	m.spread(m.cfg.Helpers)
+	m.spread(m.cfg.IndirectProbes)
 }
 
 // sum is a digest of who lives, as this gateway sees it.
@@ -659,7 +659,7 @@
 			var b [17]byte
 			binary.BigEndian.PutUint64(b[:], e.Incarnation)
 			binary.BigEndian.PutUint64(b[8:], e.Session)
-			if e.Twice {
+			if e.DuplicateName {
 				b[16] = 1
 			}
 			_, _ = h.WriteString(e.Name)
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/fleet/membership/machine_test.go
@@ -57,7 +57,7 @@
 	w := joined(t, 3, 8)
 	n := w.nodes[3]
 	e := n.m.members["n006"].Entry
-	e.State, e.By = Suspect, "n003"
+	e.State, e.SuspectedBy = Suspect, "n003"
 	require.True(t, n.m.suspect(n.m.members["n006"], e))
 	n.m.finish()
 	w.after(n)
@@ -135,7 +135,7 @@
 		w.run(wait)
 		n := w.start(3, "n003", w.now-time.Hour)
 		require.True(t, w.until(w.now+12*time.Second, func() bool { return w.agreed(8) }), "after %v", wait)
-		own, member := n.m.Own()
+		own, member := n.m.Self()
 		assert.True(t, member)
 		assert.Greater(t, own.Incarnation, uint64((w.now - time.Hour).Microseconds()))
 	}
@@ -147,7 +147,7 @@
 	twice := func(n *node) (found, flagged bool) {
 		for _, m := range n.m.View().Members {
 			if m.Name == "n003" {
-				return true, m.Twice
+				return true, m.DuplicateName
 			}
 		}
 		return false, false
@@ -186,20 +186,20 @@
 	require.Len(t, out, 1)
 	assert.True(t, out[0].Direct)
 	assert.Equal(t, at(2), out[0].Addr)
-	require.NotEmpty(t, out[0].Message.News)
-	assert.Equal(t, uint64(2), out[0].Message.News[0].Session)
+	require.NotEmpty(t, out[0].Message.Updates)
+	assert.Equal(t, uint64(2), out[0].Message.Updates[0].Session)
 }
 
 // During an upgrade two processes of a name are as it should be.
 func TestUpgradeIsOneMember(t *testing.T) {
 	w := joined(t, 10, 6)
-	w.nodes[3].m.SetBeside(true)
-	w.start(6, "n003", w.now).m.SetBeside(true)
+	w.nodes[3].m.SetSibling(true)
+	w.start(6, "n003", w.now).m.SetSibling(true)
 	for range 50 {
 		w.run(100 * time.Millisecond)
 		require.True(t, w.nodes[0].sees("n003"), "the name is in the view all along")
 		require.Len(t, w.nodes[0].m.View().Members, 6)
-		require.False(t, w.nodes[6].m.own.Twice)
+		require.False(t, w.nodes[6].m.own.DuplicateName)
 	}
 	assert.True(t, w.nodes[3].m.Superseded())
 	w.nodes[3].m.Leave(w.now) // it ends
@@ -239,10 +239,10 @@
 }
 
 func TestListIsBounded(t *testing.T) {
-	m := New(Config{Name: "a", Addr: at(0), Start: epoch, Session: 1, Most: 10}, epoch)
+	m := New(Config{Name: "a", Addr: at(0), Start: epoch, Session: 1, MaxMembers: 10}, epoch)
 	for i := range 50 {
 		m.Receive(epoch, Message{Kind: Gossip, From: Entry{Name: "b", Addr: at(1), Incarnation: 1, Session: 2},
-			News: []Entry{{Name: string(rune('A' + i)), Addr: at(2), Incarnation: 1, Session: 3}}}, 0)
+			Updates: []Entry{{Name: string(rune('A' + i)), Addr: at(2), Incarnation: 1, Session: 3}}}, 0)
 	}
 	assert.LessOrEqual(t, len(m.Members()), 10)
 	assert.Positive(t, m.Counts().Overflow)
@@ -309,8 +309,8 @@
 	m := w.nodes[0].m
 	other := w.nodes[1].m.own
 	tell := func(name string, gone time.Duration) {
-		e := Entry{Name: name, Addr: at(9), Incarnation: 5, Session: 7, State: Left, GoneMS: uint32(gone / time.Millisecond)}
-		m.take(Message{Kind: Gossip, From: other, News: []Entry{e}}, 0)
+		e := Entry{Name: name, Addr: at(9), Incarnation: 5, Session: 7, State: Left, GoneForMS: uint32(gone / time.Millisecond)}
+		m.take(Message{Kind: Gossip, From: other, Updates: []Entry{e}}, 0)
 	}
 	tell("old", forget)
 	assert.NotContains(t, m.members, "old")
--- a/internal/fleet/membership/news.go
+++ b/internal/fleet/membership/news.go
@@ -29,7 +29,7 @@
 	}
 	whole := msg.Kind == Exchange || msg.Kind == Reply
 	told := 0
-	for _, e := range msg.News {
+	for _, e := range msg.Updates {
 		if whole && e.State == Dead && e.Name != m.own.Name {
 			told += m.disputed(e, from.Name, told < tellMost)
 			continue
@@ -88,7 +88,7 @@
 	}
 	m.seq++
 	m.relays = append(m.relays, relay{
-		seq: m.seq, origin: msg.Seq, asker: msg.From, nack: m.now + m.cfg.Timeout/2, last: m.now + 2*m.cfg.Period,
+		seq: m.seq, origin: msg.Seq, asker: msg.From, nack: m.now + m.cfg.ProbeTimeout/2, last: m.now + 2*m.cfg.ProbePeriod,
 	})
 	to := Entry{Name: msg.Target, Addr: msg.Addr}
 	m.answer(to, 0, Message{Kind: Ping, Seq: m.seq, Target: msg.Target, Session: msg.Session})
@@ -129,9 +129,9 @@
 		return
 	}
 	m.claimed = m.now
-	if !m.own.Twice {
-		m.own.Twice = true
-		m.counts.Twice++
+	if !m.own.DuplicateName {
+		m.own.DuplicateName = true
+		m.counts.DuplicateNames++
 		m.raise(m.own.Incarnation)
 		m.changes = append(m.changes, Change{Entry: m.own})
 	}
@@ -154,8 +154,8 @@
 		m.heardOfSelf(e)
 		return
 	}
-	gone := time.Duration(e.GoneMS) * time.Millisecond
-	e.GoneMS = 0
+	gone := time.Duration(e.GoneForMS) * time.Millisecond
+	e.GoneForMS = 0
 	o := m.members[e.Name]
 	if o == nil {
 		m.welcome(e, gone)
@@ -182,7 +182,7 @@
 	if !e.State.Live() && gone >= forget {
 		return
 	}
-	if len(m.members) >= m.cfg.Most && !m.makeRoom() {
+	if len(m.members) >= m.cfg.MaxMembers && !m.makeRoom() {
 		m.counts.Overflow++
 		return
 	}
@@ -237,7 +237,7 @@
 	if was.State != e.State {
 		o.since = m.now
 	}
-	m.changes = append(m.changes, Change{Entry: e, Was: was.State})
+	m.changes = append(m.changes, Change{Entry: e, Previous: was.State})
 	switch {
 	case e.State.Live() && o.place < 0:
 		o.place = len(m.live)
@@ -272,14 +272,14 @@
 	}
 	if o.doubt == nil {
 		d := o.Entry
-		d.Incarnation, d.Session, d.State, d.By = max(d.Incarnation, e.Incarnation), e.Session, Suspect, by
+		d.Incarnation, d.Session, d.State, d.SuspectedBy = max(d.Incarnation, e.Incarnation), e.Session, Suspect, by
 		m.suspect(o, d)
 	}
 	if !tell {
 		return 0
 	}
 	m.seq++
-	m.answer(o.Entry, 0, Message{Kind: Ping, Seq: m.seq, News: []Entry{e}})
+	m.answer(o.Entry, 0, Message{Kind: Ping, Seq: m.seq, Updates: []Entry{e}})
 	return 1
 }
 
@@ -309,7 +309,7 @@
 			return
 		}
 		if e.State.Live() {
-			if e.Twice && !holder.Twice {
+			if e.DuplicateName && !holder.DuplicateName {
 				m.changes = append(m.changes, Change{Entry: e})
 			}
 			holder.Entry = e
@@ -329,13 +329,13 @@
 	case e.State.Live():
 		m.standing, m.probe = superseded, nil
 		m.counts.Superseded++
-		m.own.Twice = false
+		m.own.DuplicateName = false
 		m.queue = slices.DeleteFunc(m.queue, func(n news) bool { return n.e.Name == m.own.Name })
 		m.members[e.Name] = &member{Entry: e, place: -1}
 		m.nextObserve = m.now
 		m.tell(e)
 		m.digest = 0
-		m.changes = append(m.changes, Change{Entry: e, Was: Alive})
+		m.changes = append(m.changes, Change{Entry: e, Previous: Alive})
 	default:
 		m.raise(e.Incarnation) // a predecessor, as its clock was ahead
 	}
@@ -348,8 +348,8 @@
 	m.standing = active
 	m.digest = 0
 	m.raise(over)
-	m.nextProbe = m.now + m.part(m.cfg.Period)
-	m.changes = append(m.changes, Change{Entry: m.own, Was: was.State})
+	m.nextProbe = m.now + m.part(m.cfg.ProbePeriod)
+	m.changes = append(m.changes, Change{Entry: m.own, Previous: was.State})
 }
 
 // show is what a view has of a member.
@@ -357,7 +357,7 @@
 	if !live {
 		return key{}
 	}
-	return key{session: e.Session, addr: e.Addr, twice: e.Twice, zone: e.Zone}
+	return key{session: e.Session, addr: e.Addr, twice: e.DuplicateName, zone: e.Zone}
 }
 
 // show brings the view up to date.
@@ -365,7 +365,7 @@
 	changed := false
 	m.moving = slices.DeleteFunc(m.moving, func(o *member) bool {
 		now := show(o.Entry, o.place >= 0)
-		if now != o.shown && o.State != Left && m.now < o.moved+m.cfg.Still {
+		if now != o.shown && o.State != Left && m.now < o.moved+m.cfg.StableAfter {
 			return false
 		}
 		changed = changed || now != o.shown
@@ -384,7 +384,7 @@
 	v := View{Version: m.view.Version + 1}
 	add := func(name string, k key) {
 		if k != (key{}) {
-			v.Members = append(v.Members, Member{Name: name, Addr: k.addr, Session: k.session, Twice: k.twice, Zone: k.zone})
+			v.Members = append(v.Members, Member{Name: name, Addr: k.addr, Session: k.session, DuplicateName: k.twice, Zone: k.zone})
 		}
 	}
 	for _, o := range m.names {
@@ -402,7 +402,7 @@
 	for _, o := range list {
 		var b [9]byte
 		binary.BigEndian.PutUint64(b[:], o.Session)
-		if o.Twice {
+		if o.DuplicateName {
 			b[8] = 1
 		}
 		_, _ = h.WriteString(o.Name)
--- a/internal/fleet/membership/sim_test.go
+++ b/internal/fleet/membership/sim_test.go
@@ -174,7 +174,7 @@
 
 func (w *network) deliver(n *node, e event) {
 	msg := *e.msg
-	msg.News = append([]Entry(nil), msg.News...)
+	msg.Updates = append([]Entry(nil), msg.Updates...)
 	n.m.Receive(w.now, msg, e.via)
 	w.after(n)
 }
@@ -188,7 +188,7 @@
 func (w *network) after(n *node) {
 	out, changes := n.m.Take()
 	for _, c := range changes {
-		if c.Entry.State == Dead && c.Was.Live() {
+		if c.Entry.State == Dead && c.Previous.Live() {
 			w.deaths = append(w.deaths, death{w.now, n.name, c.Entry.Name})
 		}
 	}
@@ -196,7 +196,7 @@
 		if w.size != nil {
 			w.bytes[n.index] += w.size(&s)
 		} else {
-			w.bytes[n.index] += 60 + 40*len(s.Message.News)
+			w.bytes[n.index] += 60 + 40*len(s.Message.Updates)
 		}
 		w.sent[n.index]++
 		to := index(s.Addr)
--- a/internal/fleet/membership/types.go
+++ b/internal/fleet/membership/types.go
@@ -37,15 +37,15 @@
 
 // Entry is what one gateway tells another of a member.
 type Entry struct {
-	Name        string         `cbor:"1,keyasint"`
-	Addr        netip.AddrPort `cbor:"2,keyasint"` // as the member tells it; others may have to dial another
-	Incarnation uint64         `cbor:"3,keyasint"` // starts as the microsecond of the process's start; raised by refutations
-	Session     uint64         `cbor:"4,keyasint"` // drawn at the start: tells two processes of one name apart
-	State       State          `cbor:"5,keyasint,omitempty"`
-	Twice       bool           `cbor:"6,keyasint,omitempty"` // another process claims the name
-	By          string         `cbor:"7,keyasint,omitempty"` // who suspects it
-	Zone        string         `cbor:"8,keyasint,omitempty"` // where it is
-	GoneMS      uint32         `cbor:"9,keyasint,omitempty"` // in a message: how long ago it went, as the sender knows; 0 of one that lives
+	Name          string         `cbor:"1,keyasint"`
+	Addr          netip.AddrPort `cbor:"2,keyasint"` // as the member tells it; others may have to dial another
+	Incarnation   uint64         `cbor:"3,keyasint"` // starts as the microsecond of the process's start; raised by refutations
+	Session       uint64         `cbor:"4,keyasint"` // drawn at the start: tells two processes of one name apart
+	State         State          `cbor:"5,keyasint,omitempty"`
+	DuplicateName bool           `cbor:"6,keyasint,omitempty"` // another process claims the name
+	SuspectedBy   string         `cbor:"7,keyasint,omitempty"` // who suspects it
+	Zone          string         `cbor:"8,keyasint,omitempty"` // where it is
+	GoneForMS     uint32         `cbor:"9,keyasint,omitempty"` // in a message: how long ago it went, as the sender knows; 0 of one that lives
 }
 
 // Kind is what a message is for.
@@ -73,7 +73,7 @@
 	Addr     netip.AddrPort `cbor:"6,keyasint,omitzero"`
 	Session  uint64         `cbor:"7,keyasint,omitempty"`
 	Digest   uint64         `cbor:"8,keyasint,omitempty"`
-	News     []Entry        `cbor:"9,keyasint,omitempty"`
+	Updates  []Entry        `cbor:"9,keyasint,omitempty"`
 }
 
 // Send is a message that is to go out.
@@ -88,18 +88,18 @@
 
 // Change is told when the state of a member changes in this gateway's list.
 type Change struct {
-	Entry Entry
-	Was   State
-	New   bool // the member was not known before
+	Entry    Entry
+	Previous State
+	New      bool // the member was not known before
 }
 
 // Member is one of a view.
 type Member struct {
-	Name    string         `json:"name"`
-	Addr    netip.AddrPort `json:"addr"`
-	Session uint64         `json:"session"`
-	Twice   bool           `json:"twice,omitempty"` // two processes claim the name: a fault
-	Zone    string         `json:"zone,omitempty"`
+	Name          string         `json:"name"`
+	Addr          netip.AddrPort `json:"addr"`
+	Session       uint64         `json:"session"`
+	DuplicateName bool           `json:"twice,omitempty"` // two processes claim the name: a fault
+	Zone          string         `json:"zone,omitempty"`
 }
 
 // View is the stable view: members sorted by name. A change is in it once it has held still for Config.Still; a
@@ -125,19 +125,19 @@
 
 // Config is what a machine is told at its start.
 type Config struct {
-	Name    string
-	Addr    netip.AddrPort
-	Start   time.Duration // the moment of the process's start, the first incarnation
-	Session uint64
-	Zone    string
-	Seed    uint64
-	Seeds   []netip.AddrPort // where others may be found
-	Most    int              // members kept at most, the dead included
-
-	Period  time.Duration // of probes
-	Timeout time.Duration // of a direct probe
-	Helpers int           // for indirect probes
-	Still   time.Duration // how long a change holds before it is in the view
+	Name       string
+	Addr       netip.AddrPort
+	Start      time.Duration // the moment of the process's start, the first incarnation
+	Session    uint64
+	Zone       string
+	Seed       uint64
+	Seeds      []netip.AddrPort // where others may be found
+	MaxMembers int              // members kept at most, the dead included
+
+	ProbePeriod    time.Duration // of probes
+	ProbeTimeout   time.Duration // of a direct probe
+	IndirectProbes int           // for indirect probes
+	StableAfter    time.Duration // how long a change holds before it is in the view
 }
 
 // Defaults fills in what is zero.
@@ -147,26 +147,26 @@
 			*d = to
 		}
 	}
-	set(&c.Period, 200*time.Millisecond)
-	set(&c.Timeout, c.Period*2/5)
-	set(&c.Still, time.Second)
-	if c.Helpers == 0 {
-		c.Helpers = 3
+	set(&c.ProbePeriod, 200*time.Millisecond)
+	set(&c.ProbeTimeout, c.ProbePeriod*2/5)
+	set(&c.StableAfter, time.Second)
+	if c.IndirectProbes == 0 {
+		c.IndirectProbes = 3
 	}
-	if c.Most == 0 {
-		c.Most = 4096
+	if c.MaxMembers == 0 {
+		c.MaxMembers = 4096
 	}
 	return c
 }
 
 // Counts are what has happened since the start.
 type Counts struct {
-	Probes, Failed    uint64 // probes, and those that nobody answered
-	Suspicions        uint64 // begun by this gateway
-	Refutations       uint64 // of what was said of this gateway
-	Deaths            uint64 // declared by this gateway
-	Pauses            uint64 // moments at which this process found that it had stood still
-	Exchanges         uint64 // of whole lists
-	Overflow          uint64 // members not taken in, as the list is full
-	Superseded, Twice uint64 // times another process took or claimed the name
+	Probes, FailedProbes       uint64 // probes, and those that nobody answered
+	Suspicions                 uint64 // begun by this gateway
+	Refutations                uint64 // of what was said of this gateway
+	Deaths                     uint64 // declared by this gateway
+	Pauses                     uint64 // moments at which this process found that it had stood still
+	Exchanges                  uint64 // of whole lists
+	Overflow                   uint64 // members not taken in, as the list is full
+	Superseded, DuplicateNames uint64 // times another process took or claimed the name
 }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -17,8 +17,8 @@
 	Zone int
 }
 
-// Member is a database of a group.
-type Member struct {
+// Database is a database of a group.
+type Database struct {
 	ID   string
 	Zone int
 }
@@ -43,9 +43,9 @@
 	score uint64
 }
 
-// Width is how many members of a group each of so many gateways uses first: one to serve and one for when that
+// SubsetSize is how many members of a group each of so many gateways uses first: one to serve and one for when that
 // fails, and more where there would be members that nobody uses.
-func Width(gateways, members int) int {
+func SubsetSize(gateways, members int) int {
 	if gateways <= 0 || members <= 0 {
 		return 0
 	}
@@ -56,9 +56,9 @@
 // Every member gets the same number of gateways within one. Pairs are taken by score, those of one zone first, as long
 // as both sides have room (a greedy matching; what is stable under it depends only on the scores, so that one that
 // comes or goes moves little more than its own pairs); who is left without room trades with another.
-func Subsets(gateways []Gateway, members []Member) [][]string {
+func Subsets(gateways []Gateway, members []Database) [][]string {
 	n, m := len(gateways), len(members)
-	k := Width(n, m)
+	k := SubsetSize(n, m)
 	out := make([][]string, n)
 	if k == 0 {
 		return out
@@ -66,7 +66,7 @@
 	asked := gateways
 	gateways, members = slices.Clone(gateways), slices.Clone(members)
 	slices.SortFunc(gateways, func(a, b Gateway) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(members, func(a, b Database) int { return strings.Compare(a.ID, b.ID) })
 	edges := make([]edge, 0, n*m)
 	for i, g := range gateways {
 		for j, d := range members {
@@ -113,7 +113,7 @@
 }
 
 // places is how many gateways each member gets; who has one more than others follows from a hash.
-func places(members []Member, all int) []int {
+func places(members []Database, all int) []int {
 	order := make([]int, len(members))
 	for i := range order {
 		order[i] = i
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -17,9 +17,9 @@
 	return list
 }
 
-func group(m, zones int) (list []Member) {
+func group(m, zones int) (list []Database) {
 	for i := range m {
-		list = append(list, Member{ID: fmt.Sprintf("s-%04x", i*7919), Zone: i % zones})
+		list = append(list, Database{ID: fmt.Sprintf("s-%04x", i*7919), Zone: i % zones})
 	}
 	return list
 }
@@ -36,7 +36,7 @@
 }
 
 // pairs are all of them, for counting what moved.
-func pairs(gateways []Gateway, members []Member) map[string]bool {
+func pairs(gateways []Gateway, members []Database) map[string]bool {
 	all := map[string]bool{}
 	for i, s := range Subsets(gateways, members) {
 		for _, id := range s {
@@ -46,9 +46,9 @@
 	return all
 }
 
-func check(t require.TestingT, gateways []Gateway, members []Member) {
+func check(t require.TestingT, gateways []Gateway, members []Database) {
 	subsets := Subsets(gateways, members)
-	k := Width(len(gateways), len(members))
+	k := SubsetSize(len(gateways), len(members))
 	for _, s := range subsets {
 		require.Len(t, s, k)
 		require.Len(t, slices.Compact(slices.Sorted(slices.Values(s))), k, "no member twice")
@@ -101,17 +101,17 @@
 			before := pairs(g, d)
 			for i := range min(n, 12) {
 				gone := slices.Delete(slices.Clone(g), i, i+1)
-				if Width(n-1, m) != Width(n, m) {
+				if SubsetSize(n-1, m) != SubsetSize(n, m) {
 					continue
 				}
 				// The pairs of the one that went go as well; of the rest, the least that must move keeps all even.
 				rest := float64(moved(before, pairs(gone, d)))
-				x := rest / float64(Width(n, m))
+				x := rest / float64(SubsetSize(n, m))
 				worst, sum, count = max(worst, x), sum+x, count+1
 			}
 			for i := range m {
 				gone := slices.Delete(slices.Clone(d), i, i+1)
-				if m < 4 || Width(n, m-1) != Width(n, m) {
+				if m < 4 || SubsetSize(n, m-1) != SubsetSize(n, m) {
 					continue
 				}
 				least := float64(load(Subsets(g, d))[d[i].ID])
--- a/internal/fleet/state/positions.go
+++ b/internal/fleet/state/positions.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// Tick is how often news go out.
-	Tick     = 100 * time.Millisecond
-	fanout   = 3
-	perSend  = 30          // positions in one message
-	ahead    = time.Second // a position so far past the own clock is not believed
-	hostMost = 256         // bytes of a name
+	// GossipInterval is how often news go out.
+	GossipInterval = 100 * time.Millisecond
+	fanout         = 3
+	perSend        = 30          // positions in one message
+	ahead          = time.Second // a position so far past the own clock is not believed
+	hostMost       = 256         // bytes of a name
 
 	positionRest = 16 // bytes of a position beside its name, at most
 )
@@ -28,24 +28,24 @@
 	At   time.Duration `cbor:"2,keyasint"` // since the Unix epoch; all commits up to it are applied
 }
 
-// Message is news.
-type Message struct {
+// PositionsMessage is news.
+type PositionsMessage struct {
 	Positions []Position `cbor:"1,keyasint,omitempty"`
 }
 
-// Send is a message to a member.
-type Send struct {
+// PositionsSend is a message to a member.
+type PositionsSend struct {
 	To      string
-	Message Message
+	Message PositionsMessage
 }
 
 // Counts are what has happened since the start.
 type Counts struct {
-	Learned uint64 // positions that this gateway heard from a database and that were news
-	Heard   uint64 // from other gateways
-	Old     uint64 // heard, and not news
-	Ahead   uint64 // heard, and past the clock
-	Unknown uint64 // heard, of databases that are not listed here
+	Learned  uint64 // positions that this gateway heard from a database and that were news
+	Received uint64 // from other gateways
+	Outdated uint64 // heard, and not news
+	Future   uint64 // heard, and past the clock
+	Unknown  uint64 // heard, of databases that are not listed here
 }
 
 // Positions is one gateway's copy. Use New.
@@ -61,21 +61,21 @@
 	counts Counts
 }
 
-// New makes an empty copy. A position that has risen by less than step is no news. listed tells which databases the
+// NewPositions makes an empty copy. A position that has risen by less than step is no news. listed tells which databases the
 // gateway's own list has: of no other anything is kept.
-func New(own string, seed uint64, step time.Duration, listed func(host string) bool) *Positions {
+func NewPositions(own string, seed uint64, step time.Duration, listed func(host string) bool) *Positions {
 	return &Positions{
 		step: step, rnd: rand.New(rand.NewPCG(seed, 0x706f73)), own: own, at: map[string]time.Duration{}, told: map[string]time.Duration{}, listed: listed,
 	}
 }
 
-// Live tells who can be told news.
-func (p *Positions) Live(names []string) {
+// SetMembers tells who can be told news.
+func (p *Positions) SetMembers(names []string) {
 	p.live = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == p.own })
 }
 
-// Forget drops what is known of databases that are not listed any more.
-func (p *Positions) Forget() {
+// DropUnlisted drops what is known of databases that are not listed any more.
+func (p *Positions) DropUnlisted() {
 	for h := range p.at {
 		if !p.listed(h) {
 			delete(p.at, h)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Learned takes in what a database told this gateway.
-func (p *Positions) Learned(host string, at time.Duration) {
+// Observe takes in what a database told this gateway.
+func (p *Positions) Observe(host string, at time.Duration) {
 	if p.raise(host, at) {
 		p.counts.Learned++
 	}
@@ -104,17 +104,17 @@
 }
 
 // Receive takes in what another gateway tells; it returns what is news here.
-func (p *Positions) Receive(now time.Duration, msg Message) (news []Position) {
+func (p *Positions) Receive(now time.Duration, msg PositionsMessage) (news []Position) {
 	for _, x := range msg.Positions {
 		switch {
 		case len(x.Host) > hostMost || !p.listed(x.Host):
 			p.counts.Unknown++
 		case x.At > now+ahead:
-			p.counts.Ahead++
+			p.counts.Future++
 		case !p.raise(x.Host, x.At):
-			p.counts.Old++
+			p.counts.Outdated++
 		default:
-			p.counts.Heard++
+			p.counts.Received++
 			news = append(news, x)
 		}
 	}
@@ -122,12 +122,12 @@
 }
 
 // Tick sends what is news to a few members. What does not fit waits for the next time.
-func (p *Positions) Tick() (out []Send) {
+func (p *Positions) Tick() (out []PositionsSend) {
 	n := page(p.queue, perSend, func(host string) int { return positionRest + len(host) })
 	if n == 0 || len(p.live) == 0 {
 		return nil
 	}
-	var msg Message
+	var msg PositionsMessage
 	for _, h := range p.queue[:n] {
 		msg.Positions = append(msg.Positions, Position{Host: h, At: p.at[h]})
 		p.told[h] = p.at[h]
@@ -135,7 +135,7 @@
 	p.queue = slices.Delete(p.queue, 0, n)
 	slices.SortFunc(msg.Positions, func(a, b Position) int { return strings.Compare(a.Host, b.Host) })
 	for _, i := range p.rnd.Perm(len(p.live))[:min(fanout, len(p.live))] {
-		out = append(out, Send{To: p.live[i], Message: msg})
+		out = append(out, PositionsSend{To: p.live[i], Message: msg})
 	}
 	return out
 }
--- a/internal/fleet/state/positions_test.go
+++ b/internal/fleet/state/positions_test.go
@@ -32,11 +32,11 @@
 		}
 		var list []*Positions
 		for i := range n {
-			p := New(names[i], uint64(i), step, all)
-			p.Live(names)
+			p := NewPositions(names[i], uint64(i), step, all)
+			p.SetMembers(names)
 			list = append(list, p)
 		}
-		var wire []Send
+		var wire []PositionsSend
 		round := func(loss float64) {
 			for _, p := range list {
 				wire = append(wire, p.Tick()...)
@@ -59,7 +59,7 @@
 		for k := range 40 {
 			host := fmt.Sprint("s", rnd.IntN(5))
 			truth[host] = max(truth[host], now+time.Duration(k)*300*time.Millisecond)
-			list[rnd.IntN(n)].Learned(host, truth[host])
+			list[rnd.IntN(n)].Observe(host, truth[host])
 			round(loss)
 			for _, p := range list {
 				for h, at := range p.at {
@@ -70,7 +70,7 @@
 		// The links are well, and each database is heard of once more.
 		for h := range truth {
 			truth[h] += time.Second
-			list[rnd.IntN(n)].Learned(h, truth[h])
+			list[rnd.IntN(n)].Observe(h, truth[h])
 		}
 		for range 30 {
 			round(0)
@@ -88,35 +88,35 @@
 }
 
 func TestWhatIsNotBelieved(t *testing.T) {
-	p := New("a", 1, step, func(h string) bool { return h == "s1" })
-	news := p.Receive(now, Message{Positions: []Position{
+	p := NewPositions("a", 1, step, func(h string) bool { return h == "s1" })
+	news := p.Receive(now, PositionsMessage{Positions: []Position{
 		{"s1", now - time.Second}, {"s1", now - 2*time.Second}, {"s1", now + time.Hour}, {"s9", now},
 	}})
 	assert.Equal(t, []Position{{"s1", now - time.Second}}, news)
-	assert.Equal(t, Counts{Heard: 1, Old: 1, Ahead: 1, Unknown: 1}, p.Counts())
+	assert.Equal(t, Counts{Received: 1, Outdated: 1, Future: 1, Unknown: 1}, p.Counts())
 }
 
 // A position that has hardly risen is no news, and messages are bounded.
 func TestLittleIsSent(t *testing.T) {
-	p := New("a", 1, step, all)
-	p.Live([]string{"a", "b", "c", "d", "e"})
+	p := NewPositions("a", 1, step, all)
+	p.SetMembers([]string{"a", "b", "c", "d", "e"})
 	sent := 0
 	for k := range 100 { // ten seconds of answers every 10 ms
 		for j := range 10 {
-			p.Learned("s1", now+time.Duration(k*100+j*10)*time.Millisecond)
+			p.Observe("s1", now+time.Duration(k*100+j*10)*time.Millisecond)
 		}
 		sent += len(p.Tick())
 	}
 	assert.LessOrEqual(t, sent, 51*fanout)
 	for i := range 100 {
-		p.Learned(fmt.Sprint("x", i), now)
+		p.Observe(fmt.Sprint("x", i), now)
 	}
 	for _, s := range p.Tick() {
 		assert.Len(t, s.Message.Positions, perSend)
 		assert.NotEqual(t, "a", s.To)
 	}
 	p.listed = func(h string) bool { return h == "s1" }
-	p.Forget()
+	p.DropUnlisted()
 	assert.Len(t, p.at, 1)
 }
 
@@ -125,10 +125,10 @@
 func TestPositionsOfLongNamesFitTheirMessages(t *testing.T) {
 	const hosts = 40
 	for _, long := range []int{0, 40, 100, hostMost - 2} {
-		a, b := New("a", 1, step, all), New("b", 2, step, all)
-		a.Live([]string{"b"})
+		a, b := NewPositions("a", 1, step, all), NewPositions("b", 2, step, all)
+		a.SetMembers([]string{"b"})
 		for i := range hosts {
-			a.Learned(fmt.Sprintf("%02d%s", i, strings.Repeat("x", long)), now)
+			a.Observe(fmt.Sprintf("%02d%s", i, strings.Repeat("x", long)), now)
 		}
 		for range hosts {
 			for _, s := range a.Tick() {
@@ -138,6 +138,6 @@
 				b.Receive(now, s.Message)
 			}
 		}
-		assert.EqualValues(t, hosts, b.Counts().Heard)
+		assert.EqualValues(t, hosts, b.Counts().Received)
 	}
 }
--- a/internal/fleet/state/words_test.go
+++ b/internal/fleet/state/words_test.go
@@ -15,13 +15,13 @@
 
 // crew is gateways with copies of the words, and the messages between them.
 type crew struct {
-	list  []*Words
+	list  []*Overrides
 	names []string
 	rnd   *rand.Rand
 	now   time.Duration
 	cut   func(a, b int) bool
 	loss  float64
-	held  []WordsSend
+	held  []OverridesSend
 	from  []int
 
 	measured bool // messages are measured, and one that is too large for who reads it does not arrive
@@ -44,8 +44,8 @@
 }
 
 func (c *crew) start(i int) {
-	c.list[i] = NewWords(c.names[i], fmt.Sprint(c.names[i], "@", c.rnd.Uint64()), c.rnd.Uint64())
-	c.list[i].Live(c.names)
+	c.list[i] = NewOverrides(c.names[i], fmt.Sprint(c.names[i], "@", c.rnd.Uint64()), c.rnd.Uint64())
+	c.list[i].SetMembers(c.names)
 }
 
 // round lets half a second pass and delivers messages in any order, some twice.
@@ -81,7 +81,7 @@
 }
 
 // fits measures a message.
-func (c *crew) fits(m WordsMessage) bool {
+func (c *crew) fits(m OverridesMessage) bool {
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -91,7 +91,7 @@
 }
 
 func (c *crew) say(i int, host string, out bool) {
-	c.list[i].Say(c.now, host, out)
+	c.list[i].Set(c.now, host, out)
 	c.collect(i)
 }
 
@@ -137,7 +137,7 @@
 		c.say(0, name+"0", false)
 		c.round()
 		for _, s := range c.list {
-			out, conflict := s.Out(name + "0")
+			out, conflict := s.Active(name + "0")
 			require.False(r, out || conflict, "a word said with knowledge of all prevails")
 		}
 	})
@@ -151,7 +151,7 @@
 	c.say(0, "s1", false) // one side has it serve again
 	c.say(3, "s1", true)  // the other says once more that it must not
 	c.round()
-	out, _ := c.list[1].Out("s1")
+	out, _ := c.list[1].Active("s1")
 	assert.False(t, out)
 	c.cut = nil
 	for range 10 {
@@ -159,13 +159,13 @@
 	}
 	require.True(t, c.equal())
 	for _, s := range c.list {
-		out, conflict := s.Out("s1")
+		out, conflict := s.Active("s1")
 		assert.True(t, out, "out wins")
 		assert.True(t, conflict, "and the conflict is told")
 	}
 	c.say(2, "s1", false)
 	c.round()
-	out, conflict := c.list[0].Out("s1")
+	out, conflict := c.list[0].Active("s1")
 	assert.False(t, out || conflict)
 }
 
@@ -182,7 +182,7 @@
 	assert.True(t, c.list[0].Synced())
 	for _, h := range []string{"s1", "s2"} {
 		for _, s := range c.list {
-			out, conflict := s.Out(h)
+			out, conflict := s.Active(h)
 			assert.True(t, out && !conflict, h)
 		}
 	}
@@ -190,13 +190,13 @@
 }
 
 func TestWordsAreBounded(t *testing.T) {
-	s := NewWords("a", "a@1", 1)
+	s := NewOverrides("a", "a@1", 1)
 	for i := range wordsMost {
-		require.NotZero(t, s.Say(now, fmt.Sprint("s", i), i > 0))
+		require.NotZero(t, s.Set(now, fmt.Sprint("s", i), i > 0))
 	}
-	assert.NotZero(t, s.Say(now, "x", true), "the one that leaves nothing out makes room")
-	assert.Zero(t, s.Say(now, "y", true))
-	assert.False(t, s.merge(Word{Host: "z", Vector: map[string]uint64{"b": 1}}))
+	assert.NotZero(t, s.Set(now, "x", true), "the one that leaves nothing out makes room")
+	assert.Zero(t, s.Set(now, "y", true))
+	assert.False(t, s.merge(Override{Key: "z", VersionVector: map[string]uint64{"b": 1}}))
 	assert.Len(t, s.All(), wordsMost)
 }
 
@@ -221,7 +221,7 @@
 	for i := range 3 * wordsPerSend {
 		c.say(0, fmt.Sprint("h", i), true)
 	}
-	c.list[1].Receive("n0", WordsMessage{Words: c.list[0].All()[:1], Asked: 1})
+	c.list[1].Receive("n0", OverridesMessage{Overrides: c.list[0].All()[:1], ConfirmID: 1})
 	assert.False(t, c.list[1].Synced(), "a word that was just said")
 	c.held, c.from = nil, nil
 	c.list[1].Take()
@@ -244,9 +244,9 @@
 		c := newCrew(16, seed)
 		c.cut = func(a, b int) bool { return (a < 2) != (b < 2) }
 		for i, s := range c.list {
-			s.Live(c.names[:2])
+			s.SetMembers(c.names[:2])
 			if i >= 2 {
-				s.Live(c.names[2:])
+				s.SetMembers(c.names[2:])
 			}
 			s.Take()
 		}
@@ -254,13 +254,13 @@
 		c.round()
 		c.cut = nil
 		for i, s := range c.list {
-			s.Live(c.names)
+			s.SetMembers(c.names)
 			c.collect(i)
 		}
 		c.round()
 		knows := 0
 		for _, s := range c.list {
-			if out, _ := s.Out("s1"); out {
+			if out, _ := s.Active("s1"); out {
 				knows++
 			}
 		}
@@ -276,9 +276,9 @@
 		for i := range c.list {
 			c.list[i].Take()
 		}
-		require.NotZero(t, c.list[0].Say(c.now, "s1", true))
+		require.NotZero(t, c.list[0].Set(c.now, "s1", true))
 		first := c.list[0].Take()[0]
-		for wire, n := []WordsSend{first}, 0; len(wire) > 0; n++ {
+		for wire, n := []OverridesSend{first}, 0; len(wire) > 0; n++ {
 			require.Less(t, n, 200, "it ends by itself")
 			var i int
 			_, _ = fmt.Sscanf(wire[0].To, "n%d", &i)
@@ -286,7 +286,7 @@
 			wire = append(wire[1:], c.list[i].Take()...)
 		}
 		for _, s := range c.list {
-			if out, _ := s.Out("s1"); out {
+			if out, _ := s.Active("s1"); out {
 				knows++
 			}
 		}
@@ -315,8 +315,8 @@
 		require.True(t, c.equal(), "generation %d", g)
 		for _, s := range c.list {
 			for _, w := range s.All() {
-				require.True(t, w.Sound())
-				require.Equal(t, g%2 == 0, w.Out)
+				require.True(t, w.Valid())
+				require.Equal(t, g%2 == 0, w.Active)
 			}
 			require.Len(t, s.All(), hosts, "no conflict")
 		}
@@ -341,7 +341,7 @@
 		c.round()
 		for _, s := range c.list[:2] {
 			require.Len(t, s.words[host], 1, "what was said last has taken the place of all before")
-			require.False(t, s.words[host][0].Out)
+			require.False(t, s.words[host][0].Active)
 			require.LessOrEqual(t, s.words[host][0].size(), wordMost)
 		}
 	}
@@ -350,11 +350,11 @@
 		c.round()
 	}
 	require.True(t, c.equal())
-	out, conflict := c.list[1].Out(host)
+	out, conflict := c.list[1].Active(host)
 	assert.True(t, out && conflict, "what nobody knows to be over leaves it out, and that is told")
 	c.say(1, host, false)
 	c.round()
-	out, conflict = c.list[2].Out(host)
+	out, conflict = c.list[2].Active(host)
 	assert.False(t, out || conflict)
 }
 
@@ -376,7 +376,7 @@
 	c.list[2].Receive("n1", c.list[1].Take()[0].Message)
 	c.list[1].Receive("n2", c.list[2].Take()[0].Message)
 	assert.False(t, c.list[1].Synced(), "it met one that returned as well")
-	c.list[2].Say(c.now, "s2", true) // now they differ, and the second sends what it has
+	c.list[2].Set(c.now, "s2", true) // now they differ, and the second sends what it has
 	c.list[2].Take()
 	c.list[1].compare("n2")
 	c.list[2].Receive("n1", c.list[1].Take()[0].Message)
@@ -389,7 +389,7 @@
 	}
 	for _, s := range c.list {
 		assert.True(t, s.Synced())
-		out, _ := s.Out("s1")
+		out, _ := s.Active("s1")
 		assert.True(t, out)
 	}
 
@@ -404,15 +404,15 @@
 
 // Those that have not caught up count as all others only for the copy to which each of them has been found equal.
 func TestEqualBeforeAWordIsNotEqualBehindIt(t *testing.T) {
-	s := NewWords("n0", "n0@1", 1)
-	s.Expect(2)
-	s.Live([]string{"n1"})
+	s := NewOverrides("n0", "n0@1", 1)
+	s.ExpectPeers(2)
+	s.SetMembers([]string{"n1"})
 	s.Take()
-	same := WordsMessage{Same: true, Round: s.round, Unsure: true}
+	same := OverridesMessage{Same: true, Round: s.round, Unsynced: true}
 	s.Receive("n1", same)
 	assert.False(t, s.Synced(), "there is another that it has not met")
-	s.Live([]string{"n1", "n2"})
-	s.Load([]Word{{Host: "s1", Out: true, Vector: map[string]uint64{"n9@1": 1}}})
+	s.SetMembers([]string{"n1", "n2"})
+	s.Load([]Override{{Key: "s1", Active: true, VersionVector: map[string]uint64{"n9@1": 1}}})
 	s.Receive("n2", same)
 	assert.False(t, s.Synced(), "the first knew nothing of the word")
 	s.Receive("n1", same)
@@ -424,9 +424,9 @@
 	const words, room = 1000, 60
 	c := newCrew(2, 1)
 	for h := range words {
-		require.True(t, c.list[0].merge(Word{Host: fmt.Sprintf("database-%04d", h), Out: true, Vector: map[string]uint64{"n9@1": 1}}))
+		require.True(t, c.list[0].merge(Override{Key: fmt.Sprintf("database-%04d", h), Active: true, VersionVector: map[string]uint64{"n9@1": 1}}))
 	}
-	c.list[0].Settle()
+	c.list[0].MarkSynced()
 	for range 60 {
 		c.list[1].Take()
 		c.list[1].compare("n0")
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -48,7 +48,7 @@
 // answer gives the client its answer when the turn has come, else keeps it.
 func (a *call) answer(message []byte) {
 	c := a.conn
-	c.front.opt.Guard.Answering(a.id, c.number, a.done)
+	c.front.opt.Guard.CheckAnswer(a.id, c.number, a.done)
 	a.over()
 	if c.nc.Closed() {
 		return
@@ -63,8 +63,8 @@
 	c.advance()
 }
 
-// Begin tells that a large value comes in parts.
-func (a *call) Begin() {
+// BeginStream tells that a large value comes in parts.
+func (a *call) BeginStream() {
 	a.parts = true
 	if c := a.conn; !c.nc.Closed() && c.calls[0] == a {
 		c.front.streams[c] = struct{}{}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Part passes one on when the turn has come, else keeps it and wants no more until then.
-func (a *call) Part(b []byte) (more bool) {
+// StreamChunk passes one on when the turn has come, else keeps it and wants no more until then.
+func (a *call) StreamChunk(b []byte) (more bool) {
 	c := a.conn
 	if c.nc.Closed() {
 		return false
@@ -87,11 +87,11 @@
 	return c.nc.Pending() < mostPart
 }
 
-// Complete ends a value that came in parts.
-func (a *call) Complete() { a.answer(nil) }
+// EndStream ends a value that came in parts.
+func (a *call) EndStream() { a.answer(nil) }
 
-// Broken tells that no more of it comes. The client can tell by the end of the connection.
-func (a *call) Broken() {
+// AbortStream tells that no more of it comes. The client can tell by the end of the connection.
+func (a *call) AbortStream() {
 	a.over()
 	if c := a.conn; !c.nc.Closed() {
 		c.front.bad.Printf(c.front.loop.Now(), "event=client_closed client=%d request=%q reason=%q", c.number, a.id, "a value broke off")
@@ -117,7 +117,7 @@
 	case len(c.calls) == 0:
 		c.calls = nil
 	case c.calls[0].parts:
-		c.calls[0].Begin()
+		c.calls[0].BeginStream()
 		if c.nc.Pending() < mostPart { // else when it is flushed
 			c.front.core.More(c.calls[0].q)
 		}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -244,7 +244,7 @@
 		} else if c.front.drained {
 			c.say(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is drained", "")))
 		} else {
-			c.front.opt.Guard.Starting(c.front.opt.Servable == nil || c.front.opt.Servable())
+			c.front.opt.Guard.CheckReady(c.front.opt.Servable == nil || c.front.opt.Servable())
 			c.say(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
 		}
 		return true
@@ -292,15 +292,15 @@
 	head := &st.Head
 	q := &gateway.Request{
 		Class: class, Group: policy.GroupID(head.Cluster), Session: session(head.Key),
-		After:    time.Duration(head.After) * time.Millisecond,
-		Deadline: c.front.arrived() + time.Duration(head.Millis)*time.Millisecond,
+		MinPosition: time.Duration(head.After) * time.Millisecond,
+		Deadline:    c.front.arrived() + time.Duration(head.Millis)*time.Millisecond,
 	}
 	if c.front.closing {
 		q.Deadline = min(q.Deadline, c.front.until)
 	}
 	id := string(head.ID)
 	c.front.ids[id] = struct{}{}
-	q.Name, q.Origin = id, c.number
+	q.Name, q.ConnectionID = id, c.number
 	a := &call{conn: c, q: q, id: id, buffers: buffers, large: large}
 	q.Client, q.Statement = a, st
 	c.calls = append(c.calls, a)
@@ -370,7 +370,7 @@
 			owed, request = owed+1, a.id
 		}
 	}
-	c.front.opt.Guard.Closing(c.number, request, owed)
+	c.front.opt.Guard.CheckClose(c.number, request, owed)
 }
 
 func (c *conn) close(why closed) {
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -4,10 +4,10 @@
 
 import "time"
 
-// Drain stops accepting and lets each connection go as soon as it owes nothing. What has come by now is taken, and of a
+// Shutdown stops accepting and lets each connection go as soon as it owes nothing. What has come by now is taken, and of a
 // command that has begun the rest; nothing that begins later, or clients that go on sending would be owed answers without
 // end. All answers are given by the moment until.
-func (f *Front) Drain(until time.Duration) {
+func (f *Front) Shutdown(until time.Duration) {
 	f.until, f.closing = until, true
 	f.closeQueue()
 	for p := busy; p < leaving; p++ {
@@ -37,26 +37,26 @@
 	c.serve()
 }
 
-// Leave stops accepting, for others hold the queue, and lets each connection go behind its next answer. Who
+// HandOver stops accepting, for others hold the queue, and lets each connection go behind its next answer. Who
 // asks for nothing is let go one by one until the moment given: a close that crosses a request turns it
 // back unheard, which hardly happens behind an answer.
-func (f *Front) Leave(until time.Duration) {
+func (f *Front) HandOver(until time.Duration) {
 	f.ln.Pause()
 	f.ease(until)
 }
 
-// Return accepts clients again after Leave, because nobody else does. Each still goes behind its next answer.
-func (f *Front) Return() error { return f.ln.Start() }
+// ResumeAccepting accepts clients again after Leave, because nobody else does. Each still goes behind its next answer.
+func (f *Front) ResumeAccepting() error { return f.ln.Start() }
 
-// Empty has the empty query answered with a no and lets all clients go as Leave does. New ones are served
+// Drain has the empty query answered with a no and lets all clients go as Leave does. New ones are served
 // once each: whoever sends them here takes a moment to notice.
-func (f *Front) Empty(until time.Duration) {
+func (f *Front) Drain(until time.Duration) {
 	f.drained = true
 	f.ease(until)
 }
 
-// Fill takes Empty back.
-func (f *Front) Fill() { f.drained, f.easing = false, 0 }
+// Activate takes Empty back.
+func (f *Front) Activate() { f.drained, f.easing = false, 0 }
 
 const easeStep = 50 * time.Millisecond
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// Quiet tells that no client is owed bytes, or waits in the queue, once Drain was called.
-func (f *Front) Quiet() bool {
+// ShutdownComplete tells that no client is owed bytes, or waits in the queue, once Drain was called.
+func (f *Front) ShutdownComplete() bool {
 	f.reread()
 	return f.ln.Closed() && f.queues[busy].Len() == 0 && f.queues[unread].Len() == 0
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -47,11 +47,11 @@
 
 // Options are what the front is told once.
 type Options struct {
-	Classes []string    // their names, by number
-	Most    int         // clients at once
-	Reserve int         // descriptors left for databases and discovery
-	Large   int         // bytes of statements over pgwire.MostMessage at once
-	Free    func() bool // frees a descriptor that nobody needs just now, elsewhere; false: there is none
+	Classes                []string    // their names, by number
+	MaxClients             int         // clients at once
+	Reserve                int         // descriptors left for databases and discovery
+	MaxLargeStatementBytes int         // bytes of statements over pgwire.MostMessage at once
+	FreeDescriptor         func() bool // frees a descriptor that nobody needs just now, elsewhere; false: there is none
 
 	Guard    *invariant.Guard // nil: nothing is checked
 	Servable func() bool      // requests can be served; nil: they always can
@@ -130,11 +130,11 @@
 	return err
 }
 
-// Opened tells whether clients are accepted.
-func (f *Front) Opened() bool { return f.open && !f.closing }
+// Accepting tells whether clients are accepted.
+func (f *Front) Accepting() bool { return f.open && !f.closing }
 
-// Hold has the empty query answered with a no as long as the gateway should not be given clients yet.
-func (f *Front) Hold(on bool) { f.held = on }
+// SetStarting has the empty query answered with a no as long as the gateway should not be given clients yet.
+func (f *Front) SetStarting(on bool) { f.held = on }
 
 // all is who is at p, as a list of its own: what is done to them moves them.
 func (f *Front) all(p place) (list []*conn) {
@@ -152,8 +152,8 @@
 	return n
 }
 
-// SetMost changes how many clients there may be at once.
-func (f *Front) SetMost(most int) { f.opt.Most = most }
+// SetMaxClients changes how many clients there may be at once.
+func (f *Front) SetMaxClients(most int) { f.opt.MaxClients = most }
 
 func (f *Front) accept(nc *netloop.Conn) {
 	f.numbers++
@@ -162,9 +162,9 @@
 	nc.OnFlush(c.flushed)
 	// Clients may hold a limited number of connections, too: idle ones that are kept until
 	// there is no room at all leave them none to ask on. So they go from half of it on.
-	room := f.roomy(f.opt.Most)
+	room := f.roomy(f.opt.MaxClients)
 	for range 2 { // one for the new connection, one to get back to the reserve
-		room = f.roomy(f.opt.Most/2) || f.makeRoom() || room
+		room = f.roomy(f.opt.MaxClients/2) || f.makeRoom() || room
 	}
 	if !room {
 		f.crowded.Printf(f.loop.Now(), "event=client_refused reason=descriptors spare=%d busy=%d", f.loop.Spare(), f.queues[busy].Len())
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -118,7 +118,7 @@
 // each other's connections between hello and query while idle ones are kept, or while there is room.
 func (f *Front) makeRoom() bool {
 	return f.closeOldest(leaving, 0) || f.closeOldest(fresh, freshGrace) || f.closeOldest(idle, idleGrace) ||
-		!f.roomy(f.opt.Most) && (f.Clients() < f.opt.Most && f.opt.Free() || f.closeOldest(idle, 0) || f.closeOldest(fresh, 0))
+		!f.roomy(f.opt.MaxClients) && (f.Clients() < f.opt.MaxClients && f.opt.FreeDescriptor() || f.closeOldest(idle, 0) || f.closeOldest(fresh, 0))
 }
 
 // closeOldest closes the one that came to p first, if that is so long ago, and tells
--- a/internal/front/pieces.go
+++ b/internal/front/pieces.go
@@ -23,7 +23,7 @@
 			return false
 		}
 		n := pgwire.LargeQuery(c.nc.Input())
-		if n > c.front.opt.Large {
+		if n > c.front.opt.MaxLargeStatementBytes {
 			c.fatal(pgwire.CodeTooLarge, "the statement is too large for this gateway's memory")
 			return false
 		}
@@ -96,7 +96,7 @@
 
 // takeLarge sets room for a large statement aside.
 func (f *Front) takeLarge(n int) bool {
-	if f.large+n > f.opt.Large {
+	if f.large+n > f.opt.MaxLargeStatementBytes {
 		return false
 	}
 	f.large += n
@@ -116,7 +116,7 @@
 func (f *Front) admitLarge() {
 	for len(f.queued) > 0 {
 		c := f.queued[0]
-		if f.large+pgwire.LargeQuery(c.nc.Input()) > f.opt.Large {
+		if f.large+pgwire.LargeQuery(c.nc.Input()) > f.opt.MaxLargeStatementBytes {
 			return
 		}
 		f.queued = f.queued[1:]
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,7 +14,7 @@
 // behind all that comes before the write, so that nothing that holds this process up meanwhile is told as left.
 func (g *Gateway) Begun(a *Attempt, until time.Duration) (left time.Duration) {
 	now := g.loop.Clock()
-	if a.Begin > 0 && now >= a.Begin {
+	if a.BeginBy > 0 && now >= a.BeginBy {
 		return 0
 	}
 	a.begun = true
@@ -28,16 +28,16 @@
 // check has the guard judge an attempt that is about to be written.
 func (g *Gateway) check(a *Attempt, now, told time.Duration) {
 	q := a.q
-	s := invariant.Sending{
-		Now: now, Request: q.Name, Client: q.Origin, Database: a.Host, Class: q.Class, Deadline: q.Deadline, Told: told,
-		ClientEnded: q.leftAt, MayRun: q.mayRun, MayRunSince: q.mayRunAt, Answered: q.over && q.leftAt == 0,
+	s := invariant.Attempt{
+		Now: now, Request: q.Name, Client: q.ConnectionID, Database: a.Host, Class: q.Class, Deadline: q.Deadline, DatabaseTimeout: told,
+		ClientGoneTime: q.leftAt, MayRun: q.mayRun, MayRunSince: q.mayRunAt, Answered: q.over && q.leftAt == 0,
 	}
 	for _, o := range q.attempts {
 		if o != a && o.begun && !o.done {
-			s.Others++
+			s.OtherAttempts++
 		}
 	}
-	g.guard.Sending(&s)
+	g.guard.CheckAttempt(&s)
 }
 
 // Written tells that the kernel has taken the last byte of an attempt; it may be told again.
@@ -63,7 +63,7 @@
 	g.told(a.Host, r.HasPosition, r.Position)
 	g.told(a.Host, r.Report.HasPosition, r.Report.Position)
 	if o == policy.OK {
-		g.guard.Answered(a.Host, r.Role, r.Position, g.loop.Now())
+		g.guard.RecordAnswer(a.Host, r.Role, r.Position, g.loop.Now())
 		g.accepted(a)
 		if r.Role == policy.Primary && g.primary != nil {
 			g.primary(a.Host, a.sentAt)
@@ -121,12 +121,12 @@
 	if s.Timeout != 0 {
 		a.Deadline = min(a.Deadline, now+s.Timeout)
 	}
-	if a.Begin = a.Deadline; s.Begin != 0 {
-		a.Begin = min(a.Begin, now+s.Begin)
+	if a.BeginBy = a.Deadline; s.BeginWithin != 0 {
+		a.BeginBy = min(a.BeginBy, now+s.BeginWithin)
 	}
 	if a.number > 0 {
 		g.logRetry.Printf(now, "event=retried request=%q client=%d class=%d attempt=%d database=%s before=%s may_run=%t",
-			q.Name, q.Origin, q.Class, a.number, a.Host, q.attempts[a.number-1].Host, q.mayRun)
+			q.Name, q.ConnectionID, q.Class, a.number, a.Host, q.attempts[a.number-1].Host, q.mayRun)
 	}
 	q.attempts = append(q.attempts, a)
 	q.out++
