--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -54,7 +54,7 @@
 				case 4, 5:
 					r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
 				}
-				g.events = append(g.events, policy.Elapsed{})
+				g.events = append(g.events, policy.TimerFired{})
 			}
 			g.Step()
 			for i := 0; i < len(w.sent); i++ {
@@ -87,7 +87,7 @@
 				all.Abandoned += k.Abandoned
 				all.Tries += k.Tries
 			}
-			require.Equal(t, taken, all.Passed+all.Dropped+all.BadGateway+all.Abandoned+uint64(g.Figures().InProgress))
+			require.Equal(t, taken, all.Passed+all.Dropped+all.BadGateway+all.Abandoned+uint64(g.Gauges().InProgress))
 			require.Equal(t, written, all.Tries)
 		}
 		loop.Close()
@@ -100,11 +100,11 @@
 	entry := func(h policy.HostID, s policy.Status) Entry {
 		return Entry{Member: policy.Member{Host: h, Status: s}}
 	}
-	g.Listed(policy.ListCached, []Entry{entry("a", policy.Healthy), entry("b", policy.Draining)})
-	assert.Equal(t, 2, g.Members())
-	g.Listed(policy.ListDelta, []Entry{entry("a", policy.Gone), entry("c", policy.Healthy)})
-	g.Listed(policy.ListFailed, nil)
-	assert.Equal(t, 2, g.Members())
+	g.ListUpdated(policy.ListCached, []Entry{entry("a", policy.Healthy), entry("b", policy.Draining)})
+	assert.Equal(t, 2, g.ListSize())
+	g.ListUpdated(policy.ListDelta, []Entry{entry("a", policy.Gone), entry("c", policy.Healthy)})
+	g.ListUpdated(policy.ListFailed, nil)
+	assert.Equal(t, 2, g.ListSize())
 	g.Step()
 
 	yes := 0
@@ -112,16 +112,16 @@
 	assert.True(t, g.Suspend("b", true, func() { yes++ }))
 	assert.Zero(t, yes, "nothing is decided yet")
 	g.Step()
-	assert.Equal(t, []policy.Event{policy.Suspended{Host: "b", Out: true}}, r.heard)
+	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b", Active: true}}, r.heard)
 	assert.Equal(t, 1, yes)
 
-	g.Listed(policy.ListFull, []Entry{entry("c", policy.Healthy)})
+	g.ListUpdated(policy.ListFull, []Entry{entry("c", policy.Healthy)})
 	g.Step()
 	assert.True(t, g.Suspend("b", true, func() { yes++ }), "out twice")
 	assert.True(t, g.Suspend("b", false, func() { yes++ }), "and back, though it has left the list")
 	assert.True(t, g.Suspend("c", false, func() { yes++ }), "back without having been out")
 	g.Step()
-	assert.Equal(t, []policy.Event{policy.Suspended{Host: "b"}}, r.heard)
+	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b"}}, r.heard)
 	assert.Equal(t, 4, yes)
 }
 
@@ -131,7 +131,7 @@
 	loop, g, r, w := newWorld(t)
 	q := g.take(w, time.Second)
 	r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
-	g.events = append(g.events, policy.Elapsed{})
+	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
 	a, b := w.sent[0], w.sent[1]
 	require.True(t, g.Began(a))
@@ -147,14 +147,14 @@
 	assert.False(t, g.Part(a, []byte("xyz")), "the client has enough for now")
 	g.More(q)
 	assert.Equal(t, []*Attempt{a}, w.resumed)
-	assert.Equal(t, 1, g.Figures().InProgress)
+	assert.Equal(t, 1, g.Gauges().InProgress)
 	g.Resolved(b, policy.OK, Reply{Value: []byte("second")})
 	g.Resolved(a, policy.OK, Reply{Role: policy.Replica, Position: 7, HasPosition: true})
 	g.More(q)
 	g.Step()
 	assert.Equal(t, []string{"begin", "part x", "part xyz", "complete", "released"}, w.said)
 	assert.Equal(t, policy.Result{Host: "a", Report: policy.Report{Position: 7, HasPosition: true, Role: policy.Replica}}, r.heard[len(r.heard)-1])
-	assert.Zero(t, g.Owed())
+	assert.Zero(t, g.Unanswered())
 }
 
 // For how long an answer may have waited for this process to read it is not its host's delay, and the module hears how long
@@ -164,7 +164,7 @@
 	loop, g, r, w := newWorld(t)
 	q := g.take(w, time.Second)
 	r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
-	g.events = append(g.events, policy.Elapsed{})
+	g.events = append(g.events, policy.TimerFired{})
 	round := 0
 	require.NoError(t, loop.Run(func() bool {
 		switch round++; round {
@@ -183,8 +183,8 @@
 	var lost, latency time.Duration = 0, -1
 	for _, e := range r.heard {
 		switch e := e.(type) {
-		case policy.Away:
-			lost = e.Lost
+		case policy.ProcessPaused:
+			lost = e.Total
 		case policy.Result:
 			latency = e.Latency
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,12 +36,12 @@
 	Refused(retryAfter time.Duration)
 	Failed()
 	Cancelled() // behind Cancel: nothing has run
-	// A large value comes in parts instead: Begin, then Part, and at the end Complete, or Broken where
+	// A large value comes in parts instead: BeginStream, then Part, and at the end Complete, or Broken where
 	// it ended before it was whole. Part tells whether more may come at once; else More asks for it.
-	Begin()
-	Part(b []byte) (more bool)
-	Complete()
-	Broken()
+	BeginStream()
+	StreamChunk(b []byte) (more bool)
+	EndStream()
+	AbortStream()
 	Released() // nobody needs the statement any more; the last call
 }
 
@@ -50,12 +50,12 @@
 type Backends interface {
 	Send(a *Attempt)
 	Cancel(a *Attempt)
-	Recall(a *Attempt) // gives it back as NotSent if it is not written whole: nothing has run
-	Resume(a *Attempt) // its value may go on
+	CancelUnsent(a *Attempt) // gives it back as NotSent if it is not written whole: nothing has run
+	ResumeStream(a *Attempt) // its value may go on
 	Probe(host policy.HostID)
-	HangUp(host policy.HostID)
-	Withdraw(host policy.HostID) // HangUp, and what waits for a connection is given back as NotSent
-	Listed(kind policy.ListKind, entries []Entry)
+	CloseIdleConnections(host policy.HostID)
+	StopUsingHost(host policy.HostID) // HangUp, and what waits for a connection is given back as NotSent
+	ListUpdated(kind policy.ListKind, entries []Entry)
 }
 
 // Discovery asks for the list and its changes.
@@ -63,31 +63,31 @@
 	Subscribe(within time.Duration)
 }
 
-// Acts hears what is done to databases.
-type Acts interface {
+// Observer hears what is done to databases.
+type Observer interface {
 	Sent(host policy.HostID, group policy.GroupID)                // an attempt was begun
 	Accepted(host policy.HostID, group policy.GroupID, class int) // a request was served
-	Said(text string)                                             // the decisions have logged something
+	PolicyLogged(text string)                                     // the decisions have logged something
 }
 
 // Router decides.
 type Router interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
-	Skipped() int
+	ExcludedHosts() int
 	Plausible(position time.Duration) bool
 }
 
 // Request is one request that a front has taken. The front fills it in.
 type Request struct {
-	Client    Client
-	Statement any // for the backend; the core does not look into it
-	Class     int
-	Group     policy.GroupID
-	Session   policy.SessionID
-	After     time.Duration // the position it must see; 0: none
-	Deadline  time.Duration
-	Name      string // as its client named it, for logs
-	Origin    uint64 // the number of the client's connection, for logs
+	Client       Client
+	Statement    any // for the backend; the core does not look into it
+	Class        int
+	Group        policy.GroupID
+	Session      policy.SessionID
+	MinPosition  time.Duration // the position it must see; 0: none
+	Deadline     time.Duration
+	Name         string // as its client named it, for logs
+	ConnectionID uint64 // the number of the client's connection, for logs
 
 	id       policy.RequestID
 	attempts []*Attempt
@@ -103,11 +103,11 @@
 
 // Attempt is one request on its way to one host.
 type Attempt struct {
-	Host      policy.HostID
-	Statement any
-	Deadline  time.Duration
-	Begin     time.Duration // the moment by which it has to begin, or not at all
-	Link      any           // the backend's own
+	Host        policy.HostID
+	Statement   any
+	Deadline    time.Duration
+	BeginBy     time.Duration // the moment by which it has to begin, or not at all
+	BackendData any           // the backend's own
 
 	q      *Request
 	number int
@@ -152,7 +152,7 @@
 	changed   func() // the list has
 	position  func(host policy.HostID, at time.Duration)
 	primary   func(host policy.HostID, at time.Duration)
-	acts      Acts // nil: nobody listens
+	acts      Observer // nil: nobody listens
 	suspended map[policy.HostID]bool
 	lost      time.Duration    // as the module was told
 	sending   time.Duration    // when what the last Step decided began to be carried out
@@ -178,43 +178,43 @@
 
 // reasons are the names of policy's.
 func reasons() (list []string) {
-	for r := range policy.Reasons {
+	for r := range policy.ReasonCount {
 		list = append(list, r.String())
 	}
 	return list
 }
 
-// OnGuard has all that is done checked.
-func (g *Gateway) OnGuard(guard *invariant.Guard) { g.guard = guard }
+// SetGuard has all that is done checked.
+func (g *Gateway) SetGuard(guard *invariant.Guard) { g.guard = guard }
 
-// GivenUp adds the figures of requests that were given up, by reason.
-func (g *Gateway) GivenUp(b []byte) []byte { return g.givenUp.Append(b) }
+// Metrics adds the figures of requests that were given up, by reason.
+func (g *Gateway) Metrics(b []byte) []byte { return g.givenUp.Append(b) }
 
 // Connect sets what the gateway acts on.
 func (g *Gateway) Connect(b Backends, d Discovery) { g.backends, g.discovery = b, d }
 
-// Owed is how many requests have no answer yet.
-func (g *Gateway) Owed() int { return g.owed }
+// Unanswered is how many requests have no answer yet.
+func (g *Gateway) Unanswered() int { return g.owed }
 
-// Figures are what the operators read of the moment.
-func (g *Gateway) Figures() stats.Gauges {
-	return stats.Gauges{InProgress: g.owed, Known: len(g.listed), Skipped: g.router.Skipped(), Lost: g.loop.Lost()}
+// Gauges are what the operators read of the moment.
+func (g *Gateway) Gauges() stats.Gauges {
+	return stats.Gauges{InProgress: g.owed, Known: len(g.listed), Skipped: g.router.ExcludedHosts(), Lost: g.loop.Lost()}
 }
 
-// Fleet passes on what the fleet tells of hosts: policy.Bounded, Preferred or Heard.
-func (g *Gateway) Fleet(e policy.Event) {
+// FleetEvent passes on what the fleet tells of hosts: policy.Bounded, Preferred or Heard.
+func (g *Gateway) FleetEvent(e policy.Event) {
 	switch e := e.(type) {
-	case policy.Told:
-		g.guard.Promoted(e.Host)
-	case policy.Heard:
-		g.guard.Heard(e.Host, e.Position)
+	case policy.PrimaryReported:
+		g.guard.RecordPrimary(e.Host)
+	case policy.PositionReported:
+		g.guard.RecordPosition(e.Host, e.Position)
 	}
 	g.events = append(g.events, e)
 }
 
 // Fence has the decisions take no writes, or take them again. It goes before all that the round has brought.
 func (g *Gateway) Fence(out bool) {
-	g.events = slices.Insert(g.events, 0, policy.Event(policy.Fenced{Out: out}))
+	g.events = slices.Insert(g.events, 0, policy.Event(policy.FenceChanged{Active: out}))
 }
 
 // Take accepts a request. Its answer may come before Take returns.
@@ -235,10 +235,10 @@
 	// A round that comes late finds the module's own timer due with this one: the module goes first.
 	q.overdue = g.loop.At(q.Deadline+lateBy, func() { g.late = append(g.late, q) })
 	e := policy.Request{
-		ID: q.id, Class: q.Class, Group: q.Group, Session: q.Session, Budget: q.Deadline - now,
+		ID: q.id, Class: q.Class, Group: q.Group, Session: q.Session, Timeout: q.Deadline - now,
 	}
-	if q.After > 0 {
-		e.TokenAge = cmp.Or(now-q.After, 1) // 0 would mean that there is no token
+	if q.MinPosition > 0 {
+		e.LastCommitAge = cmp.Or(now-q.MinPosition, 1) // 0 would mean that there is no token
 	}
 	g.events = append(g.events, e)
 }
@@ -255,7 +255,7 @@
 	if g.end(q) {
 		g.counts.Of(q.Class).Abandoned++
 		g.recall(q)
-		g.events = append(g.events, policy.Lapsed{Request: q.id})
+		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
 		g.release(q)
 	}
 }
@@ -270,7 +270,7 @@
 	g.recall(q)
 	g.settle(q)
 	if q.over {
-		g.events = append(g.events, policy.Lapsed{Request: q.id})
+		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
 		g.release(q)
 	}
 }
@@ -279,7 +279,7 @@
 func (g *Gateway) recall(q *Request) {
 	for _, a := range q.attempts {
 		if !a.done {
-			g.backends.Recall(a)
+			g.backends.CancelUnsent(a)
 		}
 	}
 }
@@ -299,9 +299,9 @@
 func (g *Gateway) expire(q *Request) {
 	if g.end(q) {
 		log.Printf("event=overdue request=%q attempts=%d out=%d", q.Name, len(q.attempts), q.out)
-		g.guard.Violated(invariant.Violation{Name: invariant.NeverAnswered, Request: q.Name, Client: q.Origin, Transition: "expire"})
+		g.guard.RecordViolation(invariant.Violation{Name: invariant.NeverAnswered, Request: q.Name, Client: q.ConnectionID, Transition: "expire"})
 		g.fail(q)
-		g.events = append(g.events, policy.Lapsed{Request: q.id})
+		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
 		g.release(q)
 	}
 }
@@ -331,8 +331,8 @@
 	}
 }
 
-// OnActs has a hear what is done to databases.
-func (g *Gateway) OnActs(a Acts) { g.acts = a }
+// SetObserver has a hear what is done to databases.
+func (g *Gateway) SetObserver(a Observer) { g.acts = a }
 
 // accepted tells of a request that a database has served.
 func (g *Gateway) accepted(a *Attempt) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,7 +25,7 @@
 	return next
 }
 
-func (s *script) Skipped() int               { return 0 }
+func (s *script) ExcludedHosts() int         { return 0 }
 func (*script) Plausible(time.Duration) bool { return true }
 
 // world is the rest: a client, the backends and discovery.
@@ -42,23 +42,23 @@
 func (w *world) Refused(after time.Duration) { w.said = append(w.said, "refused "+after.String()) }
 func (w *world) Failed()                     { w.said = append(w.said, "failed") }
 func (w *world) Released()                   { w.said = append(w.said, "released") }
-func (w *world) Begin()                      { w.said = append(w.said, "begin") }
-func (w *world) Complete()                   { w.said = append(w.said, "complete") }
+func (w *world) BeginStream()                { w.said = append(w.said, "begin") }
+func (w *world) EndStream()                  { w.said = append(w.said, "complete") }
 func (w *world) Cancelled()                  { w.said = append(w.said, "cancelled") }
-func (w *world) Broken()                     { w.said = append(w.said, "broken") }
-func (w *world) Resume(a *Attempt)           { w.resumed = append(w.resumed, a) }
-func (w *world) Part(b []byte) bool {
+func (w *world) AbortStream()                { w.said = append(w.said, "broken") }
+func (w *world) ResumeStream(a *Attempt)     { w.resumed = append(w.resumed, a) }
+func (w *world) StreamChunk(b []byte) bool {
 	w.said = append(w.said, "part "+string(b))
 	return len(b) < 3
 }
-func (w *world) Send(a *Attempt)                     { w.sent = append(w.sent, a) }
-func (w *world) Recall(*Attempt)                     {}
-func (w *world) Cancel(a *Attempt)                   { w.cancelled = append(w.cancelled, a) }
-func (w *world) Probe(h policy.HostID)               { w.probed = append(w.probed, h) }
-func (w *world) HangUp(h policy.HostID)              { w.hungUp = append(w.hungUp, h) }
-func (w *world) Withdraw(h policy.HostID)            { w.withdrawn = append(w.withdrawn, h) }
-func (w *world) Subscribe(time.Duration)             { w.askedFor++ }
-func (w *world) Listed(_ policy.ListKind, e []Entry) { w.listed += len(e) }
+func (w *world) Send(a *Attempt)                          { w.sent = append(w.sent, a) }
+func (w *world) CancelUnsent(*Attempt)                    {}
+func (w *world) Cancel(a *Attempt)                        { w.cancelled = append(w.cancelled, a) }
+func (w *world) Probe(h policy.HostID)                    { w.probed = append(w.probed, h) }
+func (w *world) CloseIdleConnections(h policy.HostID)     { w.hungUp = append(w.hungUp, h) }
+func (w *world) StopUsingHost(h policy.HostID)            { w.withdrawn = append(w.withdrawn, h) }
+func (w *world) Subscribe(time.Duration)                  { w.askedFor++ }
+func (w *world) ListUpdated(_ policy.ListKind, e []Entry) { w.listed += len(e) }
 
 func newWorld(t testing.TB) (*netloop.Loop, *Gateway, *script, *world) {
 	loop, err := netloop.New(16, 0, 1<<20)
@@ -71,7 +71,7 @@
 }
 
 func (g *Gateway) take(w *world, left time.Duration) *Request {
-	q := &Request{Client: w, Deadline: g.loop.Now() + left, After: g.loop.Now() + time.Hour}
+	q := &Request{Client: w, Deadline: g.loop.Now() + left, MinPosition: g.loop.Now() + time.Hour}
 	g.Take(q)
 	g.Step()
 	return q
@@ -83,9 +83,9 @@
 	_, g, r, w := newWorld(t)
 	q := g.take(w, time.Second)
 	e := r.heard[0].(policy.Request)
-	assert.InDelta(t, -time.Hour, e.TokenAge, 0, "a token from the future is kept as it is: this process's clock may be behind")
+	assert.InDelta(t, -time.Hour, e.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be behind")
 	r.next = []policy.Action{policy.Send{Request: e.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: e.ID, Host: "b"}}
-	g.events = append(g.events, policy.Elapsed{})
+	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
 	require.Len(t, w.sent, 2)
 	assert.Equal(t, g.loop.Now()+time.Millisecond, w.sent[0].Deadline)
@@ -111,7 +111,7 @@
 
 	g.Resolved(w.sent[0], policy.OK, Reply{Value: []byte("w")})
 	assert.Equal(t, []string{"served v", "released"}, w.said)
-	assert.Zero(t, g.Owed())
+	assert.Zero(t, g.Unanswered())
 	assert.Empty(t, g.requests)
 }
 
@@ -121,7 +121,7 @@
 	g.take(w, time.Millisecond)
 	g.take(w, time.Second) // over the limit: refused unheard
 	assert.Equal(t, []string{"refused 0s", "released"}, w.said)
-	assert.Equal(t, 2, g.Owed())
+	assert.Equal(t, 2, g.Unanswered())
 
 	w.said = nil
 	g.Gone(gone)
@@ -132,13 +132,13 @@
 	w.said = nil
 	assert.NoError(t, loop.Run(func() bool {
 		g.Step()
-		if g.Owed() == 0 {
+		if g.Unanswered() == 0 {
 			loop.Stop()
 		}
 		return false
 	}))
 	assert.Equal(t, []string{"failed", "released"}, w.said)
-	assert.IsType(t, policy.Lapsed{}, r.heard[len(r.heard)-1])
+	assert.IsType(t, policy.RequestAbandoned{}, r.heard[len(r.heard)-1])
 }
 
 // In a round that comes late the module's own answer goes before the gateway's, which
@@ -148,11 +148,11 @@
 	q := g.take(w, time.Millisecond)
 	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*lateBy { // the round is late
 	}
-	loop.At(q.Deadline, func() { g.events = append(g.events, policy.Elapsed{}) })
+	loop.At(q.Deadline, func() { g.events = append(g.events, policy.TimerFired{}) })
 	assert.NoError(t, loop.Run(func() bool {
 		r.next = []policy.Action{policy.Refuse{Request: q.id, RetryAfter: time.Second}}
 		g.Step()
-		if g.Owed() == 0 {
+		if g.Unanswered() == 0 {
 			loop.Stop()
 		}
 		return false
@@ -163,10 +163,10 @@
 func TestCarriesOutTheRest(t *testing.T) {
 	loop, g, r, w := newWorld(t)
 	r.next = []policy.Action{
-		policy.Probe{Host: "a"}, policy.HangUp{Host: "b"}, policy.Subscribe{}, policy.Log{Text: "x"},
-		policy.Timer{After: time.Millisecond, Timer: 7}, policy.Send{Request: "unknown", Host: "a"},
+		policy.Probe{Host: "a"}, policy.CloseIdleConnections{Host: "b"}, policy.Subscribe{}, policy.Log{Text: "x"},
+		policy.SetTimer{After: time.Millisecond, ID: 7}, policy.Send{Request: "unknown", Host: "a"},
 	}
-	g.Listed(policy.ListFull, make([]Entry, 3))
+	g.ListUpdated(policy.ListFull, make([]Entry, 3))
 	assert.True(t, g.Step())
 	assert.Equal(t, []policy.HostID{"a"}, w.probed)
 	assert.Equal(t, []policy.HostID{"b"}, w.hungUp)
@@ -177,12 +177,12 @@
 	g.Probed("a", policy.OK, Reply{})
 	assert.NoError(t, loop.Run(func() bool {
 		g.Step()
-		if _, ok := r.heard[len(r.heard)-1].(policy.Elapsed); ok {
+		if _, ok := r.heard[len(r.heard)-1].(policy.TimerFired); ok {
 			loop.Stop()
 		}
 		return false
 	}))
-	assert.Equal(t, policy.Elapsed{Timer: 7}, r.heard[len(r.heard)-1])
+	assert.Equal(t, policy.TimerFired{ID: 7}, r.heard[len(r.heard)-1])
 }
 
 // What was answered to an attempt that was given up unseats a primary; it seats none, for others may have told more since.
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -26,8 +26,8 @@
 func newGuarded(t testing.TB) *guarded {
 	loop, g, r, w := newWorld(t)
 	x := &guarded{Gateway: g, t: t, r: r, w: w}
-	set := policy.Settings{DrainGrace: 250 * time.Millisecond, Classes: []policy.Class{{Repeat: policy.Fragile}, {Level: policy.Recent, Bound: time.Second}}}
-	x.OnGuard(invariant.New(set, func(v invariant.Violation) { x.names = append(x.names, v.Name) }))
+	set := policy.Settings{DrainGrace: 250 * time.Millisecond, Classes: []policy.Class{{RetrySafety: policy.AtMostOnce}, {Level: policy.Recent, Bound: time.Second}}}
+	x.SetGuard(invariant.New(set, func(v invariant.Violation) { x.names = append(x.names, v.Name) }))
 	_ = loop
 	return x
 }
@@ -35,7 +35,7 @@
 // send has the decisions send a request to a host, and the backend begin on it with what is told of the time.
 func (x *guarded) send(q *Request, host policy.HostID, told time.Duration) *Attempt {
 	x.r.next = []policy.Action{policy.Send{Request: q.id, Host: host}}
-	x.events = append(x.events, policy.Elapsed{})
+	x.events = append(x.events, policy.TimerFired{})
 	x.Step()
 	a := x.w.sent[len(x.w.sent)-1]
 	x.Begun(a, x.loop.Clock()+told)
@@ -51,22 +51,22 @@
 		want invariant.Name
 		do   func(x *guarded, q *Request)
 	}{
-		"two at once": {invariant.BesideAnother, func(x *guarded, q *Request) {
+		"two at once": {invariant.ConcurrentAttempt, func(x *guarded, q *Request) {
 			x.send(q, "a", 0)
 			x.send(q, "b", 0)
 		}},
-		"again after it may have run": {invariant.RepeatForbidden, func(x *guarded, q *Request) {
+		"again after it may have run": {invariant.RetryForbidden, func(x *guarded, q *Request) {
 			x.Resolved(x.send(q, "a", 0), policy.Reset, Reply{})
 			x.send(q, "b", 0)
 		}},
 		"at a draining host": {invariant.ToDraining, func(x *guarded, q *Request) {
-			x.Listed(policy.ListDelta, entries(policy.Draining))
+			x.ListUpdated(policy.ListDelta, entries(policy.Draining))
 			time.Sleep(310 * time.Millisecond) // the grace is one of real time
 			x.send(q, "a", 0)
 		}},
 		"at a host that left the list": {invariant.ToDraining, func(x *guarded, q *Request) {
-			x.Listed(policy.ListFull, entries(policy.Healthy))
-			x.Listed(policy.ListFull, nil)
+			x.ListUpdated(policy.ListFull, entries(policy.Healthy))
+			x.ListUpdated(policy.ListFull, nil)
 			time.Sleep(310 * time.Millisecond)
 			x.send(q, "a", 0)
 		}},
@@ -76,20 +76,20 @@
 			x.send(q, "a", 0)
 		}},
 		"with too much time": {invariant.DeadlineTooLong, func(x *guarded, q *Request) { x.send(q, "a", 2*time.Second) }},
-		"behind the client's end": {invariant.BehindClient, func(x *guarded, q *Request) {
+		"behind the client's end": {invariant.AfterClientGone, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
 			x.Gone(q)
 			time.Sleep(110 * time.Millisecond)
 			x.Begun(a, 0)
 		}},
-		"behind the answer": {invariant.BehindAnswer, func(x *guarded, q *Request) {
+		"behind the answer": {invariant.AfterAnswer, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
 			x.r.next = []policy.Action{policy.Fail{Request: q.id}}
-			x.events = append(x.events, policy.Elapsed{})
+			x.events = append(x.events, policy.TimerFired{})
 			x.Step()
 			x.Begun(a, 0)
 		}},
-		"behind the deadline": {invariant.BehindDeadline, func(x *guarded, q *Request) {
+		"behind the deadline": {invariant.AfterDeadline, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
 			q.Deadline = x.loop.Clock() - time.Millisecond
 			x.Begun(a, 0)
@@ -125,7 +125,7 @@
 	x := newGuarded(t)
 	q := x.take(x.w, 50*time.Millisecond)
 	x.r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
-	x.events = append(x.events, policy.Elapsed{})
+	x.events = append(x.events, policy.TimerFired{})
 	x.Step()
 	a := x.w.sent[len(x.w.sent)-1]
 	time.Sleep(60 * time.Millisecond) // the stop
@@ -152,7 +152,7 @@
 		entries[i].Host = policy.HostID(fmt.Sprintf("s-%04x", i))
 	}
 	for b.Loop() {
-		x.Listed(policy.ListFull, entries)
+		x.ListUpdated(policy.ListFull, entries)
 		x.events = x.events[:0]
 	}
 }
--- a/internal/gateway/list.go
+++ b/internal/gateway/list.go
@@ -10,8 +10,8 @@
 	"lilaccove/policy"
 )
 
-// Members is how many databases the list holds.
-func (g *Gateway) Members() int { return len(g.listed) }
+// ListSize is how many databases the list holds.
+func (g *Gateway) ListSize() int { return len(g.listed) }
 
 // Suspend leaves a database out, or lets it serve again; then is called as soon as no request
 // can go against that. It tells whether the database is known. Discovery does not change it.
@@ -32,22 +32,22 @@
 	if g.suspended[host] = out; !out {
 		delete(g.suspended, host)
 	}
-	g.guard.Suspended(host, out, g.loop.Now())
-	g.events = append(g.events, policy.Suspended{Host: host, Out: out})
+	g.guard.RecordSuspension(host, out, g.loop.Now())
+	g.events = append(g.events, policy.SuspensionChanged{Host: host, Active: out})
 }
 
 // Probed tells how a probe ended.
 func (g *Gateway) Probed(host policy.HostID, o policy.Outcome, r Reply) {
 	g.told(host, r.Report.HasPosition, r.Report.Position)
-	g.events = append(g.events, policy.Probed{
+	g.events = append(g.events, policy.ProbeResult{
 		Host: host, Outcome: o, Latency: g.took(g.probes[host]), Report: r.Report,
 	})
 	delete(g.probes, host) // one is out at a time; hosts come and go
 }
 
-// Listed passes on news of the list.
-func (g *Gateway) Listed(kind policy.ListKind, entries []Entry) {
-	m := policy.Members{Kind: kind, Entries: make([]policy.Member, len(entries))}
+// ListUpdated passes on news of the list.
+func (g *Gateway) ListUpdated(kind policy.ListKind, entries []Entry) {
+	m := policy.ListUpdate{Kind: kind, Entries: make([]policy.Member, len(entries))}
 	for i, e := range entries {
 		m.Entries[i] = e.Member
 	}
@@ -56,17 +56,17 @@
 		before, g.listed = g.listed, make(map[policy.HostID]policy.Member, len(entries))
 	}
 	for _, e := range entries {
-		g.guard.Listed(e.Host, e.Status, g.loop.Now())
+		g.guard.RecordStatus(e.Host, e.Status, g.loop.Now())
 		if g.listed[e.Host] = e.Member; e.Status == policy.Gone {
 			delete(g.listed, e.Host)
 		}
 	}
 	for host := range before {
 		if _, listed := g.listed[host]; !listed {
-			g.guard.Listed(host, policy.Gone, g.loop.Now())
+			g.guard.RecordStatus(host, policy.Gone, g.loop.Now())
 		}
 	}
-	g.backends.Listed(kind, entries)
+	g.backends.ListUpdated(kind, entries)
 	g.events = append(g.events, m)
 	if g.changed != nil {
 		g.changed()
--- a/internal/gateway/step.go
+++ b/internal/gateway/step.go
@@ -14,7 +14,7 @@
 func (g *Gateway) Step() (again bool) {
 	if lost := g.loop.Lost(); lost != g.lost {
 		g.lost = lost
-		g.returned(policy.Away{Lost: lost})
+		g.returned(policy.ProcessPaused{Total: lost})
 	}
 	if len(g.events) > 0 {
 		g.decide()
@@ -31,10 +31,10 @@
 
 // returned orders what a round brings after this process was away: first that it was, then what the list tells, which may
 // have come before all else and binds what is done about it.
-func (g *Gateway) returned(away policy.Away) {
+func (g *Gateway) returned(away policy.ProcessPaused) {
 	events := append(g.spare[:0], away)
 	rest := slices.DeleteFunc(g.events, func(e policy.Event) bool {
-		_, list := e.(policy.Members)
+		_, list := e.(policy.ListUpdate)
 		if list {
 			events = append(events, e)
 		}
@@ -79,19 +79,19 @@
 	case policy.Probe:
 		g.probes[a.Host] = g.sending
 		g.backends.Probe(a.Host)
-	case policy.HangUp:
-		g.backends.HangUp(a.Host)
-	case policy.Withdraw:
-		g.backends.Withdraw(a.Host)
-	case policy.Timer:
-		token := a.Timer
-		g.loop.At(g.loop.Now()+a.After, func() { g.events = append(g.events, policy.Elapsed{Timer: token}) })
+	case policy.CloseIdleConnections:
+		g.backends.CloseIdleConnections(a.Host)
+	case policy.StopUsingHost:
+		g.backends.StopUsingHost(a.Host)
+	case policy.SetTimer:
+		token := a.ID
+		g.loop.At(g.loop.Now()+a.After, func() { g.events = append(g.events, policy.TimerFired{ID: token}) })
 	case policy.Subscribe:
-		g.discovery.Subscribe(a.Within)
+		g.discovery.Subscribe(a.Timeout)
 	case policy.Log:
 		log.Printf("event=policy text=%q", a.Text)
 		if g.acts != nil {
-			g.acts.Said(a.Text)
+			g.acts.PolicyLogged(a.Text)
 		}
 	}
 }
@@ -100,5 +100,5 @@
 func (g *Gateway) gaveUp(q *Request, why policy.Reason, refused bool) {
 	g.givenUp.Add(int(why))
 	g.logGiven.Printf(g.loop.Now(), "event=given_up request=%q client=%d class=%d group=%d reason=%s refused=%t attempts=%d",
-		q.Name, q.Origin, q.Class, q.Group, why, refused, len(q.attempts))
+		q.Name, q.ConnectionID, q.Class, q.Group, why, refused, len(q.attempts))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -16,7 +16,7 @@
 	}
 	q.over, q.stream, a.told = true, a, true
 	q.overdue.Stop()
-	q.Client.Begin()
+	q.Client.BeginStream()
 	g.events = append(g.events, policy.Result{
 		Request: q.id, Attempt: a.number, Host: a.Host, Outcome: policy.OK, Latency: g.took(a.sentAt), Finished: true,
 	})
@@ -25,13 +25,13 @@
 
 // Part passes on what has come of a value; false: no more for now.
 func (g *Gateway) Part(a *Attempt, b []byte) (more bool) {
-	return a.q.stream == a && a.q.Client.Part(b)
+	return a.q.stream == a && a.q.Client.StreamChunk(b)
 }
 
 // More asks for what follows of q's value.
 func (g *Gateway) More(q *Request) {
 	if q.stream != nil {
-		g.backends.Resume(q.stream)
+		g.backends.ResumeStream(q.stream)
 	}
 }
 
@@ -43,10 +43,10 @@
 	case o == policy.OK:
 		g.accepted(a)
 		g.endStream(q, &count.Passed)
-		q.Client.Complete()
+		q.Client.EndStream()
 	default:
 		g.endStream(q, &count.BadGateway)
-		q.Client.Broken()
+		q.Client.AbortStream()
 	}
 	if r.HasPosition {
 		told := policy.Report{Position: r.Position, HasPosition: true, Role: r.Role}
--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -34,8 +34,8 @@
 	})
 	old.Poll(ignore)
 	state := join(t, dir).State()
-	assert.True(t, state.Suspended["a"].On)
-	assert.True(t, state.Drained.On)
+	assert.True(t, state.Suspended["a"].Active)
+	assert.True(t, state.Drained.Active)
 }
 
 // A state that could not be read when it changed is read later.
@@ -45,8 +45,8 @@
 	next.Suspend("a", true, sec)
 	withoutDescriptors(t, func() { old.Poll(ignore) })
 	old.Poll(ignore)
-	assert.True(t, old.State().Suspended["a"].On)
-	assert.True(t, next.Agreed())
+	assert.True(t, old.State().Suspended["a"].Active)
+	assert.True(t, next.Acknowledged())
 }
 
 // The order of words is that in which they were given, whatever the processes' clocks say.
@@ -64,9 +64,9 @@
 				old.Poll(ignore)
 				next.Poll(ignore)
 			}
-			for _, s := range []*Share{old, next, join(t, dir)} {
-				assert.False(t, s.State().Suspended["a"].On)
-				assert.False(t, s.State().Drained.On)
+			for _, s := range []*SharedState{old, next, join(t, dir)} {
+				assert.False(t, s.State().Suspended["a"].Active)
+				assert.False(t, s.State().Drained.Active)
 			}
 		})
 	}
@@ -102,21 +102,21 @@
 // A word of another process that is read while this one takes a word of its own is acted on by the next poll, and until then
 // the other is not told that it was.
 func TestWordReadBesideAnotherIsActedOn(t *testing.T) {
-	for name, say := range map[string]func(s *Share){
-		"suspend": func(s *Share) { s.Suspend("a", true, 2*sec) },
-		"drain":   func(s *Share) { s.Drain(true, 2*sec) },
+	for name, say := range map[string]func(s *SharedState){
+		"suspend": func(s *SharedState) { s.Suspend("a", true, 2*sec) },
+		"drain":   func(s *SharedState) { s.Drain(true, 2*sec) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			old, next := join(t, dir), join(t, dir)
 			next.Suspend("b", true, sec)
 			say(old)
-			assert.False(t, next.Agreed(), "the old process has not acted on it")
+			assert.False(t, next.Acknowledged(), "the old process has not acted on it")
 			var seen State
 			old.Poll(func(s State) { seen = s })
-			assert.True(t, seen.Suspended["b"].On)
+			assert.True(t, seen.Suspended["b"].Active)
 			next.Poll(ignore)
-			assert.True(t, next.Agreed())
+			assert.True(t, next.Acknowledged())
 		})
 	}
 }
@@ -135,8 +135,8 @@
 	third.Suspend("b", true, now+time.Hour)
 	still.Poll(ignore)
 	third.Poll(ignore)
-	for _, s := range []*Share{still, third, join(t, dir)} {
-		assert.False(t, s.State().Suspended["a"].On)
-		assert.True(t, s.State().Suspended["b"].On)
+	for _, s := range []*SharedState{still, third, join(t, dir)} {
+		assert.False(t, s.State().Suspended["a"].Active)
+		assert.True(t, s.State().Suspended["b"].Active)
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,18 +15,18 @@
 func TestTheNewerWordHolds(t *testing.T) {
 	tests := []struct {
 		name    string
-		old, in Entry
-		want    Entry
+		old, in Override
+		want    Override
 	}{
-		{"newer", Entry{true, 1}, Entry{false, 2}, Entry{false, 2}},
-		{"older", Entry{true, 3}, Entry{false, 2}, Entry{true, 3}},
-		{"at once, out wins", Entry{false, 2}, Entry{true, 2}, Entry{true, 2}},
-		{"at once, back does not", Entry{true, 2}, Entry{false, 2}, Entry{true, 2}},
-		{"the first", Entry{}, Entry{true, 1}, Entry{true, 1}},
+		{"newer", Override{true, 1}, Override{false, 2}, Override{false, 2}},
+		{"older", Override{true, 3}, Override{false, 2}, Override{true, 3}},
+		{"at once, out wins", Override{false, 2}, Override{true, 2}, Override{true, 2}},
+		{"at once, back does not", Override{true, 2}, Override{false, 2}, Override{true, 2}},
+		{"the first", Override{}, Override{true, 1}, Override{true, 1}},
 	}
 	for _, tt := range tests {
-		s := State{Suspended: map[string]Entry{"a": tt.old}, Drained: tt.old}
-		changed := s.merge(State{Suspended: map[string]Entry{"a": tt.in}, Drained: tt.in})
+		s := State{Suspended: map[string]Override{"a": tt.old}, Drained: tt.old}
+		changed := s.merge(State{Suspended: map[string]Override{"a": tt.in}, Drained: tt.in})
 		assert.Equal(t, tt.want, s.Suspended["a"], tt.name)
 		assert.Equal(t, tt.want, s.Drained, tt.name)
 		assert.Equal(t, tt.want != tt.old, changed, tt.name)
@@ -35,10 +35,10 @@
 
 func TestWordsThatSayNothingAreForgotten(t *testing.T) {
 	known := backs{}
-	s := State{Suspended: map[string]Entry{"out": {true, 1}, "back": {false, 1}}}
+	s := State{Suspended: map[string]Override{"out": {true, 1}, "back": {false, 1}}}
 	s.forget(known, 100*sec)
 	assert.Contains(t, s.Suspended, "back", "this process has only just met it")
-	s.Suspended["lately"] = Entry{false, 1}
+	s.Suspended["lately"] = Override{false, 1}
 	s.forget(known, 600*sec)
 	assert.Contains(t, s.Suspended, "back", "ten minutes are not over")
 	s.forget(known, 701*sec)
@@ -47,7 +47,7 @@
 	assert.NotContains(t, s.Suspended, "back")
 }
 
-func join(t *testing.T, dir string) *Share {
+func join(t *testing.T, dir string) *SharedState {
 	s := Join(dir)
 	t.Cleanup(s.Close)
 	return s
@@ -56,7 +56,7 @@
 func ignore(State) {}
 
 // entered tells whether other processes can know of this one.
-func entered(s *Share) bool { return s.own != nil }
+func entered(s *SharedState) bool { return s.own != nil }
 
 // Two processes: each sees the other, the words of either reach both, and a yes can wait for that.
 func TestTwoProcesses(t *testing.T) {
@@ -66,18 +66,18 @@
 	old.Suspend("a", true, sec)
 
 	next := join(t, dir)
-	assert.True(t, next.State().Suspended["a"].On, "a successor takes over what was said")
+	assert.True(t, next.State().Suspended["a"].Active, "a successor takes over what was said")
 	assert.True(t, old.Poll(ignore))
 	assert.True(t, next.Poll(ignore))
 
 	next.Suspend("b", true, 2*sec)
 	next.Drain(true, 3*sec)
-	assert.False(t, next.Agreed(), "the other has not seen it")
+	assert.False(t, next.Acknowledged(), "the other has not seen it")
 	var seen State
 	old.Poll(func(s State) { seen = s })
-	assert.True(t, seen.Suspended["b"].On)
-	assert.True(t, seen.Drained.On)
-	assert.True(t, next.Agreed())
+	assert.True(t, seen.Suspended["b"].Active)
+	assert.True(t, seen.Drained.Active)
+	assert.True(t, next.Acknowledged())
 
 	old.own.Close() // as a kill would: the file stays, the lock does not
 	assert.False(t, next.Poll(ignore), "the dead are not counted")
@@ -93,11 +93,11 @@
 	b.Suspend("b", true, 2*sec) // does not know of the first, and replaces the file
 	a.Poll(ignore)
 	b.Poll(ignore)
-	for _, s := range []*Share{a, b} {
-		assert.True(t, s.State().Suspended["a"].On)
-		assert.True(t, s.State().Suspended["b"].On)
+	for _, s := range []*SharedState{a, b} {
+		assert.True(t, s.State().Suspended["a"].Active)
+		assert.True(t, s.State().Suspended["b"].Active)
 	}
-	assert.True(t, join(t, dir).State().Suspended["a"].On)
+	assert.True(t, join(t, dir).State().Suspended["a"].Active)
 }
 
 // What cannot be read is left aside; the next word is written all the same.
@@ -111,13 +111,13 @@
 		s := join(t, dir)
 		assert.Empty(t, s.State().Suspended, name)
 		s.Suspend("b", true, sec)
-		assert.True(t, join(t, dir).State().Suspended["b"].On, name)
+		assert.True(t, join(t, dir).State().Suspended["b"].Active, name)
 	}
 	dir := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(dir, statePath), 0o700))
 	s := join(t, dir)
 	s.Suspend("b", true, sec) // cannot be written
-	assert.True(t, s.State().Suspended["b"].On, "it holds here at least")
+	assert.True(t, s.State().Suspended["b"].Active, "it holds here at least")
 }
 
 func TestNoDirectory(t *testing.T) {
@@ -125,10 +125,10 @@
 	s := Join(dir)
 	t.Cleanup(s.Close)
 	assert.False(t, entered(s), "nobody can know of it")
-	assert.False(t, s.Known(), "nor it of what was told before")
+	assert.False(t, s.Loaded(), "nor it of what was told before")
 	require.NoError(t, os.Mkdir(dir, 0o700))
 	s.Poll(ignore)
-	assert.True(t, entered(s) && s.Known())
+	assert.True(t, entered(s) && s.Loaded())
 	assert.True(t, join(t, dir).Poll(ignore), "it is seen")
 }
 
@@ -140,10 +140,10 @@
 	other := filepath.Join(dir, processes+"other")
 	require.NoError(t, os.Symlink(other, other)) // ELOOP whenever it is opened
 	s.Suspend("a", true, sec)
-	assert.True(t, s.Kept())
+	assert.True(t, s.Persisted())
 	assert.True(t, s.Poll(ignore), "it may live")
-	assert.False(t, s.Agreed())
+	assert.False(t, s.Acknowledged())
 	require.NoError(t, os.Remove(other))
 	assert.False(t, s.Poll(ignore), "it has ended")
-	assert.True(t, s.Agreed())
+	assert.True(t, s.Acknowledged())
 }
--- a/internal/handover/share.go
+++ b/internal/handover/share.go
@@ -28,8 +28,8 @@
 	complainEvery = time.Second
 )
 
-// Share is this process's part of the directory.
-type Share struct {
+// SharedState is this process's part of the directory.
+type SharedState struct {
 	dir     string
 	state   State
 	backs   backs
@@ -47,8 +47,8 @@
 
 // Join enters the directory and takes over the state that lies there. One that is no state is logged and left aside. What
 // fails now is tried again by each Poll: see Known.
-func Join(dir string) *Share {
-	s := &Share{dir: dir, state: State{Version: version, Suspended: map[string]Entry{}}, backs: backs{}}
+func Join(dir string) *SharedState {
+	s := &SharedState{dir: dir, state: State{Version: version, Suspended: map[string]Override{}}, backs: backs{}}
 	s.enter()
 	s.read()
 	s.unacted = false // the caller begins with State
@@ -57,7 +57,7 @@
 }
 
 // enter makes this process's own file, by which others know that it lives.
-func (s *Share) enter() {
+func (s *SharedState) enter() {
 	for s.own == nil {
 		own, err := sys.CreateTemp(s.dir, processes)
 		if err != nil {
@@ -85,14 +85,14 @@
 	return err
 }
 
-// Known tells whether what operators told the processes before this one is known.
-func (s *Share) Known() bool { return s.known }
+// Loaded tells whether what operators told the processes before this one is known.
+func (s *SharedState) Loaded() bool { return s.known }
 
 // State is what is agreed on as far as this process knows.
-func (s *Share) State() State { return s.state }
+func (s *SharedState) State() State { return s.state }
 
 // Close leaves the directory; the state stays for a successor.
-func (s *Share) Close() {
+func (s *SharedState) Close() {
 	if s.own != nil {
 		_ = os.Remove(s.own.Name())
 		s.own.Close()
@@ -100,26 +100,26 @@
 }
 
 // Suspend keeps an operator's word on a database. One that cannot be written now is written by a later Poll; see Kept.
-func (s *Share) Suspend(id string, out bool, now time.Duration) {
+func (s *SharedState) Suspend(id string, out bool, now time.Duration) {
 	s.read() // the word's place is behind all that were given before it
-	s.state.Suspended[id] = Entry{On: out, At: s.state.next(now)}
+	s.state.Suspended[id] = Override{Active: out, Timestamp: s.state.next(now)}
 	s.state.forget(s.backs, now)
 	s.write()
 }
 
 // Drain keeps an operator's word on the gateway, as Suspend does.
-func (s *Share) Drain(on bool, now time.Duration) {
+func (s *SharedState) Drain(on bool, now time.Duration) {
 	s.read()
-	s.state.Drained = Entry{On: on, At: s.state.next(now)}
+	s.state.Drained = Override{Active: on, Timestamp: s.state.next(now)}
 	s.write()
 }
 
-// Kept tells whether all words known here lie in the directory, where a successor finds them.
-func (s *Share) Kept() bool { return !s.owed }
+// Persisted tells whether all words known here lie in the directory, where a successor finds them.
+func (s *SharedState) Persisted() bool { return !s.owed }
 
 // Poll tells whether other processes of this gateway live, and whether one of them has taken a word
 // that this one did not know. It calls act with what is agreed on then. What failed before is tried again.
-func (s *Share) Poll(act func(State)) (others bool) {
+func (s *SharedState) Poll(act func(State)) (others bool) {
 	s.enter()
 	if !s.known {
 		s.read()
@@ -138,8 +138,8 @@
 	return len(s.others()) > 0
 }
 
-// Agreed tells whether every other process that lives has acted on all words known here.
-func (s *Share) Agreed() bool {
+// Acknowledged tells whether every other process that lives has acted on all words known here.
+func (s *SharedState) Acknowledged() bool {
 	for _, path := range s.others() {
 		if !s.hasActed(path) {
 			return false
@@ -149,7 +149,7 @@
 }
 
 // hasActed tells whether the process that a file belongs to has acted on all words known here, or has ended.
-func (s *Share) hasActed(path string) bool {
+func (s *SharedState) hasActed(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Is(err, fs.ErrNotExist)
@@ -158,11 +158,11 @@
 	return err == nil && seen >= s.state.at()
 }
 
-func (s *Share) path() string { return filepath.Join(s.dir, statePath) }
+func (s *SharedState) path() string { return filepath.Join(s.dir, statePath) }
 
 // others are the files of the other processes that live. Those that the dead left are removed. A file that cannot be looked at
 // just now is taken for a living one's, and where the directory cannot be read all is as it was.
-func (s *Share) others() []string {
+func (s *SharedState) others() []string {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
 		s.complain(err)
@@ -226,7 +226,7 @@
 }
 
 // acted writes the newest word that this process has acted on where the others look, unless it stands there.
-func (s *Share) acted() {
+func (s *SharedState) acted() {
 	newest := s.state.at()
 	if s.own == nil || s.unacted || newest == s.acked {
 		return
@@ -239,7 +239,7 @@
 }
 
 // read merges what lies in the directory. Words that this process did not know are for Poll to hand over, whoever reads them.
-func (s *Share) read() {
+func (s *SharedState) read() {
 	info, err := os.Stat(s.path())
 	if errors.Is(err, fs.ErrNotExist) {
 		if _, err = os.Stat(s.dir); err == nil {
@@ -275,7 +275,7 @@
 }
 
 // write puts the state in place whole: a reader finds the old one or the new one.
-func (s *Share) write() {
+func (s *SharedState) write() {
 	text, err := json.Marshal(s.state)
 	var f *os.File
 	if err == nil {
@@ -304,7 +304,7 @@
 }
 
 // complain logs what is wrong with the directory, once a second at most: a Poll may find the same again and again.
-func (s *Share) complain(err error) {
+func (s *SharedState) complain(err error) {
 	if now := time.Now(); err.Error() != s.odd && now.Sub(s.oddAt) >= complainEvery {
 		s.odd, s.oddAt = err.Error(), now
 		log.Printf("event=bad_state dir=%s err=%q", s.dir, err)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -15,22 +15,24 @@
 // version is that of the form; a state of another one is not read.
 const version = 1
 
-// Entry is one operator's word and its place in the order of all words: the moment at which it was given, or just behind
+// Override is one operator's word and its place in the order of all words: the moment at which it was given, or just behind
 // the newest word known by then where this process's clock is not past that. Clocks of two processes may differ.
-type Entry struct {
-	On bool  `json:"on"`
-	At int64 `json:"at_us"` // Unix microseconds
+type Override struct {
+	Active    bool  `json:"on"`
+	Timestamp int64 `json:"at_us"` // Unix microseconds
 }
 
 // State is all that is agreed on. Of two words on one thing the newer holds, whoever took it.
 type State struct {
-	Version   int              `json:"version"`
-	Suspended map[string]Entry `json:"suspended"`
-	Drained   Entry            `json:"drained"`
+	Version   int                 `json:"version"`
+	Suspended map[string]Override `json:"suspended"`
+	Drained   Override            `json:"drained"`
 }
 
 // newer tells whether e replaces old. At one moment being out wins: both processes see it alike.
-func (e Entry) newer(old Entry) bool { return e.At > old.At || e.At == old.At && e.On && !old.On }
+func (e Override) newer(old Override) bool {
+	return e.Timestamp > old.Timestamp || e.Timestamp == old.Timestamp && e.Active && !old.Active
+}
 
 // merge takes the newer words of o and tells whether there were any.
 func (s *State) merge(o State) (changed bool) {
@@ -49,9 +51,9 @@
 
 // at is the moment of the newest word.
 func (s *State) at() int64 {
-	newest := s.Drained.At
+	newest := s.Drained.Timestamp
 	for e := range maps.Values(s.Suspended) {
-		newest = max(newest, e.At)
+		newest = max(newest, e.Timestamp)
 	}
 	return newest
 }
@@ -68,7 +70,7 @@
 // met is when this process first knew a word, by its own clock, which no step moves. The time that stands in a word may be
 // another process's.
 type met struct {
-	word  Entry
+	word  Override
 	since time.Duration
 }
 
@@ -76,11 +78,11 @@
 func (s *State) forget(known backs, now time.Duration) {
 	maps.DeleteFunc(known, func(id string, m met) bool { return s.Suspended[id] != m.word })
 	for id, e := range s.Suspended {
-		if _, old := known[id]; !old && !e.On {
+		if _, old := known[id]; !old && !e.Active {
 			known[id] = met{e, now}
 		}
 	}
-	maps.DeleteFunc(s.Suspended, func(id string, e Entry) bool { return !e.On && now-known[id].since > keepBack })
+	maps.DeleteFunc(s.Suspended, func(id string, e Override) bool { return !e.Active && now-known[id].since > keepBack })
 }
 
 var errVersion = errors.New("not of this version")
@@ -95,7 +97,7 @@
 		return State{}, fmt.Errorf("%w: %d, not %d", errVersion, s.Version, version)
 	}
 	if s.Suspended == nil {
-		s.Suspended = map[string]Entry{}
+		s.Suspended = map[string]Override{}
 	}
 	return s, nil
 }
--- a/internal/hollow/feed.go
+++ b/internal/hollow/feed.go
@@ -83,10 +83,10 @@
 // first that the module uses first, writes to its primary.
 func (f *feed) stand() {
 	preferred := f.side.Preferred()
-	if f.side.Watch.Seq() == f.seq && f.side.Core.Members() == f.hosts && slices.Equal(preferred, f.preferred) {
+	if f.side.Watch.Seq() == f.seq && f.side.Core.ListSize() == f.hosts && slices.Equal(preferred, f.preferred) {
 		return
 	}
-	f.seq, f.hosts, f.preferred = f.side.Watch.Seq(), f.side.Core.Members(), preferred
+	f.seq, f.hosts, f.preferred = f.side.Watch.Seq(), f.side.Core.ListSize(), preferred
 	list := f.side.Core.Hosts()
 	slices.SortFunc(list, func(a, b policy.Member) int { return cmp.Compare(a.Host, b.Host) })
 	type group struct {
@@ -167,11 +167,11 @@
 		f.learned++
 		f.act(s)
 		f.side.Position(s.host, s.at)
-		core.Fleet(policy.Heard{Host: s.host, Position: s.at})
+		core.FleetEvent(policy.PositionReported{Host: s.host, Position: s.at})
 		if s.write {
 			f.learnedPrimary++
 			f.side.Primary(s.host, s.at)
-			core.Fleet(policy.Told{Host: s.host, At: s.at})
+			core.FleetEvent(policy.PrimaryReported{Host: s.host, At: s.at})
 		}
 	}
 }
@@ -196,7 +196,7 @@
 func (f *feed) spend(now time.Duration) {
 	b := f.side.Budgets()
 	for host := range f.in {
-		b.Need(host, 0, 0)
+		b.ReportDemand(host, 0, 0)
 		delete(f.in, host)
 	}
 	for _, s := range f.batch {
@@ -207,13 +207,13 @@
 	for host, until := range f.waiting {
 		switch {
 		case b.Allowed(host, now) > 0:
-			b.Need(host, 1, 0)
+			b.ReportDemand(host, 1, 0)
 			f.in[host] = now
 		case until < now:
 			f.short++
-			b.Need(host, 0, 0)
+			b.ReportDemand(host, 0, 0)
 		default:
-			b.Need(host, 0, 1)
+			b.ReportDemand(host, 0, 1)
 			continue
 		}
 		delete(f.waiting, host)
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -194,13 +194,13 @@
 	}
 	pool := backend.New(loop, side.Core, options)
 	if budgets != nil {
-		budgets.Granted = pool.Granted
+		budgets.OnGrant = pool.Granted
 	}
 	side.Connect(&backends{Pool: pool, core: side.Core})
 	side.Join(r.drain)
 	if side.Links != nil {
 		side.Links.OnDeath(func(name string) { r.dead = append(r.dead, name) })
-		own, _ := side.Links.Own()
+		own, _ := side.Links.Self()
 		h.addr = own.Addr
 	}
 	seed := fnv.New64()
@@ -321,16 +321,16 @@
 func (r *run) state() State {
 	begun := threadTime()
 	s := State{
-		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.late), DeadNames: r.dead, ListSeq: r.side.Watch.Seq(), ListDatabases: r.side.Core.Members(),
+		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.late), DeadNames: r.dead, ListSeq: r.side.Watch.Seq(), ListDatabases: r.side.Core.ListSize(),
 		Learned: r.feed.learned, LearnedPrimary: r.feed.learnedPrimary, Short: r.feed.short, Roles: r.side.Traffic(),
 	}
 	r.late, r.dead = 0, []string{}
 	if l := r.side.Links; l != nil {
-		own, member := l.Own()
+		own, member := l.Self()
 		v, c := l.View(), l.Totals()
 		s.Member, s.Addr, s.Session = member, own.Addr.String(), strconv.FormatUint(own.Session, 16)
 		s.ViewMembers, s.ViewDigest, s.Deaths = len(v.Members), strconv.FormatUint(v.Digest, 16), l.Deaths()
-		s.Totals = stats.Traffic{OutBytes: c.OutBytes, OutMessages: c.Out, InBytes: c.InBytes, InMessages: c.In}
+		s.Totals = stats.Traffic{OutBytes: c.SentBytes, OutMessages: c.Sent, InBytes: c.ReceivedBytes, InMessages: c.Received}
 	}
 	s.PositionsLearned, s.PositionsHeard = r.side.PositionNews()
 	if ages := r.side.PositionAges(); len(ages) > 0 {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -15,25 +15,25 @@
 
 // The invariants.
 const (
-	RepeatForbidden  Name = iota // an attempt after one that may have run, of a class that must not run twice
-	BehindWindow                 // likewise, of a class that may be repeated within a window, behind that
-	BehindDeadline               // an attempt begun behind the deadline of its request
-	BehindClient                 // an attempt begun more than clientGrace behind the end of its client
-	BehindAnswer                 // an attempt begun though its request has its final answer
-	BesideAnother                // an attempt begun beside another one of its request
-	ToDraining                   // an attempt at a database that drains or is gone, behind the grace
-	ToSuspended                  // likewise, at one that operators have left out
-	DeadlineTooLong              // the database was told more time than the request has left
-	AnsweredTwice                // a second final answer
-	NeverAnswered                // the decisions left a request without an answer until its deadline
-	ClosedUnanswered             // a connection closed over a request that was read
-	WordNotKept                  // an operator was told yes for a word that a successor would not know
-	ReadyTooEarly                // ready was told before requests could be served
-	StaleRead                    // a read at a replica that has itself told that its data is too old for the class
-	Names                        // how many there are
+	RetryForbidden    Name = iota // an attempt after one that may have run, of a class that must not run twice
+	AfterDedupWindow              // likewise, of a class that may be repeated within a window, behind that
+	AfterDeadline                 // an attempt begun behind the deadline of its request
+	AfterClientGone               // an attempt begun more than clientGrace behind the end of its client
+	AfterAnswer                   // an attempt begun though its request has its final answer
+	ConcurrentAttempt             // an attempt begun beside another one of its request
+	ToDraining                    // an attempt at a database that drains or is gone, behind the grace
+	ToSuspended                   // likewise, at one that operators have left out
+	DeadlineTooLong               // the database was told more time than the request has left
+	AnsweredTwice                 // a second final answer
+	NeverAnswered                 // the decisions left a request without an answer until its deadline
+	ClosedUnanswered              // a connection closed over a request that was read
+	OverrideNotKept               // an operator was told yes for a word that a successor would not know
+	ReadyTooEarly                 // ready was told before requests could be served
+	StaleRead                     // a read at a replica that has itself told that its data is too old for the class
+	NameCount                     // how many there are
 )
 
-var texts = [Names]string{
+var texts = [NameCount]string{
 	"repeat_forbidden", "behind_window", "behind_deadline", "behind_client", "behind_answer", "beside_another", "to_draining",
 	"to_suspended", "deadline_too_long", "answered_twice", "never_answered", "closed_unanswered", "word_not_kept", "ready_too_early",
 	"stale_read",
@@ -60,7 +60,7 @@
 	Client     uint64 // the number of its connection
 	Database   policy.HostID
 	Transition string        // what was done
-	By         time.Duration // past the limit; 0: there is none
+	Excess     time.Duration // past the limit; 0: there is none
 }
 
 // Guard checks one gateway. A nil guard checks nothing. It is not safe for concurrent use.
@@ -114,8 +114,8 @@
 	g.report(v)
 }
 
-// Violated notes what was found elsewhere to be one.
-func (g *Guard) Violated(v Violation) {
+// RecordViolation notes what was found elsewhere to be one.
+func (g *Guard) RecordViolation(v Violation) {
 	if g != nil {
 		g.violated(v)
 	}
@@ -130,12 +130,12 @@
 	return h
 }
 
-// Listed notes what the list tells of a database since a moment: one that was told earlier stays.
-func (g *Guard) Listed(id policy.HostID, status policy.Status, now time.Duration) {
+// RecordStatus notes what the list tells of a database since a moment: one that was told earlier stays.
+func (g *Guard) RecordStatus(id policy.HostID, status policy.Status, now time.Duration) {
 	if g == nil {
 		return
 	}
-	leaving := status == policy.Draining || status == policy.Gone && !g.set.GoneIsAdvice
+	leaving := status == policy.Draining || status == policy.Gone && !g.set.GoneIsAdvisory
 	h := g.hosts[id]
 	switch {
 	case h == nil && !leaving:
@@ -147,8 +147,8 @@
 	}
 }
 
-// Suspended notes an operator's word on a database.
-func (g *Guard) Suspended(id policy.HostID, out bool, now time.Duration) {
+// RecordSuspension notes an operator's word on a database.
+func (g *Guard) RecordSuspension(id policy.HostID, out bool, now time.Duration) {
 	if g == nil {
 		return
 	}
@@ -159,8 +159,8 @@
 	h.out = out
 }
 
-// Answered notes what a database's answer tells of it; 0: no position.
-func (g *Guard) Answered(id policy.HostID, role policy.Role, position, now time.Duration) {
+// RecordAnswer notes what a database's answer tells of it; 0: no position.
+func (g *Guard) RecordAnswer(id policy.HostID, role policy.Role, position, now time.Duration) {
 	if g == nil || role == policy.RoleUnknown {
 		return
 	}
@@ -174,8 +174,8 @@
 	}
 }
 
-// Heard notes how far another gateway knows a database to have come.
-func (g *Guard) Heard(id policy.HostID, position time.Duration) {
+// RecordPosition notes how far another gateway knows a database to have come.
+func (g *Guard) RecordPosition(id policy.HostID, position time.Duration) {
 	if g == nil {
 		return
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-// Promoted notes that another gateway has had an answer of a database as primary.
-func (g *Guard) Promoted(id policy.HostID) {
+// RecordPrimary notes that another gateway has had an answer of a database as primary.
+func (g *Guard) RecordPrimary(id policy.HostID) {
 	if g == nil {
 		return
 	}
@@ -194,24 +194,24 @@
 	}
 }
 
-// Sending is an attempt that is about to be written.
-type Sending struct {
-	Now         time.Duration
-	Request     string
-	Client      uint64
-	Database    policy.HostID
-	Class       int
-	Deadline    time.Duration // of the request, as its client counts it
-	Told        time.Duration // that the database is told to have
-	ClientEnded time.Duration // when its client left; 0: it has not
-	MayRun      bool          // an earlier attempt may have had its effect
-	MayRunSince time.Duration // when the first such was begun
-	Answered    bool
-	Others      int // attempts of the request that are out besides
+// Attempt is an attempt that is about to be written.
+type Attempt struct {
+	Now             time.Duration
+	Request         string
+	Client          uint64
+	Database        policy.HostID
+	Class           int
+	Deadline        time.Duration // of the request, as its client counts it
+	DatabaseTimeout time.Duration // that the database is told to have
+	ClientGoneTime  time.Duration // when its client left; 0: it has not
+	MayRun          bool          // an earlier attempt may have had its effect
+	MayRunSince     time.Duration // when the first such was begun
+	Answered        bool
+	OtherAttempts   int // attempts of the request that are out besides
 }
 
-// Sending checks an attempt. It is on the path of every request.
-func (g *Guard) Sending(s *Sending) {
+// CheckAttempt checks an attempt. It is on the path of every request.
+func (g *Guard) CheckAttempt(s *Attempt) {
 	if g == nil {
 		return
 	}
@@ -219,18 +219,18 @@
 		g.repeating(s)
 	}
 	if by := s.Now - s.Deadline; by > 0 {
-		g.sent(s, BehindDeadline, by)
+		g.sent(s, AfterDeadline, by)
 	}
-	if s.ClientEnded > 0 && s.Now > s.ClientEnded+clientGrace {
-		g.sent(s, BehindClient, s.Now-s.ClientEnded-clientGrace)
+	if s.ClientGoneTime > 0 && s.Now > s.ClientGoneTime+clientGrace {
+		g.sent(s, AfterClientGone, s.Now-s.ClientGoneTime-clientGrace)
 	}
 	if s.Answered {
-		g.sent(s, BehindAnswer, 0)
+		g.sent(s, AfterAnswer, 0)
 	}
-	if s.Others > 0 {
-		g.sent(s, BesideAnother, 0)
+	if s.OtherAttempts > 0 {
+		g.sent(s, ConcurrentAttempt, 0)
 	}
-	if by := s.Told - toldSlack - max(0, s.Deadline-s.Now); by > 0 {
+	if by := s.DatabaseTimeout - toldSlack - max(0, s.Deadline-s.Now); by > 0 {
 		g.sent(s, DeadlineTooLong, by)
 	}
 	if h := g.hosts[s.Database]; h != nil {
@@ -240,20 +240,20 @@
 }
 
 // repeating checks an attempt that follows one which may have run.
-func (g *Guard) repeating(s *Sending) {
+func (g *Guard) repeating(s *Attempt) {
 	if s.Class < 0 || s.Class >= len(g.set.Classes) {
 		return
 	}
 	switch c := &g.set.Classes[s.Class]; {
-	case c.Repeat == policy.Fragile:
-		g.sent(s, RepeatForbidden, 0)
-	case c.Repeat != policy.Retryable && s.Now > s.MayRunSince+c.DedupWindow+slack:
-		g.sent(s, BehindWindow, s.Now-s.MayRunSince-c.DedupWindow)
+	case c.RetrySafety == policy.AtMostOnce:
+		g.sent(s, RetryForbidden, 0)
+	case c.RetrySafety != policy.Retryable && s.Now > s.MayRunSince+c.DedupWindow+slack:
+		g.sent(s, AfterDedupWindow, s.Now-s.MayRunSince-c.DedupWindow)
 	}
 }
 
 // reaching checks an attempt at a database that was to get nothing new.
-func (g *Guard) reaching(s *Sending, h *host) {
+func (g *Guard) reaching(s *Attempt, h *host) {
 	limit := g.set.DrainGrace + slack
 	if h.leaving && s.Now > h.leavingAt+limit {
 		g.sent(s, ToDraining, s.Now-h.leavingAt-limit)
@@ -265,8 +265,8 @@
 
 // reading checks a read of bounded age at a replica, by what that told itself and by the newest word of a primary. Databases
 // that check reads themselves may be tried.
-func (g *Guard) reading(s *Sending, h *host) {
-	if g.set.Behind != policy.BehindServe || s.Class < 0 || s.Class >= len(g.set.Classes) || g.newest.at == 0 {
+func (g *Guard) reading(s *Attempt, h *host) {
+	if g.set.StaleReadMode != policy.StaleReadServe || s.Class < 0 || s.Class >= len(g.set.Classes) || g.newest.at == 0 {
 		return
 	}
 	c := &g.set.Classes[s.Class]
@@ -280,34 +280,34 @@
 	}
 }
 
-func (g *Guard) sent(s *Sending, n Name, by time.Duration) {
-	g.violated(Violation{Name: n, Request: s.Request, Client: s.Client, Database: s.Database, Transition: "send", By: by})
+func (g *Guard) sent(s *Attempt, n Name, by time.Duration) {
+	g.violated(Violation{Name: n, Request: s.Request, Client: s.Client, Database: s.Database, Transition: "send", Excess: by})
 }
 
-// Answering checks a final answer.
-func (g *Guard) Answering(request string, client uint64, already bool) {
+// CheckAnswer checks a final answer.
+func (g *Guard) CheckAnswer(request string, client uint64, already bool) {
 	if g != nil && already {
 		g.violated(Violation{Name: AnsweredTwice, Request: request, Client: client, Transition: "answer"})
 	}
 }
 
-// Closing checks that a connection which the gateway ends owes no answer.
-func (g *Guard) Closing(client uint64, request string, owed int) {
+// CheckClose checks that a connection which the gateway ends owes no answer.
+func (g *Guard) CheckClose(client uint64, request string, owed int) {
 	if g != nil && owed > 0 {
 		g.violated(Violation{Name: ClosedUnanswered, Client: client, Request: request, Transition: "close"})
 	}
 }
 
-// Starting checks a yes to whether requests can be served.
-func (g *Guard) Starting(servable bool) {
+// CheckReady checks a yes to whether requests can be served.
+func (g *Guard) CheckReady(servable bool) {
 	if g != nil && !servable {
 		g.violated(Violation{Name: ReadyTooEarly, Transition: "ready"})
 	}
 }
 
-// Keeping checks a yes to an operator's word.
-func (g *Guard) Keeping(kept bool) {
+// CheckOverrideKept checks a yes to an operator's word.
+func (g *Guard) CheckOverrideKept(kept bool) {
 	if g != nil && !kept {
-		g.violated(Violation{Name: WordNotKept, Transition: "word"})
+		g.violated(Violation{Name: OverrideNotKept, Transition: "word"})
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -17,83 +17,92 @@
 var set = policy.Settings{
 	DrainGrace: 250 * ms,
 	Classes: []policy.Class{
-		{Repeat: policy.Retryable}, {Repeat: policy.DedupGroup, DedupWindow: time.Second}, {Repeat: policy.Fragile},
+		{RetrySafety: policy.Retryable}, {RetrySafety: policy.DedupGroup, DedupWindow: time.Second}, {RetrySafety: policy.AtMostOnce},
 		{Level: policy.Recent, Bound: time.Second},
 	},
 }
 
 // sound is an attempt that violates nothing.
-func sound() Sending {
-	return Sending{Now: now, Request: "r", Client: 7, Database: "d", Deadline: now + time.Second, Told: time.Second}
+func sound() Attempt {
+	return Attempt{Now: now, Request: "r", Client: 7, Database: "d", Deadline: now + time.Second, DatabaseTimeout: time.Second}
 }
 
 // stale has a database tell so long ago that it is behind a primary by some time over a second, and be sent a bounded read.
-func stale(role policy.Role, by time.Duration) func(g *Guard, s *Sending) {
-	return func(g *Guard, s *Sending) {
+func stale(role policy.Role, by time.Duration) func(g *Guard, s *Attempt) {
+	return func(g *Guard, s *Attempt) {
 		const told = now - 200*ms
-		g.Answered("d", role, now-by-slack, told)
-		g.Answered("p", policy.Primary, told, told)
+		g.RecordAnswer("d", role, now-by-slack, told)
+		g.RecordAnswer("p", policy.Primary, told, told)
 		s.Class = 3
 	}
 }
 
 func TestSending(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(g *Guard, s *Sending)
+		change func(g *Guard, s *Attempt)
 		want   []Name
 	}{
-		"a first attempt":            {change: func(*Guard, *Sending) {}},
-		"a repeat that is harmless":  {change: func(_ *Guard, s *Sending) { s.MayRun = true }},
-		"a repeat within its window": {change: func(_ *Guard, s *Sending) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second }},
-		"a repeat behind its window": {change: func(_ *Guard, s *Sending) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second-51*ms }, want: []Name{BehindWindow}},
-		"a repeat that must not be":  {change: func(_ *Guard, s *Sending) { s.MayRun, s.Class = true, 2 }, want: []Name{RepeatForbidden}},
-		"behind the deadline":        {change: func(_ *Guard, s *Sending) { s.Deadline, s.Told = now-ms, 0 }, want: []Name{BehindDeadline}},
-		"a little behind the client": {change: func(_ *Guard, s *Sending) { s.ClientEnded = now - 100*ms }},
-		"behind the client":          {change: func(_ *Guard, s *Sending) { s.ClientEnded = now - 101*ms }, want: []Name{BehindClient}},
-		"behind the answer":          {change: func(_ *Guard, s *Sending) { s.Answered = true }, want: []Name{BehindAnswer}},
-		"beside another":             {change: func(_ *Guard, s *Sending) { s.Others = 1 }, want: []Name{BesideAnother}},
-		"told a little much":         {change: func(_ *Guard, s *Sending) { s.Told += 150 * ms }},
-		"told too much":              {change: func(_ *Guard, s *Sending) { s.Told += 151 * ms }, want: []Name{DeadlineTooLong}},
-		"draining, within the grace": {change: func(g *Guard, _ *Sending) { g.Listed("d", policy.Draining, now-300*ms) }},
-		"draining":                   {change: func(g *Guard, _ *Sending) { g.Listed("d", policy.Draining, now-301*ms) }, want: []Name{ToDraining}},
-		"draining, told again": {change: func(g *Guard, _ *Sending) {
-			g.Listed("d", policy.Draining, now-time.Second)
-			g.Listed("d", policy.Gone, now)
+		"a first attempt":            {change: func(*Guard, *Attempt) {}},
+		"a repeat that is harmless":  {change: func(_ *Guard, s *Attempt) { s.MayRun = true }},
+		"a repeat within its window": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second }},
+		"a repeat behind its window": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second-51*ms }, want: []Name{AfterDedupWindow}},
+		"a repeat that must not be":  {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 2 }, want: []Name{RetryForbidden}},
+		"behind the deadline":        {change: func(_ *Guard, s *Attempt) { s.Deadline, s.DatabaseTimeout = now-ms, 0 }, want: []Name{AfterDeadline}},
+		"a little behind the client": {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 100*ms }},
+		"behind the client":          {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 101*ms }, want: []Name{AfterClientGone}},
+		"behind the answer":          {change: func(_ *Guard, s *Attempt) { s.Answered = true }, want: []Name{AfterAnswer}},
+		"beside another":             {change: func(_ *Guard, s *Attempt) { s.OtherAttempts = 1 }, want: []Name{ConcurrentAttempt}},
+		"told a little much":         {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 150 * ms }},
+		"told too much":              {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 151 * ms }, want: []Name{DeadlineTooLong}},
+		"draining, within the grace": {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-300*ms) }},
+		"draining":                   {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-301*ms) }, want: []Name{ToDraining}},
+		"draining, told again": {change: func(g *Guard, _ *Attempt) {
+			g.RecordStatus("d", policy.Draining, now-time.Second)
+			g.RecordStatus("d", policy.Gone, now)
 		}, want: []Name{ToDraining}},
-		"draining, and back": {change: func(g *Guard, _ *Sending) {
-			g.Listed("d", policy.Draining, now-time.Second)
-			g.Listed("d", policy.Healthy, now)
+		"draining, and back": {change: func(g *Guard, _ *Attempt) {
+			g.RecordStatus("d", policy.Draining, now-time.Second)
+			g.RecordStatus("d", policy.Healthy, now)
 		}},
-		"gone":                  {change: func(g *Guard, _ *Sending) { g.Listed("d", policy.Gone, now-time.Second) }, want: []Name{ToDraining}},
-		"gone, which is advice": {change: func(g *Guard, _ *Sending) { g.set.GoneIsAdvice = true; g.Listed("d", policy.Gone, now-time.Second) }},
-		"left out":              {change: func(g *Guard, _ *Sending) { g.Suspended("d", true, now-time.Second); g.Suspended("d", true, now) }, want: []Name{ToSuspended}},
-		"left out, and back":    {change: func(g *Guard, _ *Sending) { g.Suspended("d", true, now-time.Second); g.Suspended("d", false, now) }},
-		"stale, as it told":     {change: stale(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
-		"not quite stale":       {change: stale(policy.Replica, 2*time.Second-ms)},
-		"stale, but a primary":  {change: stale(policy.Primary, time.Minute)},
-		"stale, and promoted since": {change: func(g *Guard, s *Sending) {
+		"gone": {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Gone, now-time.Second) }, want: []Name{ToDraining}},
+		"gone, which is advice": {change: func(g *Guard, _ *Attempt) {
+			g.set.GoneIsAdvisory = true
+			g.RecordStatus("d", policy.Gone, now-time.Second)
+		}},
+		"left out": {change: func(g *Guard, _ *Attempt) {
+			g.RecordSuspension("d", true, now-time.Second)
+			g.RecordSuspension("d", true, now)
+		}, want: []Name{ToSuspended}},
+		"left out, and back": {change: func(g *Guard, _ *Attempt) {
+			g.RecordSuspension("d", true, now-time.Second)
+			g.RecordSuspension("d", false, now)
+		}},
+		"stale, as it told":    {change: stale(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
+		"not quite stale":      {change: stale(policy.Replica, 2*time.Second-ms)},
+		"stale, but a primary": {change: stale(policy.Primary, time.Minute)},
+		"stale, and promoted since": {change: func(g *Guard, s *Attempt) {
 			stale(policy.Replica, time.Minute)(g, s)
-			g.Promoted("d")
+			g.RecordPrimary("d")
 		}},
-		"stale, and further by now, as others know": {change: func(g *Guard, s *Sending) {
+		"stale, and further by now, as others know": {change: func(g *Guard, s *Attempt) {
 			stale(policy.Replica, time.Minute)(g, s)
-			g.Heard("d", now-time.Second)
+			g.RecordPosition("d", now-time.Second)
 		}},
-		"stale, and little further": {change: func(g *Guard, s *Sending) {
+		"stale, and little further": {change: func(g *Guard, s *Attempt) {
 			stale(policy.Replica, time.Minute)(g, s)
-			g.Heard("d", now-3*time.Second)
+			g.RecordPosition("d", now-3*time.Second)
 		}, want: []Name{StaleRead}},
-		"stale, as it told long ago": {change: func(g *Guard, s *Sending) {
+		"stale, as it told long ago": {change: func(g *Guard, s *Attempt) {
 			stale(policy.Replica, time.Minute)(g, s)
 			s.Now += 900 * ms
 			s.Deadline += time.Second
 		}},
-		"stale, where databases check": {change: func(g *Guard, s *Sending) {
-			g.set.Behind = policy.BehindReject
+		"stale, where databases check": {change: func(g *Guard, s *Attempt) {
+			g.set.StaleReadMode = policy.StaleReadReject
 			stale(policy.Replica, time.Minute)(g, s)
 		}},
-		"two at once":                  {change: func(_ *Guard, s *Sending) { s.Others, s.Answered = 1, true }, want: []Name{BehindAnswer, BesideAnother}},
-		"a class that nobody has told": {change: func(_ *Guard, s *Sending) { s.MayRun, s.Class = true, 9 }},
+		"two at once":                  {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
+		"a class that nobody has told": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 9 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []Name
@@ -104,9 +113,9 @@
 			})
 			s := sound()
 			c.change(g, &s)
-			g.Sending(&s)
+			g.CheckAttempt(&s)
 			assert.Equal(t, c.want, got)
-			for n := range Names {
+			for n := range NameCount {
 				assert.Equal(t, count(c.want, n), g.Count(n), n)
 			}
 		})
@@ -125,17 +134,17 @@
 func TestOtherGuards(t *testing.T) {
 	var got []Name
 	g := New(set, func(v Violation) { got = append(got, v.Name) })
-	g.Answering("r", 1, false)
-	g.Closing(1, "r", 0)
-	g.Starting(true)
-	g.Keeping(true)
+	g.CheckAnswer("r", 1, false)
+	g.CheckClose(1, "r", 0)
+	g.CheckReady(true)
+	g.CheckOverrideKept(true)
 	assert.Empty(t, got)
-	g.Answering("r", 1, true)
-	g.Closing(1, "r", 2)
-	g.Starting(false)
-	g.Keeping(false)
-	g.Violated(Violation{Name: NeverAnswered})
-	assert.Equal(t, []Name{AnsweredTwice, ClosedUnanswered, ReadyTooEarly, WordNotKept, NeverAnswered}, got)
+	g.CheckAnswer("r", 1, true)
+	g.CheckClose(1, "r", 2)
+	g.CheckReady(false)
+	g.CheckOverrideKept(false)
+	g.RecordViolation(Violation{Name: NeverAnswered})
+	assert.Equal(t, []Name{AnsweredTwice, ClosedUnanswered, ReadyTooEarly, OverrideNotKept, NeverAnswered}, got)
 	for _, text := range AllNames() {
 		assert.NotEmpty(t, text)
 	}
@@ -145,22 +154,22 @@
 func TestNoGuard(t *testing.T) {
 	var g *Guard
 	s := sound()
-	g.Sending(&s)
-	g.Listed("d", policy.Draining, now)
-	g.Suspended("d", true, now)
-	g.Answering("", 0, true)
-	g.Closing(0, "", 1)
-	g.Starting(false)
-	g.Keeping(false)
-	g.Violated(Violation{})
+	g.CheckAttempt(&s)
+	g.RecordStatus("d", policy.Draining, now)
+	g.RecordSuspension("d", true, now)
+	g.CheckAnswer("", 0, true)
+	g.CheckClose(0, "", 1)
+	g.CheckReady(false)
+	g.CheckOverrideKept(false)
+	g.RecordViolation(Violation{})
 	assert.Zero(t, g.Count(AnsweredTwice))
 }
 
 func BenchmarkSending(b *testing.B) {
 	g := New(set, func(Violation) {})
-	g.Listed("d", policy.Draining, now)
+	g.RecordStatus("d", policy.Draining, now)
 	s := sound()
 	for b.Loop() {
-		g.Sending(&s)
+		g.CheckAttempt(&s)
 	}
 }
--- a/internal/peer/budgets.go
+++ b/internal/peer/budgets.go
@@ -21,8 +21,8 @@
 type Budgets struct {
 	l *Links
 	m *budget.Machine
-	// Granted is called when there is more of a host's budget than before.
-	Granted func(host policy.HostID)
+	// OnGrant is called when there is more of a host's budget than before.
+	OnGrant func(host policy.HostID)
 }
 
 // divide makes the machine that the fleet file asks for; nil: none.
@@ -36,7 +36,7 @@
 	}
 	b := &Budgets{l: l}
 	b.m = budget.New(budget.Config{
-		Name: name, Holders: f.Holders, Whole: f.Connections, Lease: f.Lease, Drift: clockDrift, Session: rand.Uint64() | 1, Seed: rand.Uint64(),
+		Name: name, Holders: f.Holders, Total: f.Connections, Lease: f.Lease, Drift: clockDrift, Session: rand.Uint64() | 1, Seed: rand.Uint64(),
 	}, l.loop.Now())
 	l.every(budgetEvery, b.tick)
 	return b, nil
@@ -52,13 +52,13 @@
 	return b.m.Allowed(b.l.loop.Now(), string(host), until)
 }
 
-// Need tells how many connections to a host are used, and how many more are waited for.
-func (b *Budgets) Need(host policy.HostID, used, waiting int) {
+// ReportDemand tells how many connections to a host are used, and how many more are waited for.
+func (b *Budgets) ReportDemand(host policy.HostID, used, waiting int) {
 	if used+waiting == 0 {
 		b.m.Forget(b.l.loop.Now(), string(host))
 		return
 	}
-	b.m.Need(b.l.loop.Now(), string(host), used, waiting)
+	b.m.SetDemand(b.l.loop.Now(), string(host), used, waiting)
 	b.after()
 }
 
@@ -68,18 +68,18 @@
 		b.l.post(out[i].To, channelBudget, out[i].Message)
 	}
 	for _, key := range granted {
-		if b.Granted != nil {
-			b.Granted(policy.HostID(key))
+		if b.OnGrant != nil {
+			b.OnGrant(policy.HostID(key))
 		}
 	}
 }
 
 // stand tells the machine what this process is to its gateway's name, and whom it can ask.
 func (b *Budgets) stand(v membership.View) {
-	b.m.Live(v.Names())
+	b.m.SetLive(v.Names())
 	superseded, now := b.l.m.Superseded(), b.l.loop.Now()
-	b.m.SetBeside(now, b.l.beside, superseded)
-	b.m.SetNone(now, superseded && !b.l.beside)
+	b.m.SetSibling(now, b.l.beside, superseded)
+	b.m.SetHomeDisabled(now, superseded && !b.l.beside)
 }
 
 // receive takes a message in; false: it is none.
@@ -88,7 +88,7 @@
 	if err := b.l.codec.read(body, &msg); err != nil {
 		return err
 	}
-	if !msg.Sound() {
+	if !msg.Valid() {
 		return errBad
 	}
 	b.m.Receive(b.l.loop.Now(), msg)
--- a/internal/peer/envelope.go
+++ b/internal/peer/envelope.go
@@ -52,7 +52,7 @@
 	}
 	dec, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: 8, MaxArrayElements: fleet.MostMembers * 2, MaxMapPairs: 64,
+		MaxNestedLevels: 8, MaxArrayElements: fleet.MaxMembers * 2, MaxMapPairs: 64,
 	}.DecMode()
 	return &codec{fleet: xxhash.Sum64String(name), enc: enc, dec: dec}, err
 }
@@ -98,10 +98,10 @@
 	if err := c.read(body, &msg); err != nil {
 		return msg, err
 	}
-	if msg.Kind < membership.Ping || msg.Kind > membership.Reply || !sound(msg.From) || msg.Target != "" && !fleet.Name(msg.Target) {
+	if msg.Kind < membership.Ping || msg.Kind > membership.Reply || !sound(msg.From) || msg.Target != "" && !fleet.ValidName(msg.Target) {
 		return msg, errBad
 	}
-	for _, e := range msg.News {
+	for _, e := range msg.Updates {
 		if !sound(e) {
 			return msg, errBad
 		}
@@ -111,6 +111,6 @@
 
 // sound tells whether an entry can be one. An incarnation is a moment; one from an age to come could not be refuted.
 func sound(e membership.Entry) bool {
-	return fleet.Name(e.Name) && e.Addr.IsValid() && e.Addr.Port() != 0 && e.Incarnation > 0 && e.Incarnation < 1<<62 &&
-		e.State <= membership.Left && (e.By == "" || fleet.Name(e.By)) && len(e.Zone) <= 64
+	return fleet.ValidName(e.Name) && e.Addr.IsValid() && e.Addr.Port() != 0 && e.Incarnation > 0 && e.Incarnation < 1<<62 &&
+		e.State <= membership.Left && (e.SuspectedBy == "" || fleet.ValidName(e.SuspectedBy)) && len(e.Zone) <= 64
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -33,9 +33,9 @@
 
 // Counts are messages dropped, by cause, and what was sent and taken in.
 type Counts struct {
-	Garbage, Version, Foreign, Spoilt, Malformed, Large, Rate uint64
-	In, Out, InBytes, OutBytes, Unsent                        uint64
-	Streams, StreamsFailed                                    uint64
+	Garbage, UnknownVersion, Foreign, Corrupt, Malformed, Oversized, RateLimited uint64
+	Received, Sent, ReceivedBytes, SentBytes, Unsent                             uint64
+	Exchanges, ExchangesFailed                                                   uint64
 }
 
 // Links are a gateway's ties to the others of its fleet. Everything runs on the loop's goroutine.
@@ -64,12 +64,12 @@
 	budgets   *Budgets
 	versions  *versions // nil: they are not told
 	words     *words
-	seen      func()       // the view has changed
-	positions *Positions   // nil: they are not shared
-	primaries *Positions   // likewise
-	spans     *Spans       // nil: they are not kept
-	fence     *audit.Fence // nil: this process never shuts itself out
-	fenced    bool         // as was told
+	seen      func()         // the view has changed
+	positions *Positions     // nil: they are not shared
+	primaries *Positions     // likewise
+	spans     *AuditRecorder // nil: they are not kept
+	fence     *audit.Fence   // nil: this process never shuts itself out
+	fenced    bool           // as was told
 	onFence   func(out bool)
 	deaths    uint64
 	died      func(name string)
@@ -83,7 +83,7 @@
 
 // New joins a fleet. The name and the zone are the gateway's; start is the moment at which the process began.
 func New(loop *netloop.Loop, name, zone string, file *fleet.File, start time.Duration) (*Links, error) {
-	if !fleet.Name(name) {
+	if !fleet.ValidName(name) {
 		return nil, fmt.Errorf("fleet: a gateway named %q cannot be a member; letters, digits, dots, dashes and underscores, 64 at most", name)
 	}
 	c, err := newCodec(file.Fleet)
@@ -103,7 +103,7 @@
 	}
 	cfg := membership.Config{
 		Name: name, Addr: l.told(), Start: start, Session: rand.Uint64() | 1, Seed: rand.Uint64(), Seeds: file.Seeds, Zone: zone,
-		Period: file.Period, Still: file.Still, Most: file.Most,
+		ProbePeriod: file.ProbePeriod, StableAfter: file.StableAfter, MaxMembers: file.MaxMembers,
 	}
 	l.m = membership.New(cfg, loop.Now())
 	log.Printf("event=fleet_started fleet=%s name=%s listen=%s advertise=%s seeds=%d", file.Fleet, name, l.udp.Addr, cfg.Addr, len(file.Seeds))
@@ -111,8 +111,8 @@
 		loop.At(loop.Now()+moveEvery, l.move)
 	}
 	l.words = l.newWords()
-	if file.Fence > 0 {
-		l.fence = audit.NewFence(file.Fence)
+	if file.FenceAfter > 0 {
+		l.fence = audit.NewFence(file.FenceAfter)
 	}
 	if l.budgets, err = l.divide(name); err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 	}
 	l.moved = false
 	log.Printf("event=fleet_moved listen=%s", l.udp.Addr)
-	l.m.Move(l.loop.Now(), l.told())
+	l.m.SetAddr(l.loop.Now(), l.told())
 	l.after()
 	l.loop.At(l.loop.Now()+oldSocket, func() {
 		udp.Close()
@@ -180,11 +180,11 @@
 	l.after()
 }
 
-// SetBeside tells whether another process of this gateway lives as part of an upgrade.
-func (l *Links) SetBeside(on bool) {
+// SetSibling tells whether another process of this gateway lives as part of an upgrade.
+func (l *Links) SetSibling(on bool) {
 	if l.beside != on {
 		l.beside = on
-		l.m.SetBeside(on)
+		l.m.SetSibling(on)
 		if l.budgets != nil {
 			l.budgets.stand(l.m.View())
 		}
@@ -197,13 +197,13 @@
 
 // Name is the gateway's.
 func (l *Links) Name() string {
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	return own.Name
 }
 
 // Knows tells whether a gateway of that name has been heard of, or is this one.
 func (l *Links) Knows(name string) bool {
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	return name == own.Name || slices.ContainsFunc(l.m.Members(), func(e membership.Entry) bool { return e.Name == name })
 }
 
@@ -249,24 +249,24 @@
 // tell logs a change. Suspicions come and go and are told at a limited rate.
 func (l *Links) tell(c membership.Change) {
 	e := c.Entry
-	own, member := l.m.Own()
-	if e.State == membership.Dead && !c.New && c.Was != membership.Dead && e.Name != own.Name {
+	own, member := l.m.Self()
+	if e.State == membership.Dead && !c.New && c.Previous != membership.Dead && e.Name != own.Name {
 		l.deaths++
 		if l.died != nil {
 			l.died(e.Name)
 		}
 	}
 	switch {
-	case e.Twice && (e.Name == own.Name || c.Was == e.State):
+	case e.DuplicateName && (e.Name == own.Name || c.Previous == e.State):
 		log.Printf("event=fleet_twice name=%s addr=%s session=%x own=%t", e.Name, e.Addr, e.Session, e.Session == own.Session)
 	case e.Name == own.Name && !member:
 		log.Printf("event=fleet_superseded name=%s by=%s session=%x beside=%t", e.Name, e.Addr, e.Session, l.beside)
 	case e.Name == own.Name:
 		log.Printf("event=fleet_resumed name=%s incarnation=%d", e.Name, e.Incarnation)
 	case e.State == membership.Suspect:
-		l.news.Printf(l.loop.Now(), "event=fleet_suspect name=%s by=%s", e.Name, e.By)
-	case c.New || c.Was != e.State && c.Was != membership.Suspect || e.State != membership.Alive:
-		l.members.Printf(l.loop.Now(), "event=fleet_member name=%s state=%s addr=%s session=%x twice=%t", e.Name, e.State, e.Addr, e.Session, e.Twice)
+		l.news.Printf(l.loop.Now(), "event=fleet_suspect name=%s by=%s", e.Name, e.SuspectedBy)
+	case c.New || c.Previous != e.State && c.Previous != membership.Suspect || e.State != membership.Alive:
+		l.members.Printf(l.loop.Now(), "event=fleet_member name=%s state=%s addr=%s session=%x twice=%t", e.Name, e.State, e.Addr, e.Session, e.DuplicateName)
 	}
 }
 
@@ -286,8 +286,8 @@
 	for {
 		b, err := l.codec.pack(l.buf[:0], channelMembership, s.Message)
 		l.buf = b
-		if n := len(s.Message.News); err == nil && len(b) > datagram && n > 0 {
-			s.Message.News = s.Message.News[:n-1]
+		if n := len(s.Message.Updates); err == nil && len(b) > datagram && n > 0 {
+			s.Message.Updates = s.Message.Updates[:n-1]
 			continue
 		}
 		l.datagramTo(l.dial(s), b, err)
@@ -301,8 +301,8 @@
 		l.counts.Unsent++
 		return
 	}
-	l.counts.Out++
-	l.counts.OutBytes += uint64(len(b))
+	l.counts.Sent++
+	l.counts.SentBytes += uint64(len(b))
 	l.traffic.out(b, 0)
 }
 
@@ -328,8 +328,8 @@
 
 // datagram takes one in.
 func (l *Links) datagram(from netip.AddrPort, b []byte) {
-	l.counts.In++
-	l.counts.InBytes += uint64(len(b))
+	l.counts.Received++
+	l.counts.ReceivedBytes += uint64(len(b))
 	now := l.loop.Now()
 	r := l.senders[from]
 	if r == nil || now-r.from >= time.Second {
@@ -340,7 +340,7 @@
 		l.senders[from] = r
 	}
 	if r.n++; r.n > perSecond {
-		l.counts.Rate++
+		l.counts.RateLimited++
 		l.bad.Printf(now, "event=fleet_bad from=%s err=%q", from, "too many datagrams in a second")
 		return
 	}
@@ -348,7 +348,7 @@
 }
 
 func (l *Links) large(from netip.AddrPort) {
-	l.counts.Large++
+	l.counts.Oversized++
 	l.bad.Printf(l.loop.Now(), "event=fleet_bad from=%s err=%q", from, "a datagram that is too large")
 }
 
@@ -397,11 +397,11 @@
 	case errors.Is(err, errGarbage):
 		n = &l.counts.Garbage
 	case errors.Is(err, errVersion):
-		n = &l.counts.Version
+		n = &l.counts.UnknownVersion
 	case errors.Is(err, errForeign):
 		n = &l.counts.Foreign
 	case errors.Is(err, errSpoilt):
-		n = &l.counts.Spoilt
+		n = &l.counts.Corrupt
 	}
 	*n++
 	l.bad.Printf(l.loop.Now(), "event=fleet_bad from=%s err=%q", from, err)
@@ -420,13 +420,13 @@
 func (l *Links) exchange(s *membership.Send) {
 	b, err := l.codec.pack(make([]byte, lengthSize), channelMembership, s.Message)
 	if err != nil || len(b) > mostFrame {
-		l.counts.StreamsFailed++
+		l.counts.ExchangesFailed++
 		return
 	}
 	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthSize))
 	if s.Via != 0 {
 		if st := l.in[s.Via]; st != nil {
-			l.counts.OutBytes += uint64(len(b))
+			l.counts.SentBytes += uint64(len(b))
 			l.traffic.out(b[lengthSize:], lengthSize)
 			st.nc.Write(b)
 			st.finish()
@@ -434,16 +434,16 @@
 		return
 	}
 	if l.out >= streamsMost {
-		l.counts.StreamsFailed++
+		l.counts.ExchangesFailed++
 		return
 	}
 	st := &stream{l: l, first: b}
 	if st.nc, err = l.loop.Dial(l.dial(s), st, mostFrame); err != nil {
-		l.counts.StreamsFailed++
+		l.counts.ExchangesFailed++
 		return
 	}
 	l.out++
-	l.counts.Streams++
+	l.counts.Exchanges++
 	st.timer = l.loop.At(l.loop.Now()+streamTime, st.fail)
 }
 
@@ -467,7 +467,7 @@
 
 // Connected sends what the connection was opened for.
 func (st *stream) Connected() {
-	st.l.counts.OutBytes += uint64(len(st.first))
+	st.l.counts.SentBytes += uint64(len(st.first))
 	st.l.traffic.out(st.first[lengthSize:], lengthSize)
 	st.nc.Write(st.first)
 	st.first = nil
@@ -489,7 +489,7 @@
 		return
 	}
 	frame := in[lengthSize : lengthSize+n]
-	st.l.counts.InBytes += uint64(len(in))
+	st.l.counts.ReceivedBytes += uint64(len(in))
 	ok := st.l.take(netip.AddrPort{}, frame, lengthSize, st.via)
 	switch {
 	case st.nc.Closed():
@@ -502,12 +502,12 @@
 
 // Ended tells that the other side has closed it, after its answer or before.
 func (st *stream) Ended(error) {
-	st.l.counts.StreamsFailed++
+	st.l.counts.ExchangesFailed++
 	st.forget()
 }
 
 func (st *stream) fail() {
-	st.l.counts.StreamsFailed++
+	st.l.counts.ExchangesFailed++
 	st.close()
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 
 func TestEnvelope(t *testing.T) {
 	c := testCodec(t, "a")
-	msg := membership.Message{Kind: membership.Ping, From: someone("n1"), Seq: 3, Target: "n2", News: []membership.Entry{someone("n3")}}
+	msg := membership.Message{Kind: membership.Ping, From: someone("n1"), Seq: 3, Target: "n2", Updates: []membership.Entry{someone("n3")}}
 	b, err := c.pack(nil, channelMembership, msg)
 	require.NoError(t, err)
 	channel, body, err := c.open(b)
@@ -76,7 +76,7 @@
 
 func FuzzMembership(f *testing.F) {
 	c := testCodec(f, "a")
-	b, _ := c.enc.Marshal(membership.Message{Kind: membership.Ping, From: someone("n1"), News: []membership.Entry{someone("n2")}})
+	b, _ := c.enc.Marshal(membership.Message{Kind: membership.Ping, From: someone("n1"), Updates: []membership.Entry{someone("n2")}})
 	f.Add(b)
 	f.Add([]byte{0xa1, 0x09, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	now := 1_800_000_000 * time.Second
@@ -140,7 +140,7 @@
 		e.State = membership.Left
 		news = append(news, e)
 	}
-	a.m.Receive(loop.Now(), membership.Message{Kind: membership.Gossip, From: news[0], Observer: true, News: news}, 0)
+	a.m.Receive(loop.Now(), membership.Message{Kind: membership.Gossip, From: news[0], Observer: true, Updates: news}, 0)
 	b, err := New(loop, "b", "", &fleet.File{Fleet: "f", Listen: any, Seeds: []netip.AddrPort{a.udp.Addr}}, loop.Now())
 	require.NoError(t, err)
 	_, err = New(loop, "c d", "", &fleet.File{Fleet: "f", Listen: any}, loop.Now())
@@ -155,5 +155,5 @@
 	}))
 	assert.Equal(t, a.View().Digest, b.View().Digest)
 	assert.Len(t, b.m.Members(), 201)
-	assert.Positive(t, b.counts.Streams+a.counts.Streams)
+	assert.Positive(t, b.counts.Exchanges+a.counts.Exchanges)
 }
--- a/internal/peer/positions.go
+++ b/internal/peer/positions.go
@@ -47,7 +47,7 @@
 // SharePositions begins to tell others of positions, and to hear of theirs.
 func (l *Links) SharePositions(listed func(policy.HostID) bool, hosts func() []policy.Member, heard func(policy.Event)) *Positions {
 	l.positions = l.share(role{channelState, channelReconcilePositions, positionStep, l.file.PositionBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
-		heard(policy.Heard{Host: h, Position: at})
+		heard(policy.PositionReported{Host: h, Position: at})
 	})
 	return l.positions
 }
@@ -55,62 +55,62 @@
 // SharePrimaries begins to tell others of answers as primary, and to hear of theirs.
 func (l *Links) SharePrimaries(listed func(policy.HostID) bool, hosts func() []policy.Member, heard func(policy.Event)) *Positions {
 	l.primaries = l.share(role{channelPrimaries, channelReconcilePrimaries, primaryStep, l.file.PrimaryBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
-		heard(policy.Told{Host: h, At: at})
+		heard(policy.PrimaryReported{Host: h, At: at})
 	})
 	return l.primaries
 }
 
 func (l *Links) share(o role, listed func(policy.HostID) bool, hosts func() []policy.Member, heard func(policy.HostID, time.Duration)) *Positions {
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	s := &Positions{l: l, channel: o.rumours, heard: heard, hosts: hosts, budget: o.budget}
 	if o.budget == 0 {
-		s.p = state.New(own.Name, rand.Uint64(), o.step, func(h string) bool { return listed(policy.HostID(h)) })
-		l.every(state.Tick, s.tick)
+		s.p = state.NewPositions(own.Name, rand.Uint64(), o.step, func(h string) bool { return listed(policy.HostID(h)) })
+		l.every(state.GossipInterval, s.tick)
 	} else {
 		s.channel = o.reconcile
 		s.r = antientropy.New(antientropy.Config{
-			Own: own.Name, Zone: own.Zone, Seed: rand.Uint64(), Bytes: o.budget, Overhead: reconcileOverhead, Step: o.step,
+			Name: own.Name, Zone: own.Zone, Seed: rand.Uint64(), BytesPerSecond: o.budget, MessageOverhead: reconcileOverhead, Step: o.step,
 		}, l.loop.Now())
 		s.changed = true
-		l.loop.At(s.r.Wake(), s.ask)
+		l.loop.At(s.r.NextTick(), s.ask)
 	}
 	s.stand(l.m.View())
 	return s
 }
 
-// Learned takes in what a database told this gateway.
-func (s *Positions) Learned(host policy.HostID, at time.Duration) {
+// Observe takes in what a database told this gateway.
+func (s *Positions) Observe(host policy.HostID, at time.Duration) {
 	if s.r == nil {
-		s.p.Learned(string(host), at)
-	} else if !s.r.Learned(string(host), at) && s.changed {
+		s.p.Observe(string(host), at)
+	} else if !s.r.Observe(string(host), at) && s.changed {
 		s.relist()
-		s.r.Learned(string(host), at)
+		s.r.Observe(string(host), at)
 	}
 }
 
 // Ages are how old the moments are that are known, in no order.
 func (s *Positions) Ages() []time.Duration {
 	if s.r != nil {
-		return s.r.AgeList(s.l.loop.Now())
+		return s.r.Ages(s.l.loop.Now())
 	}
 	return s.p.Ages(s.l.loop.Now())
 }
 
-// News is how many moments were news so far, from databases and from other gateways.
-func (s *Positions) News() (learned, heard uint64) {
+// UpdateCounts is how many moments were news so far, from databases and from other gateways.
+func (s *Positions) UpdateCounts() (learned, heard uint64) {
 	if s.r != nil {
 		n := s.r.Counts()
-		return n.Learned, n.Heard
+		return n.Learned, n.Received
 	}
 	n := s.p.Counts()
-	return n.Learned, n.Heard
+	return n.Learned, n.Received
 }
 
-// Forget drops what left the list, and takes up what has come; under a budget before the next message, for many changes
+// ListChanged drops what left the list, and takes up what has come; under a budget before the next message, for many changes
 // may come at once and each would cost half a millisecond at 810 databases.
-func (s *Positions) Forget() {
+func (s *Positions) ListChanged() {
 	if s.changed = true; s.r == nil {
-		s.p.Forget()
+		s.p.DropUnlisted()
 	}
 }
 
@@ -124,19 +124,19 @@
 	for _, m := range s.hosts() {
 		list = append(list, string(m.Host))
 	}
-	s.r.List(list)
+	s.r.SetDatabases(list)
 }
 
 func (s *Positions) stand(v membership.View) {
 	if s.r == nil {
-		s.p.Live(v.Names())
+		s.p.SetMembers(v.Names())
 		return
 	}
 	var list []antientropy.Member
 	for _, m := range v.Members {
 		list = append(list, antientropy.Member{Name: m.Name, Zone: m.Zone})
 	}
-	s.r.Live(list)
+	s.r.SetMembers(list)
 }
 
 func (s *Positions) tick() {
@@ -148,7 +148,7 @@
 func (s *Positions) ask() {
 	s.relist()
 	s.post(s.r.Tick(s.l.loop.Now()))
-	s.l.loop.At(max(s.r.Wake(), s.l.loop.Now()+time.Millisecond), s.ask)
+	s.l.loop.At(max(s.r.NextTick(), s.l.loop.Now()+time.Millisecond), s.ask)
 }
 
 func (s *Positions) post(list []antientropy.Send) {
@@ -160,7 +160,7 @@
 // rumour takes in what a gateway without a budget tells. One with a budget takes it in, too: a floor is one whoever
 // tells it, and so a fleet that changes over loses nothing.
 func (s *Positions) rumour(body []byte) error {
-	var msg state.Message
+	var msg state.PositionsMessage
 	if err := s.l.codec.read(body, &msg); err != nil {
 		return err
 	}
@@ -170,9 +170,9 @@
 		}
 		return nil
 	}
-	told := antientropy.Message{Kind: antientropy.Answer, Cut: true}
+	told := antientropy.Message{Kind: antientropy.Response, Truncated: true}
 	for _, x := range msg.Positions {
-		told.Claims = append(told.Claims, antientropy.Claim{Host: x.Host, At: x.At})
+		told.Entries = append(told.Entries, antientropy.Entry{Host: x.Host, At: x.At})
 	}
 	s.reconciled(told)
 	return nil
@@ -209,30 +209,30 @@
 	if s.r == nil {
 		n := s.p.Counts()
 		line(name+".learned", n.Learned)
-		line(name+".heard", n.Heard)
-		line(name+".old", n.Old)
-		line(name+".ahead", n.Ahead)
+		line(name+".heard", n.Received)
+		line(name+".old", n.Outdated)
+		line(name+".ahead", n.Future)
 		line(name+".unknown", n.Unknown)
 		return
 	}
 	n := s.r.Counts()
 	line(name+".learned", n.Learned)
-	line(name+".heard", n.Heard)
-	line(name+".old", n.Old)
-	line(name+".ahead", n.Ahead)
+	line(name+".heard", n.Received)
+	line(name+".old", n.Outdated)
+	line(name+".ahead", n.Future)
 	line(name+".unknown", n.Unknown)
 	line(name+".budget", uint64(s.budget))
 	line(name+".bytes", n.Bytes)
-	line(name+".asked", n.Asked)
+	line(name+".asked", n.Requests)
 	line(name+".wanted", n.Wanted)
 	line(name+".answered", n.Answered)
-	line(name+".told", n.Told)
-	line(name+".cut", n.Cut)
+	line(name+".told", n.EntriesSent)
+	line(name+".cut", n.Truncated)
 	line(name+".refused", n.Refused)
-	line(name+".was_refused", n.WasBusy)
-	line(name+".other_list", n.OtherList)
+	line(name+".was_refused", n.PeerBusy)
+	line(name+".other_list", n.ListMismatches)
 	line(name+".window", uint64(s.r.Window()))
-	p50, p99, unknown := s.r.Ages(s.l.loop.Now())
+	p50, p99, unknown := s.r.AgePercentiles(s.l.loop.Now())
 	line(name+".age_p50_ms", uint64(p50.Milliseconds()))
 	line(name+".age_p99_ms", uint64(p99.Milliseconds()))
 	line(name+".not_known", uint64(unknown))
--- a/internal/peer/positions_test.go
+++ b/internal/peer/positions_test.go
@@ -33,7 +33,7 @@
 	var seeds []netip.AddrPort
 	for i := range 2 {
 		w.links[i], err = New(loop, fmt.Sprint("n", i), "", &fleet.File{
-			Fleet: "f", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, Still: 50 * time.Millisecond, PositionBytes: budgets[i],
+			Fleet: "f", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, StableAfter: 50 * time.Millisecond, PositionBytes: budgets[i],
 		}, loop.Now())
 		require.NoError(t, err)
 		seeds = append(seeds, w.links[i].udp.Addr)
@@ -70,15 +70,15 @@
 	w := newTold(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2", "s3"}, {"s1", "s3"}})
 	at := w.loop.Now() - time.Second
 	for _, h := range []policy.HostID{"s1", "s2"} {
-		w.roles[0].Learned(h, at)
+		w.roles[0].Observe(h, at)
 	}
-	w.until(t, "it is told, and some time goes by", func() bool { return len(w.events[1]) > 0 && w.roles[0].r.Counts().Asked > 3 })
-	heard := w.events[1][0].(policy.Heard)
+	w.until(t, "it is told, and some time goes by", func() bool { return len(w.events[1]) > 0 && w.roles[0].r.Counts().Requests > 3 })
+	heard := w.events[1][0].(policy.PositionReported)
 	assert.Equal(t, policy.HostID("s1"), heard.Host)
 	assert.LessOrEqual(t, heard.Position, at)
 	assert.Less(t, at-heard.Position, 10*time.Millisecond)
 	assert.Len(t, w.events[1], 1)
-	assert.Zero(t, w.roles[1].r.At("s2"))
+	assert.Zero(t, w.roles[1].r.TimeOf("s2"))
 	text := string(w.links[0].Metrics(nil))
 	for _, line := range []string{"edge_gw.fleet_positions.budget=1500\n", "edge_gw.fleet_positions.learned=2\n", "edge_gw.fleet_positions.not_known=1\n"} {
 		assert.Contains(t, text, line)
@@ -90,8 +90,8 @@
 func TestRumoursAndBudgetsSideBySide(t *testing.T) {
 	list := []string{"s1"}
 	w := newTold(t, [2]int{0, 1500}, [2][]string{list, list})
-	w.roles[0].Learned("s1", w.loop.Now()-time.Second)
-	w.until(t, "rumours are heard and asks are refused", func() bool { return len(w.events[1]) > 0 && w.links[0].counts.Version > 0 })
+	w.roles[0].Observe("s1", w.loop.Now()-time.Second)
+	w.until(t, "rumours are heard and asks are refused", func() bool { return len(w.events[1]) > 0 && w.links[0].counts.UnknownVersion > 0 })
 	assert.Empty(t, w.events[0])
 	assert.ErrorContains(t, w.roles[0].reconcile(nil), "under a budget, which the fleet file here does not have")
 	assert.ErrorIs(t, w.roles[0].reconcile(nil), errVersion)
@@ -109,7 +109,7 @@
 	}
 	assert.False(t, take(channelReconcilePrimaries+1, []byte("x")))
 	assert.False(t, take(channelReconcilePrimaries, []byte("x")), "a role that is not shared here")
-	assert.EqualValues(t, 2, l.counts.Version)
+	assert.EqualValues(t, 2, l.counts.UnknownVersion)
 	assert.False(t, take(channelReconcilePositions, []byte("x")))
 	assert.False(t, take(channelReconcilePositions, "text"))
 	assert.EqualValues(t, 2, l.counts.Malformed)
@@ -123,30 +123,30 @@
 	s := w.roles[0]
 	at := w.loop.Now() - time.Second
 	tell := func(hosts ...string) {
-		msg := antientropy.Message{Kind: antientropy.Answer, From: "n1"}
+		msg := antientropy.Message{Kind: antientropy.Response, From: "n1"}
 		for _, h := range hosts {
-			msg.Claims = append(msg.Claims, antientropy.Claim{Host: h, At: at})
+			msg.Entries = append(msg.Entries, antientropy.Entry{Host: h, At: at})
 		}
 		s.reconciled(msg)
 	}
 	tell("s1")
 	require.Len(t, w.events[0], 1)
 	w.lists[0] = []string{"s1", "s3"}
-	s.Forget()
-	s.Forget()
-	assert.Equal(t, at, s.r.At("s1"), "not yet")
+	s.ListChanged()
+	s.ListChanged()
+	assert.Equal(t, at, s.r.TimeOf("s1"), "not yet")
 	tell("s2", "s3")
 	require.Len(t, w.events[0], 2)
-	assert.Equal(t, policy.HostID("s3"), w.events[0][1].(policy.Heard).Host)
-	assert.Zero(t, s.r.At("s2"), "of a database that left nothing is kept")
+	assert.Equal(t, policy.HostID("s3"), w.events[0][1].(policy.PositionReported).Host)
+	assert.Zero(t, s.r.TimeOf("s2"), "of a database that left nothing is kept")
 	w.lists[0] = []string{"s3"}
-	s.Forget()
+	s.ListChanged()
 	tell("s1")
 	assert.Len(t, w.events[0], 2)
-	assert.Zero(t, s.r.At("s1"))
-	assert.Equal(t, at, s.r.At("s3"))
+	assert.Zero(t, s.r.TimeOf("s1"))
+	assert.Equal(t, at, s.r.TimeOf("s3"))
 	w.lists[0] = []string{"s3", "s4"}
-	s.Forget()
-	s.Learned("s4", at)
-	assert.Equal(t, at, s.r.At("s4"), "what this gateway itself hears of a new one is not lost")
+	s.ListChanged()
+	s.Observe("s4", at)
+	assert.Equal(t, at, s.r.TimeOf("s4"), "what this gateway itself hears of a new one is not lost")
 }
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -35,19 +35,19 @@
 
 // ReportMember is one gateway.
 type ReportMember struct {
-	Name        string `json:"name"`
-	Addr        string `json:"addr"`
-	Session     string `json:"session"`
-	State       string `json:"state,omitempty"`
-	Incarnation uint64 `json:"incarnation,omitempty"`
-	Twice       bool   `json:"twice,omitempty"`
+	Name          string `json:"name"`
+	Addr          string `json:"addr"`
+	Session       string `json:"session"`
+	State         string `json:"state,omitempty"`
+	Incarnation   uint64 `json:"incarnation,omitempty"`
+	DuplicateName bool   `json:"twice,omitempty"`
 }
 
 func hex(n uint64) string { return strconv.FormatUint(n, 16) }
 
 // Report tells in JSON what this gateway knows of the others.
 func (l *Links) Report() []byte {
-	own, member := l.m.Own()
+	own, member := l.m.Self()
 	v := l.m.View()
 	r := Report{
 		Fleet: l.file.Fleet, Name: own.Name, Addr: own.Addr.String(), Session: hex(own.Session), Incarnation: own.Incarnation, Member: member,
@@ -55,11 +55,11 @@
 		At: time.Unix(0, int64(l.loop.Now())).UTC(),
 	}
 	for _, m := range v.Members {
-		r.View.Members = append(r.View.Members, ReportMember{Name: m.Name, Addr: m.Addr.String(), Session: hex(m.Session), Twice: m.Twice})
+		r.View.Members = append(r.View.Members, ReportMember{Name: m.Name, Addr: m.Addr.String(), Session: hex(m.Session), DuplicateName: m.DuplicateName})
 	}
 	for _, e := range l.m.Members() {
 		r.Known = append(r.Known, ReportMember{
-			Name: e.Name, Addr: e.Addr.String(), Session: hex(e.Session), State: e.State.String(), Incarnation: e.Incarnation, Twice: e.Twice,
+			Name: e.Name, Addr: e.Addr.String(), Session: hex(e.Session), State: e.State.String(), Incarnation: e.Incarnation, DuplicateName: e.DuplicateName,
 		})
 	}
 	b, err := json.Marshal(r)
@@ -94,35 +94,35 @@
 		line("fenced", fenced)
 	}
 	if s := l.words.store; s != nil {
-		k := s.State()
+		k := s.Stats()
 		line("words.saved", k.Saved)
 		line("words.not_saved", k.Failed)
-		line("words.others", k.Others)
+		line("words.others", k.OtherWriters)
 	}
 	line("probes", c.Probes)
-	line("probes_failed", c.Failed)
+	line("probes_failed", c.FailedProbes)
 	line("suspicions", c.Suspicions)
 	line("refutations", c.Refutations)
 	line("deaths", c.Deaths)
 	line("pauses", c.Pauses)
 	line("superseded", c.Superseded)
-	line("name_twice", c.Twice)
+	line("name_twice", c.DuplicateNames)
 	line("overflow", c.Overflow)
-	line("exchanges", k.Streams)
-	line("exchanges_failed", k.StreamsFailed)
+	line("exchanges", k.Exchanges)
+	line("exchanges_failed", k.ExchangesFailed)
 	line("deaths_seen", l.deaths)
-	line("received", k.In)
-	line("received_bytes", k.InBytes)
-	line("sent", k.Out)
-	line("sent_bytes", k.OutBytes)
+	line("received", k.Received)
+	line("received_bytes", k.ReceivedBytes)
+	line("sent", k.Sent)
+	line("sent_bytes", k.SentBytes)
 	line("unsent", k.Unsent)
 	line("dropped.garbage", k.Garbage)
-	line("dropped.version", k.Version)
+	line("dropped.version", k.UnknownVersion)
 	line("dropped.foreign", k.Foreign)
-	line("dropped.spoilt", k.Spoilt)
+	line("dropped.spoilt", k.Corrupt)
 	line("dropped.malformed", k.Malformed)
-	line("dropped.large", k.Large)
-	line("dropped.rate", k.Rate)
+	line("dropped.large", k.Oversized)
+	line("dropped.rate", k.RateLimited)
 	line("rests", l.udp.Rests())
 	all := l.Traffic()
 	for _, role := range slices.Sorted(maps.Keys(all)) {
@@ -131,7 +131,7 @@
 		}
 	}
 	if l.versions != nil {
-		since, asked := l.versions.v.Behind()
+		since, asked := l.versions.v.Lagging()
 		line("behind", uint64(min(since, 1)))
 		line("behind_asked", asked)
 	}
@@ -144,15 +144,15 @@
 	if l.budgets == nil {
 		return b
 	}
-	own, lent, borrowed := l.budgets.m.Sums()
+	own, lent, borrowed := l.budgets.m.Totals()
 	n := l.budgets.m.Counts()
 	line("budget.own", uint64(own))
 	line("budget.lent", uint64(lent))
 	line("budget.borrowed", uint64(borrowed))
-	line("budget.asked", n.Asked)
+	line("budget.asked", n.Requested)
 	line("budget.granted", n.Granted)
 	line("budget.refused", n.Refused)
-	line("budget.returned", n.Returned)
-	line("budget.lapsed", n.Lapsed)
+	line("budget.returned", n.Released)
+	line("budget.lapsed", n.Expired)
 	return b
 }
--- a/internal/peer/spans.go
+++ b/internal/peer/spans.go
@@ -13,8 +13,8 @@
 
 const endWait = 300 * time.Millisecond // for the disk, at the end of the process
 
-// Spans keep what this process did to databases, by what it acted on. They are gateway.Acts.
-type Spans struct {
+// AuditRecorder keep what this process did to databases, by what it acted on. They are gateway.Acts.
+type AuditRecorder struct {
 	l      *Links
 	r      *audit.Recorder
 	file   *auditfile.Writer // nil: records stay in memory
@@ -22,13 +22,13 @@
 	groups map[string]int
 }
 
-// Record begins to keep spans. writes tells which classes are writes.
-func (l *Links) Record(writes func(class int) bool) (*Spans, error) {
-	own, _ := l.m.Own()
-	s := &Spans{l: l, r: audit.NewRecorder(own.Name, own.Session), writes: writes, groups: map[string]int{}}
+// StartAudit begins to keep spans. writes tells which classes are writes.
+func (l *Links) StartAudit(writes func(class int) bool) (*AuditRecorder, error) {
+	own, _ := l.m.Self()
+	s := &AuditRecorder{l: l, r: audit.NewRecorder(own.Name, own.Session), writes: writes, groups: map[string]int{}}
 	if a := l.file.Audit; a != nil {
 		var err error
-		if s.file, err = auditfile.Open(auditfile.Options{Path: a.File, Most: int64(a.Megabytes) << 20, Keep: a.Keep}); err != nil {
+		if s.file, err = auditfile.Open(auditfile.Options{Path: a.File, MaxBytes: int64(a.Megabytes) << 20, Keep: a.Keep}); err != nil {
 			return nil, err
 		}
 	}
@@ -37,46 +37,46 @@
 }
 
 // Sent notes an attempt that was begun.
-func (s *Spans) Sent(host policy.HostID, group policy.GroupID) {
+func (s *AuditRecorder) Sent(host policy.HostID, group policy.GroupID) {
 	s.r.Sent(s.l.loop.Now(), string(host), int(group))
 }
 
 // Accepted notes a request that a database has served.
-func (s *Spans) Accepted(host policy.HostID, group policy.GroupID, class int) {
+func (s *AuditRecorder) Accepted(host policy.HostID, group policy.GroupID, class int) {
 	if s.writes(class) {
-		s.r.Accepted(s.l.loop.Now(), string(host), int(group))
+		s.r.WriteAccepted(s.l.loop.Now(), string(host), int(group))
 	}
 }
 
-// Said takes in what the decisions have logged.
-func (s *Spans) Said(text string) {
+// PolicyLogged takes in what the decisions have logged.
+func (s *AuditRecorder) PolicyLogged(text string) {
 	if host, ok := strings.CutPrefix(text, "breaker opens on "); ok {
-		s.r.Opened(host, s.group(host))
+		s.r.BreakerOpened(host, s.group(host))
 	}
 }
 
-// Listed takes in the list: who drains.
-func (s *Spans) Listed(members []policy.Member) {
+// SetList takes in the list: who drains.
+func (s *AuditRecorder) SetList(members []policy.Member) {
 	clear(s.groups)
 	for _, m := range members {
 		s.groups[string(m.Host)] = int(m.Group)
 	}
 	now := s.l.loop.Now()
 	for _, m := range members {
-		s.r.Drained(now, string(m.Host), int(m.Group), m.Status == policy.Draining)
+		s.r.SetDraining(now, string(m.Host), int(m.Group), m.Status == policy.Draining)
 	}
-	s.r.Left(now, func(database string) bool {
+	s.r.DropUnlisted(now, func(database string) bool {
 		_, listed := s.groups[database]
 		return listed
 	})
 }
 
-// Word takes in operators' word on a database.
-func (s *Spans) Word(host string, out bool) {
-	s.r.Out(s.l.loop.Now(), host, s.group(host), out)
+// Override takes in operators' word on a database.
+func (s *AuditRecorder) Override(host string, out bool) {
+	s.r.SetSuspended(s.l.loop.Now(), host, s.group(host), out)
 }
 
-func (s *Spans) group(host string) int {
+func (s *AuditRecorder) group(host string) int {
 	if g, ok := s.groups[host]; ok {
 		return g
 	}
@@ -84,59 +84,59 @@
 }
 
 // tick goes with that of the versions.
-func (s *Spans) tick(v audit.Version) {
+func (s *AuditRecorder) tick(v audit.Version) {
 	now := s.l.loop.Now()
 	s.r.Set(now, v)
 	s.r.Tick(now)
 	s.flush()
 }
 
-func (s *Spans) flush() {
+func (s *AuditRecorder) flush() {
 	for _, line := range s.r.Take() {
 		if s.file != nil {
 			s.file.Write(line)
 		}
 	}
 	if s.file != nil {
-		s.r.Lost(s.file.State().Lost)
+		s.r.SetLost(s.file.Stats().Lost)
 	}
 }
 
 // Close ends the last span and waits a moment for the disk.
-func (s *Spans) Close() {
-	s.r.Cut(s.l.loop.Now())
+func (s *AuditRecorder) Close() {
+	s.r.Flush(s.l.loop.Now())
 	s.flush()
 	if s.file != nil {
-		if s.file.Close(endWait); s.file.State().Lost > 0 {
-			log.Printf("event=audit_lost records=%d", s.file.State().Lost)
+		if s.file.Close(endWait); s.file.Stats().Lost > 0 {
+			log.Printf("event=audit_lost records=%d", s.file.Stats().Lost)
 		}
 	}
 }
 
 // AuditReport is what GET /v1/fleet/audit tells.
 type AuditReport struct {
-	Name    string            `json:"name"`
-	File    string            `json:"file,omitempty"`
-	Failure string            `json:"failure,omitempty"` // of the file
-	Lost    uint64            `json:"lost,omitempty"`    // records that are not in it
-	Late    uint64            `json:"stamps_refused,omitempty"`
-	Records []json.RawMessage `json:"records"` // the newest, as they stand in the file
+	Name              string            `json:"name"`
+	File              string            `json:"file,omitempty"`
+	Failure           string            `json:"failure,omitempty"` // of the file
+	Lost              uint64            `json:"lost,omitempty"`    // records that are not in it
+	TimestampsRefused uint64            `json:"stamps_refused,omitempty"`
+	Records           []json.RawMessage `json:"records"` // the newest, as they stand in the file
 }
 
 // mostReport bounds an answer to what operators' tools read.
 const mostReport = 4 << 20
 
 // Audit tells the newest records of this process.
-func (s *Spans) Audit() []byte {
-	s.r.Cut(s.l.loop.Now())
+func (s *AuditRecorder) Audit() []byte {
+	s.r.Flush(s.l.loop.Now())
 	s.flush()
-	own, _ := s.l.m.Own()
-	r := AuditReport{Name: own.Name, Records: []json.RawMessage{}, Late: s.r.Clock().Refused}
+	own, _ := s.l.m.Self()
+	r := AuditReport{Name: own.Name, Records: []json.RawMessage{}, TimestampsRefused: s.r.Clock().Rejected}
 	if s.file != nil {
-		state := s.file.State()
+		state := s.file.Stats()
 		r.File, r.Failure, r.Lost = s.l.file.Audit.File, state.Err, state.Lost
 	}
-	kept := s.r.Kept()
+	kept := s.r.Recent()
 	room, first := mostReport, len(kept)
 	for first > 0 && room >= len(kept[first-1]) {
 		first--
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -38,8 +38,8 @@
 // Totals are the messages dropped, sent and taken in, of all roles.
 func (l *Links) Totals() Counts { return l.counts }
 
-// Own is this gateway's entry, and whether it is a member at the moment.
-func (l *Links) Own() (own membership.Entry, member bool) { return l.m.Own() }
+// Self is this gateway's entry, and whether it is a member at the moment.
+func (l *Links) Self() (own membership.Entry, member bool) { return l.m.Self() }
 
 // OnDeath has do called with the name of each gateway that was known here and is now taken for dead.
 func (l *Links) OnDeath(do func(name string)) { l.died = do }
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -16,25 +16,25 @@
 	askPace         = 100 * time.Millisecond // of a fleet of stragglers, as the module's between calls to discovery
 )
 
-// Facts are what this process acts on, as far as the fleet is told of it.
-type Facts struct {
-	List         func() int64 // the version of the list now
-	Ask          func()       // asks discovery out of turn
-	Config, File string       // digests
-	Build        string
+// LocalVersions are what this process acts on, as far as the fleet is told of it.
+type LocalVersions struct {
+	ListVersion                   func() int64 // the version of the list now
+	RequestList                   func()       // asks discovery out of turn
+	ConfigDigest, FleetFileDigest string       // digests
+	Build                         string
 }
 
 type versions struct {
 	l     *Links
 	v     *audit.Versions
-	facts Facts
+	facts LocalVersions
 	told  bool // that this process is behind
 }
 
-// Tell begins to tell others what this process acts on, and to bring its list up when others have a newer one.
-func (l *Links) Tell(f Facts) {
-	own, _ := l.m.Own()
-	s := &versions{l: l, facts: f, v: audit.New(audit.Config{Name: own.Name, Bound: behindBound, Pace: askPace, Seed: rand.Uint64()})}
+// ShareVersions begins to tell others what this process acts on, and to bring its list up when others have a newer one.
+func (l *Links) ShareVersions(f LocalVersions) {
+	own, _ := l.m.Self()
+	s := &versions{l: l, facts: f, v: audit.NewVersions(audit.VersionsConfig{Name: own.Name, MaxLag: behindBound, RequestSpread: askPace, Seed: rand.Uint64()})}
 	l.versions = s
 	s.tick()
 	l.every(versionsEvery, s.tick)
@@ -42,11 +42,11 @@
 
 func (s *versions) tick() {
 	l := s.l
-	own, member := l.m.Own()
+	own, member := l.m.Self()
 	view := l.m.View()
-	s.v.Live(view.Names())
+	s.v.SetMembers(view.Names())
 	acts := audit.Version{
-		Session: own.Session, List: s.facts.List(), Words: l.words.w.Digest(), View: view.Digest, Config: s.facts.Config, File: s.facts.File, Build: s.facts.Build,
+		Session: own.Session, ListVersion: s.facts.ListVersion(), OverridesDigest: l.words.w.Digest(), ViewDigest: view.Digest, ConfigDigest: s.facts.ConfigDigest, FleetFileDigest: s.facts.FleetFileDigest, Build: s.facts.Build,
 	}
 	s.v.Set(acts)
 	if l.spans != nil {
@@ -54,36 +54,36 @@
 	}
 	out, ask := s.v.Tick(l.loop.Now())
 	if l.fence != nil {
-		l.fence.Tick(l.loop.Now(), acts.List, s.v.Others(), view.Names())
+		l.fence.Tick(l.loop.Now(), acts.ListVersion, s.v.Others(), view.Names())
 		l.guard()
 	}
 	if member { // one that is drained, or whose name is another's, only listens
 		for _, m := range out {
 			if l.spans != nil {
-				m.Message.Stamp = l.spans.r.Clock().Now(l.loop.Now())
+				m.Message.Timestamp = l.spans.r.Clock().Now(l.loop.Now())
 			}
 			l.post(m.To, channelVersions, m.Message)
 		}
 	}
-	since, asked := s.v.Behind()
+	since, asked := s.v.Lagging()
 	if behind := since > 0 && ask || s.told && since > 0; behind != s.told {
 		s.told = behind
-		log.Printf("event=fleet_behind on=%t list=%d asked=%d", behind, s.facts.List(), asked)
+		log.Printf("event=fleet_behind on=%t list=%d asked=%d", behind, s.facts.ListVersion(), asked)
 	}
 	if ask {
-		s.facts.Ask()
+		s.facts.RequestList()
 	}
 }
 
 func (s *versions) receive(body []byte) error {
-	var msg audit.Message
+	var msg audit.VersionsMessage
 	if err := s.l.codec.read(body, &msg); err != nil {
 		return err
 	}
 	if s.l.spans != nil {
-		s.l.spans.r.Clock().Heard(s.l.loop.Now(), msg.Stamp)
+		s.l.spans.r.Clock().Observe(s.l.loop.Now(), msg.Timestamp)
 	}
-	if s.l.fence != nil && s.l.udp.Emptied() < s.l.fence.WokeAt() {
+	if s.l.fence != nil && s.l.udp.Emptied() < s.l.fence.PauseEnd() {
 		return nil // it waited while this process stood still, and tells of then
 	}
 	s.v.Receive(s.l.loop.Now(), msg)
@@ -99,22 +99,22 @@
 // VersionReport is one gateway's versions as another knows them.
 type VersionReport struct {
 	audit.Version
-	HeardMS  int64 `json:"heard_ms_ago"`
-	BehindMS int64 `json:"behind_ms,omitempty"` // for so long others have had a newer list
+	ReceivedMS int64 `json:"heard_ms_ago"`
+	LaggingMS  int64 `json:"behind_ms,omitempty"` // for so long others have had a newer list
 }
 
 // Versions tells in JSON who acts on which versions.
 func (l *Links) Versions() []byte {
 	now := l.loop.Now()
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	r := VersionsReport{Name: own.Name}
 	for _, k := range l.versions.v.All() {
 		x := VersionReport{Version: k.Version}
-		if k.Heard > 0 {
-			x.HeardMS = (now - k.Heard).Milliseconds()
+		if k.ReceivedAt > 0 {
+			x.ReceivedMS = (now - k.ReceivedAt).Milliseconds()
 		}
-		if k.Behind > 0 {
-			x.BehindMS = (now - k.Behind).Milliseconds()
+		if k.LaggingSince > 0 {
+			x.LaggingMS = (now - k.LaggingSince).Milliseconds()
 		}
 		r.Versions = append(r.Versions, x)
 	}
--- a/internal/peer/words.go
+++ b/internal/peer/words.go
@@ -30,7 +30,7 @@
 // words are those of operators to the whole fleet.
 type words struct {
 	l     *Links
-	w     *state.Words
+	w     *state.Overrides
 	begun time.Duration // since when others' words are waited for
 	apply func(host string, out bool)
 	said  netloop.Sparse
@@ -50,22 +50,22 @@
 	then   func(said string)
 }
 
-// OnWord has do called whenever the fleet leaves a database out, or has it serve again, and for all words that were kept
+// OnOverride has do called whenever the fleet leaves a database out, or has it serve again, and for all words that were kept
 // over a restart.
-func (l *Links) OnWord(do func(host string, out bool)) {
+func (l *Links) OnOverride(do func(host string, out bool)) {
 	l.words.apply = do
 	for _, w := range l.words.w.All() {
-		do(w.Host, l.Out(w.Host))
+		do(w.Key, l.OverrideActive(w.Key))
 	}
 }
 
 func (l *Links) newWords() *words {
-	own, _ := l.m.Own()
-	s := &words{l: l, said: netloop.Sparse{Most: wordsSaid}, w: state.NewWords(own.Name, fmt.Sprintf("%s@%x", own.Name, own.Session), rand.Uint64())}
-	s.w.Expect(len(l.file.Seeds))
+	own, _ := l.m.Self()
+	s := &words{l: l, said: netloop.Sparse{Most: wordsSaid}, w: state.NewOverrides(own.Name, fmt.Sprintf("%s@%x", own.Name, own.Session), rand.Uint64())}
+	s.w.ExpectPeers(len(l.file.Seeds))
 	l.every(wordsEvery, s.tick)
-	if f := l.file.Words; f != nil {
-		s.w.Keep(f.Keep)
+	if f := l.file.Overrides; f != nil {
+		s.w.SetRetention(f.Retention)
 		s.open(f, own)
 	}
 	s.begun = l.loop.Clock() // opening may have taken a while
@@ -74,10 +74,10 @@
 
 // open takes in what was kept. Whatever is wrong with it is told and costs a catch-up from the others, or, where it cannot be
 // read yet, a wait for it; never the start.
-func (s *words) open(f *fleet.Words, own membership.Entry) {
+func (s *words) open(f *fleet.Overrides, own membership.Entry) {
 	s.done = make(chan func(), 256)
 	store, kept, err := wordstore.Open(wordstore.Options{
-		Dir: f.Dir, Fleet: s.l.file.Fleet, Gateway: own.Name, Session: own.Session, Horizon: f.Keep, Found: s.found,
+		Dir: f.Dir, Fleet: s.l.file.Fleet, Gateway: own.Name, Session: own.Session, Retention: f.Retention, OnFound: s.found,
 	})
 	if err != nil {
 		log.Printf("event=fleet_words_file kept=%t err=%q", store != nil, err)
@@ -85,7 +85,7 @@
 	if store == nil {
 		return
 	}
-	s.store, s.unread = store, errors.Is(err, wordstore.ErrUnread)
+	s.store, s.unread = store, errors.Is(err, wordstore.ErrUnreadable)
 	s.w.Load(kept)
 	log.Printf("event=fleet_words_loaded words=%d", len(kept))
 	s.l.loop.OnWake(func() {
@@ -97,7 +97,7 @@
 
 // found takes in what the file had besides: it could not be read before, or another process of this gateway was told. It
 // runs on the store's goroutine.
-func (s *words) found(more []state.Word) {
+func (s *words) found(more []state.Override) {
 	s.onLoop(func() {
 		s.unread = false
 		for _, host := range s.w.Load(more) {
@@ -135,17 +135,17 @@
 
 // wordsMessage is a message with its sender.
 type wordsMessage struct {
-	From string             `cbor:"1,keyasint"`
-	Body state.WordsMessage `cbor:"2,keyasint"`
+	From string                 `cbor:"1,keyasint"`
+	Body state.OverridesMessage `cbor:"2,keyasint"`
 }
 
 func (s *words) tick() {
-	if s.l.CaughtUp() {
-		s.w.Settle()
+	if s.l.Synced() {
+		s.w.MarkSynced()
 	}
 	s.w.Tick(s.l.loop.Now())
 	for _, o := range s.owed {
-		s.w.Again(o.id, false)
+		s.w.Resend(o.id, false)
 	}
 	s.after()
 	s.answer()
@@ -155,7 +155,7 @@
 func (s *words) answer() {
 	now := s.l.loop.Now()
 	s.owed = slices.DeleteFunc(s.owed, func(o *saying) bool {
-		held, of := s.w.Holders(o.id)
+		held, of := s.w.Confirmations(o.id)
 		if held < of && now-o.begun < heldTime || o.disk == "" && o.onDisk && now-o.begun < diskTime {
 			return false
 		}
@@ -163,14 +163,14 @@
 		if o.onDisk {
 			text += ", " + cmp.Or(o.disk, NotOnDisk+": it does not answer")
 		}
-		s.w.Again(o.id, true)
+		s.w.Resend(o.id, true)
 		o.then(text)
 		return true
 	})
 }
 
 func (s *words) after() {
-	own, _ := s.l.m.Own()
+	own, _ := s.l.m.Self()
 	for _, m := range s.w.Take() {
 		s.l.post(m.To, channelWords, wordsMessage{From: own.Name, Body: m.Message})
 	}
@@ -184,7 +184,7 @@
 			names = append(names, e.Name)
 		}
 	}
-	s.w.Live(names)
+	s.w.SetMembers(names)
 }
 
 func (s *words) receive(body []byte) error {
@@ -192,7 +192,7 @@
 	if err := s.l.codec.read(body, &msg); err != nil {
 		return err
 	}
-	if !fleet.Name(msg.From) {
+	if !fleet.ValidName(msg.From) {
 		return errBad
 	}
 	changed := s.w.Receive(msg.From, msg.Body)
@@ -203,7 +203,7 @@
 		s.keep(nil)
 	}
 	s.after()
-	if msg.Body.Held != 0 {
+	if msg.Body.ConfirmedID != 0 {
 		s.answer()
 	}
 	return nil
@@ -211,7 +211,7 @@
 
 // tell does what the words about a database come to.
 func (s *words) tell(host, from string) {
-	out, conflict := s.w.Out(host)
+	out, conflict := s.w.Active(host)
 	s.said.Printf(s.l.loop.Now(), "event=fleet_word host=%q out=%t conflict=%t from=%s", host, out, conflict, from)
 	if s.apply != nil {
 		s.apply(host, out)
@@ -221,17 +221,17 @@
 // NotOnDisk is said of a word that a restart of all gateways at once would lose.
 const NotOnDisk = "not on disk"
 
-// Say takes an operator's word on a database to the whole fleet; false: there is no room for one more. It binds here at once;
+// SetOverride takes an operator's word on a database to the whole fleet; false: there is no room for one more. It binds here at once;
 // then tells, within a second, how many other gateways hold it, and whether it is on the disk where words are kept.
-func (l *Links) Say(host string, out bool, then func(said string)) bool {
+func (l *Links) SetOverride(host string, out bool, then func(said string)) bool {
 	s := l.words
-	id := s.w.Say(l.loop.Now(), host, out)
+	id := s.w.Set(l.loop.Now(), host, out)
 	if id == 0 {
 		return false
 	}
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	s.tell(host, own.Name)
-	o := &saying{id: id, begun: l.loop.Now(), onDisk: l.file.Words != nil, then: then}
+	o := &saying{id: id, begun: l.loop.Now(), onDisk: l.file.Overrides != nil, then: then}
 	if s.store == nil && o.onDisk {
 		o.disk = NotOnDisk + ": the file is not this gateway's, see its log"
 	}
@@ -247,14 +247,14 @@
 	return true
 }
 
-// Out tells whether the fleet leaves a database out.
-func (l *Links) Out(host string) bool {
-	out, _ := l.words.w.Out(host)
+// OverrideActive tells whether the fleet leaves a database out.
+func (l *Links) OverrideActive(host string) bool {
+	out, _ := l.words.w.Active(host)
 	return out
 }
 
-// CaughtUp tells whether this gateway knows what operators told the fleet, or need not wait for it any longer.
-func (l *Links) CaughtUp() bool {
+// Synced tells whether this gateway knows what operators told the fleet, or need not wait for it any longer.
+func (l *Links) Synced() bool {
 	if l.loop.Now()-l.words.begun > catchUpMost {
 		return true
 	}
@@ -264,25 +264,25 @@
 
 // StateReport is what GET /v1/fleet/state tells.
 type StateReport struct {
-	Name      string       `json:"name"`
-	Digest    string       `json:"digest"` // equal in all gateways that have the same words
-	CaughtUp  bool         `json:"caught_up"`
-	Words     []state.Word `json:"words"`
-	Conflicts []string     `json:"conflicts,omitempty"` // databases about which words differ; they are left out
+	Name      string           `json:"name"`
+	Digest    string           `json:"digest"` // equal in all gateways that have the same words
+	Synced    bool             `json:"caught_up"`
+	Overrides []state.Override `json:"words"`
+	Conflicts []string         `json:"conflicts,omitempty"` // databases about which words differ; they are left out
 }
 
 // State tells in JSON what operators told the fleet, as this gateway has it.
 func (l *Links) State() []byte {
-	own, _ := l.m.Own()
+	own, _ := l.m.Self()
 	w := l.words.w
-	r := StateReport{Name: own.Name, Digest: hex(w.Digest()), CaughtUp: l.CaughtUp(), Words: w.All()}
-	for i, x := range r.Words {
-		if _, conflict := w.Out(x.Host); conflict && (i == 0 || r.Words[i-1].Host != x.Host) {
-			r.Conflicts = append(r.Conflicts, x.Host)
+	r := StateReport{Name: own.Name, Digest: hex(w.Digest()), Synced: l.Synced(), Overrides: w.All()}
+	for i, x := range r.Overrides {
+		if _, conflict := w.Active(x.Key); conflict && (i == 0 || r.Overrides[i-1].Key != x.Key) {
+			r.Conflicts = append(r.Conflicts, x.Key)
 		}
 	}
-	if r.Words == nil {
-		r.Words = []state.Word{}
+	if r.Overrides == nil {
+		r.Overrides = []state.Override{}
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/internal/repeats/repeats.go
+++ b/internal/repeats/repeats.go
@@ -8,20 +8,20 @@
 // repeat at all. All gateways together may make so many more than their share.
 const burst = 3
 
-// Bound is one gateway's. The zero value bounds nothing.
-type Bound struct {
+// Budget is one gateway's. The zero value bounds nothing.
+type Budget struct {
 	share float64
 	have  float64
 }
 
 // New allows a share of first attempts; 0 bounds nothing.
-func New(share float64) Bound { return Bound{share: share, have: burst} }
+func New(share float64) Budget { return Budget{share: share, have: burst} }
 
-// Left tells whether an attempt may be made: a first one always, a repeat as long as there are some in hand.
-func (b *Bound) Left(repeat bool) bool { return !repeat || b.share <= 0 || b.have >= 1 }
+// Allows tells whether an attempt may be made: a first one always, a repeat as long as there are some in hand.
+func (b *Budget) Allows(repeat bool) bool { return !repeat || b.share <= 0 || b.have >= 1 }
 
-// Made notes an attempt.
-func (b *Bound) Made(repeat bool) {
+// Record notes an attempt.
+func (b *Budget) Record(repeat bool) {
 	if repeat {
 		b.have--
 	} else {
--- a/internal/repeats/repeats_test.go
+++ b/internal/repeats/repeats_test.go
@@ -14,7 +14,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		share := rapid.Float64Range(0.01, 1).Draw(r, "share")
 		n := rapid.IntRange(1, 20).Draw(r, "n")
-		list := make([]Bound, n)
+		list := make([]Budget, n)
 		for i := range list {
 			list[i] = New(share)
 		}
@@ -26,12 +26,12 @@
 				list[i] = New(share)
 				processes++
 			case 1, 2, 3:
-				require.True(r, list[i].Left(false))
-				list[i].Made(false)
+				require.True(r, list[i].Allows(false))
+				list[i].Record(false)
 				firsts++
 			default:
-				if list[i].Left(true) {
-					list[i].Made(true)
+				if list[i].Allows(true) {
+					list[i].Record(true)
 					repeats++
 				}
 			}
@@ -41,9 +41,9 @@
 }
 
 func TestNoShareBoundsNothing(t *testing.T) {
-	var b Bound
+	var b Budget
 	for range 100 {
-		assert.True(t, b.Left(true))
-		b.Made(true)
+		assert.True(t, b.Allows(true))
+		b.Record(true)
 	}
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -273,7 +273,7 @@
 	in := map[string]string{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
-		if !fleet.Name(k.Value) {
+		if !fleet.ValidName(k.Value) {
 			r.Fail(k, "regions", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", k.Value)
 		}
 		region := Region{Name: k.Value}
@@ -285,7 +285,7 @@
 			name, ok := r.Text(z, k.Value)
 			switch was, twice := in[name]; {
 			case !ok:
-			case !fleet.Name(name):
+			case !fleet.ValidName(name):
 				r.Fail(z, k.Value, "%q is no name of a zone", name)
 			case twice && was == k.Value:
 				r.Fail(z, k.Value, "zone %s stands twice", name)
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -142,7 +142,7 @@
 		assert.NotContains(t, f.Seeds, r.Dial(g%3, g))
 		assert.GreaterOrEqual(t, len(f.Seeds), seeds)
 		assert.True(t, f.Positions)
-		assert.Equal(t, "/d/words-"+p.Name(g), f.Words.Dir)
+		assert.Equal(t, "/d/words-"+p.Name(g), f.Overrides.Dir)
 		assert.Equal(t, 28, f.Budgets.Connections)
 		assert.Len(t, f.Budgets.Holders, 14)
 		assert.Equal(t, 4*time.Second, f.Budgets.Lease)
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -136,7 +136,7 @@
 	}
 	for _, x := range v.Versions {
 		if x.Name == v.Name {
-			return x.List
+			return x.ListVersion
 		}
 	}
 	return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,16 +40,16 @@
 }
 
 var listSources = map[string]policy.ListSource{
-	"": policy.ListUnasked, "ask": policy.ListAsked, "push": policy.ListFromAgent,
+	"": policy.ListPushed, "ask": policy.ListFromService, "push": policy.ListFromAgent,
 }
 
-var behinds = map[string]policy.Behind{
-	"": policy.BehindServe, "none": policy.BehindServe,
-	"reject": policy.BehindReject, "hold": policy.BehindHold,
+var behinds = map[string]policy.StaleReadMode{
+	"": policy.StaleReadServe, "none": policy.StaleReadServe,
+	"reject": policy.StaleReadReject, "hold": policy.StaleReadHold,
 }
 
-var repeats = map[string]policy.Repeat{
-	"retryable": policy.Retryable, "dedup": policy.DedupGroup, "fragile": policy.Fragile,
+var repeats = map[string]policy.RetrySafety{
+	"retryable": policy.Retryable, "dedup": policy.DedupGroup, "fragile": policy.AtMostOnce,
 }
 
 // reader looks values up by path and keeps the first thing found wrong. Paths that
@@ -138,8 +138,8 @@
 		value[path] = val
 	}
 	set, err := read(value)
-	if set.Policy.List == policy.ListFromAgent {
-		set.Policy.List = policy.ListUnasked // there is no agent: what it would be sent reaches the instance
+	if set.Policy.ListSource == policy.ListFromAgent {
+		set.Policy.ListSource = policy.ListPushed // there is no agent: what it would be sent reaches the instance
 	}
 	return set, err
 }
@@ -202,26 +202,26 @@
 
 func (s *reader) policy() policy.Settings {
 	set := policy.Settings{
-		Routers:       s.count("Instances"),
-		Zone:          int(s.num("Zone")),
-		Tick:          s.time("ResolutionUs"),
-		List:          choice(s, "Discovery", listSources),
-		ListRole:      choice(s, "Domain.ShowsRole", listRoles),
-		PositionGrain: time.Millisecond,
-		Behind:        choice(s, "Domain.Behind", behinds),
-		Patience:      s.time("Domain.PatienceUs"),
-		Remembered:    s.value["Domain.SessionMarks"] == "router",
-		Probes:        s.bool("Allowed.Probes"),
-		Cancels:       s.bool("Allowed.Cancel"),
-		MaxTries:      s.count("Allowed.TryLimit"),
-		MaxRetryAfter: s.time("Allowed.MaxRetryAfterUs"),
-		DrainGrace:    s.time("Rules.DrainGraceUs"),
-		GoneIsAdvice:  s.bool("Rules.GoneIsAdvice"),
-		MustAskIn:     s.time("Rules.MustAskInUs"),
-		StartCapacity: s.atMost("Rules.StartCapacity", 1, "a share"),
-		ColdTime:      s.time("Rules.ColdUs"),
-		FallMultiple:  s.atMost("Rules.FallMultiple", mostOf, "a number"),
-		FallTime:      s.time("Rules.FallUs"),
+		Routers:             s.count("Instances"),
+		Zone:                int(s.num("Zone")),
+		Tick:                s.time("ResolutionUs"),
+		ListSource:          choice(s, "Discovery", listSources),
+		ListRole:            choice(s, "Domain.ShowsRole", listRoles),
+		PositionGranularity: time.Millisecond,
+		StaleReadMode:       choice(s, "Domain.Behind", behinds),
+		StaleReadHoldTime:   s.time("Domain.PatienceUs"),
+		TracksSessions:      s.value["Domain.SessionMarks"] == "router",
+		CanProbe:            s.bool("Allowed.Probes"),
+		CanCancel:           s.bool("Allowed.Cancel"),
+		MaxAttempts:         s.count("Allowed.TryLimit"),
+		MaxRetryAfter:       s.time("Allowed.MaxRetryAfterUs"),
+		DrainGrace:          s.time("Rules.DrainGraceUs"),
+		GoneIsAdvisory:      s.bool("Rules.GoneIsAdvice"),
+		MaxListAge:          s.time("Rules.MustAskInUs"),
+		StartCapacity:       s.atMost("Rules.StartCapacity", 1, "a share"),
+		SlowStartTime:       s.time("Rules.ColdUs"),
+		OverloadFactor:      s.atMost("Rules.FallMultiple", mostOf, "a number"),
+		OverloadWindow:      s.time("Rules.FallUs"),
 	}
 	if !s.bool("Allowed.RetryAfter") {
 		set.MaxRetryAfter = 0
@@ -247,11 +247,11 @@
 		Deadline:    s.time(at + "DeadlineUs"),
 		Worth:       s.atMost(at+"Worth", mostOf, "a number"),
 		LateWorth:   s.atMost(at+"LateWorth", mostOf, "a number"),
-		Repeat:      choice(s, at+"Repeat", repeats),
+		RetrySafety: choice(s, at+"Repeat", repeats),
 		DedupWindow: s.time(at + "DedupWindowUs"),
 	}
-	if c.Repeat == policy.DedupGroup && s.value[at+"Group"] == "all" {
-		c.Repeat = policy.DedupAll
+	if c.RetrySafety == policy.DedupGroup && s.value[at+"Group"] == "all" {
+		c.RetrySafety = policy.DedupAll
 	}
 	var ok bool
 	if c.Level, ok = levels[level]; !ok {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, []string{"browse-read", "licence-write"}, a.Classes)
 	assert.Equal(t, []string{"osu-room", "tema-room"}, a.Zones)
 	assert.Equal(t, 3*time.Second, a.Policy.Classes[0].Bound)
-	assert.Equal(t, policy.Fragile, a.Policy.Classes[1].Repeat)
+	assert.Equal(t, policy.AtMostOnce, a.Policy.Classes[1].RetrySafety)
 	assert.Equal(t, 77, a.MaxOpen)
 }
 
@@ -89,8 +89,8 @@
 	}
 	set, err := FromPairs(least)
 	require.NoError(t, err)
-	assert.False(t, set.Policy.Probes)
-	assert.False(t, set.Policy.Cancels)
+	assert.False(t, set.Policy.CanProbe)
+	assert.False(t, set.Policy.CanCancel)
 	assert.False(t, set.Peers)
 	assert.Zero(t, set.Policy.MaxRetryAfter)
 	assert.Zero(t, set.Policy.Classes[0].DedupWindow)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -90,5 +90,5 @@
 var outcomes = map[string]policy.Outcome{
 	"0": policy.OK, "1": policy.Miss, "249": policy.NotSent, "250": policy.Cancelled,
 	"251": policy.Reset, "252": policy.ConnectFailed, "253": policy.Timeout,
-	"254": policy.Full, "255": policy.Error,
+	"254": policy.AtCapacity, "255": policy.Error,
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -177,7 +177,7 @@
 	case "RETIRE":
 		it.Kind = Stop
 	case "VIEW":
-		m := policy.Members{Kind: word(f, 2, listKinds)}
+		m := policy.ListUpdate{Kind: word(f, 2, listKinds)}
 		if m.Kind != policy.ListFailed {
 			list, ok := r.lists[f.need(1)]
 			if !ok && f.err == nil {
@@ -188,12 +188,12 @@
 		it.Event = m
 	case "SUBMIT":
 		it.Event = policy.Request{
-			ID:       policy.RequestID(f.need(1)),
-			Class:    int(f.int(2)),
-			Session:  policy.SessionID(f.int(4)),
-			Budget:   f.time(5),
-			Group:    policy.GroupID(f.num(7)),
-			TokenAge: time.Duration(f.num(8) * float64(time.Millisecond)),
+			ID:            policy.RequestID(f.need(1)),
+			Class:         int(f.int(2)),
+			Session:       policy.SessionID(f.int(4)),
+			Timeout:       f.time(5),
+			Group:         policy.GroupID(f.num(7)),
+			LastCommitAge: time.Duration(f.num(8) * float64(time.Millisecond)),
 		}
 	case "RESOLVED":
 		o := policy.Result{
@@ -213,20 +213,20 @@
 		}
 		it.Event = o
 	case "PROBE_RESULT":
-		it.Event = policy.Probed{
+		it.Event = policy.ProbeResult{
 			Latency: f.time(1),
 			Host:    policy.HostID(f.need(2)),
 			Outcome: word(f, 3, outcomes),
 			Report:  r.report(f, 4, router),
 		}
 	case "LAPSED":
-		it.Event = policy.Lapsed{Request: policy.RequestID(f.need(1))}
+		it.Event = policy.RequestAbandoned{Request: policy.RequestID(f.need(1))}
 	case "ELAPSED":
 		n, err := strconv.ParseUint(f.need(1), 10, 64)
 		if err != nil && f.err == nil {
 			f.err = fmt.Errorf("ELAPSED: bad token %q", f.at(1))
 		}
-		it.Event = policy.Elapsed{Timer: n}
+		it.Event = policy.TimerFired{ID: n}
 	case "FIRST_BYTE", "PEER": // nothing here is streamed, and routers do not talk
 	default:
 		return it, false
@@ -294,12 +294,12 @@
 		fmt.Fprintf(&w.buf, "CALL_OFF\t%s\t%d\n", a.Request, a.Attempt)
 	case policy.Probe:
 		fmt.Fprintf(&w.buf, "ASK_LOAD\t%s\n", a.Host)
-	case policy.HangUp:
+	case policy.CloseIdleConnections:
 		fmt.Fprintf(&w.buf, "HANG_UP\t%s\n", a.Host)
-	case policy.Timer:
+	case policy.SetTimer:
 		// A timer never comes early: part of a microsecond counts as a whole one.
 		us := (a.After + time.Microsecond - 1) / time.Microsecond
-		fmt.Fprintf(&w.buf, "AFTER\t%d\t%d\n", us, a.Timer)
+		fmt.Fprintf(&w.buf, "AFTER\t%d\t%d\n", us, a.ID)
 	case policy.Subscribe:
 		w.buf.WriteString("TRACK\t1\n")
 	case policy.Log:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	set := b.Items[0].Settings
-	if set.List != policy.ListAsked || !set.Remembered || set.Behind != policy.BehindHold ||
+	if set.ListSource != policy.ListFromService || !set.TracksSessions || set.StaleReadMode != policy.StaleReadHold ||
 		set.ListRole != policy.ListRoleInitial || set.Classes[0].Bound != 500*time.Millisecond ||
-		set.Classes[1].Repeat != policy.DedupAll || set.Classes[1].Level != policy.Write {
+		set.Classes[1].RetrySafety != policy.DedupAll || set.Classes[1].Level != policy.Write {
 		t.Errorf("settings %+v", set)
 	}
-	m := b.Items[1].Event.(policy.Members)
+	m := b.Items[1].Event.(policy.ListUpdate)
 	if e := m.Entries[0]; m.Kind != policy.ListCached || e.Host != "host-a" || e.Group != 11 ||
 		e.Status != policy.Draining || !e.Primary || e.StartedAt != 6100*time.Millisecond {
 		t.Errorf("members %+v", m)
@@ -42,18 +42,18 @@
 		t.Fatal(err)
 	}
 	q := b.Items[0].Event.(policy.Request)
-	if q.Session != 77 || q.Group != 11 || q.TokenAge != 412500*time.Microsecond || q.Budget != 240*time.Millisecond {
+	if q.Session != 77 || q.Group != 11 || q.LastCommitAge != 412500*time.Microsecond || q.Timeout != 240*time.Millisecond {
 		t.Errorf("request %+v", q)
 	}
 	o := b.Items[1].Event.(policy.Result)
 	if o.Role != policy.Replica || o.Position != 2*time.Second+6371*time.Millisecond || !o.Finished {
 		t.Errorf("result %+v", o)
 	}
-	p := b.Items[2].Event.(policy.Probed)
+	p := b.Items[2].Event.(policy.ProbeResult)
 	if p.Report.Role != policy.Primary || p.Report.Position != 8204*time.Millisecond {
 		t.Errorf("probed %+v", p)
 	}
-	if e := b.Items[4].Event.(policy.Elapsed); e.Timer != 9 {
+	if e := b.Items[4].Event.(policy.TimerFired); e.ID != 9 {
 		t.Errorf("elapsed %+v", e)
 	}
 	if b.Items[6].Kind != Stop || len(b.Items) != 7 {
@@ -93,8 +93,8 @@
 	for _, a := range []policy.Action{
 		policy.Send{Request: "q", Host: "h", Timeout: 80 * time.Millisecond},
 		policy.Refuse{Request: "q", RetryAfter: time.Second}, policy.Fail{Request: "q"},
-		policy.Cancel{Request: "q", Attempt: 1}, policy.Probe{Host: "h"}, policy.HangUp{Host: "h"},
-		policy.Timer{After: 1500, Timer: 7}, policy.Subscribe{}, policy.Log{Text: "a\tb"},
+		policy.Cancel{Request: "q", Attempt: 1}, policy.Probe{Host: "h"}, policy.CloseIdleConnections{Host: "h"},
+		policy.SetTimer{After: 1500, ID: 7}, policy.Subscribe{}, policy.Log{Text: "a\tb"},
 	} {
 		w.Action(a)
 	}
--- a/internal/wordstore/moment.go
+++ b/internal/wordstore/moment.go
@@ -13,30 +13,30 @@
 // bootPath is where Linux tells which boot of the machine this is.
 const bootPath = "/proc/sys/kernel/random/boot_id"
 
-// Moment is a point in time by two clocks of the machine.
-type Moment struct {
+// ClockReading is a point in time by two clocks of the machine.
+type ClockReading struct {
 	Wall      time.Time     // it may be stepped
-	Boot      string        // which boot of the machine it is; empty: not known
+	BootID    string        // which boot of the machine it is; empty: not known
 	SinceBoot time.Duration // real time since then, standby included
 }
 
 // Now is the moment now.
-func Now() Moment {
-	m := Moment{Wall: time.Unix(0, int64(sys.WallClock()))}
+func Now() ClockReading {
+	m := ClockReading{Wall: time.Unix(0, int64(sys.WallClock()))}
 	boot, err := os.ReadFile(bootPath)
 	var since unix.Timespec
 	if err == nil {
 		err = unix.ClockGettime(unix.CLOCK_BOOTTIME, &since)
 	}
 	if err == nil {
-		m.Boot, m.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
+		m.BootID, m.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
 	}
 	return m
 }
 
 // since is how long before m another moment was: in real time where both are of one boot, else by the wall clock.
-func (m Moment) since(earlier Moment) time.Duration {
-	if m.Boot != "" && m.Boot == earlier.Boot && m.SinceBoot >= earlier.SinceBoot {
+func (m ClockReading) since(earlier ClockReading) time.Duration {
+	if m.BootID != "" && m.BootID == earlier.BootID && m.SinceBoot >= earlier.SinceBoot {
 		return m.SinceBoot - earlier.SinceBoot
 	}
 	return m.Wall.Sub(earlier.Wall)
--- a/internal/wordstore/wordstore.go
+++ b/internal/wordstore/wordstore.go
@@ -41,49 +41,49 @@
 
 // Why a file is not used.
 var (
-	ErrForeign = errors.New("it is another gateway's or another fleet's")
-	ErrFormat  = errors.New("it is of a later build")
-	ErrOld     = errors.New("its process was away for longer than words are kept")
-	ErrTorn    = errors.New("it is damaged")
-	ErrInUse   = errors.New("another process holds the lock")
-	ErrUnread  = errors.New("it cannot be read yet") // it is tried again: see Options.Found
+	ErrForeign    = errors.New("it is another gateway's or another fleet's")
+	ErrFormat     = errors.New("it is of a later build")
+	ErrOld        = errors.New("its process was away for longer than words are kept")
+	ErrCorrupt    = errors.New("it is damaged")
+	ErrInUse      = errors.New("another process holds the lock")
+	ErrUnreadable = errors.New("it cannot be read yet") // it is tried again: see Options.Found
 )
 
 // Options are a store's.
 type Options struct {
-	Dir     string
-	Fleet   string        // its name
-	Gateway string        // likewise
-	Session uint64        // of the process
-	Horizon time.Duration // a copy that was not in use for so long may bring back what others have forgotten
-	Now     func() Moment // nil: the machine's clocks
+	Dir       string
+	Fleet     string              // its name
+	Gateway   string              // likewise
+	Session   uint64              // of the process
+	Retention time.Duration       // a copy that was not in use for so long may bring back what others have forgotten
+	Now       func() ClockReading // nil: the machine's clocks
 
-	// Found is called from another goroutine with words that the file has besides those saved; nil: nobody asks. Behind an
+	// OnFound is called from another goroutine with words that the file has besides those saved; nil: nobody asks. Behind an
 	// Open that ended with ErrUnread it is called once the file has been read, also if there are none.
-	Found func(words []state.Word)
+	OnFound func(words []state.Override)
 }
 
 // content is what the file tells.
 type content struct {
-	Format  int          `cbor:"1,keyasint"`
-	Fleet   string       `cbor:"2,keyasint"`
-	Gateway string       `cbor:"3,keyasint"`
-	Session uint64       `cbor:"4,keyasint"` // of the process that wrote it
-	AtMS    int64        `cbor:"5,keyasint"` // when it did, Unix time
-	Words   []state.Word `cbor:"6,keyasint"`
-	Boot    string       `cbor:"7,keyasint,omitempty"` // of its machine
-	BootMS  int64        `cbor:"8,keyasint,omitempty"` // when it did, since then
+	Format  int              `cbor:"1,keyasint"`
+	Fleet   string           `cbor:"2,keyasint"`
+	Gateway string           `cbor:"3,keyasint"`
+	Session uint64           `cbor:"4,keyasint"` // of the process that wrote it
+	AtMS    int64            `cbor:"5,keyasint"` // when it did, Unix time
+	Words   []state.Override `cbor:"6,keyasint"`
+	Boot    string           `cbor:"7,keyasint,omitempty"` // of its machine
+	BootMS  int64            `cbor:"8,keyasint,omitempty"` // when it did, since then
 }
 
 // at is when a file was written.
-func (c *content) at() Moment {
-	return Moment{Wall: time.UnixMilli(c.AtMS), Boot: c.Boot, SinceBoot: time.Duration(c.BootMS) * time.Millisecond}
+func (c *content) at() ClockReading {
+	return ClockReading{Wall: time.UnixMilli(c.AtMS), BootID: c.Boot, SinceBoot: time.Duration(c.BootMS) * time.Millisecond}
 }
 
-// State is how it went so far.
-type State struct {
+// Stats is how it went so far.
+type Stats struct {
 	Saved, Failed uint64 // writes
-	Others        uint64 // files found that another process had written meanwhile
+	OtherWriters  uint64 // files found that another process had written meanwhile
 	Err           string // the last failure, empty once a write was done again
 }
 
@@ -94,11 +94,11 @@
 
 	mu     sync.Mutex // between the writer and who hands over
 	wake   sync.Cond
-	words  []state.Word
+	words  []state.Override
 	then   []func(err error)
 	due    bool
 	closed bool
-	state  State
+	state  Stats
 
 	before uint64 // the session that the last file was of; only the writer's
 	known  bool   // what the file had has been read, or it was put aside; only the writer's
@@ -107,13 +107,13 @@
 
 // Open reads the words and begins to take new ones. What is wrong with a file is told in the error; the store beside it is
 // nil where the file is not this gateway's to replace. With ErrUnread the store goes on trying to read.
-func Open(opt Options) (*Store, []state.Word, error) {
+func Open(opt Options) (*Store, []state.Override, error) {
 	if opt.Now == nil {
 		opt.Now = Now
 	}
 	s := &Store{opt: opt, done: make(chan struct{})}
 	s.wake.L = &s.mu
-	var words []state.Word
+	var words []state.Override
 	err := os.MkdirAll(opt.Dir, 0o750)
 	if err == nil {
 		err = s.locked(func() (err error) {
@@ -125,7 +125,7 @@
 		return nil, nil, err
 	}
 	if !s.known {
-		err = fmt.Errorf("%w: %w", ErrUnread, err)
+		err = fmt.Errorf("%w: %w", ErrUnreadable, err)
 		s.due = true
 	}
 	go s.run()
@@ -154,9 +154,9 @@
 }
 
 // read takes in the file; one that is damaged or too old is put aside.
-func (s *Store) read(now Moment) ([]state.Word, error) {
+func (s *Store) read(now ClockReading) ([]state.Override, error) {
 	text, err := s.load()
-	if err != nil && !errors.Is(err, ErrTorn) {
+	if err != nil && !errors.Is(err, ErrCorrupt) {
 		return nil, err
 	}
 	s.known = true
@@ -168,19 +168,19 @@
 	}
 	c, err := parse(text)
 	switch {
-	case errors.Is(err, ErrTorn):
+	case errors.Is(err, ErrCorrupt):
 		return nil, s.aside("torn", err, now)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", s.path(), err)
 	case c.Fleet != s.opt.Fleet || c.Gateway != s.opt.Gateway:
 		return nil, fmt.Errorf("%s: %w: of %s in %s", s.path(), ErrForeign, c.Gateway, c.Fleet)
-	case now.since(c.at()) > s.opt.Horizon:
+	case now.since(c.at()) > s.opt.Retention:
 		since := time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339)
 		return nil, s.aside("old", fmt.Errorf("%w: since %s", ErrOld, since), now)
 	}
 	if s.before != 0 && c.Session != s.before && c.Session != s.opt.Session {
 		s.mu.Lock()
-		s.state.Others++
+		s.state.OtherWriters++
 		s.mu.Unlock()
 	}
 	s.before = c.Session
@@ -196,13 +196,13 @@
 	case err != nil:
 		return nil, err
 	case info.Size() > mostBytes:
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	return sys.ReadFile(s.path())
 }
 
 // aside renames the file, so that it can be looked at, and the next begins anew.
-func (s *Store) aside(what string, why error, now Moment) error {
+func (s *Store) aside(what string, why error, now ClockReading) error {
 	to := fmt.Sprintf("%s.%s.%d", s.path(), what, now.Wall.UnixMilli())
 	if err := sys.Rename(s.path(), to); err != nil {
 		return fmt.Errorf("%s: %w; it cannot be put aside: %w", s.path(), why, err)
@@ -214,17 +214,17 @@
 func parse(text []byte) (c content, err error) {
 	rest, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(rest) < 8 || xxhash.Sum64(rest[8:]) != binary.BigEndian.Uint64(rest) {
-		return c, ErrTorn
+		return c, ErrCorrupt
 	}
 	if err := cbor.Unmarshal(rest[8:], &c); err != nil {
-		return c, fmt.Errorf("%w: %w", ErrTorn, err)
+		return c, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if c.Format > format {
 		return c, ErrFormat
 	}
 	for i := range c.Words {
-		if c.Words[i].Bound(); !c.Words[i].Sound() {
-			return c, ErrTorn
+		if c.Words[i].LimitWriters(); !c.Words[i].Valid() {
+			return c, ErrCorrupt
 		}
 	}
 	return c, nil
@@ -240,7 +240,7 @@
 
 // Save hands over all words there are; then is called from another goroutine once they are on the disk, or are not, and
 // behind Options.Found. Sets that wait are written as one, the newest.
-func (s *Store) Save(words []state.Word, then func(err error)) {
+func (s *Store) Save(words []state.Override, then func(err error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.words, s.due = words, true
@@ -250,8 +250,8 @@
 	s.wake.Signal()
 }
 
-// State is how it went so far.
-func (s *Store) State() State {
+// Stats is how it went so far.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
@@ -271,7 +271,7 @@
 
 func (s *Store) run() {
 	defer close(s.done)
-	every := max(leastStamp, min(stampEvery, s.opt.Horizon/stampPart))
+	every := max(leastStamp, min(stampEvery, s.opt.Retention/stampPart))
 	var tick *time.Timer
 	tick = time.AfterFunc(every, func() {
 		s.mu.Lock()
@@ -305,23 +305,23 @@
 }
 
 // save writes the words and hands on what the file had besides.
-func (s *Store) save(words []state.Word) error {
+func (s *Store) save(words []state.Override) error {
 	knew := s.known
-	var more []state.Word
+	var more []state.Override
 	err := s.locked(func() (err error) {
 		more, err = s.write(words, s.opt.Now())
 		return err
 	})
-	if s.opt.Found != nil && (len(more) > 0 || s.known && !knew) {
-		s.opt.Found(more)
+	if s.opt.OnFound != nil && (len(more) > 0 || s.known && !knew) {
+		s.opt.OnFound(more)
 	}
 	return err
 }
 
 // write merges what the file has with the words and replaces it; it returns what the words lacked, also where it fails.
-func (s *Store) write(words []state.Word, now Moment) (more []state.Word, err error) {
+func (s *Store) write(words []state.Override, now ClockReading) (more []state.Override, err error) {
 	had, err := s.read(now)
-	if err != nil && !errors.Is(err, ErrTorn) && !errors.Is(err, ErrOld) {
+	if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOld) {
 		return nil, err
 	}
 	if err != nil {
@@ -330,7 +330,7 @@
 	all, more := state.Merge(words, had)
 	text, err := compose(content{
 		Format: format, Fleet: s.opt.Fleet, Gateway: s.opt.Gateway, Session: s.opt.Session, Words: all,
-		AtMS: now.Wall.UnixMilli(), Boot: now.Boot, BootMS: now.SinceBoot.Milliseconds(),
+		AtMS: now.Wall.UnixMilli(), Boot: now.BootID, BootMS: now.SinceBoot.Milliseconds(),
 	})
 	if err != nil {
 		return more, err
--- a/internal/wordstore/wordstore_test.go
+++ b/internal/wordstore/wordstore_test.go
@@ -16,8 +16,8 @@
 
 var now = Now()
 
-func word(host string, out bool, vector map[string]uint64) state.Word {
-	return state.Word{Host: host, Out: out, Vector: vector, By: "n1"}
+func word(host string, out bool, vector map[string]uint64) state.Override {
+	return state.Override{Key: host, Active: out, VersionVector: vector, Origin: "n1"}
 }
 
 var (
@@ -26,11 +26,11 @@
 )
 
 func options(dir string) Options {
-	return Options{Dir: dir, Fleet: "f", Gateway: "n1", Session: 7, Horizon: time.Hour, Now: func() Moment { return now }}
+	return Options{Dir: dir, Fleet: "f", Gateway: "n1", Session: 7, Retention: time.Hour, Now: func() ClockReading { return now }}
 }
 
 // keep writes words to a directory and waits until they are there.
-func keep(t *testing.T, s *Store, words ...state.Word) error {
+func keep(t *testing.T, s *Store, words ...state.Override) error {
 	t.Helper()
 	done := make(chan error, 1)
 	s.Save(words, func(err error) { done <- err })
@@ -44,14 +44,14 @@
 }
 
 // finding is options whose store notes the words that it finds, a set for each call.
-func finding(opt Options) (Options, chan []state.Word) {
-	found := make(chan []state.Word, 16)
-	opt.Found = func(words []state.Word) { found <- words }
+func finding(opt Options) (Options, chan []state.Override) {
+	found := make(chan []state.Override, 16)
+	opt.OnFound = func(words []state.Override) { found <- words }
 	return opt, found
 }
 
 // await is the next set that is found.
-func await(t *testing.T, found chan []state.Word) []state.Word {
+func await(t *testing.T, found chan []state.Override) []state.Override {
 	t.Helper()
 	select {
 	case words := <-found:
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func open(t *testing.T, opt Options) (*Store, []state.Word) {
+func open(t *testing.T, opt Options) (*Store, []state.Override) {
 	t.Helper()
 	s, words, err := Open(opt)
 	require.NoError(t, err)
@@ -78,17 +78,17 @@
 	require.NoError(t, err)
 	s.Close(time.Second)
 	_, words = open(t, options(dir))
-	assert.Equal(t, []state.Word{out}, words)
+	assert.Equal(t, []state.Override{out}, words)
 }
 
 // What is handed over before the end is written, though nobody waits for it.
 func TestCloseWrites(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, options(dir))
-	s.Save([]state.Word{out}, nil)
+	s.Save([]state.Override{out}, nil)
 	s.Close(10 * time.Second)
 	_, words := open(t, options(dir))
-	assert.Equal(t, []state.Word{out}, words)
+	assert.Equal(t, []state.Override{out}, words)
 }
 
 // Two processes of a gateway save to one directory during an upgrade: neither undoes what the other was told.
@@ -103,12 +103,12 @@
 	require.NoError(t, err)
 	assert.Empty(t, toldA, "there was nothing besides")
 	require.NoError(t, keep(t, b, word("s2", true, map[string]uint64{"b": 1})))
-	assert.Equal(t, []state.Word{out}, await(t, toldB), "it hears of what the other was told")
+	assert.Equal(t, []state.Override{out}, await(t, toldB), "it hears of what the other was told")
 	require.NoError(t, keep(t, a, back))
 	assert.Len(t, await(t, toldA), 1)
-	assert.Positive(t, a.State().Others)
+	assert.Positive(t, a.Stats().OtherWriters)
 	_, words := open(t, options(dir))
-	assert.Equal(t, []state.Word{back, word("s2", true, map[string]uint64{"b": 1})}, words, "an older word does not come back")
+	assert.Equal(t, []state.Override{back, word("s2", true, map[string]uint64{"b": 1})}, words, "an older word does not come back")
 }
 
 // Each byte that is changed, and each place at which the file is cut, shows; the file is put aside and the next one is good.
@@ -125,13 +125,13 @@
 		bad := append([]byte(nil), text...)
 		bad[i] ^= 1
 		_, err := parse(bad)
-		require.ErrorIs(t, err, ErrTorn, "byte %d", i)
+		require.ErrorIs(t, err, ErrCorrupt, "byte %d", i)
 		_, err = parse(text[:i])
-		require.ErrorIs(t, err, ErrTorn, "%d bytes", i)
+		require.ErrorIs(t, err, ErrCorrupt, "%d bytes", i)
 	}
 	require.NoError(t, os.WriteFile(path, text[:len(text)/2], 0o600))
 	s, words, err := Open(options(dir))
-	require.ErrorIs(t, err, ErrTorn)
+	require.ErrorIs(t, err, ErrCorrupt)
 	require.NotNil(t, s)
 	t.Cleanup(func() { s.Close(time.Second) })
 	assert.Empty(t, words)
@@ -141,7 +141,7 @@
 	err = keep(t, s, back)
 	require.NoError(t, err)
 	_, words = open(t, options(dir))
-	assert.Equal(t, []state.Word{back}, words)
+	assert.Equal(t, []state.Override{back}, words)
 }
 
 // A copy that was away for longer than words are remembered could bring back one that all others have forgotten.
@@ -151,7 +151,7 @@
 	err := keep(t, s, out)
 	require.NoError(t, err)
 	s.Close(time.Second)
-	s, words, err := Open(later(dir, 2*time.Hour, 2*time.Hour, now.Boot))
+	s, words, err := Open(later(dir, 2*time.Hour, 2*time.Hour, now.BootID))
 	require.ErrorIs(t, err, ErrOld)
 	assert.Empty(t, words)
 	s.Close(time.Second)
@@ -161,7 +161,9 @@
 // stepped, in some boot of its machine.
 func later(dir string, span, wall time.Duration, boot string) Options {
 	opt := options(dir)
-	opt.Now = func() Moment { return Moment{Wall: now.Wall.Add(wall), Boot: boot, SinceBoot: now.SinceBoot + span} }
+	opt.Now = func() ClockReading {
+		return ClockReading{Wall: now.Wall.Add(wall), BootID: boot, SinceBoot: now.SinceBoot + span}
+	}
 	return opt
 }
 
@@ -172,13 +174,13 @@
 		boot       string
 		old        bool
 	}{
-		"a moment, stepped ahead":                     {time.Second, 2 * time.Hour, now.Boot, false},
-		"a moment, stepped back":                      {time.Second, -2 * time.Hour, now.Boot, false},
-		"long, stepped back":                          {2 * time.Hour, -time.Minute, now.Boot, true},
+		"a moment, stepped ahead":                     {time.Second, 2 * time.Hour, now.BootID, false},
+		"a moment, stepped back":                      {time.Second, -2 * time.Hour, now.BootID, false},
+		"long, stepped back":                          {2 * time.Hour, -time.Minute, now.BootID, true},
 		"another boot, long":                          {-now.SinceBoot, 2 * time.Hour, "another", true},
 		"another boot, a moment":                      {-now.SinceBoot, time.Minute, "another", false},
 		"no boot is known, long":                      {time.Second, 2 * time.Hour, "", true},
-		"the time since the boot went back, a moment": {-time.Hour, time.Minute, now.Boot, false},
+		"the time since the boot went back, a moment": {-time.Hour, time.Minute, now.BootID, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -193,7 +195,7 @@
 				return
 			}
 			require.NoError(t, err)
-			assert.Equal(t, []state.Word{out}, words)
+			assert.Equal(t, []state.Override{out}, words)
 		})
 	}
 }
@@ -204,18 +206,18 @@
 	require.NoError(t, err)
 	c, err := parse(text)
 	require.NoError(t, err)
-	assert.Equal(t, time.Minute, later("", time.Second, time.Minute, now.Boot).Now().since(c.at()).Round(time.Millisecond*10))
+	assert.Equal(t, time.Minute, later("", time.Second, time.Minute, now.BootID).Now().since(c.at()).Round(time.Millisecond*10))
 }
 
 // While its process lives the copy does not grow old, though no word is said.
 func TestTheFileIsKeptFresh(t *testing.T) {
 	opt := options(t.TempDir())
-	opt.Horizon = 400 * time.Millisecond
+	opt.Retention = 400 * time.Millisecond
 	opt.Now = Now
 	s, _ := open(t, opt)
 	err := keep(t, s, out)
 	require.NoError(t, err)
-	assert.Eventually(t, func() bool { return s.State().Saved >= 4 }, 10*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return s.Stats().Saved >= 4 }, 10*time.Second, time.Millisecond)
 	s.Close(time.Second)
 	_, words, err := Open(opt)
 	require.NoError(t, err)
@@ -255,11 +257,11 @@
 	require.NoError(t, os.Rename(dir, dir+"-away"))
 	err := keep(t, s, out)
 	require.Error(t, err)
-	assert.NotEmpty(t, s.State().Err)
+	assert.NotEmpty(t, s.Stats().Err)
 	require.NoError(t, os.Rename(dir+"-away", dir))
 	err = keep(t, s, out)
 	require.NoError(t, err)
-	assert.Empty(t, s.State().Err)
+	assert.Empty(t, s.Stats().Err)
 }
 
 // A disk that failed once is tried again soon, not only when the next word or stamp is due.
@@ -270,17 +272,17 @@
 	err := keep(t, s, out)
 	require.Error(t, err)
 	require.NoError(t, os.Rename(dir+"-away", dir))
-	require.Eventually(t, func() bool { return s.State().Saved == 1 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.Stats().Saved == 1 }, 10*time.Second, 5*time.Millisecond)
 	next := options(dir)
 	next.Session = 8
 	_, words := open(t, next)
-	assert.Equal(t, []state.Word{out}, words)
+	assert.Equal(t, []state.Override{out}, words)
 }
 
 // What could not be read while the store was opened is handed over once it can be: another process holds the lock, or the
 // directory is out of reach. That there are no words is told as well.
 func TestWordsThatAreReadLate(t *testing.T) {
-	for _, kept := range [][]state.Word{nil, {out}} {
+	for _, kept := range [][]state.Override{nil, {out}} {
 		t.Run(fmt.Sprintf("%d words, lock held", len(kept)), func(t *testing.T) {
 			dir := t.TempDir()
 			before, _, err := Open(options(dir))
@@ -293,7 +295,7 @@
 			require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
 			opt, found := finding(options(dir))
 			s, words, err := Open(opt)
-			require.ErrorIs(t, err, ErrUnread)
+			require.ErrorIs(t, err, ErrUnreadable)
 			require.ErrorIs(t, err, ErrInUse)
 			t.Cleanup(func() { s.Close(time.Second) })
 			assert.Empty(t, words)
@@ -312,11 +314,11 @@
 		require.NoError(t, os.WriteFile(dir, nil, 0o600))
 		opt, found := finding(options(dir))
 		s, _, err := Open(opt)
-		require.ErrorIs(t, err, ErrUnread)
+		require.ErrorIs(t, err, ErrUnreadable)
 		t.Cleanup(func() { s.Close(time.Second) })
 		require.NoError(t, os.Remove(dir))
 		require.NoError(t, os.Rename(dir+"-away", dir))
-		assert.Equal(t, []state.Word{out}, await(t, found))
+		assert.Equal(t, []state.Override{out}, await(t, found))
 	})
 }
 
@@ -328,14 +330,14 @@
 	require.NoError(t, err)
 	many := word("s2", true, map[string]uint64{})
 	for k := range 200 {
-		many.Vector[fmt.Sprint("n1@", k)] = 1
+		many.VersionVector[fmt.Sprint("n1@", k)] = 1
 	}
 	require.NoError(t, keep(t, before, out, many))
 	before.Close(time.Second)
 	s, words := open(t, options(dir))
 	require.Len(t, words, 2)
 	assert.Equal(t, out, words[0])
-	assert.True(t, words[1].Out && words[1].Sound())
+	assert.True(t, words[1].Active && words[1].Valid())
 	require.NoError(t, keep(t, s, words...))
 	_, again := open(t, options(dir))
 	assert.Equal(t, words, again, "once and for all")
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -85,16 +85,16 @@
 // knowsTime tells whether the age of data can be told. Where nothing was heard of a primary since the
 // start, the pages hold: every machine reads one clock.
 func (r *Router) knowsTime() bool {
-	return !r.set.OwnClock || r.clock.confirmed || r.clock.witnesses == 0 && r.now >= r.begunAt+clockPatience
+	return !r.set.IndependentClock || r.clock.confirmed || r.clock.witnesses == 0 && r.now >= r.begunAt+clockPatience
 }
 
 // hearTime learns of the databases' clock by an answer, which was given between an attempt's sending and
 // now. A position is rounded, by a grain at most: that of a read down, a commit up.
 func (r *Router) hearTime(a *attempt, role Role, position time.Duration) {
-	if !r.set.OwnClock {
+	if !r.set.IndependentClock {
 		return
 	}
-	grain := r.set.PositionGrain
+	grain := r.set.PositionGranularity
 	seen := offsetRange{least: position - grain - r.now, most: position + grain - a.sentAt}
 	if role != Primary {
 		r.clock.observeReplica(a.h.id, seen)
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -18,7 +18,7 @@
 
 func newClockRig(t *testing.T, step time.Duration) *clockRig {
 	set := base()
-	set.OwnClock = true
+	set.IndependentClock = true
 	return &clockRig{rig: newRig(t, set), step: step}
 }
 
@@ -39,7 +39,7 @@
 			return s.Host, true
 		}
 	}
-	c.at(took, Lapsed{Request: id})
+	c.at(took, RequestAbandoned{Request: id})
 	return "", false
 }
 
@@ -118,7 +118,7 @@
 // Without a word of any primary the pages hold, by which every machine reads one clock.
 func TestClockIsTrustedWhereNoPrimarySpeaks(t *testing.T) {
 	set := base()
-	set.OwnClock = true
+	set.IndependentClock = true
 	c := &clockRig{rig: newRig(t, set, Member{Host: "a"}, Member{Host: "b"})}
 	c.ask(own, 5*ms, lagging(10*ms))
 	_, sent := c.ask(recent, 5*ms, lagging(10*ms))
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,7 +9,7 @@
 
 func Example() {
 	r, err := policy.New(policy.Settings{
-		Routers: 3, Tick: 5 * time.Millisecond, Probes: true,
+		Routers: 3, Tick: 5 * time.Millisecond, CanProbe: true,
 		Classes: []policy.Class{{
 			Level: policy.Loose, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second,
 		}},
@@ -19,8 +19,8 @@
 		return
 	}
 	actions := r.Step(0, []policy.Event{
-		policy.Members{Kind: policy.ListFull, Entries: []policy.Member{{Host: "a", Group: 1}}},
-		policy.Request{ID: "q1", Class: 0, Group: 1, Budget: 2 * time.Second},
+		policy.ListUpdate{Kind: policy.ListFull, Entries: []policy.Member{{Host: "a", Group: 1}}},
+		policy.Request{ID: "q1", Class: 0, Group: 1, Timeout: 2 * time.Second},
 	})
 	for _, a := range actions {
 		if s, ok := a.(policy.Send); ok {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -11,12 +11,12 @@
 // onFleet takes what the fleet tells. It bounds, orders or dates what this router may do by itself anyway.
 func (r *Router) onFleet(e Event) {
 	switch e := e.(type) {
-	case Bounded:
+	case ConcurrencyLimit:
 		if h := r.hosts[e.Host]; h != nil {
-			h.bounded, h.most = true, e.Most
+			h.bounded, h.most = true, e.Max
 			r.retryWaiting(h.group)
 		}
-	case Told:
+	case PrimaryReported:
 		h := r.hosts[e.Host]
 		switch {
 		case h == nil || !r.mayTake(h, true) || e.At < h.roleAt:
@@ -26,20 +26,20 @@
 			h.group.primary = h // only its own answer closes the breaker
 			r.probe(h)
 		}
-	case Fenced:
-		r.fenced = e.Out
-	case Held:
-		r.held = e.On
+	case FenceChanged:
+		r.fenced = e.Active
+	case OverridesPending:
+		r.held = e.Active
 		r.retryAll()
-	case Repeats:
+	case RetryBudget:
 		r.repeats = repeats.New(e.Share)
-	case Away:
-		r.away, r.missed = e.Lost, e.Lost-r.away
-	case Preferred:
+	case ProcessPaused:
+		r.away, r.missed = e.Total, e.Total-r.away
+	case PreferredHosts:
 		for _, h := range r.order {
 			h.first = slices.Contains(e.Hosts, h.id) || len(e.Hosts) == 0 && h.zone == r.set.Zone
 		}
-	case Heard:
+	case PositionReported:
 		if h := r.hosts[e.Host]; h != nil && e.Position > h.pos {
 			r.learnPosition(h, min(e.Position, r.databaseTime()))
 		}
--- a/policy/herd_test.go
+++ b/policy/herd_test.go
@@ -33,12 +33,12 @@
 func newService(t *testing.T, n int) *service {
 	s := &service{t: t, now: 100 * time.Second, served: map[int]bool{}}
 	set := base()
-	set.Routers, set.List = n, ListAsked
+	set.Routers, set.ListSource = n, ListFromService
 	for i := range n {
 		r, err := New(set, int64(i))
 		require.NoError(t, err)
 		s.routers = append(s.routers, r)
-		s.take(i, r.Step(s.now, []Event{Members{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}}}}))
+		s.take(i, r.Step(s.now, []Event{ListUpdate{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}}}}))
 	}
 	return s
 }
@@ -53,10 +53,10 @@
 }
 
 func (s *service) tell(i int, kind ListKind) {
-	if kind != ListFailed && kind != ListCrowded {
+	if kind != ListFailed && kind != ListQueueTimeout {
 		s.served[i] = true
 	}
-	s.take(i, s.routers[i].Step(s.now, []Event{Members{Kind: kind}}))
+	s.take(i, s.routers[i].Step(s.now, []Event{ListUpdate{Kind: kind}}))
 }
 
 // run goes on for a time in steps of 5 ms.
@@ -65,7 +65,7 @@
 		for len(s.calls) > 0 && s.now-s.calls[0].at >= callWait {
 			c := s.calls[0]
 			s.calls = s.calls[1:]
-			s.tell(c.router, ListCrowded)
+			s.tell(c.router, ListQueueTimeout)
 		}
 		if len(s.calls) > 0 && s.now >= s.freeAt && s.now >= s.down {
 			if s.freeAt = s.now + callTime; s.freeAt-s.calls[0].at < callWait {
@@ -131,17 +131,17 @@
 		set := base()
 		set.Routers, set.Classes[fragile].Worth = routers, 1000 // room is another test's
 		g := newRig(t, set)
-		g.at(0, Probed{Host: "p"})
+		g.at(0, ProbeResult{Host: "p"})
 		n := map[HostID]int{}
 		step := func() {
 			for h := range g.probed() {
 				n[h]++
-				g.at(0, Probed{Host: h})
+				g.at(0, ProbeResult{Host: h})
 			}
 		}
 		for i := range 200 {
 			id := RequestID(fmt.Sprint("r", i))
-			g.at(10*ms, Request{ID: id, Class: loose, Budget: time.Second})
+			g.at(10*ms, Request{ID: id, Class: loose, Timeout: time.Second})
 			step()
 			for _, h := range g.sends() {
 				g.at(0, Result{Request: id, Host: h, Outcome: OK, Finished: true, Latency: ms, Role: Replica})
@@ -151,7 +151,7 @@
 		for _, h := range []HostID{"a", "b"} { // heard of: no write calls there
 			g.report(0, h, Replica, 0)
 		}
-		g.at(0, Probed{Host: "p"}).failWrites(breakerThreshold, Error).at(0, Probed{Host: "p"})
+		g.at(0, ProbeResult{Host: "p"}).failWrites(breakerThreshold, Error).at(0, ProbeResult{Host: "p"})
 		for range 40 {
 			step()
 			g.at(100 * ms)
@@ -168,7 +168,7 @@
 // Where probes tell no role, a write finds the new primary: a member that is none turns it away untouched.
 func TestWriteFindsThePrimaryWhereProbesAreMute(t *testing.T) {
 	g := newRig(t, base(), Member{Host: "a"})
-	g.at(0, Probed{Host: "a"}).ask("w", fragile)
+	g.at(0, ProbeResult{Host: "a"}).ask("w", fragile)
 	g.wantSend("a")
 }
 
@@ -176,7 +176,7 @@
 func crowd(t *testing.T) *rig {
 	set := base()
 	set.Routers = 80
-	return newRig(t, set).at(0, Probed{Host: "p"})
+	return newRig(t, set).at(0, ProbeResult{Host: "p"})
 }
 
 func (g *rig) result(id RequestID, attempt int, h HostID, o Outcome, role Role) *rig {
@@ -207,14 +207,14 @@
 
 // Few routers hear of each host often: their writes go straight to the primary.
 func TestWriteOfFewGoesStraight(t *testing.T) {
-	g := newRig(t, base()).at(0, Probed{Host: "p"}).ask("w", fragile)
+	g := newRig(t, base()).at(0, ProbeResult{Host: "p"}).ask("w", fragile)
 	g.wantSend("p")
 }
 
 // But where probes tell no position and no read does, bounded reads would stay on the primary for good. So one that found
 // no fresh replica has the next writes call at those that were not heard of for a while, each once in that time.
 func TestFewLearnPositionsFromWrites(t *testing.T) {
-	g := newRig(t, base()).at(0, Probed{Host: "p"}).ask("r", recent)
+	g := newRig(t, base()).at(0, ProbeResult{Host: "p"}).ask("r", recent)
 	g.wantSend("p")
 	g.at(ms, Result{Request: "r", Host: "p", Outcome: OK, Finished: true, Role: Primary})
 	for _, id := range []RequestID{"w", "x"} {
@@ -241,7 +241,7 @@
 
 // A write on its way to the primary keeps the rules of repeats: what may have run is not sent on.
 func TestWriteOnTheWayIsSentOnOnlyUntouched(t *testing.T) {
-	for o, on := range map[Outcome]bool{Miss: true, Full: true, ConnectFailed: true, Timeout: false, Reset: false, Error: false} {
+	for o, on := range map[Outcome]bool{Miss: true, AtCapacity: true, ConnectFailed: true, Timeout: false, Reset: false, Error: false} {
 		g := crowd(t).ask("w", fragile)
 		first := g.sends()[0]
 		g.result("w", 0, first, o, RoleUnknown)
@@ -259,7 +259,7 @@
 // A cold member is called at within its budget only.
 func TestWriteOnTheWaySparesColdHosts(t *testing.T) {
 	g := crowd(t)
-	g.at(ms, Members{Kind: ListDelta, Entries: []Member{
+	g.at(ms, ListUpdate{Kind: ListDelta, Entries: []Member{
 		{Host: "a", StartedAt: g.now}, {Host: "b", StartedAt: g.now},
 	}})
 	g.ask("w", fragile)
@@ -294,7 +294,7 @@
 	for _, h := range []HostID{"a", "b"} {
 		g.report(0, h, Replica, 0)
 	}
-	g.at(0, Probed{Host: "p"}).failWrites(breakerThreshold, Error)
+	g.at(0, ProbeResult{Host: "p"}).failWrites(breakerThreshold, Error)
 	require.True(t, g.r.groups[0].open)
 	g.at(3*time.Second).ask("r", recent)
 	g.wantSend()
@@ -313,7 +313,7 @@
 // A group whose primary is not known has writes ask its members, each once a write: a miss is untouched and costs a
 // member nothing, a refusal costs the client its write. Who was asked last comes last in the next one.
 func TestWriteGoesOnLookingForThePrimary(t *testing.T) {
-	g := newRig(t, base(), Member{Host: "a"}, Member{Host: "b"}).at(0, Probed{Host: "a"})
+	g := newRig(t, base(), Member{Host: "a"}, Member{Host: "b"}).at(0, ProbeResult{Host: "a"})
 	for i := range 3 {
 		id := RequestID(fmt.Sprint("w", i))
 		g.at(time.Second).ask(id, fragile)
@@ -330,8 +330,10 @@
 // The list names a new primary late, often after the old one began to drain. That one can take nothing any more, so the
 // list's word holds, other than of a host that lately answered as a replica; a primary that still serves stays.
 func TestListNamesTheNextPrimary(t *testing.T) {
-	named := func(h HostID) Members { return Members{Kind: ListDelta, Entries: []Member{{Host: h, Primary: true}}} }
-	draining := Members{Kind: ListDelta, Entries: []Member{{Host: "p", Status: Draining}}}
+	named := func(h HostID) ListUpdate {
+		return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Primary: true}}}
+	}
+	draining := ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "p", Status: Draining}}}
 	set := base()
 	set.ListRole = ListRoleDelayed
 	for _, tt := range []struct {
@@ -365,7 +367,7 @@
 	sent := 0
 	for i := range 250 {
 		id := RequestID(fmt.Sprint("r", i))
-		for _, step := range [][]Event{nil, {Request{ID: id, Class: loose, Budget: time.Second}}} {
+		for _, step := range [][]Event{nil, {Request{ID: id, Class: loose, Timeout: time.Second}}} {
 			g.at(10*ms, step...)
 			var ends []Event
 			for _, a := range g.got {
@@ -386,7 +388,7 @@
 func TestColdPartFollowsAnswers(t *testing.T) {
 	g := newRig(t, base())
 	at := func(o Outcome, latency time.Duration) float64 {
-		g.at(time.Second, Members{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}})
+		g.at(time.Second, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}})
 		q := &request{class: &g.r.set.Classes[loose], Request: Request{Class: loose}}
 		g.r.judge(&attempt{q: q, h: g.r.hosts["a"], sentAt: g.now}, o, latency, false)
 		return g.r.ease
@@ -406,7 +408,7 @@
 	for routers, takes := range map[int]bool{2: true, 80: false} {
 		set := base()
 		set.Routers = routers
-		g := newRig(t, set).at(0, Probed{Host: "p"})
+		g := newRig(t, set).at(0, ProbeResult{Host: "p"})
 		p := g.r.hosts["p"]
 		p.limit = 0.4
 		g.at(time.Minute).ask("r", recent)
@@ -462,12 +464,12 @@
 func TestFencedTakesNoWrites(t *testing.T) {
 	g := newRig(t, base(), Member{Host: "a"}, Member{Host: "b"}).ask("waits", fragile) // no primary is known
 	g.wantSend()
-	g.at(ms, Fenced{Out: true}, Request{ID: "w", Class: fragile, Budget: time.Second}, Request{ID: "r", Class: own, Budget: time.Second})
+	g.at(ms, FenceChanged{Active: true}, Request{ID: "w", Class: fragile, Timeout: time.Second}, Request{ID: "r", Class: own, Timeout: time.Second})
 	assert.Len(t, g.sends(), 1, "the read")
 	g.wantFinal("w", 1, 0)
-	g.at(0, Probed{Host: "a", Report: Report{HasPosition: true, Position: g.now, Role: Primary}})
+	g.at(0, ProbeResult{Host: "a", Report: Report{HasPosition: true, Position: g.now, Role: Primary}})
 	g.wantFinal("waits", 1, 0)
-	g.at(ms, Fenced{}).ask("x", fragile)
+	g.at(ms, FenceChanged{}).ask("x", fragile)
 	g.wantSend("a")
 }
 
@@ -475,23 +477,23 @@
 // breaker, and sends nothing to whom the list or the operators forbid.
 func TestToldOfAPrimary(t *testing.T) {
 	g := newRig(t, base())
-	g.at(ms, Told{Host: "a", At: g.now}).ask("w", fragile)
+	g.at(ms, PrimaryReported{Host: "a", At: g.now}).ask("w", fragile)
 	g.wantSend("a")
 	g.at(ms, Result{Request: "w", Host: "a", Outcome: OK, Finished: true, Role: Primary})
-	g.at(ms, Told{Host: "p", At: g.now - 100*ms}).ask("x", fragile)
+	g.at(ms, PrimaryReported{Host: "p", At: g.now - 100*ms}).ask("x", fragile)
 	g.wantSend("a") // older than its own answer
-	g.at(ms, Told{Host: "b", At: g.now + time.Hour}, Told{Host: "nobody", At: g.now}).ask("y", fragile)
+	g.at(ms, PrimaryReported{Host: "b", At: g.now + time.Hour}, PrimaryReported{Host: "nobody", At: g.now}).ask("y", fragile)
 	g.wantSend("b") // as of now at most
 	g.at(ms, Result{Request: "y", Host: "b", Outcome: Miss, Role: Replica})
-	g.at(ms, Told{Host: "b", At: g.now - 2*ms}).ask("z", fragile)
+	g.at(ms, PrimaryReported{Host: "b", At: g.now - 2*ms}).ask("z", fragile)
 	assert.NotEqual(t, []HostID{"b"}, g.sends(), "it has said itself that it is none, later")
 
-	g = newRig(t, base()).at(0, Suspended{Host: "a", Out: true})
-	g.at(ms, Told{Host: "a", At: g.now}).ask("w", fragile)
+	g = newRig(t, base()).at(0, SuspensionChanged{Host: "a", Active: true})
+	g.at(ms, PrimaryReported{Host: "a", At: g.now}).ask("w", fragile)
 	g.wantSend("p")
 
 	g = newRig(t, base()).failWrites(breakerThreshold, Reset)
-	g.at(300*ms, Told{Host: "a", At: g.now + 200*ms})
+	g.at(300*ms, PrimaryReported{Host: "a", At: g.now + 200*ms})
 	assert.Contains(t, g.got, Action(Probe{Host: "a"}), "it is asked at once")
 	g.ask("w", fragile)
 	g.wantFinal("w", 1, 0)
--- a/policy/list.go
+++ b/policy/list.go
@@ -4,11 +4,11 @@
 
 import "time"
 
-func (r *Router) onMembers(m Members) {
-	if r.crowded++; m.Kind != ListCrowded {
+func (r *Router) onMembers(m ListUpdate) {
+	if r.crowded++; m.Kind != ListQueueTimeout {
 		r.crowded = 0
 	}
-	if m.Kind == ListFailed || m.Kind == ListCrowded {
+	if m.Kind == ListFailed || m.Kind == ListQueueTimeout {
 		r.askForList(max(r.set.Routers, fewRouters))
 		return
 	}
@@ -30,8 +30,8 @@
 
 // askForList asks after a pause, which depends on whom it asks. routers is how many may be asking just then.
 func (r *Router) askForList(routers int) {
-	switch r.set.List {
-	case ListAsked:
+	switch r.set.ListSource {
+	case ListFromService:
 		r.subscribe(r.servicePause(routers), callMost)
 	case ListFromAgent:
 		r.subscribe(r.agentPause(), r.agentTime())
@@ -39,13 +39,13 @@
 }
 
 func (r *Router) subscribe(pause, within time.Duration) {
-	r.wakeAt(r.now+pause, func() { r.emit(Subscribe{Within: within}) })
+	r.wakeAt(r.now+pause, func() { r.emit(Subscribe{Timeout: within}) })
 }
 
 // servicePause ends at a random moment, lest all routers ask at once; later where a crowd has long kept this
 // one out.
 func (r *Router) servicePause(routers int) time.Duration {
-	most := min(askMost<<min(max(0, r.crowded-crowdMost), 8), max(askMost, 2*r.set.MustAskIn))
+	most := min(askMost<<min(max(0, r.crowded-crowdMost), 8), max(askMost, 2*r.set.MaxListAge))
 	span := min(askPace*time.Duration(max(0, routers)), most)
 	return time.Duration(r.rnd.Int64N(int64(span) + 1))
 }
@@ -69,8 +69,8 @@
 // from the first moment on, so the list of the start is compared with it before; and what operators said
 // before holds.
 func (r *Router) mayAct() bool {
-	compared := r.set.List != ListFromAgent || r.compared
-	return compared && !r.held || r.now >= r.begunAt+CompareTime
+	compared := r.set.ListSource != ListFromAgent || r.compared
+	return compared && !r.held || r.now >= r.begunAt+StartupTimeout
 }
 
 func (r *Router) onMember(e Member) {
@@ -97,7 +97,7 @@
 	r.setStatus(h, e.Status)
 	// Whom the late list names has been primary. That counts while no other that may take work is known.
 	if old := h.group.primary; e.Primary && r.set.ListRole != ListRoleNone &&
-		(old == nil || !r.mayTake(old, true)) && h.roleAt < max(0, r.now-r.set.MustAskIn) {
+		(old == nil || !r.mayTake(old, true)) && h.roleAt < max(0, r.now-r.set.MaxListAge) {
 		h.group.primary = nil
 		r.learnRole(h, Primary, max(0, h.roleAt))
 	}
@@ -112,22 +112,22 @@
 }
 
 // onSuspended keeps the operators' word, which the list does not change. Who is back is cold, in any role.
-func (r *Router) onSuspended(e Suspended) {
-	r.out[e.Host] = e.Out
-	if e.Out {
-		r.emit(Withdraw{Host: e.Host})
+func (r *Router) onSuspended(e SuspensionChanged) {
+	r.out[e.Host] = e.Active
+	if e.Active {
+		r.emit(StopUsingHost{Host: e.Host})
 	}
 	if h := r.hosts[e.Host]; h != nil {
 		r.learnRole(h, Replica, r.now)
-		if r.resetHost(h, r.databaseTime()); !e.Out {
+		if r.resetHost(h, r.databaseTime()); !e.Active {
 			h.roleAt = -1
 		}
 		r.retryWaiting(h.group)
 	}
 }
 
-// Skipped is how many listed hosts get nothing: left out by hand, draining, or primaries of open breakers.
-func (r *Router) Skipped() (n int) {
+// ExcludedHosts is how many listed hosts get nothing: left out by hand, draining, or primaries of open breakers.
+func (r *Router) ExcludedHosts() (n int) {
 	for _, h := range r.order {
 		if h.status != Gone && (!r.mayTake(h, false) || h.group.open && h.group.primary == h) {
 			n++
@@ -146,9 +146,9 @@
 
 // mayTake tells whether h may have new work. A primary that drains takes writes while it hands over.
 func (r *Router) mayTake(h *host, write bool) bool {
-	return !r.out[h.id] && (h.status == Healthy || h.status == Gone && r.set.GoneIsAdvice && !h.drained ||
+	return !r.out[h.id] && (h.status == Healthy || h.status == Gone && r.set.GoneIsAdvisory && !h.drained ||
 		write && h.status == Draining && r.now-h.toldAt < r.set.DrainGrace/2)
 }
 
 // left tells that h is off the list for good: machines that replace others have new ids.
-func (r *Router) left(h *host) bool { return h.status == Gone && !r.set.GoneIsAdvice }
+func (r *Router) left(h *host) bool { return h.status == Gone && !r.set.GoneIsAdvisory }
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -11,7 +11,7 @@
 // agentSettings are those of one of many routers that each have an agent of their own, with a short grace for drains.
 func agentSettings() Settings {
 	set := base()
-	set.Routers, set.List, set.DrainGrace = 300, ListFromAgent, 250*ms
+	set.Routers, set.ListSource, set.DrainGrace = 300, ListFromAgent, 250*ms
 	return set
 }
 
@@ -32,8 +32,8 @@
 	calls := g.asks()
 	require.Len(t, calls, 1, "at the start it is asked at once")
 	for range 50 {
-		within := calls[0].Within
-		g.at(within, Members{Kind: ListFailed})
+		within := calls[0].Timeout
+		g.at(within, ListUpdate{Kind: ListFailed})
 		waited := within
 		for calls = g.asks(); len(calls) == 0; calls = g.asks() {
 			g.at(ms)
@@ -48,34 +48,34 @@
 // Requests wait until the list of the start was compared with the agent's, and not longer than the agent can be waited for.
 func TestRequestsWaitForTheAgent(t *testing.T) {
 	g := newRig(t, agentSettings())
-	g.at(0, Members{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}, {Host: "a"}}})
+	g.at(0, ListUpdate{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}, {Host: "a"}}})
 	g.ask("r", loose)
 	assert.Empty(t, g.sends())
-	g.at(20*ms, Members{Kind: ListFailed})
+	g.at(20*ms, ListUpdate{Kind: ListFailed})
 	assert.Empty(t, g.sends(), "a failure tells nothing")
-	g.at(20*ms, Members{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}})
+	g.at(20*ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}})
 	g.wantSend("p")
 
 	silent := newRig(t, agentSettings())
-	silent.at(CompareTime, Members{Kind: ListFailed})
+	silent.at(StartupTimeout, ListUpdate{Kind: ListFailed})
 	silent.ask("r", loose)
 	assert.Len(t, silent.sends(), 1, "an agent that stays silent has nothing newer that could be learned")
-	assert.Less(t, CompareTime, 10*time.Second, "a restarted process is ready by then")
+	assert.Less(t, StartupTimeout, 10*time.Second, "a restarted process is ready by then")
 }
 
 // Requests wait for what operators said before this process began, and not longer than for the list.
 func TestRequestsWaitForWhatOperatorsSaid(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Held{On: true})
+	g.at(0, OverridesPending{Active: true})
 	g.ask("r", loose)
 	assert.Empty(t, g.sends())
-	g.at(20*ms, Suspended{Host: "a", Out: true}, Suspended{Host: "b", Out: true})
+	g.at(20*ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "b", Active: true})
 	assert.Empty(t, g.sends())
-	g.at(20*ms, Held{On: false})
+	g.at(20*ms, OverridesPending{Active: false})
 	g.wantSend("p")
 
 	never := newRig(t, base())
-	never.at(CompareTime, Held{On: true})
+	never.at(StartupTimeout, OverridesPending{Active: true})
 	never.ask("r", loose)
 	assert.Len(t, never.sends(), 1, "a folder that cannot be read for so long has a process serve by what it knows")
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -118,7 +118,7 @@
 	marks         map[SessionID]time.Duration // newest commit acknowledged to a session here
 	base          time.Duration               // marks up to here were forgotten
 	wakes         alarm.Queue
-	repeats       repeats.Bound
+	repeats       repeats.Budget
 	retryGroups   []*group // whose waiting requests are tried again at the end of the step
 	seq           uint64
 	timerAt       time.Duration    // earliest timer asked for; long if none
@@ -180,17 +180,17 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Members:
+		case ListUpdate:
 			r.onMembers(e)
 		case Request:
 			r.onRequest(e)
 		case Result:
 			r.onResult(e)
-		case Probed:
+		case ProbeResult:
 			r.onProbed(e)
-		case Suspended:
+		case SuspensionChanged:
 			r.onSuspended(e)
-		case Lapsed:
+		case RequestAbandoned:
 			if q := r.requests[e.Request]; q != nil {
 				r.finish(q)
 			}
@@ -209,7 +209,7 @@
 	}
 	if at := r.wakes.Next(); at < r.timerAt {
 		r.timerAt, r.seq = at, r.seq+1
-		r.emit(Timer{After: max(0, r.timerAt-r.now), Timer: r.seq})
+		r.emit(SetTimer{After: max(0, r.timerAt-r.now), ID: r.seq})
 	}
 	return r.actions
 }
