--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,18 +18,18 @@
 // of each kind.
 func base() Settings {
 	return Settings{
-		Routers: 2, Tick: 5 * ms, ListRole: ListRoleInitial, PositionGrain: ms,
-		Probes: true, Cancels: true,
-		MaxTries: 8, MaxRetryAfter: time.Second,
-		DrainGrace: time.Second, MustAskIn: 10 * time.Second,
-		StartCapacity: 0.2, ColdTime: 10 * time.Second, FallMultiple: 3, FallTime: time.Second,
+		Routers: 2, Tick: 5 * ms, ListRole: ListRoleInitial, PositionGranularity: ms,
+		CanProbe: true, CanCancel: true,
+		MaxAttempts: 8, MaxRetryAfter: time.Second,
+		DrainGrace: time.Second, MaxListAge: 10 * time.Second,
+		StartCapacity: 0.2, SlowStartTime: 10 * time.Second, OverloadFactor: 3, OverloadWindow: time.Second,
 		Classes: []Class{
 			loose:   {Level: Loose, Aim: 500 * ms, Deadline: 2 * time.Second},
 			recent:  {Level: Recent, Bound: 500 * ms, Aim: 500 * ms, Deadline: 2 * time.Second},
 			own:     {Level: OwnWrites, Aim: 500 * ms, Deadline: 2 * time.Second},
 			latest:  {Level: Latest, Aim: 500 * ms, Deadline: 2 * time.Second},
-			keyed:   {Level: Write, Aim: 500 * ms, Deadline: 2 * time.Second, LateWorth: 0.5, Repeat: DedupGroup, DedupWindow: time.Second},
-			fragile: {Level: Write, Aim: 500 * ms, Deadline: 2 * time.Second, LateWorth: 0.5, Repeat: Fragile},
+			keyed:   {Level: Write, Aim: 500 * ms, Deadline: 2 * time.Second, LateWorth: 0.5, RetrySafety: DedupGroup, DedupWindow: time.Second},
+			fragile: {Level: Write, Aim: 500 * ms, Deadline: 2 * time.Second, LateWorth: 0.5, RetrySafety: AtMostOnce},
 		},
 	}
 }
@@ -61,7 +61,7 @@
 	if members == nil {
 		members = []Member{{Host: "p", Primary: true}, {Host: "a"}, {Host: "b"}}
 	}
-	g.at(0, Members{Kind: ListCached, Entries: members})
+	g.at(0, ListUpdate{Kind: ListCached, Entries: members})
 	return g
 }
 
@@ -73,13 +73,13 @@
 }
 
 func (g *rig) ask(id RequestID, class int) *rig {
-	return g.at(0, Request{ID: id, Class: class, Budget: g.r.set.Classes[class].Deadline})
+	return g.at(0, Request{ID: id, Class: class, Timeout: g.r.set.Classes[class].Deadline})
 }
 
 // report moves the clock on and gives a probe result: the position lies lag back.
 func (g *rig) report(after time.Duration, h HostID, role Role, lag time.Duration) *rig {
 	at := g.now + after - lag
-	return g.at(after, Probed{Host: h, Report: Report{HasPosition: true, Position: at, Role: role}})
+	return g.at(after, ProbeResult{Host: h, Report: Report{HasPosition: true, Position: at, Role: role}})
 }
 
 func (g *rig) sends() (hosts []HostID) {
@@ -158,7 +158,7 @@
 	g.failWrites(breakerThreshold, Reset)
 	g.report(300*ms, "a", Replica, 10*ms).ask("r", recent)
 	g.wantSend("a") // no probe has passed
-	g.at(10*ms, Probed{Host: "p"}).ask("s", recent)
+	g.at(10*ms, ProbeResult{Host: "p"}).ask("s", recent)
 	g.wantSend("p")
 	g.ask("t", recent)
 	g.wantSend("a") // one at a time
@@ -171,7 +171,7 @@
 
 	// Where no reads come a write asks, once the primary was left alone for a while.
 	g = newRig(t, base())
-	g.failWrites(breakerThreshold, Reset).at(10*ms, Probed{Host: "p"})
+	g.failWrites(breakerThreshold, Reset).at(10*ms, ProbeResult{Host: "p"})
 	g.ask("v", fragile)
 	g.wantFinal("v", 1, 0)
 	g.at(10*probeSoon).ask("w", fragile)
@@ -185,13 +185,13 @@
 func TestLateAnswerUnseatsThePrimary(t *testing.T) {
 	g := newRig(t, base())
 	g.failWrites(breakerThreshold, ConnectFailed)
-	g.at(300*ms, Probed{Host: "p"}).ask("r", recent)
+	g.at(300*ms, ProbeResult{Host: "p"}).ask("r", recent)
 	g.wantSend("p")
 	g.at(125*ms, Result{Request: "r", Host: "p", Outcome: Timeout, Latency: 125 * ms})
 	g.at(10*ms, Result{Host: "p", Attempt: -1, Outcome: NotSent, Finished: true, Role: Replica})
-	g.at(5*probeSoon, Probed{Host: "p"}).ask("s", recent)
+	g.at(5*probeSoon, ProbeResult{Host: "p"}).ask("s", recent)
 	g.wantSend()
-	g.at(10*probeSoon, Probed{Host: "p"}).ask("t", latest)
+	g.at(10*probeSoon, ProbeResult{Host: "p"}).ask("t", latest)
 	g.wantSend()
 }
 
@@ -200,7 +200,7 @@
 func TestHeldReadIsRefusedInTheFirstHalf(t *testing.T) {
 	g := newRig(t, base())
 	g.failWrites(breakerThreshold, Reset)
-	g.at(0, Request{ID: "r", Class: recent, Budget: 600 * ms})
+	g.at(0, Request{ID: "r", Class: recent, Timeout: 600 * ms})
 	g.at(250 * ms)
 	g.wantFinal("r", 0, 0)
 	g.at(49 * ms)
@@ -258,7 +258,7 @@
 // Rule: every request gets exactly one final answer in time.
 func TestAnswersByBudget(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Request{ID: "w", Class: fragile, Budget: 300 * ms})
+	g.at(0, Request{ID: "w", Class: fragile, Timeout: 300 * ms})
 	g.wantSend("p")
 	g.at(300 * ms)
 	g.wantFinal("w", 0, 1)
@@ -312,7 +312,7 @@
 // Rule: drains are kept, for a primary within the grace.
 func TestDrains(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Members{Kind: ListDelta, Entries: []Member{
+	g.at(0, ListUpdate{Kind: ListDelta, Entries: []Member{
 		{Host: "p", Status: Draining}, {Host: "a", Status: Draining}, {Host: "b", Status: Gone}}})
 	g.ask("r", loose)
 	g.wantSend()
@@ -325,8 +325,8 @@
 // A database that drains when it is first heard of has done so for nobody knows how long: it takes no writes either.
 func TestDrainsFoundAtTheStart(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Members{Kind: ListCached, Entries: []Member{{Host: "x", Group: 9, Status: Draining, Primary: true}}})
-	g.at(0, Request{ID: "w", Class: fragile, Group: 9, Budget: time.Second})
+	g.at(0, ListUpdate{Kind: ListCached, Entries: []Member{{Host: "x", Group: 9, Status: Draining, Primary: true}}})
+	g.at(0, Request{ID: "w", Class: fragile, Group: 9, Timeout: time.Second})
 	g.wantSend()
 }
 
@@ -334,7 +334,7 @@
 func TestDrainToldWhileAway(t *testing.T) {
 	for _, lost := range []time.Duration{0, 3 * time.Second} {
 		g := newRig(t, base())
-		g.at(5*time.Second, Away{Lost: lost}, Members{Kind: ListDelta, Entries: []Member{{Host: "p", Status: Draining}}})
+		g.at(5*time.Second, ProcessPaused{Total: lost}, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "p", Status: Draining}}})
 		if g.ask("w", fragile); lost > 0 {
 			g.wantSend()
 		} else {
@@ -345,7 +345,7 @@
 
 func TestFullListDropsTheUnlisted(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Members{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "a"}}})
+	g.at(0, ListUpdate{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "a"}}})
 	for _, id := range []RequestID{"1", "2", "3"} {
 		g.ask(id, loose)
 		g.wantSend("a")
@@ -355,7 +355,7 @@
 // Rule: a cold host is not pushed over.
 func TestColdHostGetsItsShare(t *testing.T) {
 	g := newRig(t, base())
-	g.at(0, Members{Kind: ListDelta, Entries: []Member{{Host: "b", StartedAt: g.now}}})
+	g.at(0, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "b", StartedAt: g.now}}})
 	n := map[HostID]int{}
 	type sent struct {
 		id RequestID
@@ -411,7 +411,7 @@
 		name    string
 		outcome Outcome
 		want    []HostID
-	}{{"rejections", Full, nil}, {"errors", Error, nil}, {"a slow answer", OK, nil}, {"a quick answer", OK, []HostID{"p"}}} {
+	}{{"rejections", AtCapacity, nil}, {"errors", Error, nil}, {"a slow answer", OK, nil}, {"a quick answer", OK, []HostID{"p"}}} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newRig(t, base(), Member{Host: "p", Primary: true}, Member{Host: "a"}).ask("x", latest)
 			after := 10 * ms
@@ -430,14 +430,14 @@
 
 func TestRememberedTokenAsksForItsCommit(t *testing.T) {
 	set := base()
-	set.Remembered = true
+	set.TracksSessions = true
 	g := newRig(t, set, Member{Host: "p", Primary: true}, Member{Host: "a"})
 	g.report(time.Second, "a", Replica, 10*ms)
-	g.at(0, Request{ID: "w", Class: fragile, Session: 7, Budget: time.Second})
+	g.at(0, Request{ID: "w", Class: fragile, Session: 7, Timeout: time.Second})
 	g.at(10*ms, Result{Request: "w", Host: "p", Outcome: OK, Finished: true, Role: Primary, Position: g.now, HasPosition: true})
-	g.at(ms, Request{ID: "x", Class: own, Session: 8, Budget: time.Second})
+	g.at(ms, Request{ID: "x", Class: own, Session: 8, Timeout: time.Second})
 	g.wantSend("a")
-	g.at(0, Request{ID: "r", Class: own, Session: 7, Budget: time.Second})
+	g.at(0, Request{ID: "r", Class: own, Session: 7, Timeout: time.Second})
 	if h := g.sends(); len(h) == 1 && h[0] == "a" {
 		t.Error("read sent to a replica not known to hold the session's write")
 	}
@@ -449,11 +449,11 @@
 func TestRepeatsAreBounded(t *testing.T) {
 	for _, share := range []float64{0, 0.1} {
 		g := newRig(t, base())
-		g.at(ms, Repeats{Share: share})
+		g.at(ms, RetryBudget{Share: share})
 		sent, refused := 0, 0
 		for i := range 100 {
 			id := RequestID(strconv.Itoa(i))
-			g.at(50*ms, Request{ID: id, Class: loose, Budget: time.Second})
+			g.at(50*ms, Request{ID: id, Class: loose, Timeout: time.Second})
 			for n := 0; ; n++ {
 				var host HostID
 				for _, a := range g.got {
@@ -489,7 +489,7 @@
 func TestListIsAskedForInTimeInAnyFleet(t *testing.T) {
 	for _, routers := range []int{1, 8, 25, 300, 3000} {
 		set := base()
-		set.List, set.Routers, set.MustAskIn = ListAsked, routers, 10*time.Second
+		set.ListSource, set.Routers, set.MaxListAge = ListFromService, routers, 10*time.Second
 		// waits is how long the router takes to ask again after the last of some failures.
 		waits := func(seed int64, kinds ...ListKind) (d time.Duration) {
 			r, err := New(set, seed)
@@ -503,7 +503,7 @@
 			}
 			for _, kind := range kinds {
 				from := now
-				for again := asked(Members{Kind: kind}); !again; again = asked() {
+				for again := asked(ListUpdate{Kind: kind}); !again; again = asked() {
 					now += 20 * ms
 					require.Less(t, now-from, time.Minute)
 				}
@@ -513,10 +513,10 @@
 		}
 		long := 0
 		for seed := range int64(40) {
-			for _, kinds := range [][]ListKind{{ListFailed}, slices.Repeat([]ListKind{ListFailed}, 9), slices.Repeat([]ListKind{ListCrowded}, 4)} {
+			for _, kinds := range [][]ListKind{{ListFailed}, slices.Repeat([]ListKind{ListFailed}, 9), slices.Repeat([]ListKind{ListQueueTimeout}, 4)} {
 				require.LessOrEqual(t, waits(seed, kinds...), 2520*ms, "%d routers, seed %d, %d failures", routers, seed, len(kinds))
 			}
-			if waits(seed, slices.Repeat([]ListKind{ListCrowded}, 8)...) > 2520*ms {
+			if waits(seed, slices.Repeat([]ListKind{ListQueueTimeout}, 8)...) > 2520*ms {
 				long++
 			}
 		}
@@ -530,7 +530,7 @@
 
 func TestSubscribesAgainAfterFailure(t *testing.T) {
 	set := base()
-	set.List = ListAsked
+	set.ListSource = ListFromService
 	g := newRig(t, set)
 	subscribed := func() (n int) {
 		for _, a := range g.got {
@@ -543,7 +543,7 @@
 	if subscribed() != 1 {
 		t.Fatal("no subscription at the start")
 	}
-	g.at(time.Second, Members{Kind: ListFailed})
+	g.at(time.Second, ListUpdate{Kind: ListFailed})
 	n := 0
 	for range 100 {
 		g.at(20 * ms)
@@ -591,7 +591,7 @@
 	set := base()
 	set.Classes[loose].Aim, set.Classes[loose].Deadline = 4*time.Second, 8*time.Second
 	g := newRig(t, set)
-	g.at(0, Members{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}}).ask("r", loose)
+	g.at(0, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}}).ask("r", loose)
 	g.wantSend("b")
 }
 
@@ -661,11 +661,11 @@
 		id := RequestID(string(rune('a'+i%26)) + string(rune(i+256)))
 		c := w.rnd.IntN(len(w.set.Classes))
 		q := Request{ID: id, Class: c, Group: groupOf(h), Session: SessionID(w.rnd.IntN(4)),
-			Budget: w.set.Classes[c].Deadline * time.Duration(40+w.rnd.IntN(61)) / 100}
-		a := &asked{class: c, group: q.Group, deadline: w.now + q.Budget}
+			Timeout: w.set.Classes[c].Deadline * time.Duration(40+w.rnd.IntN(61)) / 100}
+		a := &asked{class: c, group: q.Group, deadline: w.now + q.Timeout}
 		if w.set.Classes[c].Level == OwnWrites && w.rnd.IntN(2) == 0 {
-			q.TokenAge = time.Duration(1+w.rnd.IntN(500)) * ms
-			a.need = w.now - q.TokenAge
+			q.LastCommitAge = time.Duration(1+w.rnd.IntN(500)) * ms
+			a.need = w.now - q.LastCommitAge
 		}
 		w.requests[id], w.ids = a, append(w.ids, id)
 		return q, true
@@ -679,7 +679,7 @@
 		return w.result(id, a, n), true
 	case k < 18:
 		w.pos[h] = max(w.pos[h], w.now-time.Duration(w.rnd.IntN(1500))*ms)
-		e := Probed{Host: h, Outcome: Outcome(w.rnd.IntN(3) * 3 % 5)}
+		e := ProbeResult{Host: h, Outcome: Outcome(w.rnd.IntN(3) * 3 % 5)}
 		if e.Outcome == OK {
 			e.Report = Report{HasPosition: true, Position: w.pos[h], Role: Replica}
 			if w.rnd.IntN(8) == 0 {
@@ -689,11 +689,11 @@
 		}
 		return e, true
 	case k == 18:
-		return Lapsed{Request: "nobody"}, true
+		return RequestAbandoned{Request: "nobody"}, true
 	}
 	switch w.rnd.IntN(3) {
 	case 0:
-		return Members{Kind: ListFailed}, true
+		return ListUpdate{Kind: ListFailed}, true
 	case 1:
 		w.started[h] = w.now
 	default:
@@ -704,7 +704,7 @@
 	} else if _, ok := w.told[h]; !ok {
 		w.told[h] = w.now
 	}
-	return Members{Kind: ListDelta, Entries: []Member{{Host: h, Group: groupOf(h), Status: w.status[h], StartedAt: w.started[h]}}}, true
+	return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Group: groupOf(h), Status: w.status[h], StartedAt: w.started[h]}}}, true
 }
 
 // result ends attempt n of a request; now and then it is one that ended before.
@@ -749,14 +749,14 @@
 			w.t.Fatalf("%v: told of its end %v ago", act, w.now-told)
 		}
 		live := a.mayRun || slices.Contains(a.open, true)
-		if live && (c.Repeat == Fragile || c.Repeat == DedupGroup && w.now > a.firstRun+c.DedupWindow) {
+		if live && (c.RetrySafety == AtMostOnce || c.RetrySafety == DedupGroup && w.now > a.firstRun+c.DedupWindow) {
 			w.t.Fatalf("%v: forbidden resend", act)
 		}
 		need := a.need
 		if c.Level == Recent {
 			need = w.now - c.Bound
 		}
-		if w.set.Behind == BehindServe && c.Level != Write && need > 0 && w.pos[h] < need && w.replica[h] {
+		if w.set.StaleReadMode == StaleReadServe && c.Level != Write && need > 0 && w.pos[h] < need && w.replica[h] {
 			w.t.Fatalf("%v: data at %v, needed %v", act, w.pos[h], need)
 		}
 		if a.firstRun == 0 {
@@ -766,7 +766,7 @@
 	case Refuse:
 		a := w.requests[act.Request]
 		c := w.set.Classes[a.class]
-		if c.Repeat != Retryable && (a.mayRun || slices.Contains(a.open, true)) {
+		if c.RetrySafety != Retryable && (a.mayRun || slices.Contains(a.open, true)) {
 			w.t.Fatalf("%v: refused though it may have run", act)
 		}
 		w.end(act.Request)
@@ -819,7 +819,7 @@
 		}
 		w.trace = append(w.trace, acts...)
 	}
-	step(Members{Kind: ListCached, Entries: w.members()})
+	step(ListUpdate{Kind: ListCached, Entries: w.members()})
 	for i := range 4000 {
 		w.now += time.Duration(w.rnd.IntN(3)) * 5 * ms
 		if e, ok := w.event(i); ok {
@@ -843,8 +843,8 @@
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		set := base()
-		set.List = ListSource(seed % 2)
-		set.Behind = Behind(seed % 3)
+		set.ListSource = ListSource(seed % 2)
+		set.StaleReadMode = StaleReadMode(seed % 3)
 		if seed%5 == 0 {
 			set.ListRole = ListRoleNone
 		}
@@ -873,7 +873,7 @@
 	g := newRig(t, base())
 	g.ask("w", fragile).wantSend("p")
 	g.at(100 * ms)
-	g.at(600*ms, Away{Lost: 590 * ms})
+	g.at(600*ms, ProcessPaused{Total: 590 * ms})
 	if h := g.r.hosts["p"]; h.fails != 0 || h.strain > 0 {
 		t.Errorf("%d failures, strain %.2f, by own absence", h.fails, h.strain)
 	}
@@ -885,7 +885,7 @@
 	if h := g.r.hosts["p"]; h.fails != 1 {
 		t.Errorf("%d failures, though the aim has passed", h.fails)
 	}
-	g.at(0, Probed{Host: "p", Outcome: NotSent})
+	g.at(0, ProbeResult{Host: "p", Outcome: NotSent})
 	if g.r.lost != 0 {
 		t.Error("a probe that this process could not see to counts as lost")
 	}
@@ -948,7 +948,7 @@
 // A primary that is full is not asked again at once: that adds load where there
 // is no capacity left.
 func TestFullPrimaryIsNotAskedAgain(t *testing.T) {
-	g := newRig(t, base()).ask("w", fragile).at(ms, Result{Request: "w", Host: "p", Outcome: Full, Role: Primary})
+	g := newRig(t, base()).ask("w", fragile).at(ms, Result{Request: "w", Host: "p", Outcome: AtCapacity, Role: Primary})
 	g.wantSend()
 	g.wantFinal("w", 1, 0)
 }
@@ -956,14 +956,14 @@
 // Where only draining binds, a host that fell out of the list may still be used.
 func TestGoneAsAdvice(t *testing.T) {
 	set := base()
-	set.GoneIsAdvice = true
+	set.GoneIsAdvisory = true
 	gone := func(h HostID) Event {
-		return Members{Kind: ListDelta, Entries: []Member{{Host: h, Status: Gone}}}
+		return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Status: Gone}}}
 	}
 	g := newRig(t, set, Member{Host: "p", Primary: true}, Member{Host: "a"})
 	g.at(ms, gone("a")).at(2*time.Second).ask("r", loose)
 	g.wantSend("a")
-	g.at(ms, Members{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}}, gone("a"))
+	g.at(ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}}, gone("a"))
 	g.at(2*time.Second).ask("r2", loose)
 	g.wantSend("p")
 }
@@ -983,7 +983,7 @@
 // after a while, and a write looks for the primary itself.
 func TestWorksWithoutProbes(t *testing.T) {
 	set := base()
-	set.Probes = false
+	set.CanProbe = false
 	g := newRig(t, set).failWrites(breakerThreshold, Error).ask("w", fragile)
 	g.wantFinal("w", 1, 0)
 	g.at(5*probeSoon).ask("w2", fragile)
@@ -1033,7 +1033,7 @@
 		}
 		g.wantFinal(id, 0, 1)
 	}
-	g.at(0, Probed{Host: "p"}).ask("w", fragile)
+	g.at(0, ProbeResult{Host: "p"}).ask("w", fragile)
 	g.wantSend("p")
 
 	g = newRig(t, base()).ask("r", loose)
@@ -1077,7 +1077,7 @@
 	const n = 1200
 	for i := range n {
 		id := RequestID(rune(i + 256))
-		g.at(10*ms, Request{ID: id, Class: loose, Budget: time.Second})
+		g.at(10*ms, Request{ID: id, Class: loose, Timeout: time.Second})
 		asked := g.probed()
 		for _, h := range g.sends() {
 			g.at(0, Result{Request: id, Host: h, Outcome: OK, Finished: true, Latency: 10 * ms})
@@ -1085,7 +1085,7 @@
 		for h := range asked {
 			probes++
 			seen[h]++
-			g.at(0, Probed{Host: h, Report: Report{Role: Replica}})
+			g.at(0, ProbeResult{Host: h, Report: Report{Role: Replica}})
 		}
 	}
 	if len(seen) != len(list) || float64(probes) > 1.1*n*probeShare {
@@ -1097,7 +1097,7 @@
 func TestFailedProbesAloneDoNotTrip(t *testing.T) {
 	g := newRig(t, base())
 	for range 3 * breakerThreshold {
-		g.at(300*ms, Probed{Host: "p", Outcome: Timeout})
+		g.at(300*ms, ProbeResult{Host: "p", Outcome: Timeout})
 	}
 	g.ask("w", fragile)
 	g.wantSend("p")
@@ -1111,7 +1111,7 @@
 		lost := g.probed()["p"] > 0
 		g.at(20 * ms)
 		if lost {
-			g.at(0, Probed{Host: "p", Outcome: ConnectFailed})
+			g.at(0, ProbeResult{Host: "p", Outcome: ConnectFailed})
 		}
 	}
 	if !g.r.groups[0].open {
@@ -1156,7 +1156,7 @@
 
 func (f *fleet) list(list ...Member) {
 	for _, r := range f.routers {
-		r.Step(f.now, []Event{Members{Kind: ListFull, Entries: list}})
+		r.Step(f.now, []Event{ListUpdate{Kind: ListFull, Entries: list}})
 	}
 }
 
@@ -1178,7 +1178,7 @@
 					e.Latency = f.write
 				}
 				if !ok {
-					r.Step(at, []Event{Lapsed{Request: id}})
+					r.Step(at, []Event{RequestAbandoned{Request: id}})
 					e.Outcome, e.Latency = Cancelled, 20*ms
 				}
 				r.Step(at, []Event{e})
@@ -1187,13 +1187,13 @@
 			}
 		}
 	}
-	note(r.Step(at, []Event{Request{ID: id, Class: class, Budget: time.Second}}))
+	note(r.Step(at, []Event{Request{ID: id, Class: class, Timeout: time.Second}}))
 	for range 20 { // news of another member has what is held tried again
 		if held {
-			note(r.Step(at, []Event{Probed{Host: "b"}}))
+			note(r.Step(at, []Event{ProbeResult{Host: "b"}}))
 		}
 	}
-	r.Step(at, []Event{Lapsed{Request: id}})
+	r.Step(at, []Event{RequestAbandoned{Request: id}})
 }
 
 // Rule: in no FallTime is a cold host sent more than FallMultiple times what it can
@@ -1222,7 +1222,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			set := base()
-			set.StartCapacity, set.FallMultiple = 0.16, 4
+			set.StartCapacity, set.OverloadFactor = 0.16, 4
 			f := newFleet(t, set, tt.routers, tt.uneven)
 			f.write = tt.write
 			list := []Member{{Host: "p", Primary: true}, {Host: "a"}, {Host: "b"}}
@@ -1242,7 +1242,7 @@
 			if tt.cold == "p" { // back as what it was
 				f.now += ms
 				for _, r := range f.routers {
-					r.Step(f.now, []Event{Probed{Host: "p", Report: Report{HasPosition: true, Position: f.now, Role: Primary}}})
+					r.Step(f.now, []Event{ProbeResult{Host: "p", Report: Report{HasPosition: true, Position: f.now, Role: Primary}}})
 				}
 			}
 			f.sent = map[HostID][]time.Duration{}
@@ -1253,11 +1253,11 @@
 			sent, most := f.sent[tt.cold], 0.0
 			for i, at := range sent {
 				n := 0
-				for n < len(sent)-i && sent[i+n] < at+set.FallTime {
+				for n < len(sent)-i && sent[i+n] < at+set.OverloadWindow {
 					n++
 				}
-				warm := 0.16 + 0.84*(at-start).Seconds()/set.ColdTime.Seconds()
-				most = max(most, float64(n)/(warm*set.FallMultiple*capacity*set.FallTime.Seconds()))
+				warm := 0.16 + 0.84*(at-start).Seconds()/set.SlowStartTime.Seconds()
+				most = max(most, float64(n)/(warm*set.OverloadFactor*capacity*set.OverloadWindow.Seconds()))
 			}
 			if len(sent) < 50 || most > 0.7 {
 				t.Errorf("%d sent, at worst %.2f of the limit", len(sent), most)
@@ -1271,7 +1271,7 @@
 func TestFreshRouterSparesColdHosts(t *testing.T) {
 	for _, class := range []int{loose, recent, latest, keyed} {
 		set := base()
-		set.Probes, set.ListRole = false, ListRoleNone
+		set.CanProbe, set.ListRole = false, ListRoleNone
 		g := newRig(t, set, Member{Host: "a", StartedAt: 99 * time.Second}, Member{Host: "b", StartedAt: 99 * time.Second})
 		g.at(500*ms).ask("q", class)
 		g.wantSend()
@@ -1282,13 +1282,13 @@
 // work, so each asks it once in a FallTime.
 func TestSeekingSparesColdHosts(t *testing.T) {
 	g := newRig(t, base())
-	g.at(ms, Members{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}})
+	g.at(ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}})
 	g.failWrites(breakerThreshold, Error)
 	n := map[HostID]int{}
 	for range 30 {
 		for h := range g.probed() {
 			n[h]++
-			g.at(0, Probed{Host: h, Report: Report{Role: Replica}})
+			g.at(0, ProbeResult{Host: h, Report: Report{Role: Replica}})
 		}
 		g.at(100 * ms)
 	}
@@ -1311,7 +1311,7 @@
 		for range 60 {
 			id++
 			q := RequestID(rune(id))
-			g.at(200*ms, Request{ID: q, Class: loose, Group: GroupID(id % 10), Budget: 2 * time.Second})
+			g.at(200*ms, Request{ID: q, Class: loose, Group: GroupID(id % 10), Timeout: 2 * time.Second})
 			n, _ := g.final(q)
 			refused += n
 			for _, h := range g.sends() {
@@ -1324,7 +1324,7 @@
 	if _, refused := play(OK, 50*ms); refused > 0 {
 		t.Errorf("%d refused while all answers are in time", refused)
 	}
-	play(Full, ms)
+	play(AtCapacity, ms)
 	if p := g.r.admit[false]; p > 0.2 {
 		t.Errorf("share %v after rejections", p)
 	}
@@ -1347,10 +1347,10 @@
 		for i := range 100 {
 			id := RequestID(rune(i + 256))
 			g.at(tt.every)
-			hung = hung || slices.Contains(g.got, Action(HangUp{Host: "a"}))
+			hung = hung || slices.Contains(g.got, Action(CloseIdleConnections{Host: "a"}))
 			g.ask(id, loose).wantSend("a")
 			g.at(10*ms, Result{Request: id, Host: "a", Outcome: OK, Finished: true, Latency: 10 * ms})
-			if slices.Contains(g.got, Action(HangUp{Host: "a"})) {
+			if slices.Contains(g.got, Action(CloseIdleConnections{Host: "a"})) {
 				t.Fatal("hung up at once: the next request pays for a new connection")
 			}
 		}
@@ -1438,11 +1438,11 @@
 func TestLostProbesDoNotTripOrHoldOpen(t *testing.T) {
 	g := newRig(t, base())
 	for range 20 {
-		g.at(300*ms, Probed{Host: "a", Outcome: Timeout}, Probed{Host: "p", Outcome: Timeout})
+		g.at(300*ms, ProbeResult{Host: "a", Outcome: Timeout}, ProbeResult{Host: "p", Outcome: Timeout})
 	}
 	g.failWrites(1, Error)
 	for range 3 * breakerThreshold {
-		g.at(250*ms, Probed{Host: "p", Outcome: Timeout})
+		g.at(250*ms, ProbeResult{Host: "p", Outcome: Timeout})
 	}
 	g.ask("w", fragile)
 	g.wantSend("p")
@@ -1497,11 +1497,11 @@
 	answered := 0
 	for i := range 15 { // the 20th request's probe goes around all members
 		id := RequestID(rune(i + 256))
-		g.at(100*ms, Request{ID: id, Class: i % 6, Budget: time.Second})
+		g.at(100*ms, Request{ID: id, Class: i % 6, Timeout: time.Second})
 		for _, h := range g.sends() {
 			answered++
 			g.at(10*ms, Result{Request: id, Host: h, Outcome: Outcome(i % 3), Latency: 10 * ms},
-				Probed{Host: h, Outcome: Timeout})
+				ProbeResult{Host: h, Outcome: Timeout})
 		}
 	}
 	if g.at(10 * time.Second); answered < 5 {
@@ -1513,9 +1513,9 @@
 // and classes out of range, a report without fields.
 func TestBadInputIsIgnored(t *testing.T) {
 	g := newRig(t, base())
-	g.at(ms, Probed{Host: "nobody"}, Result{Request: "none", Host: "nobody"}, Result{Request: "none", Host: "p"},
-		Lapsed{Request: "none"}, Request{ID: "c", Class: 99}, Request{ID: "d", Class: -1}, Elapsed{Timer: 77},
-		Probed{Host: "p", Report: Report{}}, Members{Kind: ListDelta})
+	g.at(ms, ProbeResult{Host: "nobody"}, Result{Request: "none", Host: "nobody"}, Result{Request: "none", Host: "p"},
+		RequestAbandoned{Request: "none"}, Request{ID: "c", Class: 99}, Request{ID: "d", Class: -1}, TimerFired{ID: 77},
+		ProbeResult{Host: "p", Report: Report{}}, ListUpdate{Kind: ListDelta})
 	g.ask("w", fragile)
 	g.wantSend("p")
 	g.at(ms, Result{Request: "w", Attempt: 5, Host: "p", Outcome: Error}, Result{Request: "w", Attempt: -1, Host: "p"})
@@ -1550,25 +1550,25 @@
 	g := newRig(t, base())
 	for i := range 50 {
 		next := HostID(rune('A' + i))
-		g.at(2*time.Second, Members{Kind: ListFull, Entries: []Member{{Host: "p", Primary: true}, {Host: next}}})
+		g.at(2*time.Second, ListUpdate{Kind: ListFull, Entries: []Member{{Host: "p", Primary: true}, {Host: next}}})
 		seen := 0
 		for n := range 200 {
 			id := RequestID(rune(1000*i + n + 256))
-			g.at(10*ms, Request{ID: id, Class: loose, Budget: time.Second})
+			g.at(10*ms, Request{ID: id, Class: loose, Timeout: time.Second})
 			asked := g.probed()
 			for _, h := range g.sends() {
 				g.at(0, Result{Request: id, Host: h, Outcome: OK, Finished: true, Latency: ms})
 			}
 			seen += asked[next]
 			for h := range asked {
-				g.at(0, Probed{Host: h, Report: Report{Role: Replica}})
+				g.at(0, ProbeResult{Host: h, Report: Report{Role: Replica}})
 			}
 		}
 		if seen == 0 {
 			t.Fatalf("%s was probed %d times beside %d hosts that left", next, seen, i)
 		}
 	}
-	g.at(markAge, Elapsed{}).at(markAge, Elapsed{})
+	g.at(markAge, TimerFired{}).at(markAge, TimerFired{})
 	if len(g.r.hosts) > 3 || len(g.r.order) > 3 || len(g.r.groups[0].hosts) > 3 {
 		t.Errorf("%d hosts are kept", len(g.r.hosts))
 	}
@@ -1581,7 +1581,7 @@
 		for _, h := range []HostID{"a", "b"} {
 			g.report(0, h, Replica, 0)
 			if mute {
-				g.at(0, Probed{Host: h}) // it runs: that is all
+				g.at(0, ProbeResult{Host: h}) // it runs: that is all
 			}
 		}
 		g.at(2*time.Second).ask("q", recent)
--- a/policy/primary.go
+++ b/policy/primary.go
@@ -78,7 +78,7 @@
 
 // leastKnown is the member whose role was heard of longest ago, where only a write, turned away, can tell it.
 func (r *Router) leastKnown(q *request) (oldest *host) {
-	if r.set.Probes && !r.mute || q.class.Level != Write {
+	if r.set.CanProbe && !r.mute || q.class.Level != Write {
 		return nil
 	}
 	for _, h := range q.g.hosts {
@@ -100,7 +100,7 @@
 
 // doubt begins to look for the primary of g, or whether it still answers.
 func (r *Router) doubt(g *group) {
-	if !g.seeking && r.set.Probes {
+	if !g.seeking && r.set.CanProbe {
 		g.doubtAt = r.now
 		r.seek(g)
 	}
@@ -130,4 +130,4 @@
 }
 
 // blind: probes tell little or may not be sent, so only a request can close a breaker.
-func (r *Router) blind() bool { return !r.set.Probes || r.lost > lostProbes }
+func (r *Router) blind() bool { return !r.set.CanProbe || r.lost > lostProbes }
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -22,8 +22,8 @@
 }
 
 func (r *Router) probe(h *host) {
-	soon := r.warmth(h) < 1 && r.now-h.probedAt < r.set.FallTime
-	if r.set.Probes && !h.probing && !r.left(h) && !r.out[h.id] && !soon {
+	soon := r.warmth(h) < 1 && r.now-h.probedAt < r.set.OverloadWindow
+	if r.set.CanProbe && !h.probing && !r.left(h) && !r.out[h.id] && !soon {
 		h.probing, h.probedAt = true, r.now
 		r.emit(Probe{Host: h.id})
 	}
@@ -47,7 +47,7 @@
 	return len(likely) > 0
 }
 
-func (r *Router) onProbed(e Probed) {
+func (r *Router) onProbed(e ProbeResult) {
 	h := r.hosts[e.Host]
 	if h == nil {
 		return
@@ -56,7 +56,7 @@
 	r.retryWaiting(h.group)
 	r.onReport(h, e.Report)
 	lost, mute := 1.0, e.Report.Role == RoleUnknown
-	if e.Outcome == OK || e.Outcome == Full {
+	if e.Outcome == OK || e.Outcome == AtCapacity {
 		if lost, r.mute = 0, mute; mute {
 			h.upAt = r.now
 		}
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -27,16 +27,16 @@
 // required is the position a member must have to serve q if sent now.
 func (r *Router) required(q *request) time.Duration {
 	switch {
-	case q.class.Level == Recent && r.set.Behind == BehindServe && !r.knowsTime():
+	case q.class.Level == Recent && r.set.StaleReadMode == StaleReadServe && !r.knowsTime():
 		return long
 	case q.class.Level == Recent:
 		return max(1, r.databaseTime()-q.class.Bound)
 	case q.class.Level == Latest:
 		return q.arrived + r.clock.offset
-	case q.class.Level == OwnWrites && r.set.Remembered:
+	case q.class.Level == OwnWrites && r.set.TracksSessions:
 		return max(r.base, r.marks[q.Session])
-	case q.class.Level == OwnWrites && q.TokenAge != 0:
-		return q.arrived - q.TokenAge // a commit as it was told, whatever the clocks say
+	case q.class.Level == OwnWrites && q.LastCommitAge != 0:
+		return q.arrived - q.LastCommitAge // a commit as it was told, whatever the clocks say
 	}
 	return 0
 }
@@ -47,7 +47,7 @@
 	for _, h := range q.g.hosts {
 		switch {
 		case h == q.g.primary || q.tried(h) || !r.mayTake(h, false) || !r.room(h, q):
-		case h.pos < r.required(q) && (r.set.Behind == BehindServe || !r.shouldFit(q, h)):
+		case h.pos < r.required(q) && (r.set.StaleReadMode == StaleReadServe || !r.shouldFit(q, h)):
 			// Where hosts check reads it is enough that one should fit, or all would crowd on one.
 		case r.warmth(h) >= 1:
 			fit, least = append(fit, h), min(least, r.cost(h))
--- a/policy/result.go
+++ b/policy/result.go
@@ -26,7 +26,7 @@
 	if len(h.out) == 0 && h.gap > seldom {
 		r.wakeAt(h.sentAt+seldom, func() {
 			if len(h.out) == 0 && r.now-h.sentAt >= seldom {
-				r.emit(HangUp{Host: h.id})
+				r.emit(CloseIdleConnections{Host: h.id})
 			}
 		})
 	}
@@ -41,8 +41,8 @@
 	if e.HasPosition && r.Plausible(e.Position) {
 		pos := e.Position
 		if e.Outcome == OK && q.class.Level == Write {
-			pos -= r.set.PositionGrain
-			if r.set.Remembered {
+			pos -= r.set.PositionGranularity
+			if r.set.TracksSessions {
 				r.marks[q.Session] = max(r.marks[q.Session], e.Position)
 			}
 		}
@@ -60,7 +60,7 @@
 	case e.Finished || e.Outcome == OK || q.done:
 		r.finish(q)
 	case q.out > 0:
-	case again, q.missed && q.g.primary != nil && q.tried(q.g.primary), e.Outcome == Full && h == q.g.primary:
+	case again, q.missed && q.g.primary != nil && q.tried(q.g.primary), e.Outcome == AtCapacity && h == q.g.primary:
 		// The request itself fails, most likely, or a retry would add load where there is no room.
 		r.giveUp(q, RetryPointless)
 	default:
@@ -73,7 +73,7 @@
 	h, c := a.h, a.q.Class
 	h.gap += time.Duration(smooth * float64(r.now-h.judgedAt-h.gap))
 	h.judgedAt = r.now
-	if r.warmth(h) < 1 && (o == OK || o == Full || o == Timeout) {
+	if r.warmth(h) < 1 && (o == OK || o == AtCapacity || o == Timeout) {
 		past := min(1, (r.now - r.easeAt).Seconds()) // since the last answer of a cold host
 		r.easeAt = r.now
 		if r.ease = min(1, r.ease+past/8); o != OK || latency.Seconds() > strained*a.q.class.Aim.Seconds() {
@@ -108,7 +108,7 @@
 		} else if float64(len(h.out)+1) > 0.6*h.limit {
 			h.limit += min(h.limit, 1/h.limit) / 2
 		}
-	case Full:
+	case AtCapacity:
 		r.throttle(h, admitFull)
 		r.cutLimit(h)
 	case Error, Timeout, Reset, ConnectFailed:
@@ -120,7 +120,7 @@
 		if a.q.class.Level == Write {
 			r.countFailure(h)
 		} else {
-			h.lag = max(h.lag, r.databaseTime()-r.required(a.q)+r.set.Patience+r.set.Tick)
+			h.lag = max(h.lag, r.databaseTime()-r.required(a.q)+r.set.StaleReadHoldTime+r.set.Tick)
 		}
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,15 +18,15 @@
 
 // mayResend keeps the rule of repeats; a first attempt is always allowed.
 func (r *Router) mayResend(q *request) bool {
-	left := (r.set.MaxTries <= 0 || len(q.attempts) < r.set.MaxTries) && r.repeats.Left(q.failed)
-	inWindow := q.class.Repeat != Fragile && r.now+r.set.Tick < q.mayRunAt+q.class.DedupWindow
-	return left && (!q.mayRun && q.out == 0 || q.class.Repeat == Retryable || inWindow)
+	left := (r.set.MaxAttempts <= 0 || len(q.attempts) < r.set.MaxAttempts) && r.repeats.Allows(q.failed)
+	inWindow := q.class.RetrySafety != AtMostOnce && r.now+r.set.Tick < q.mayRunAt+q.class.DedupWindow
+	return left && (!q.mayRun && q.out == 0 || q.class.RetrySafety == Retryable || inWindow)
 }
 
 // giveUp gives the final answer at once: a refusal where trying again is harmless for certain, or a failure.
 func (r *Router) giveUp(q *request, why Reason) {
 	var a Action = Fail{Request: q.ID, Reason: why}
-	if q.class.Repeat == Retryable || q.class.Repeat == DedupAll || !q.mayRun && q.out == 0 {
+	if q.class.RetrySafety == Retryable || q.class.RetrySafety == DedupAll || !q.mayRun && q.out == 0 {
 		after := r.jitter(min(r.set.MaxRetryAfter*4/5, q.class.Deadline/4))
 		a = Refuse{Request: q.ID, Reason: why, RetryAfter: after}
 	}
@@ -37,7 +37,7 @@
 // finish ends q here; copies still out are called off.
 func (r *Router) finish(q *request) {
 	for i, a := range q.attempts {
-		if !q.done && !a.resolved && r.set.Cancels {
+		if !q.done && !a.resolved && r.set.CanCancel {
 			r.emit(Cancel{Request: q.ID, Attempt: i})
 		}
 	}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -13,7 +13,7 @@
 		return
 	}
 	c := &r.set.Classes[e.Class]
-	q := &request{Request: e, class: c, g: r.groups[e.Group], arrived: r.now, deadline: r.now + e.Budget}
+	q := &request{Request: e, class: c, g: r.groups[e.Group], arrived: r.now, deadline: r.now + e.Timeout}
 	q.useful = q.deadline
 	if c.LateWorth <= 0 {
 		q.useful = min(q.deadline, r.now+c.Aim)
@@ -45,7 +45,7 @@
 		r.giveUp(q, FencedOff)
 		return
 	case !r.mayAct():
-		r.wait(q, r.begunAt+CompareTime)
+		r.wait(q, r.begunAt+StartupTimeout)
 		return
 	case r.mayTry(q):
 		r.send(q, q.g.primary)
@@ -66,7 +66,7 @@
 		return
 	}
 	q.g.noFreshReplica = q.g.noFreshReplica || q.class.Level == Recent
-	if r.set.Behind == BehindServe && q.positionsUntil == 0 && r.probeForPositions(q) {
+	if r.set.StaleReadMode == StaleReadServe && q.positionsUntil == 0 && r.probeForPositions(q) {
 		// Positions age faster than probes come: they are asked for before the primary is burdened.
 		q.positionsUntil = r.now + q.class.Aim/8
 	}
@@ -114,10 +114,10 @@
 func (r *Router) wait(q *request, until time.Duration) {
 	until = min(until, q.useful, q.deadline-r.set.Tick)
 	if len(q.attempts) == 0 { // a refusal that took half its time has cost the client more than it tells
-		until = min(until, q.arrived+q.Budget/2-r.set.Tick)
+		until = min(until, q.arrived+q.Timeout/2-r.set.Tick)
 	}
 	if until <= r.now {
-		r.giveUp(q, WaitedInVain)
+		r.giveUp(q, WaitTimedOut)
 		return
 	}
 	if !q.waiting {
@@ -156,15 +156,15 @@
 		timeout = min(timeout, q.class.Aim/4)
 	}
 	begin := time.Duration(0)
-	if q.mayRun && q.class.Repeat != Retryable {
+	if q.mayRun && q.class.RetrySafety != Retryable {
 		begin = q.mayRunAt + q.class.DedupWindow - r.set.Tick - r.now
 	}
-	r.emit(Send{Request: q.ID, Host: h.id, Timeout: timeout, Begin: begin})
+	r.emit(Send{Request: q.ID, Host: h.id, Timeout: timeout, BeginWithin: begin})
 	a := &attempt{q: q, h: h, sentAt: r.now, away: r.away}
 	q.attempts = append(q.attempts, a)
 	h.out = append(h.out, a)
 	q.out, q.waiting, h.sentAt = q.out+1, false, r.now
-	r.repeats.Made(q.failed)
+	r.repeats.Record(q.failed)
 	q.mayRunAt = cmp.Or(q.mayRunAt, r.now)
 	r.wakeAt(r.now+q.class.Aim, func() { r.checkOverdue(a) })
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,10 +6,10 @@
 
 // warmth is the share of its capacity that h can be counted on to have.
 func (r *Router) warmth(h *host) float64 {
-	if h.startedAt <= 0 || min(r.set.ColdTime, r.set.FallTime) <= 0 || r.set.FallMultiple <= 0 {
+	if h.startedAt <= 0 || min(r.set.SlowStartTime, r.set.OverloadWindow) <= 0 || r.set.OverloadFactor <= 0 {
 		return 1
 	}
-	age := float64(r.databaseTime()-h.startedAt) / float64(r.set.ColdTime)
+	age := float64(r.databaseTime()-h.startedAt) / float64(r.set.SlowStartTime)
 	return min(1, r.set.StartCapacity+(1-r.set.StartCapacity)*max(0, age))
 }
 
@@ -24,9 +24,9 @@
 		return w >= 1
 	}
 	part := coldPart + coldMore*r.ease*(w-r.set.StartCapacity)/(1-r.set.StartCapacity)
-	rate := max(r.served, r.asked/4) / (r.now - r.since + r.set.FallTime).Seconds()
-	grow := part * r.set.FallMultiple * w * rate
-	most := grow * r.set.FallTime.Seconds() * max(0.25, float64(r.set.Routers)/coldRouters) // for a burst
+	rate := max(r.served, r.asked/4) / (r.now - r.since + r.set.OverloadWindow).Seconds()
+	grow := part * r.set.OverloadFactor * w * rate
+	most := grow * r.set.OverloadWindow.Seconds() * max(0.25, float64(r.set.Routers)/coldRouters) // for a burst
 	budget := min(most, h.budget+grow*(r.now-h.budgetAt).Seconds())
 	pay := min(budget, r.work(q.Class))
 	h.budget, h.budgetAt = budget-pay, r.now
--- a/policy/suspend_test.go
+++ b/policy/suspend_test.go
@@ -31,15 +31,15 @@
 // probes in turn; discovery's word in between changes nothing, nor does leaving the list and coming back.
 func TestSuspendedHostGetsNothing(t *testing.T) {
 	g := suspendedRig(t)
-	g.at(ms, Suspended{Host: "a", Out: true}, Suspended{Host: "a", Out: true})
-	if !slices.Contains(g.got, Action(Withdraw{Host: "a"})) {
+	g.at(ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "a", Active: true})
+	if !slices.Contains(g.got, Action(StopUsingHost{Host: "a"})) {
 		t.Errorf("what waits for it is not given back: %v", g.got)
 	}
 	news := [][]Event{
 		nil,
-		{Members{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}}},
-		{Members{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "b"}}}},
-		{Members{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "a"}, {Host: "b"}}}},
+		{ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}}},
+		{ListUpdate{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "b"}}}},
+		{ListUpdate{Kind: ListFull, Entries: []Member{{Host: "p"}, {Host: "a"}, {Host: "b"}}}},
 	}
 	id := 0
 	for _, e := range news {
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	if n := g.r.Skipped(); n != 1 {
+	if n := g.r.ExcludedHosts(); n != 1 {
 		t.Errorf("%d hosts are skipped, not 1", n)
 	}
 }
@@ -79,8 +79,8 @@
 	g := suspendedRig(t)
 	h := g.r.hosts["a"]
 	h.slow, h.strain, h.limit, h.fails = 9, 1, 0.1, 7
-	g.at(ms, Suspended{Host: "a", Out: true}, Suspended{Host: "a", Out: true})
-	g.at(3*time.Second, Suspended{Host: "a"})
+	g.at(ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "a", Active: true})
+	g.at(3*time.Second, SuspensionChanged{Host: "a"})
 	if w := g.r.warmth(h); w > g.r.set.StartCapacity+0.01 {
 		t.Errorf("it counts as warm to %.2f", w)
 	}
@@ -102,7 +102,7 @@
 // loop between members.
 func TestSuspendedPrimary(t *testing.T) {
 	g := suspendedRig(t)
-	g.at(ms, Suspended{Host: "p", Out: true})
+	g.at(ms, SuspensionChanged{Host: "p", Active: true})
 	probed := g.sentTo()
 	if !slices.Contains(probed, "a") || !slices.Contains(probed, "b") || slices.Contains(probed, "p") {
 		t.Errorf("probed %v to find the new primary", probed)
@@ -111,7 +111,7 @@
 	if hosts := g.sentTo(); slices.Contains(hosts, "p") {
 		t.Errorf("a write goes to %v", hosts)
 	}
-	g.at(ms, Members{Kind: ListDelta, Entries: []Member{{Host: "p", Primary: true}}})
+	g.at(ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "p", Primary: true}}})
 	g.report(50*ms, "b", Primary, 0)
 	if hosts := g.sentTo(); !slices.Contains(hosts, "b") {
 		t.Errorf("the write that waits goes to %v, not to the new primary", hosts)
@@ -123,7 +123,7 @@
 	g := suspendedRig(t)
 	g.ask("q", fragile)
 	s := g.got[0].(Send)
-	g.at(ms, Suspended{Host: s.Host, Out: true}, Result{Request: "q", Host: s.Host, Outcome: NotSent})
+	g.at(ms, SuspensionChanged{Host: s.Host, Active: true}, Result{Request: "q", Host: s.Host, Outcome: NotSent})
 	for _, a := range g.got {
 		if _, failed := a.(Fail); failed {
 			t.Errorf("a write that never ran is failed: %v", g.got)
--- a/policy/types.go
+++ b/policy/types.go
@@ -28,7 +28,7 @@
 const (
 	OK            Outcome = iota
 	Error                 // the host replied with an error; a write may have had its effect
-	Full                  // rejected unseen
+	AtCapacity            // rejected unseen
 	Timeout               // no reply in time; it may have run or run still
 	ConnectFailed         // no connection; it never ran
 	Reset                 // the connection dropped; it may have run
@@ -62,14 +62,14 @@
 	Write                      // only the primary takes it
 )
 
-// Repeat says how safe it is to run a request twice.
-type Repeat uint8
+// RetrySafety says how safe it is to run a request twice.
+type RetrySafety uint8
 
 const (
-	Retryable  Repeat = iota // harmless
-	DedupGroup               // the group drops repeats within Class.DedupWindow
-	DedupAll                 // every host drops repeats within Class.DedupWindow
-	Fragile                  // it must never run twice
+	Retryable  RetrySafety = iota // harmless
+	DedupGroup                    // the group drops repeats within Class.DedupWindow
+	DedupAll                      // every host drops repeats within Class.DedupWindow
+	AtMostOnce                    // it must never run twice
 )
 
 // ListRole is how the host list tracks the primaries.
@@ -85,22 +85,22 @@
 type ListSource uint8
 
 const (
-	ListUnasked   ListSource = iota // changes come by themselves, as in the simulator
-	ListAsked                       // one service answers the calls of all routers, one after another
-	ListFromAgent                   // an agent of this router's own holds what was sent to it, and answers at once
+	ListPushed      ListSource = iota // changes come by themselves, as in the simulator
+	ListFromService                   // one service answers the calls of all routers, one after another
+	ListFromAgent                     // an agent of this router's own holds what was sent to it, and answers at once
 )
 
-// CompareTime is how long a router that starts waits for its agent before it acts on the list that it was started with: an
+// StartupTimeout is how long a router that starts waits for its agent before it acts on the list that it was started with: an
 // agent is silent while discovery is down, and has nothing newer then that could be learned.
-const CompareTime = 2 * time.Second
+const StartupTimeout = 2 * time.Second
 
-// Behind is what a host does with a read it is too far behind for.
-type Behind uint8
+// StaleReadMode is what a host does with a read it is too far behind for.
+type StaleReadMode uint8
 
 const (
-	BehindServe  Behind = iota // it answers from what it has
-	BehindReject               // Miss, at once
-	BehindHold                 // Miss, after waiting Settings.Patience to catch up
+	StaleReadServe  StaleReadMode = iota // it answers from what it has
+	StaleReadReject                      // Miss, at once
+	StaleReadHold                        // Miss, after waiting Settings.Patience to catch up
 )
 
 // Reason is why a request was given up.
@@ -115,16 +115,16 @@
 	BreakerOpen                  // it needs the primary, whose breaker is open
 	NoPrimary                    // it needs the primary, which nobody knows
 	Shed                         // there is no room for it
-	WaitedInVain                 // no host that fits was found in the time in which a refusal is cheap
-	Reasons                      // how many there are
+	WaitTimedOut                 // no host that fits was found in the time in which a refusal is cheap
+	ReasonCount                  // how many there are
 )
 
 // String is the name in logs and metrics.
 func (r Reason) String() string {
-	names := [Reasons]string{
+	names := [ReasonCount]string{
 		"retry_forbidden", "retry_pointless", "no_time_left", "unknown_group", "fenced_off", "breaker_open", "no_primary", "shed", "waited_in_vain",
 	}
-	if r >= Reasons {
+	if r >= ReasonCount {
 		return "unknown"
 	}
 	return names[r]
@@ -143,11 +143,11 @@
 type ListKind uint8
 
 const (
-	ListDelta   ListKind = iota // changed entries only
-	ListFull                    // the complete list
-	ListCached                  // the complete list as last seen, perhaps stale
-	ListFailed                  // a call failed or the subscription dropped
-	ListCrowded                 // a call has waited in discovery's queue in vain
+	ListDelta        ListKind = iota // changed entries only
+	ListFull                         // the complete list
+	ListCached                       // the complete list as last seen, perhaps stale
+	ListFailed                       // a call failed or the subscription dropped
+	ListQueueTimeout                 // a call has waited in discovery's queue in vain
 )
 
 // Class is one kind of request.
@@ -158,36 +158,36 @@
 	Deadline    time.Duration // the client's total wait, across its tries
 	Worth       float64       // of an answer within Aim, against other classes; 0: not stated
 	LateWorth   float64       // share of its worth that an answer between Aim and Deadline earns
-	Repeat      Repeat
+	RetrySafety RetrySafety
 	DedupWindow time.Duration // from the sending of the first attempt that may have run
 }
 
 // Settings is what a router is told once, at its start.
 type Settings struct {
-	Routers       int // routers of this kind, itself included
-	Zone          int
-	Tick          time.Duration // shortest gap between batches
-	List          ListSource
-	ListRole      ListRole
-	PositionGrain time.Duration
-	OwnClock      bool // this router's clock may stand apart from that of the databases, whose times positions are
-	Behind        Behind
-	Patience      time.Duration
-	Remembered    bool // session marks are kept here, not carried by the client
-	Classes       []Class
-
-	Probes, Cancels bool // what may be used
-
-	MaxTries      int           // attempts per request; 0 means no limit
+	Routers             int // routers of this kind, itself included
+	Zone                int
+	Tick                time.Duration // shortest gap between batches
+	ListSource          ListSource
+	ListRole            ListRole
+	PositionGranularity time.Duration
+	IndependentClock    bool // this router's clock may stand apart from that of the databases, whose times positions are
+	StaleReadMode       StaleReadMode
+	StaleReadHoldTime   time.Duration
+	TracksSessions      bool // session marks are kept here, not carried by the client
+	Classes             []Class
+
+	CanProbe, CanCancel bool // what may be used
+
+	MaxAttempts   int           // attempts per request; 0 means no limit
 	MaxRetryAfter time.Duration // the longest advice that clients take; 0: none
 
-	DrainGrace    time.Duration
-	GoneIsAdvice  bool // only Draining binds
-	MustAskIn     time.Duration
-	StartCapacity float64 // share of its capacity that a starting host has at least
-	ColdTime      time.Duration
-	FallMultiple  float64
-	FallTime      time.Duration
+	DrainGrace     time.Duration
+	GoneIsAdvisory bool // only Draining binds
+	MaxListAge     time.Duration
+	StartCapacity  float64 // share of its capacity that a starting host has at least
+	SlowStartTime  time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
 }
 
 // check tells what in the settings cannot be meant.
@@ -200,7 +200,7 @@
 			return errors.New("settings: a class has a negative time, no aim or no deadline")
 		}
 	}
-	times := []time.Duration{s.Tick, s.Patience, s.MaxRetryAfter, s.DrainGrace, s.MustAskIn, s.ColdTime, s.FallTime}
+	times := []time.Duration{s.Tick, s.StaleReadHoldTime, s.MaxRetryAfter, s.DrainGrace, s.MaxListAge, s.SlowStartTime, s.OverloadWindow}
 	if slices.Min(times) < 0 {
 		return errors.New("settings: a time is negative")
 	}
@@ -228,19 +228,19 @@
 type Event interface{ event() }
 
 type (
-	// Members is news of the host list.
-	Members struct {
+	// ListUpdate is news of the host list.
+	ListUpdate struct {
 		Kind    ListKind
 		Entries []Member
 	}
 	// Request is a client's request; the router owes it one final answer.
 	Request struct {
-		ID       RequestID
-		Class    int
-		Group    GroupID
-		Session  SessionID
-		Budget   time.Duration // until the client gives up on this try
-		TokenAge time.Duration // since the session's last commit, below zero where that is ahead of this clock; 0: none
+		ID            RequestID
+		Class         int
+		Group         GroupID
+		Session       SessionID
+		Timeout       time.Duration // until the client gives up on this try
+		LastCommitAge time.Duration // since the session's last commit, below zero where that is ahead of this clock; 0: none
 	}
 	// Result is the end of one attempt, or what the host of one that had ended tells besides.
 	Result struct {
@@ -257,71 +257,71 @@
 		HasPosition bool
 		Report      Report
 	}
-	// Lapsed tells that a request is over on the client's side.
-	Lapsed struct{ Request RequestID }
-	// Probed is the end of one probe.
-	Probed struct {
+	// RequestAbandoned tells that a request is over on the client's side.
+	RequestAbandoned struct{ Request RequestID }
+	// ProbeResult is the end of one probe.
+	ProbeResult struct {
 		Host    HostID
 		Outcome Outcome
 		Latency time.Duration
 		Report  Report
 	}
-	// Elapsed is one of the router's own timers.
-	Elapsed struct{ Timer uint64 }
-	// Suspended tells that the operators leave a host out, or have it serve again: it has
+	// TimerFired is one of the router's own timers.
+	TimerFired struct{ ID uint64 }
+	// SuspensionChanged tells that the operators leave a host out, or have it serve again: it has
 	// started anew by then, whatever the list says. It holds for hosts the list does not name.
-	Suspended struct {
-		Host HostID
-		Out  bool
+	SuspensionChanged struct {
+		Host   HostID
+		Active bool
 	}
 )
 
 type (
-	// Bounded tells how many attempts may be out to a host at once, as far as the fleet's budget goes.
-	Bounded struct {
+	// ConcurrencyLimit tells how many attempts may be out to a host at once, as far as the fleet's budget goes.
+	ConcurrencyLimit struct {
 		Host HostID
-		Most int
+		Max  int
 	}
-	// Preferred are the hosts that this router uses first among equals; those not named are not preferred.
-	Preferred struct{ Hosts []HostID }
-	// Away tells for how long, all in all, the process has stood still or come late to what was ready for it.
-	Away struct{ Lost time.Duration }
-	// Told tells that another router had an answer of a host as primary, which it had asked at a moment. It points this
+	// PreferredHosts are the hosts that this router uses first among equals; those not named are not preferred.
+	PreferredHosts struct{ Hosts []HostID }
+	// ProcessPaused tells for how long, all in all, the process has stood still or come late to what was ready for it.
+	ProcessPaused struct{ Total time.Duration }
+	// PrimaryReported tells that another router had an answer of a host as primary, which it had asked at a moment. It points this
 	// router there; whether the host is the primary shows when it is asked.
-	Told struct {
+	PrimaryReported struct {
 		Host HostID
 		At   time.Duration
 	}
-	// Repeats bounds attempts that follow a failed one of the same request to a share of the first ones; 0: they are not.
-	Repeats struct{ Share float64 }
-	// Fenced tells that this process acts on knowledge that it cannot vouch for: it takes no writes until told otherwise.
-	Fenced struct{ Out bool }
-	// Held tells that it is not known yet what operators said before this process began: requests wait for that, for
+	// RetryBudget bounds attempts that follow a failed one of the same request to a share of the first ones; 0: they are not.
+	RetryBudget struct{ Share float64 }
+	// FenceChanged tells that this process acts on knowledge that it cannot vouch for: it takes no writes until told otherwise.
+	FenceChanged struct{ Active bool }
+	// OverridesPending tells that it is not known yet what operators said before this process began: requests wait for that, for
 	// CompareTime at most.
-	Held struct{ On bool }
-	// Heard tells that another router knows a host to have applied all commits up to a position. It is a floor, as
+	OverridesPending struct{ Active bool }
+	// PositionReported tells that another router knows a host to have applied all commits up to a position. It is a floor, as
 	// one heard from the host itself; no role follows from it.
-	Heard struct {
+	PositionReported struct {
 		Host     HostID
 		Position time.Duration
 	}
 )
 
-func (Members) event()   {}
-func (Request) event()   {}
-func (Result) event()    {}
-func (Lapsed) event()    {}
-func (Probed) event()    {}
-func (Elapsed) event()   {}
-func (Suspended) event() {}
-func (Bounded) event()   {}
-func (Preferred) event() {}
-func (Away) event()      {}
-func (Fenced) event()    {}
-func (Repeats) event()   {}
-func (Told) event()      {}
-func (Heard) event()     {}
-func (Held) event()      {}
+func (ListUpdate) event()        {}
+func (Request) event()           {}
+func (Result) event()            {}
+func (RequestAbandoned) event()  {}
+func (ProbeResult) event()       {}
+func (TimerFired) event()        {}
+func (SuspensionChanged) event() {}
+func (ConcurrencyLimit) event()  {}
+func (PreferredHosts) event()    {}
+func (ProcessPaused) event()     {}
+func (FenceChanged) event()      {}
+func (RetryBudget) event()       {}
+func (PrimaryReported) event()   {}
+func (PositionReported) event()  {}
+func (OverridesPending) event()  {}
 
 // Action is something the router wants done: one of the types below.
 type Action interface{ action() }
@@ -329,10 +329,10 @@
 type (
 	// Send starts an attempt. A request's attempts count from 0.
 	Send struct {
-		Request RequestID
-		Host    HostID
-		Timeout time.Duration
-		Begin   time.Duration // within which it has to begin, or not at all; 0: any time
+		Request     RequestID
+		Host        HostID
+		Timeout     time.Duration
+		BeginWithin time.Duration // within which it has to begin, or not at all; 0: any time
 	}
 	// Refuse is a final answer: trying again is harmless, best after RetryAfter.
 	Refuse struct {
@@ -352,28 +352,28 @@
 	}
 	// Probe asks a host for its report.
 	Probe struct{ Host HostID }
-	// HangUp closes the idle connections to a host.
-	HangUp struct{ Host HostID }
-	// Withdraw does so, too, and gives back as NotSent what waits for a connection to it.
-	Withdraw struct{ Host HostID }
-	// Timer asks for Elapsed.
-	Timer struct {
+	// CloseIdleConnections closes the idle connections to a host.
+	CloseIdleConnections struct{ Host HostID }
+	// StopUsingHost does so, too, and gives back as NotSent what waits for a connection to it.
+	StopUsingHost struct{ Host HostID }
+	// SetTimer asks for Elapsed.
+	SetTimer struct {
 		After time.Duration
-		Timer uint64
+		ID    uint64
 	}
 	// Subscribe asks for the list and its changes. A call that has brought nothing for a time of Within has failed.
-	Subscribe struct{ Within time.Duration }
+	Subscribe struct{ Timeout time.Duration }
 	// Log is a line for the operators.
 	Log struct{ Text string }
 )
 
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Probe) action()     {}
-func (HangUp) action()    {}
-func (Withdraw) action()  {}
-func (Timer) action()     {}
-func (Subscribe) action() {}
-func (Log) action()       {}
+func (Send) action()                 {}
+func (Refuse) action()               {}
+func (Fail) action()                 {}
+func (Cancel) action()               {}
+func (Probe) action()                {}
+func (CloseIdleConnections) action() {}
+func (StopUsingHost) action()        {}
+func (SetTimer) action()             {}
+func (Subscribe) action()            {}
+func (Log) action()                  {}
