--- a/policy/clock.go
+++ b/policy/clock.go
@@ -85,7 +85,8 @@
 // knowsTime tells whether the age of data can be told. Where nothing was heard of a primary since the
 // start, the pages hold: every machine reads one clock.
 func (r *Router) knowsTime() bool {
-	return !r.set.IndependentClock || r.clock.confirmed || r.clock.witnesses == 0 && r.now >= r.begunAt+clockPatience
+	return !r.set.IndependentClock || r.clock.confirmed ||
+		r.clock.witnesses == 0 && r.now >= r.begunAt+clockPatience
 }
 
 // hearTime learns of the databases' clock by an answer, which was given between an attempt's sending and
--- a/policy/list.go
+++ b/policy/list.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// ExcludedHosts is how many listed hosts get nothing: left out by hand, draining, or primaries of open breakers.
+// ExcludedHosts is how many listed hosts get no requests: suspended, draining, or primaries of open breakers.
 func (r *Router) ExcludedHosts() (n int) {
 	for _, h := range r.order {
 		if h.status != Gone && (!r.mayTake(h, false) || h.group.open && h.group.primary == h) {
--- a/policy/result.go
+++ b/policy/result.go
@@ -60,7 +60,8 @@
 	case e.Finished || e.Outcome == OK || q.done:
 		r.finish(q)
 	case q.out > 0:
-	case again, q.missed && q.g.primary != nil && q.tried(q.g.primary), e.Outcome == AtCapacity && h == q.g.primary:
+	case again, q.missed && q.g.primary != nil && q.tried(q.g.primary),
+		e.Outcome == AtCapacity && h == q.g.primary:
 		// The request itself fails, most likely, or a retry would add load where there is no room.
 		r.giveUp(q, RetryPointless)
 	default:
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -26,7 +26,8 @@
 	part := coldPart + coldMore*r.ease*(w-r.set.StartCapacity)/(1-r.set.StartCapacity)
 	rate := max(r.served, r.asked/4) / (r.now - r.since + r.set.OverloadWindow).Seconds()
 	grow := part * r.set.OverloadFactor * w * rate
-	most := grow * r.set.OverloadWindow.Seconds() * max(0.25, float64(r.set.Routers)/coldRouters) // for a burst
+	// The budget may grow to this much while unused, for a burst.
+	most := grow * r.set.OverloadWindow.Seconds() * max(0.25, float64(r.set.Routers)/coldRouters)
 	budget := min(most, h.budget+grow*(r.now-h.budgetAt).Seconds())
 	pay := min(budget, r.work(q.Class))
 	h.budget, h.budgetAt = budget-pay, r.now
