--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	waiting  = 256              // lines on their way to the disk
-	logEvery = 10 * time.Second // a disk that goes on failing is told so often
+	queueSize   = 256              // lines on their way to the disk
+	logInterval = 10 * time.Second // a disk that goes on failing is told so often
 )
 
 // Options are a file's.
@@ -36,21 +36,21 @@
 
 // Writer writes the lines. Use Open.
 type Writer struct {
-	opt   Options
-	lines chan []byte
-	done  chan struct{}
-	file  *os.File
-	size  int64
-	told  time.Time
+	opt         Options
+	lines       chan []byte
+	done        chan struct{}
+	file        *os.File
+	size        int64
+	lastLogTime time.Time
 
 	mu    sync.Mutex // between the writer and who asks for the state
-	state Stats
+	stats Stats
 }
 
 // Open begins to write. A path that cannot be used is an error; what the system lacks for a moment costs lines, as later, and
 // is told by State and the log.
 func Open(opt Options) (*Writer, error) {
-	w := &Writer{opt: opt, lines: make(chan []byte, waiting), done: make(chan struct{})}
+	w := &Writer{opt: opt, lines: make(chan []byte, queueSize), done: make(chan struct{})}
 	if err := w.open(); err != nil {
 		if !sys.Passing(err) {
 			return nil, err
@@ -90,7 +90,7 @@
 	case w.lines <- line:
 		return true
 	default:
-		w.note(nil, false)
+		w.recordResult(nil, false)
 		return false
 	}
 }
@@ -99,15 +99,15 @@
 func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.state
+	return w.stats
 }
 
 // Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
-func (w *Writer) Close(patience time.Duration) {
+func (w *Writer) Close(timeout time.Duration) {
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
@@ -115,9 +115,9 @@
 	defer close(w.done)
 	for line := range w.lines {
 		err := w.write(append(bytes.Clone(line), '\n'))
-		w.note(err, err == nil)
-		if err != nil && time.Since(w.told) >= logEvery {
-			w.told = time.Now()
+		w.recordResult(err, err == nil)
+		if err != nil && time.Since(w.lastLogTime) >= logInterval {
+			w.lastLogTime = time.Now()
 			log.Printf("event=audit_file_failed lost=%d err=%q", w.Stats().Lost, err)
 		}
 	}
@@ -126,16 +126,16 @@
 	}
 }
 
-func (w *Writer) note(err error, written bool) {
+func (w *Writer) recordResult(err error, written bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if written {
-		w.state.Written++
-		w.state.Err = ""
+		w.stats.Written++
+		w.stats.Err = ""
 		return
 	}
-	if w.state.Lost++; err != nil {
-		w.state.Err = err.Error()
+	if w.stats.Lost++; err != nil {
+		w.stats.Err = err.Error()
 	}
 }
 
@@ -168,12 +168,12 @@
 	w.file.Close()
 	w.file = nil
 	for i := w.opt.Keep; i >= 0; i-- {
-		from := w.name(i)
+		from := w.rotatedPath(i)
 		var err error
 		if i == w.opt.Keep {
 			err = os.Remove(from)
 		} else {
-			err = os.Rename(from, w.name(i+1))
+			err = os.Rename(from, w.rotatedPath(i+1))
 		}
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("rotate: %w", err)
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (w *Writer) name(i int) string {
+func (w *Writer) rotatedPath(i int) string {
 	if i == 0 {
 		return w.opt.Path
 	}
@@ -194,13 +194,13 @@
 	w := Writer{opt: Options{Path: path}}
 	last := 0
 	for {
-		if _, err := os.Stat(w.name(last + 1)); err != nil {
+		if _, err := os.Stat(w.rotatedPath(last + 1)); err != nil {
 			break
 		}
 		last++
 	}
 	for i := last; i >= 0; i-- {
-		text, err := os.ReadFile(w.name(i))
+		text, err := os.ReadFile(w.rotatedPath(i))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/auditfile/auditfile_test.go
+++ b/internal/auditfile/auditfile_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func texts(t *testing.T, path string) (list []string) {
+func lineTexts(t *testing.T, path string) (list []string) {
 	lines, err := Lines(path)
 	require.NoError(t, err)
 	for _, l := range lines {
@@ -32,7 +32,7 @@
 		require.True(t, w.Write(fmt.Appendf(nil, "line %04d", i)))
 	}
 	w.Close(time.Minute)
-	got := texts(t, path)
+	got := lineTexts(t, path)
 	assert.Equal(t, "line 0029", got[len(got)-1])
 	assert.Len(t, got, 21, "the current file and two old ones")
 	assert.Equal(t, Stats{Written: 30}, w.Stats())
@@ -44,11 +44,11 @@
 	require.NoError(t, err)
 	w.Write([]byte("three"))
 	w.Close(time.Minute)
-	assert.Equal(t, []string{"one", "tw", "three"}, texts(t, path+"x"))
+	assert.Equal(t, []string{"one", "tw", "three"}, lineTexts(t, path+"x"))
 }
 
 // What cannot be written is counted and told; the file is there again when the disk is.
-func TestFailingDisk(t *testing.T) {
+func TestDiskFailureLosesLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	_, err := Open(Options{Path: filepath.Join(dir, "audit")})
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -66,11 +66,11 @@
 	w.Write([]byte("third line"))
 	require.Eventually(t, func() bool { return w.Stats().Written == 2 }, time.Minute, time.Millisecond)
 	assert.Empty(t, w.Stats().Err)
-	assert.Equal(t, []string{"third line"}, texts(t, filepath.Join(dir, "audit")))
+	assert.Equal(t, []string{"third line"}, lineTexts(t, filepath.Join(dir, "audit")))
 }
 
 // Who writes is never held up: what has no room on its way is lost.
-func TestNeverWaits(t *testing.T) {
+func TestWriteNeverBlocks(t *testing.T) {
 	w := &Writer{lines: make(chan []byte, 1), done: make(chan struct{})} // nobody reads
 	assert.True(t, w.Write([]byte("a")))
 	assert.False(t, w.Write([]byte("b")))
@@ -80,7 +80,7 @@
 
 // The system may have no descriptor in the moment of the start. That costs the lines until then, not the start; a path that
 // leads nowhere is told at once.
-func TestDiskFailsAtTheStart(t *testing.T) {
+func TestMissingDescriptorAtOpenLosesLines(t *testing.T) {
 	var limit, none unix.Rlimit
 	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &limit))
 	none = limit
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	require.True(t, w.Write([]byte("later")))
 	w.Close(10 * time.Second)
-	assert.Equal(t, []string{"later"}, texts(t, path))
+	assert.Equal(t, []string{"later"}, lineTexts(t, path))
 
 	_, err = Open(Options{Path: filepath.Join(t.TempDir(), "none", "audit"), MaxBytes: 1 << 20})
 	assert.ErrorIs(t, err, fs.ErrNotExist)
--- a/internal/handover/share.go
+++ b/internal/handover/share.go
@@ -19,187 +19,187 @@
 )
 
 const (
-	statePath  = "lilaccove-state.json"
-	processes  = "lilaccove-process-"
-	halves     = "lilaccove-new-" // a state that is being written
-	mostState  = 1 << 20
-	seenDigits = 20
+	stateFileName     = "lilaccove-state.json"
+	processFilePrefix = "lilaccove-process-"
+	tempFilePrefix    = "lilaccove-new-" // a state file that is being written
+	maxStateSize      = 1 << 20
+	timestampDigits   = 20
 
-	complainEvery = time.Second
+	logInterval = time.Second
 )
 
-// SharedState is this process's part of the directory.
+// SharedState is this process's view of the shared directory. Use Join.
 type SharedState struct {
-	dir     string
-	state   State
-	backs   backs
-	own     *os.File // locked as long as this process lives; holds the newest word that it has acted on; nil: not made yet
-	known   bool     // the state was read, or there is none
-	mtime   time.Time
-	size    int64
-	unacted bool     // state has words of others that Poll has not handed over
-	owed    bool     // state has words that the directory may lack: a write failed
-	acked   int64    // the newest word that own holds
-	beside  []string // the other processes that lived when they were last looked at
-	odd     string   // the last thing found wrong, which is not logged again at once
-	oddAt   time.Time
+	dir            string
+	state          State
+	inactive       inactiveOverrides
+	processFile    *os.File // locked while this process runs; holds the newest timestamp that it has applied; nil: not created yet
+	loaded         bool     // the state file was read, or there is none
+	mtime          time.Time
+	size           int64
+	unapplied      bool     // state has overrides of siblings that Poll has not applied yet
+	unwritten      bool     // state has overrides that the directory may lack: a write failed
+	ackedTimestamp int64    // the timestamp that processFile holds
+	siblings       []string // files of the siblings that were alive at the last check
+	lastError      string   // the last one logged, which is not repeated
+	lastErrorTime  time.Time
 }
 
-// Join enters the directory and takes over the state that lies there. One that is no state is logged and left aside. What
-// fails now is tried again by each Poll: see Known.
+// Join registers this process in the directory and reads the state there. An invalid state file is logged and ignored. What
+// fails now is retried by each Poll: see Loaded.
 func Join(dir string) *SharedState {
-	s := &SharedState{dir: dir, state: State{Version: version, Suspended: map[string]Override{}}, backs: backs{}}
-	s.enter()
+	s := &SharedState{dir: dir, state: State{Version: stateVersion, Suspended: map[string]Override{}}, inactive: inactiveOverrides{}}
+	s.createProcessFile()
 	s.read()
-	s.unacted = false // the caller begins with State
-	s.acted()
+	s.unapplied = false // the caller starts with State
+	s.acknowledge()
 	return s
 }
 
-// enter makes this process's own file, by which others know that it lives.
-func (s *SharedState) enter() {
-	for s.own == nil {
-		own, err := sys.CreateTemp(s.dir, processes)
+// createProcessFile creates the locked file by which siblings see that this process is alive.
+func (s *SharedState) createProcessFile() {
+	for s.processFile == nil {
+		file, err := sys.CreateTemp(s.dir, processFilePrefix)
 		if err != nil {
-			s.complain(fmt.Errorf("enter: %w", cause(err)))
+			s.logError(fmt.Errorf("create process file: %w", withoutPath(err)))
 			return
 		}
-		err = unix.Flock(int(own.Fd()), unix.LOCK_EX|unix.LOCK_NB)
-		if _, gone := os.Stat(own.Name()); err == nil && gone == nil {
-			s.own = own
+		err = unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+		if _, statErr := os.Stat(file.Name()); err == nil && statErr == nil {
+			s.processFile = file
 			return
 		}
-		if own.Close(); err != nil && err != unix.EWOULDBLOCK {
-			_ = os.Remove(own.Name())
-			s.complain(fmt.Errorf("enter: %w", err))
+		if file.Close(); err != nil && err != unix.EWOULDBLOCK {
+			_ = os.Remove(file.Name())
+			s.logError(fmt.Errorf("create process file: %w", err))
 			return
-		} // else another process looked at it before it was locked, and took it for a dead one's
+		} // else a sibling checked the file before it was locked and removed it as that of an ended process
 	}
 }
 
-// cause is an error without the path, which may be another each time.
-func cause(err error) error {
-	if at := (*fs.PathError)(nil); errors.As(err, &at) {
-		return at.Err
+// withoutPath strips the path from an error: the name of a temporary file differs each time.
+func withoutPath(err error) error {
+	if pathErr := (*fs.PathError)(nil); errors.As(err, &pathErr) {
+		return pathErr.Err
 	}
 	return err
 }
 
-// Loaded tells whether what operators told the processes before this one is known.
-func (s *SharedState) Loaded() bool { return s.known }
+// Loaded reports whether the overrides that earlier processes accepted are known.
+func (s *SharedState) Loaded() bool { return s.loaded }
 
-// State is what is agreed on as far as this process knows.
+// State returns the overrides as far as this process knows them.
 func (s *SharedState) State() State { return s.state }
 
-// Close leaves the directory; the state stays for a successor.
+// Close removes this process's file; the state file stays for a successor.
 func (s *SharedState) Close() {
-	if s.own != nil {
-		_ = os.Remove(s.own.Name())
-		s.own.Close()
+	if s.processFile != nil {
+		_ = os.Remove(s.processFile.Name())
+		s.processFile.Close()
 	}
 }
 
-// Suspend keeps an operator's word on a database. One that cannot be written now is written by a later Poll; see Kept.
-func (s *SharedState) Suspend(id string, out bool, now time.Duration) {
-	s.read() // the word's place is behind all that were given before it
-	s.state.Suspended[id] = Override{Active: out, Timestamp: s.state.next(now)}
-	s.state.forget(s.backs, now)
+// Suspend records an operator override for a database. If it cannot be written now, a later Poll writes it; see Persisted.
+func (s *SharedState) Suspend(id string, active bool, now time.Duration) {
+	s.read() // the timestamp must be later than those of all earlier overrides
+	s.state.Suspended[id] = Override{Active: active, Timestamp: s.state.nextTimestamp(now)}
+	s.state.pruneInactive(s.inactive, now)
 	s.write()
 }
 
-// Drain keeps an operator's word on the gateway, as Suspend does.
-func (s *SharedState) Drain(on bool, now time.Duration) {
+// Drain records an operator override for the gateway, as Suspend does.
+func (s *SharedState) Drain(active bool, now time.Duration) {
 	s.read()
-	s.state.Drained = Override{Active: on, Timestamp: s.state.next(now)}
+	s.state.Drained = Override{Active: active, Timestamp: s.state.nextTimestamp(now)}
 	s.write()
 }
 
-// Persisted tells whether all words known here lie in the directory, where a successor finds them.
-func (s *SharedState) Persisted() bool { return !s.owed }
+// Persisted reports whether all overrides known here are in the directory, where a successor finds them.
+func (s *SharedState) Persisted() bool { return !s.unwritten }
 
-// Poll tells whether other processes of this gateway live, and whether one of them has taken a word
-// that this one did not know. It calls act with what is agreed on then. What failed before is tried again.
-func (s *SharedState) Poll(act func(State)) (others bool) {
-	s.enter()
-	if !s.known {
+// Poll reports whether sibling processes are alive. If one of them has accepted an override that this process did not know,
+// it calls apply with the merged state. Operations that failed before are retried.
+func (s *SharedState) Poll(apply func(State)) (siblings bool) {
+	s.createProcessFile()
+	if !s.loaded {
 		s.read()
 	}
-	if info, err := os.Stat(s.path()); err == nil && (info.ModTime() != s.mtime || info.Size() != s.size) {
+	if info, err := os.Stat(s.statePath()); err == nil && (info.ModTime() != s.mtime || info.Size() != s.size) {
 		s.read()
 	}
-	if s.unacted {
-		act(s.state)
-		s.unacted = false
+	if s.unapplied {
+		apply(s.state)
+		s.unapplied = false
 	}
-	if s.owed {
+	if s.unwritten {
 		s.write()
 	}
-	s.acted()
-	return len(s.others()) > 0
+	s.acknowledge()
+	return len(s.liveSiblings()) > 0
 }
 
-// Acknowledged tells whether every other process that lives has acted on all words known here.
+// Acknowledged reports whether every live sibling has applied all overrides known here.
 func (s *SharedState) Acknowledged() bool {
-	for _, path := range s.others() {
-		if !s.hasActed(path) {
+	for _, path := range s.liveSiblings() {
+		if !s.hasApplied(path) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasActed tells whether the process that a file belongs to has acted on all words known here, or has ended.
-func (s *SharedState) hasActed(path string) bool {
+// hasApplied reports whether the process that owns a file has applied all overrides known here, or has ended.
+func (s *SharedState) hasApplied(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Is(err, fs.ErrNotExist)
 	}
-	seen, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
-	return err == nil && seen >= s.state.at()
+	applied, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
+	return err == nil && applied >= s.state.newestTimestamp()
 }
 
-func (s *SharedState) path() string { return filepath.Join(s.dir, statePath) }
+func (s *SharedState) statePath() string { return filepath.Join(s.dir, stateFileName) }
 
-// others are the files of the other processes that live. Those that the dead left are removed. A file that cannot be looked at
-// just now is taken for a living one's, and where the directory cannot be read all is as it was.
-func (s *SharedState) others() []string {
+// liveSiblings returns the files of the siblings that are alive and removes those of processes that have ended. The owner of
+// a file that cannot be checked counts as alive; if the directory cannot be read, the previous result is returned.
+func (s *SharedState) liveSiblings() []string {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
-		s.complain(err)
-		return s.beside
+		s.logError(err)
+		return s.siblings
 	}
-	s.beside = s.beside[:0]
-	var written []string
-	for _, e := range entries {
-		path := filepath.Join(s.dir, e.Name())
-		if strings.HasPrefix(e.Name(), halves) {
-			written = append(written, path)
+	s.siblings = s.siblings[:0]
+	var tempFiles []string
+	for _, entry := range entries {
+		path := filepath.Join(s.dir, entry.Name())
+		if strings.HasPrefix(entry.Name(), tempFilePrefix) {
+			tempFiles = append(tempFiles, path)
 		}
-		if !strings.HasPrefix(e.Name(), processes) || s.own != nil && path == s.own.Name() {
+		if !strings.HasPrefix(entry.Name(), processFilePrefix) || s.processFile != nil && path == s.processFile.Name() {
 			continue
 		}
-		switch dead, err := ended(path); {
+		switch ended, err := processEnded(path); {
 		case err != nil:
-			s.complain(err)
-			s.beside = append(s.beside, path)
-		case dead:
+			s.logError(err)
+			s.siblings = append(s.siblings, path)
+		case ended:
 			_ = os.Remove(path)
 		default:
-			s.beside = append(s.beside, path)
+			s.siblings = append(s.siblings, path)
 		}
 	}
-	if len(s.beside) == 0 { // nobody writes them any more
-		for _, path := range written {
+	if len(s.siblings) == 0 { // no process is writing them any more
+		for _, path := range tempFiles {
 			_ = os.Remove(path)
 		}
 	}
-	return s.beside
+	return s.siblings
 }
 
-// ended tells whether the process that a file belongs to has ended: the kernel drops its lock with it. An error tells that
-// nobody knows.
-func ended(path string) (bool, error) {
-	fd, err := open(path)
+// processEnded reports whether the process that owns a file has ended: the kernel releases its lock with it. An error means
+// that this is unknown.
+func processEnded(path string) (bool, error) {
+	fd, err := openFile(path)
 	switch {
 	case err == unix.ENOENT:
 		return true, nil
@@ -217,7 +217,7 @@
 	}
 }
 
-func open(path string) (fd int, err error) {
+func openFile(path string) (fd int, err error) {
 	for {
 		if fd, err = unix.Open(path, unix.O_RDONLY|unix.O_CLOEXEC, 0); err != unix.EINTR {
 			return fd, err
@@ -225,88 +225,90 @@
 	}
 }
 
-// acted writes the newest word that this process has acted on where the others look, unless it stands there.
-func (s *SharedState) acted() {
-	newest := s.state.at()
-	if s.own == nil || s.unacted || newest == s.acked {
+// acknowledge writes the newest timestamp that this process has applied to its own file, for siblings to read, unless the
+// file already has it.
+func (s *SharedState) acknowledge() {
+	newest := s.state.newestTimestamp()
+	if s.processFile == nil || s.unapplied || newest == s.ackedTimestamp {
 		return
 	}
-	if _, err := s.own.WriteAt(fmt.Appendf(nil, "%0*d", seenDigits, newest), 0); err != nil {
-		s.complain(err)
+	if _, err := s.processFile.WriteAt(fmt.Appendf(nil, "%0*d", timestampDigits, newest), 0); err != nil {
+		s.logError(err)
 		return
 	}
-	s.acked = newest
+	s.ackedTimestamp = newest
 }
 
-// read merges what lies in the directory. Words that this process did not know are for Poll to hand over, whoever reads them.
+// read merges the state file. Overrides that this process did not know are applied by the next Poll, whichever method read them.
 func (s *SharedState) read() {
-	info, err := os.Stat(s.path())
+	info, err := os.Stat(s.statePath())
 	if errors.Is(err, fs.ErrNotExist) {
 		if _, err = os.Stat(s.dir); err == nil {
-			s.known = true // nobody was told anything
+			s.loaded = true // no override was ever set
 		} else {
-			s.complain(err)
+			s.logError(err)
 		}
 		return
 	}
 	var text []byte
-	if err == nil && info.Size() > mostState {
+	if err == nil && info.Size() > maxStateSize {
 		err = fmt.Errorf("state of %d bytes", info.Size())
 	} else if err == nil {
-		text, err = os.ReadFile(s.path())
+		text, err = os.ReadFile(s.statePath())
 	}
-	if err != nil && (info == nil || info.Size() <= mostState) {
-		s.complain(err) // it may be readable the next time
+	if err != nil && (info == nil || info.Size() <= maxStateSize) {
+		s.logError(err) // it may be readable next time
 		return
 	}
-	s.mtime, s.size, s.known = info.ModTime(), info.Size(), true
+	s.mtime, s.size, s.loaded = info.ModTime(), info.Size(), true
 	var found State
 	if err == nil {
 		found, err = parse(text)
 	}
 	if err != nil {
-		s.complain(err)
+		s.logError(err)
 		return
 	}
-	s.unacted = s.state.merge(found) || s.unacted
+	s.unapplied = s.state.merge(found) || s.unapplied
 	if found.merge(State{Suspended: s.state.Suspended, Drained: s.state.Drained}) {
-		s.write() // another process wrote at the same time and did not know ours
+		s.write() // a sibling replaced the file without knowing our overrides
 	}
 }
 
-// write puts the state in place whole: a reader finds the old one or the new one.
+// write replaces the state file atomically: a reader sees the old one or the new one.
 func (s *SharedState) write() {
 	text, err := json.Marshal(s.state)
-	var f *os.File
+	var file *os.File
 	if err == nil {
-		f, err = sys.CreateTemp(s.dir, halves)
+		file, err = sys.CreateTemp(s.dir, tempFilePrefix)
 	}
 	if err == nil {
-		_, err = sys.WriteFile(f, text)
-		if info, e := f.Stat(); e == nil {
-			s.mtime, s.size = info.ModTime(), info.Size() // a rename keeps them
+		_, err = sys.WriteFile(file, text)
+		if info, infoErr := file.Stat(); infoErr == nil {
+			s.mtime, s.size = info.ModTime(), info.Size() // the rename keeps them
 		}
-		if e := f.Close(); err == nil {
-			err = e
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err == nil {
-			err = sys.Rename(f.Name(), s.path())
+			err = sys.Rename(file.Name(), s.statePath())
 		}
 		if err != nil {
-			_ = os.Remove(f.Name())
+			_ = os.Remove(file.Name())
 		}
 	}
-	if s.owed = err != nil; s.owed {
-		s.complain(err)
+	if s.unwritten = err != nil; s.unwritten {
+		s.logError(err)
 		return
 	}
-	s.acted()
+	s.acknowledge()
 }
 
-// complain logs what is wrong with the directory, once a second at most: a Poll may find the same again and again.
-func (s *SharedState) complain(err error) {
-	if now := time.Now(); err.Error() != s.odd && now.Sub(s.oddAt) >= complainEvery {
-		s.odd, s.oddAt = err.Error(), now
+// logError logs a problem with the directory, at most one per logInterval and none twice in a row: each Poll may meet the
+// same again.
+func (s *SharedState) logError(err error) {
+	if now := time.Now(); err.Error() != s.lastError && now.Sub(s.lastErrorTime) >= logInterval {
+		s.lastError, s.lastErrorTime = err.Error(), now
 		log.Printf("event=bad_state dir=%s err=%q", s.dir, err)
 	}
 }
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,7 +1,7 @@
-// Package handover is what two processes of one gateway agree on while one takes over from the
-// other: who lives, which databases are left out by hand, whether the gateway is to be empty. It
-// lies in the private directory that both are given. state.go decides, without I/O; share.go does
-// the files.
+// Package handover keeps the state that two processes of one gateway share while one takes over
+// from the other: which processes are alive, which databases operators have suspended, whether the
+// gateway is drained. The files are in the private directory that both processes are given.
+// state.go merges states without I/O; share.go reads and writes the files.
 package handover
 
 import (
@@ -12,89 +12,91 @@
 	"time"
 )
 
-// version is that of the form; a state of another one is not read.
-const version = 1
+// stateVersion is the version of the file format; a state of another version is rejected.
+const stateVersion = 1
 
-// Override is one operator's word and its place in the order of all words: the moment at which it was given, or just behind
-// the newest word known by then where this process's clock is not past that. Clocks of two processes may differ.
+// Override is one operator override with the timestamp by which overrides are ordered: the time at which it was set, or one
+// more than the newest known timestamp if the clock of this process is not past that. Clocks of two processes may differ.
 type Override struct {
 	Active    bool  `json:"on"`
 	Timestamp int64 `json:"at_us"` // Unix microseconds
 }
 
-// State is all that is agreed on. Of two words on one thing the newer holds, whoever took it.
+// State holds all overrides. Of two overrides of one database, or of the gateway, the newer wins, whichever process accepted it.
 type State struct {
 	Version   int                 `json:"version"`
 	Suspended map[string]Override `json:"suspended"`
 	Drained   Override            `json:"drained"`
 }
 
-// newer tells whether e replaces old. At one moment being out wins: both processes see it alike.
-func (e Override) newer(old Override) bool {
-	return e.Timestamp > old.Timestamp || e.Timestamp == old.Timestamp && e.Active && !old.Active
+// newer reports whether o replaces old. With equal timestamps the active one wins, so that both processes decide alike.
+func (o Override) newer(old Override) bool {
+	return o.Timestamp > old.Timestamp || o.Timestamp == old.Timestamp && o.Active && !old.Active
 }
 
-// merge takes the newer words of o and tells whether there were any.
-func (s *State) merge(o State) (changed bool) {
-	for id, e := range o.Suspended {
-		if e.newer(s.Suspended[id]) {
-			s.Suspended[id] = e
+// merge adopts the newer overrides of other and reports whether there were any.
+func (s *State) merge(other State) (changed bool) {
+	for id, override := range other.Suspended {
+		if override.newer(s.Suspended[id]) {
+			s.Suspended[id] = override
 			changed = true
 		}
 	}
-	if o.Drained.newer(s.Drained) {
-		s.Drained = o.Drained
+	if other.Drained.newer(s.Drained) {
+		s.Drained = other.Drained
 		changed = true
 	}
 	return changed
 }
 
-// at is the moment of the newest word.
-func (s *State) at() int64 {
+// newestTimestamp returns the timestamp of the newest override.
+func (s *State) newestTimestamp() int64 {
 	newest := s.Drained.Timestamp
-	for e := range maps.Values(s.Suspended) {
-		newest = max(newest, e.Timestamp)
+	for override := range maps.Values(s.Suspended) {
+		newest = max(newest, override.Timestamp)
 	}
 	return newest
 }
 
-// next is the place of a word that is given now: behind all that are known.
-func (s *State) next(now time.Duration) int64 { return max(now.Microseconds(), s.at()+1) }
+// nextTimestamp returns the timestamp of an override that is set now: later than all known ones.
+func (s *State) nextTimestamp(now time.Duration) int64 {
+	return max(now.Microseconds(), s.newestTimestamp()+1)
+}
 
-// keepBack is how long a process keeps a database's word "back" that it knows: any other has seen it by then.
-const keepBack = 10 * time.Minute
+// inactiveRetention is how long a process keeps an inactive override of a database; by then every other process has read it.
+const inactiveRetention = 10 * time.Minute
 
-// backs are the words "back" that this process knows, by database.
-type backs map[string]met
+// inactiveOverrides holds the inactive overrides that this process knows, by database.
+type inactiveOverrides map[string]firstSeen
 
-// met is when this process first knew a word, by its own clock, which no step moves. The time that stands in a word may be
-// another process's.
-type met struct {
-	word  Override
-	since time.Duration
+// firstSeen is an override and the time at which this process first saw it, by its own clock, which is not stepped. The
+// timestamp in the override may come from another process's clock.
+type firstSeen struct {
+	override Override
+	at       time.Duration
 }
 
-// forget drops words that say nothing any more.
-func (s *State) forget(known backs, now time.Duration) {
-	maps.DeleteFunc(known, func(id string, m met) bool { return s.Suspended[id] != m.word })
-	for id, e := range s.Suspended {
-		if _, old := known[id]; !old && !e.Active {
-			known[id] = met{e, now}
+// pruneInactive drops inactive overrides that have been known for longer than inactiveRetention.
+func (s *State) pruneInactive(inactive inactiveOverrides, now time.Duration) {
+	maps.DeleteFunc(inactive, func(id string, first firstSeen) bool { return s.Suspended[id] != first.override })
+	for id, override := range s.Suspended {
+		if _, known := inactive[id]; !known && !override.Active {
+			inactive[id] = firstSeen{override, now}
 		}
 	}
-	maps.DeleteFunc(s.Suspended, func(id string, e Override) bool { return !e.Active && now-known[id].since > keepBack })
+	maps.DeleteFunc(s.Suspended, func(id string, e Override) bool { return !e.Active && now-inactive[id].at > inactiveRetention })
 }
 
-var errVersion = errors.New("not of this version")
+var errVersion = errors.New("unsupported version")
 
-// parse reads a state; a truncated one, or one of another version, is none.
+// parse decodes a state; one that is truncated or of another version is an error.
 func parse(text []byte) (State, error) {
 	s := State{}
 	if err := json.Unmarshal(text, &s); err != nil {
 		return State{}, err
 	}
-	if s.Version != version {
-		return State{}, fmt.Errorf("%w: %d, not %d", errVersion, s.Version, version)
+	if s.Version != stateVersion {
+		return State{}, fmt.Errorf("%w: %d, not %d", errVersion, s.Version, stateVersion)
 	}
 	if s.Suspended == nil {
 		s.Suspended = map[string]Override{}
--- a/internal/peer/envelope.go
+++ b/internal/peer/envelope.go
@@ -15,15 +15,15 @@
 	"lilaccove/internal/fleet/membership"
 )
 
-// An envelope is two bytes of magic, a version, a channel, a digest of the fleet's name, a body in CBOR, and a digest
+// An envelope is two bytes of magic, a envelopeVersion, a channel, a digest of the fleet's name, a body in CBOR, and a digest
 // of all that. The digests (xxhash) guard against damage and mix-ups, not against ill will.
 const (
-	magic0, magic1 = 0x6c, 0x43
-	version        = 1
-	headSize       = 12
-	tailSize       = 8
-	lengthSize     = 4         // before each envelope of a stream
-	mostFrame      = 480 << 10 // of a stream
+	magic0, magic1   = 0x6c, 0x43
+	envelopeVersion  = 1
+	headerSize       = 12
+	trailerSize      = 8
+	lengthPrefixSize = 4         // before each envelope of a stream
+	maxFrame         = 480 << 10 // of a stream
 )
 
 // Channels say who a message is for.
@@ -31,11 +31,11 @@
 
 // Why a message was dropped.
 var (
-	errGarbage = errors.New("garbage")
-	errVersion = errors.New("unknown version")
-	errForeign = errors.New("another fleet's")
-	errSpoilt  = errors.New("spoilt")
-	errBad     = errors.New("malformed")
+	errGarbage   = errors.New("garbage")
+	errVersion   = errors.New("unknown version")
+	errForeign   = errors.New("another fleet's")
+	errCorrupt   = errors.New("spoilt")
+	errMalformed = errors.New("malformed")
 )
 
 // codec packs and unpacks envelopes of one fleet.
@@ -57,10 +57,10 @@
 	return &codec{fleet: xxhash.Sum64String(name), enc: enc, dec: dec}, err
 }
 
-// pack adds an envelope to b.
-func (c *codec) pack(b []byte, channel byte, body any) ([]byte, error) {
+// encode adds an envelope to b.
+func (c *codec) encode(b []byte, channel byte, body any) ([]byte, error) {
 	start := len(b)
-	b = append(b, magic0, magic1, version, channel)
+	b = append(b, magic0, magic1, envelopeVersion, channel)
 	b = binary.BigEndian.AppendUint64(b, c.fleet)
 	text, err := c.enc.Marshal(body)
 	if err != nil {
@@ -70,47 +70,47 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[start:])), nil
 }
 
-// open checks an envelope; the body is part of b.
-func (c *codec) open(b []byte) (channel byte, body []byte, err error) {
+// decode checks an envelope; the body is part of b.
+func (c *codec) decode(b []byte) (channel byte, body []byte, err error) {
 	switch {
-	case len(b) < headSize+tailSize || b[0] != magic0 || b[1] != magic1:
+	case len(b) < headerSize+trailerSize || b[0] != magic0 || b[1] != magic1:
 		return 0, nil, errGarbage
-	case b[2] != version:
+	case b[2] != envelopeVersion:
 		return 0, nil, errVersion
-	case binary.BigEndian.Uint64(b[len(b)-tailSize:]) != xxhash.Sum64(b[:len(b)-tailSize]):
-		return 0, nil, errSpoilt
+	case binary.BigEndian.Uint64(b[len(b)-trailerSize:]) != xxhash.Sum64(b[:len(b)-trailerSize]):
+		return 0, nil, errCorrupt
 	case binary.BigEndian.Uint64(b[4:]) != c.fleet:
 		return 0, nil, errForeign
 	}
-	return b[3], b[headSize : len(b)-tailSize], nil
+	return b[3], b[headerSize : len(b)-trailerSize], nil
 }
 
-// read fills to from the body of an envelope.
-func (c *codec) read(body []byte, to any) error {
+// unmarshal fills to from the body of an envelope.
+func (c *codec) unmarshal(body []byte, to any) error {
 	if err := c.dec.Unmarshal(body, to); err != nil {
-		return fmt.Errorf("%w: %v", errBad, err)
+		return fmt.Errorf("%w: %v", errMalformed, err)
 	}
 	return nil
 }
 
-// membership reads a message of that channel.
-func (c *codec) membership(body []byte) (msg membership.Message, err error) {
-	if err := c.read(body, &msg); err != nil {
+// decodeMembership reads a message of that channel.
+func (c *codec) decodeMembership(body []byte) (msg membership.Message, err error) {
+	if err := c.unmarshal(body, &msg); err != nil {
 		return msg, err
 	}
-	if msg.Kind < membership.Ping || msg.Kind > membership.Reply || !sound(msg.From) || msg.Target != "" && !fleet.ValidName(msg.Target) {
-		return msg, errBad
+	if msg.Kind < membership.Ping || msg.Kind > membership.Reply || !validEntry(msg.From) || msg.Target != "" && !fleet.ValidName(msg.Target) {
+		return msg, errMalformed
 	}
 	for _, e := range msg.Updates {
-		if !sound(e) {
-			return msg, errBad
+		if !validEntry(e) {
+			return msg, errMalformed
 		}
 	}
 	return msg, nil
 }
 
-// sound tells whether an entry can be one. An incarnation is a moment; one from an age to come could not be refuted.
-func sound(e membership.Entry) bool {
+// validEntry tells whether an entry can be one. An incarnation is a moment; one from an age to come could not be refuted.
+func validEntry(e membership.Entry) bool {
 	return fleet.ValidName(e.Name) && e.Addr.IsValid() && e.Addr.Port() != 0 && e.Incarnation > 0 && e.Incarnation < 1<<62 &&
 		e.State <= membership.Left && (e.SuspectedBy == "" || fleet.ValidName(e.SuspectedBy)) && len(e.Zone) <= 64
 }
--- a/internal/peer/positions_test.go
+++ b/internal/peer/positions_test.go
@@ -16,8 +16,8 @@
 	"lilaccove/policy"
 )
 
-// told are two gateways on one loop that tell each other of positions, each by its own file's line.
-type told struct {
+// positionsPair are two gateways on one loop that tell each other of positions, each by its own file's line.
+type positionsPair struct {
 	loop   *netloop.Loop
 	links  [2]*Links
 	roles  [2]*Positions
@@ -25,61 +25,61 @@
 	events [2][]policy.Event
 }
 
-func newTold(t *testing.T, budgets [2]int, lists [2][]string) *told {
+func newPositionsPair(t *testing.T, budgets [2]int, lists [2][]string) *positionsPair {
 	loop, err := netloop.New(256, 0, 16<<20)
 	require.NoError(t, err)
 	t.Cleanup(func() { loop.Close() })
-	w := &told{loop: loop, lists: lists}
+	pair := &positionsPair{loop: loop, lists: lists}
 	var seeds []netip.AddrPort
 	for i := range 2 {
-		w.links[i], err = New(loop, fmt.Sprint("n", i), "", &fleet.File{
+		pair.links[i], err = New(loop, fmt.Sprint("n", i), "", &fleet.File{
 			Fleet: "f", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: seeds, StableAfter: 50 * time.Millisecond, PositionBytes: budgets[i],
 		}, loop.Now())
 		require.NoError(t, err)
-		seeds = append(seeds, w.links[i].udp.Addr)
-		w.roles[i] = w.links[i].SharePositions(func(h policy.HostID) bool {
-			return slices.Contains(w.lists[i], string(h))
+		seeds = append(seeds, pair.links[i].udp.Addr)
+		pair.roles[i] = pair.links[i].SharePositions(func(h policy.HostID) bool {
+			return slices.Contains(pair.lists[i], string(h))
 		}, func() (members []policy.Member) {
-			for _, l := range w.lists[i] {
+			for _, l := range pair.lists[i] {
 				members = append(members, policy.Member{Host: policy.HostID(l)})
 			}
 			return members
-		}, func(e policy.Event) { w.events[i] = append(w.events[i], e) })
+		}, func(e policy.Event) { pair.events[i] = append(pair.events[i], e) })
 	}
-	return w
+	return pair
 }
 
-// until runs the loop once until something has come true.
-func (w *told) until(t *testing.T, what string, ok func() bool) {
+// runUntil runs the loop once runUntil something has come true.
+func (pair *positionsPair) runUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	late := w.loop.At(w.loop.Now()+10*time.Second, w.loop.Stop)
-	defer late.Stop()
+	timeout := pair.loop.At(pair.loop.Now()+10*time.Second, pair.loop.Stop)
+	defer timeout.Stop()
 	done := false
-	require.NoError(t, w.loop.Run(func() bool {
-		if done = done || ok(); done {
-			w.loop.Stop()
+	require.NoError(t, pair.loop.Run(func() bool {
+		if done = done || condition(); done {
+			pair.loop.Stop()
 		}
 		return false
 	}))
-	require.True(t, done, what)
+	require.True(t, done, description)
 }
 
 // Under a budget a position goes from one gateway to another's decisions, as a floor, and only where the other's list has
 // the database; what the datagrams took is what the budget counts.
-func TestPositionsUnderABudget(t *testing.T) {
-	w := newTold(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2", "s3"}, {"s1", "s3"}})
-	at := w.loop.Now() - time.Second
+func TestPositionsWithByteBudget(t *testing.T) {
+	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2", "s3"}, {"s1", "s3"}})
+	at := pair.loop.Now() - time.Second
 	for _, h := range []policy.HostID{"s1", "s2"} {
-		w.roles[0].Observe(h, at)
+		pair.roles[0].Observe(h, at)
 	}
-	w.until(t, "it is told, and some time goes by", func() bool { return len(w.events[1]) > 0 && w.roles[0].r.Counts().Requests > 3 })
-	heard := w.events[1][0].(policy.PositionReported)
-	assert.Equal(t, policy.HostID("s1"), heard.Host)
-	assert.LessOrEqual(t, heard.Position, at)
-	assert.Less(t, at-heard.Position, 10*time.Millisecond)
-	assert.Len(t, w.events[1], 1)
-	assert.Zero(t, w.roles[1].r.TimeOf("s2"))
-	text := string(w.links[0].Metrics(nil))
+	pair.runUntil(t, "it is told, and some time goes by", func() bool { return len(pair.events[1]) > 0 && pair.roles[0].reconciler.Counts().Requests > 3 })
+	reported := pair.events[1][0].(policy.PositionReported)
+	assert.Equal(t, policy.HostID("s1"), reported.Host)
+	assert.LessOrEqual(t, reported.Position, at)
+	assert.Less(t, at-reported.Position, 10*time.Millisecond)
+	assert.Len(t, pair.events[1], 1)
+	assert.Zero(t, pair.roles[1].reconciler.TimeOf("s2"))
+	text := string(pair.links[0].Metrics(nil))
 	for _, line := range []string{"edge_gw.fleet_positions.budget=1500\n", "edge_gw.fleet_positions.learned=2\n", "edge_gw.fleet_positions.not_known=1\n"} {
 		assert.Contains(t, text, line)
 	}
@@ -87,66 +87,66 @@
 }
 
 // During a change-over: who has a budget takes rumours in; who has none refuses asks, and says so.
-func TestRumoursAndBudgetsSideBySide(t *testing.T) {
+func TestGossipAndByteBudgetsTogether(t *testing.T) {
 	list := []string{"s1"}
-	w := newTold(t, [2]int{0, 1500}, [2][]string{list, list})
-	w.roles[0].Observe("s1", w.loop.Now()-time.Second)
-	w.until(t, "rumours are heard and asks are refused", func() bool { return len(w.events[1]) > 0 && w.links[0].counts.UnknownVersion > 0 })
-	assert.Empty(t, w.events[0])
-	assert.ErrorContains(t, w.roles[0].reconcile(nil), "under a budget, which the fleet file here does not have")
-	assert.ErrorIs(t, w.roles[0].reconcile(nil), errVersion)
+	pair := newPositionsPair(t, [2]int{0, 1500}, [2][]string{list, list})
+	pair.roles[0].Observe("s1", pair.loop.Now()-time.Second)
+	pair.runUntil(t, "rumours are heard and asks are refused", func() bool { return len(pair.events[1]) > 0 && pair.links[0].counts.UnknownVersion > 0 })
+	assert.Empty(t, pair.events[0])
+	assert.ErrorContains(t, pair.roles[0].receiveReconcile(nil), "under a budget, which the fleet file here does not have")
+	assert.ErrorIs(t, pair.roles[0].receiveReconcile(nil), errVersion)
 }
 
 // A build that knows neither channel refuses it as this one refuses a later channel; garbage is malformed.
-func TestUnknownChannelsAndGarbage(t *testing.T) {
-	w := newTold(t, [2]int{1500, 1500}, [2][]string{{"s1"}, {"s1"}})
-	l := w.links[0]
+func TestUnknownChannelsAndMalformedBodies(t *testing.T) {
+	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1"}, {"s1"}})
+	l := pair.links[0]
 	from := netip.MustParseAddrPort("127.0.0.1:9")
-	take := func(channel byte, body any) bool {
-		b, err := l.codec.pack(nil, channel, body)
+	receive := func(channel byte, body any) bool {
+		b, err := l.codec.encode(nil, channel, body)
 		require.NoError(t, err)
-		return l.take(from, b, 0, 0)
+		return l.receiveEnvelope(from, b, 0, 0)
 	}
-	assert.False(t, take(channelReconcilePrimaries+1, []byte("x")))
-	assert.False(t, take(channelReconcilePrimaries, []byte("x")), "a role that is not shared here")
+	assert.False(t, receive(channelReconcilePrimaries+1, []byte("x")))
+	assert.False(t, receive(channelReconcilePrimaries, []byte("x")), "a role that is not shared here")
 	assert.EqualValues(t, 2, l.counts.UnknownVersion)
-	assert.False(t, take(channelReconcilePositions, []byte("x")))
-	assert.False(t, take(channelReconcilePositions, "text"))
+	assert.False(t, receive(channelReconcilePositions, []byte("x")))
+	assert.False(t, receive(channelReconcilePositions, "text"))
 	assert.EqualValues(t, 2, l.counts.Malformed)
-	assert.Empty(t, w.events[0])
+	assert.Empty(t, pair.events[0])
 }
 
 // A message that comes right behind a change of the list meets the list as it is, however many changes there were; in
 // between nothing is made anew.
-func TestListThatHasJustChanged(t *testing.T) {
-	w := newTold(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2"}, {"s1", "s2"}})
-	s := w.roles[0]
-	at := w.loop.Now() - time.Second
-	tell := func(hosts ...string) {
+func TestMessageAfterListChangeUsesNewList(t *testing.T) {
+	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2"}, {"s1", "s2"}})
+	s := pair.roles[0]
+	at := pair.loop.Now() - time.Second
+	receive := func(hosts ...string) {
 		msg := antientropy.Message{Kind: antientropy.Response, From: "n1"}
 		for _, h := range hosts {
 			msg.Entries = append(msg.Entries, antientropy.Entry{Host: h, At: at})
 		}
-		s.reconciled(msg)
+		s.applyReconcile(msg)
 	}
-	tell("s1")
-	require.Len(t, w.events[0], 1)
-	w.lists[0] = []string{"s1", "s3"}
+	receive("s1")
+	require.Len(t, pair.events[0], 1)
+	pair.lists[0] = []string{"s1", "s3"}
 	s.ListChanged()
 	s.ListChanged()
-	assert.Equal(t, at, s.r.TimeOf("s1"), "not yet")
-	tell("s2", "s3")
-	require.Len(t, w.events[0], 2)
-	assert.Equal(t, policy.HostID("s3"), w.events[0][1].(policy.PositionReported).Host)
-	assert.Zero(t, s.r.TimeOf("s2"), "of a database that left nothing is kept")
-	w.lists[0] = []string{"s3"}
+	assert.Equal(t, at, s.reconciler.TimeOf("s1"), "not yet")
+	receive("s2", "s3")
+	require.Len(t, pair.events[0], 2)
+	assert.Equal(t, policy.HostID("s3"), pair.events[0][1].(policy.PositionReported).Host)
+	assert.Zero(t, s.reconciler.TimeOf("s2"), "of a database that left nothing is kept")
+	pair.lists[0] = []string{"s3"}
 	s.ListChanged()
-	tell("s1")
-	assert.Len(t, w.events[0], 2)
-	assert.Zero(t, s.r.TimeOf("s1"))
-	assert.Equal(t, at, s.r.TimeOf("s3"))
-	w.lists[0] = []string{"s3", "s4"}
+	receive("s1")
+	assert.Len(t, pair.events[0], 2)
+	assert.Zero(t, s.reconciler.TimeOf("s1"))
+	assert.Equal(t, at, s.reconciler.TimeOf("s3"))
+	pair.lists[0] = []string{"s3", "s4"}
 	s.ListChanged()
 	s.Observe("s4", at)
-	assert.Equal(t, at, s.r.TimeOf("s4"), "what this gateway itself hears of a new one is not lost")
+	assert.Equal(t, at, s.reconciler.TimeOf("s4"), "what this gateway itself hears of a new one is not lost")
 }
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -47,17 +47,17 @@
 
 // Report tells in JSON what this gateway knows of the others.
 func (l *Links) Report() []byte {
-	own, member := l.m.Self()
-	v := l.m.View()
+	own, member := l.machine.Self()
+	view := l.machine.View()
 	r := Report{
 		Fleet: l.file.Fleet, Name: own.Name, Addr: own.Addr.String(), Session: hex(own.Session), Incarnation: own.Incarnation, Member: member,
-		Superseded: l.m.Superseded(), Health: l.m.Health(), View: ReportView{Version: v.Version, Digest: hex(v.Digest)}, Known: []ReportMember{},
+		Superseded: l.machine.Superseded(), Health: l.machine.Health(), View: ReportView{Version: view.Version, Digest: hex(view.Digest)}, Known: []ReportMember{},
 		At: time.Unix(0, int64(l.loop.Now())).UTC(),
 	}
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		r.View.Members = append(r.View.Members, ReportMember{Name: m.Name, Addr: m.Addr.String(), Session: hex(m.Session), DuplicateName: m.DuplicateName})
 	}
-	for _, e := range l.m.Members() {
+	for _, e := range l.machine.Members() {
 		r.Known = append(r.Known, ReportMember{
 			Name: e.Name, Addr: e.Addr.String(), Session: hex(e.Session), State: e.State.String(), Incarnation: e.Incarnation, DuplicateName: e.DuplicateName,
 		})
@@ -76,16 +76,16 @@
 		b = append(strconv.AppendUint(b, n, 10), '\n')
 	}
 	states := [membership.Left + 1]uint64{}
-	for _, e := range l.m.Members() {
+	for _, e := range l.machine.Members() {
 		states[e.State]++
 	}
-	v, c, k := l.m.View(), l.m.Counts(), &l.counts
-	line("view_version", v.Version)
-	line("view_members", uint64(len(v.Members)))
-	for s, n := range states {
-		line("others."+membership.State(s).String(), n)
+	view, memberCounts, counts := l.machine.View(), l.machine.Counts(), &l.counts
+	line("view_version", view.Version)
+	line("view_members", uint64(len(view.Members)))
+	for state, n := range states {
+		line("others."+membership.State(state).String(), n)
 	}
-	line("health", uint64(l.m.Health()))
+	line("health", uint64(l.machine.Health()))
 	if l.fence != nil {
 		fenced := uint64(0)
 		if l.fenced {
@@ -93,36 +93,36 @@
 		}
 		line("fenced", fenced)
 	}
-	if s := l.words.store; s != nil {
-		k := s.Stats()
-		line("words.saved", k.Saved)
-		line("words.not_saved", k.Failed)
-		line("words.others", k.OtherWriters)
+	if store := l.overrides.store; store != nil {
+		storeStats := store.Stats()
+		line("words.saved", storeStats.Saved)
+		line("words.not_saved", storeStats.Failed)
+		line("words.others", storeStats.OtherWriters)
 	}
-	line("probes", c.Probes)
-	line("probes_failed", c.FailedProbes)
-	line("suspicions", c.Suspicions)
-	line("refutations", c.Refutations)
-	line("deaths", c.Deaths)
-	line("pauses", c.Pauses)
-	line("superseded", c.Superseded)
-	line("name_twice", c.DuplicateNames)
-	line("overflow", c.Overflow)
-	line("exchanges", k.Exchanges)
-	line("exchanges_failed", k.ExchangesFailed)
+	line("probes", memberCounts.Probes)
+	line("probes_failed", memberCounts.FailedProbes)
+	line("suspicions", memberCounts.Suspicions)
+	line("refutations", memberCounts.Refutations)
+	line("deaths", memberCounts.Deaths)
+	line("pauses", memberCounts.Pauses)
+	line("superseded", memberCounts.Superseded)
+	line("name_twice", memberCounts.DuplicateNames)
+	line("overflow", memberCounts.Overflow)
+	line("exchanges", counts.Exchanges)
+	line("exchanges_failed", counts.ExchangesFailed)
 	line("deaths_seen", l.deaths)
-	line("received", k.Received)
-	line("received_bytes", k.ReceivedBytes)
-	line("sent", k.Sent)
-	line("sent_bytes", k.SentBytes)
-	line("unsent", k.Unsent)
-	line("dropped.garbage", k.Garbage)
-	line("dropped.version", k.UnknownVersion)
-	line("dropped.foreign", k.Foreign)
-	line("dropped.spoilt", k.Corrupt)
-	line("dropped.malformed", k.Malformed)
-	line("dropped.large", k.Oversized)
-	line("dropped.rate", k.RateLimited)
+	line("received", counts.Received)
+	line("received_bytes", counts.ReceivedBytes)
+	line("sent", counts.Sent)
+	line("sent_bytes", counts.SentBytes)
+	line("unsent", counts.Unsent)
+	line("dropped.garbage", counts.Garbage)
+	line("dropped.version", counts.UnknownVersion)
+	line("dropped.foreign", counts.Foreign)
+	line("dropped.spoilt", counts.Corrupt)
+	line("dropped.malformed", counts.Malformed)
+	line("dropped.large", counts.Oversized)
+	line("dropped.rate", counts.RateLimited)
 	line("rests", l.udp.Rests())
 	all := l.Traffic()
 	for _, role := range slices.Sorted(maps.Keys(all)) {
@@ -131,28 +131,28 @@
 		}
 	}
 	if l.versions != nil {
-		since, asked := l.versions.v.Lagging()
+		since, requested := l.versions.tracker.Lagging()
 		line("behind", uint64(min(since, 1)))
-		line("behind_asked", asked)
+		line("behind_asked", requested)
 	}
 	if l.primaries != nil {
-		l.primaries.metrics("primaries", line)
+		l.primaries.appendMetrics("primaries", line)
 	}
 	if l.positions != nil {
-		l.positions.metrics("positions", line)
+		l.positions.appendMetrics("positions", line)
 	}
 	if l.budgets == nil {
 		return b
 	}
-	own, lent, borrowed := l.budgets.m.Totals()
-	n := l.budgets.m.Counts()
-	line("budget.own", uint64(own))
+	home, lent, borrowed := l.budgets.machine.Totals()
+	budgetCounts := l.budgets.machine.Counts()
+	line("budget.own", uint64(home))
 	line("budget.lent", uint64(lent))
 	line("budget.borrowed", uint64(borrowed))
-	line("budget.asked", n.Requested)
-	line("budget.granted", n.Granted)
-	line("budget.refused", n.Refused)
-	line("budget.returned", n.Released)
-	line("budget.lapsed", n.Expired)
+	line("budget.asked", budgetCounts.Requested)
+	line("budget.granted", budgetCounts.Granted)
+	line("budget.refused", budgetCounts.Refused)
+	line("budget.returned", budgetCounts.Released)
+	line("budget.lapsed", budgetCounts.Expired)
 	return b
 }
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	channelVersions = 5
-	versionsEvery   = 250 * time.Millisecond
-	behindBound     = time.Second
-	askPace         = 100 * time.Millisecond // of a fleet of stragglers, as the module's between calls to discovery
+	channelVersions   = 5
+	versionsInterval  = 250 * time.Millisecond
+	maxListLag        = time.Second
+	listRequestSpread = 100 * time.Millisecond // of a fleet of stragglers, as the module's between calls to discovery
 )
 
 // LocalVersions are what this process acts on, as far as the fleet is told of it.
@@ -25,68 +25,68 @@
 }
 
 type versions struct {
-	l     *Links
-	v     *audit.Versions
-	facts LocalVersions
-	told  bool // that this process is behind
+	links   *Links
+	tracker *audit.Versions
+	local   LocalVersions
+	lagging bool // that this process is behind
 }
 
 // ShareVersions begins to tell others what this process acts on, and to bring its list up when others have a newer one.
-func (l *Links) ShareVersions(f LocalVersions) {
-	own, _ := l.m.Self()
-	s := &versions{l: l, facts: f, v: audit.NewVersions(audit.VersionsConfig{Name: own.Name, MaxLag: behindBound, RequestSpread: askPace, Seed: rand.Uint64()})}
+func (l *Links) ShareVersions(local LocalVersions) {
+	own, _ := l.machine.Self()
+	s := &versions{links: l, local: local, tracker: audit.NewVersions(audit.VersionsConfig{Name: own.Name, MaxLag: maxListLag, RequestSpread: listRequestSpread, Seed: rand.Uint64()})}
 	l.versions = s
 	s.tick()
-	l.every(versionsEvery, s.tick)
+	l.every(versionsInterval, s.tick)
 }
 
 func (s *versions) tick() {
-	l := s.l
-	own, member := l.m.Self()
-	view := l.m.View()
-	s.v.SetMembers(view.Names())
-	acts := audit.Version{
-		Session: own.Session, ListVersion: s.facts.ListVersion(), OverridesDigest: l.words.w.Digest(), ViewDigest: view.Digest, ConfigDigest: s.facts.ConfigDigest, FleetFileDigest: s.facts.FleetFileDigest, Build: s.facts.Build,
+	l := s.links
+	own, member := l.machine.Self()
+	view := l.machine.View()
+	s.tracker.SetMembers(view.Names())
+	current := audit.Version{
+		Session: own.Session, ListVersion: s.local.ListVersion(), OverridesDigest: l.overrides.set.Digest(), ViewDigest: view.Digest, ConfigDigest: s.local.ConfigDigest, FleetFileDigest: s.local.FleetFileDigest, Build: s.local.Build,
 	}
-	s.v.Set(acts)
-	if l.spans != nil {
-		l.spans.tick(acts)
+	s.tracker.Set(current)
+	if l.audit != nil {
+		l.audit.tick(current)
 	}
-	out, ask := s.v.Tick(l.loop.Now())
+	out, request := s.tracker.Tick(l.loop.Now())
 	if l.fence != nil {
-		l.fence.Tick(l.loop.Now(), acts.ListVersion, s.v.Others(), view.Names())
-		l.guard()
+		l.fence.Tick(l.loop.Now(), current.ListVersion, s.tracker.Others(), view.Names())
+		l.applyFence()
 	}
 	if member { // one that is drained, or whose name is another's, only listens
 		for _, m := range out {
-			if l.spans != nil {
-				m.Message.Timestamp = l.spans.r.Clock().Now(l.loop.Now())
+			if l.audit != nil {
+				m.Message.Timestamp = l.audit.recorder.Clock().Now(l.loop.Now())
 			}
-			l.post(m.To, channelVersions, m.Message)
+			l.sendTo(m.To, channelVersions, m.Message)
 		}
 	}
-	since, asked := s.v.Lagging()
-	if behind := since > 0 && ask || s.told && since > 0; behind != s.told {
-		s.told = behind
-		log.Printf("event=fleet_behind on=%t list=%d asked=%d", behind, s.facts.ListVersion(), asked)
+	since, requested := s.tracker.Lagging()
+	if lagging := since > 0 && request || s.lagging && since > 0; lagging != s.lagging {
+		s.lagging = lagging
+		log.Printf("event=fleet_behind on=%t list=%d asked=%d", lagging, s.local.ListVersion(), requested)
 	}
-	if ask {
-		s.facts.RequestList()
+	if request {
+		s.local.RequestList()
 	}
 }
 
 func (s *versions) receive(body []byte) error {
 	var msg audit.VersionsMessage
-	if err := s.l.codec.read(body, &msg); err != nil {
+	if err := s.links.codec.unmarshal(body, &msg); err != nil {
 		return err
 	}
-	if s.l.spans != nil {
-		s.l.spans.r.Clock().Observe(s.l.loop.Now(), msg.Timestamp)
+	if s.links.audit != nil {
+		s.links.audit.recorder.Clock().Observe(s.links.loop.Now(), msg.Timestamp)
 	}
-	if s.l.fence != nil && s.l.udp.Emptied() < s.l.fence.PauseEnd() {
+	if s.links.fence != nil && s.links.udp.Emptied() < s.links.fence.PauseEnd() {
 		return nil // it waited while this process stood still, and tells of then
 	}
-	s.v.Receive(s.l.loop.Now(), msg)
+	s.tracker.Receive(s.links.loop.Now(), msg)
 	return nil
 }
 
@@ -106,17 +106,17 @@
 // Versions tells in JSON who acts on which versions.
 func (l *Links) Versions() []byte {
 	now := l.loop.Now()
-	own, _ := l.m.Self()
+	own, _ := l.machine.Self()
 	r := VersionsReport{Name: own.Name}
-	for _, k := range l.versions.v.All() {
-		x := VersionReport{Version: k.Version}
-		if k.ReceivedAt > 0 {
-			x.ReceivedMS = (now - k.ReceivedAt).Milliseconds()
+	for _, known := range l.versions.tracker.All() {
+		report := VersionReport{Version: known.Version}
+		if known.ReceivedAt > 0 {
+			report.ReceivedMS = (now - known.ReceivedAt).Milliseconds()
 		}
-		if k.LaggingSince > 0 {
-			x.LaggingMS = (now - k.LaggingSince).Milliseconds()
+		if known.LaggingSince > 0 {
+			report.LaggingMS = (now - known.LaggingSince).Milliseconds()
 		}
-		r.Versions = append(r.Versions, x)
+		r.Versions = append(r.Versions, report)
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/internal/wordstore/moment.go
+++ b/internal/wordstore/clock.go
@@ -35,9 +35,9 @@
 }
 
 // since is how long before m another moment was: in real time where both are of one boot, else by the wall clock.
-func (m ClockReading) since(earlier ClockReading) time.Duration {
-	if m.BootID != "" && m.BootID == earlier.BootID && m.SinceBoot >= earlier.SinceBoot {
-		return m.SinceBoot - earlier.SinceBoot
+func (c ClockReading) since(earlier ClockReading) time.Duration {
+	if c.BootID != "" && c.BootID == earlier.BootID && c.SinceBoot >= earlier.SinceBoot {
+		return c.SinceBoot - earlier.SinceBoot
 	}
-	return m.Wall.Sub(earlier.Wall)
+	return c.Wall.Sub(earlier.Wall)
 }
--- a/internal/wordstore/wordstore.go
+++ b/internal/wordstore/wordstore.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	fileName   = "words"
-	magic      = "lilaccove words\n"
-	format     = 1
-	mostBytes  = 64 << 20
-	lockWait   = 2 * time.Second        // for another process of this gateway that saves
-	lockPause  = 5 * time.Millisecond   // between two tries
-	stampEvery = time.Minute            // how often it is noted that the process lives
-	retryEvery = time.Second            // and behind a failure
-	logEvery   = 10 * time.Second       // a disk that goes on failing is told so often
-	stampPart  = 4                      // and in a horizon at least so often
-	leastStamp = 100 * time.Millisecond // whatever the horizon
+	fileName              = "words"
+	magic                 = "lilaccove words\n"
+	format                = 1
+	maxFileSize           = 64 << 20
+	lockTimeout           = 2 * time.Second        // for another process of this gateway that saves
+	lockRetryInterval     = 5 * time.Millisecond   // between two tries
+	refreshInterval       = time.Minute            // how often it is noted that the process lives
+	retryInterval         = time.Second            // and behind a failure
+	logInterval           = 10 * time.Second       // a disk that goes on failing is told so often
+	refreshesPerRetention = 4                      // and in a horizon at least so often
+	minRefreshInterval    = 100 * time.Millisecond // whatever the horizon
 )
 
 // Why a file is not used.
@@ -65,18 +65,18 @@
 
 // content is what the file tells.
 type content struct {
-	Format  int              `cbor:"1,keyasint"`
-	Fleet   string           `cbor:"2,keyasint"`
-	Gateway string           `cbor:"3,keyasint"`
-	Session uint64           `cbor:"4,keyasint"` // of the process that wrote it
-	AtMS    int64            `cbor:"5,keyasint"` // when it did, Unix time
-	Words   []state.Override `cbor:"6,keyasint"`
-	Boot    string           `cbor:"7,keyasint,omitempty"` // of its machine
-	BootMS  int64            `cbor:"8,keyasint,omitempty"` // when it did, since then
+	Format    int              `cbor:"1,keyasint"`
+	Fleet     string           `cbor:"2,keyasint"`
+	Gateway   string           `cbor:"3,keyasint"`
+	Session   uint64           `cbor:"4,keyasint"` // of the process that wrote it
+	AtMS      int64            `cbor:"5,keyasint"` // when it did, Unix time
+	Overrides []state.Override `cbor:"6,keyasint"`
+	Boot      string           `cbor:"7,keyasint,omitempty"` // of its machine
+	BootMS    int64            `cbor:"8,keyasint,omitempty"` // when it did, since then
 }
 
-// at is when a file was written.
-func (c *content) at() ClockReading {
+// writtenAt is when a file was written.
+func (c *content) writtenAt() ClockReading {
 	return ClockReading{Wall: time.UnixMilli(c.AtMS), BootID: c.Boot, SinceBoot: time.Duration(c.BootMS) * time.Millisecond}
 }
 
@@ -92,17 +92,17 @@
 	opt  Options
 	done chan struct{}
 
-	mu     sync.Mutex // between the writer and who hands over
-	wake   sync.Cond
-	words  []state.Override
-	then   []func(err error)
-	due    bool
-	closed bool
-	state  Stats
+	mu        sync.Mutex // between the writer and who hands over
+	wake      sync.Cond
+	overrides []state.Override
+	callbacks []func(err error)
+	pending   bool
+	closed    bool
+	stats     Stats
 
-	before uint64 // the session that the last file was of; only the writer's
-	known  bool   // what the file had has been read, or it was put aside; only the writer's
-	told   time.Time
+	lastSession uint64 // the session that the last file was of; only the writer's
+	fileRead    bool   // what the file had has been read, or it was put aside; only the writer's
+	lastLogTime time.Time
 }
 
 // Open reads the words and begins to take new ones. What is wrong with a file is told in the error; the store beside it is
@@ -113,125 +113,125 @@
 	}
 	s := &Store{opt: opt, done: make(chan struct{})}
 	s.wake.L = &s.mu
-	var words []state.Override
+	var overrides []state.Override
 	err := os.MkdirAll(opt.Dir, 0o750)
 	if err == nil {
-		err = s.locked(func() (err error) {
-			words, err = s.read(opt.Now())
+		err = s.withLock(func() (err error) {
+			overrides, err = s.readFile(opt.Now())
 			return err
 		})
 	}
 	if errors.Is(err, ErrForeign) || errors.Is(err, ErrFormat) {
 		return nil, nil, err
 	}
-	if !s.known {
+	if !s.fileRead {
 		err = fmt.Errorf("%w: %w", ErrUnreadable, err)
-		s.due = true
+		s.pending = true
 	}
 	go s.run()
-	return s, words, err
+	return s, overrides, err
 }
 
 func (s *Store) path() string { return filepath.Join(s.opt.Dir, fileName) }
 
-// locked does something while no other process does. The system gives the lock back when a process ends.
-func (s *Store) locked(do func() error) error {
+// withLock does something while no other process does. The system gives the lock back when a process ends.
+func (s *Store) withLock(run func() error) error {
 	f, err := sys.OpenFile(s.path()+".lock", os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	for late := time.Now().Add(lockWait); ; time.Sleep(lockPause) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		switch err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
 		case err == nil:
-			return do()
+			return run()
 		case err != unix.EWOULDBLOCK && err != unix.EINTR:
 			return err
-		case time.Now().After(late):
+		case time.Now().After(deadline):
 			return ErrInUse
 		}
 	}
 }
 
-// read takes in the file; one that is damaged or too old is put aside.
-func (s *Store) read(now ClockReading) ([]state.Override, error) {
-	text, err := s.load()
+// readFile takes in the file; one that is damaged or too old is put aside.
+func (s *Store) readFile(now ClockReading) ([]state.Override, error) {
+	text, err := s.loadFile()
 	if err != nil && !errors.Is(err, ErrCorrupt) {
 		return nil, err
 	}
-	s.known = true
+	s.fileRead = true
 	if err != nil {
-		return nil, s.aside("torn", err, now)
+		return nil, s.moveAside("torn", err, now)
 	}
 	if text == nil {
 		return nil, nil
 	}
-	c, err := parse(text)
+	saved, err := parse(text)
 	switch {
 	case errors.Is(err, ErrCorrupt):
-		return nil, s.aside("torn", err, now)
+		return nil, s.moveAside("torn", err, now)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", s.path(), err)
-	case c.Fleet != s.opt.Fleet || c.Gateway != s.opt.Gateway:
-		return nil, fmt.Errorf("%s: %w: of %s in %s", s.path(), ErrForeign, c.Gateway, c.Fleet)
-	case now.since(c.at()) > s.opt.Retention:
-		since := time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339)
-		return nil, s.aside("old", fmt.Errorf("%w: since %s", ErrOld, since), now)
+	case saved.Fleet != s.opt.Fleet || saved.Gateway != s.opt.Gateway:
+		return nil, fmt.Errorf("%s: %w: of %s in %s", s.path(), ErrForeign, saved.Gateway, saved.Fleet)
+	case now.since(saved.writtenAt()) > s.opt.Retention:
+		since := time.UnixMilli(saved.AtMS).UTC().Format(time.RFC3339)
+		return nil, s.moveAside("old", fmt.Errorf("%w: since %s", ErrOld, since), now)
 	}
-	if s.before != 0 && c.Session != s.before && c.Session != s.opt.Session {
+	if s.lastSession != 0 && saved.Session != s.lastSession && saved.Session != s.opt.Session {
 		s.mu.Lock()
-		s.state.OtherWriters++
+		s.stats.OtherWriters++
 		s.mu.Unlock()
 	}
-	s.before = c.Session
-	return c.Words, nil
+	s.lastSession = saved.Session
+	return saved.Overrides, nil
 }
 
-// load is the file's text; nil: there is none.
-func (s *Store) load() ([]byte, error) {
+// loadFile is the file's text; nil: there is none.
+func (s *Store) loadFile() ([]byte, error) {
 	info, err := os.Stat(s.path())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, nil
 	case err != nil:
 		return nil, err
-	case info.Size() > mostBytes:
+	case info.Size() > maxFileSize:
 		return nil, ErrCorrupt
 	}
 	return sys.ReadFile(s.path())
 }
 
-// aside renames the file, so that it can be looked at, and the next begins anew.
-func (s *Store) aside(what string, why error, now ClockReading) error {
-	to := fmt.Sprintf("%s.%s.%d", s.path(), what, now.Wall.UnixMilli())
+// moveAside renames the file, so that it can be looked at, and the next begins anew.
+func (s *Store) moveAside(suffix string, reason error, now ClockReading) error {
+	to := fmt.Sprintf("%s.%s.%d", s.path(), suffix, now.Wall.UnixMilli())
 	if err := sys.Rename(s.path(), to); err != nil {
-		return fmt.Errorf("%s: %w; it cannot be put aside: %w", s.path(), why, err)
+		return fmt.Errorf("%s: %w; it cannot be put aside: %w", s.path(), reason, err)
 	}
-	return fmt.Errorf("%s: %w; it is now %s", s.path(), why, to)
+	return fmt.Errorf("%s: %w; it is now %s", s.path(), reason, to)
 }
 
 // parse takes a file's text.
-func parse(text []byte) (c content, err error) {
+func parse(text []byte) (saved content, err error) {
 	rest, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(rest) < 8 || xxhash.Sum64(rest[8:]) != binary.BigEndian.Uint64(rest) {
-		return c, ErrCorrupt
+		return saved, ErrCorrupt
 	}
-	if err := cbor.Unmarshal(rest[8:], &c); err != nil {
-		return c, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	if err := cbor.Unmarshal(rest[8:], &saved); err != nil {
+		return saved, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if c.Format > format {
-		return c, ErrFormat
+	if saved.Format > format {
+		return saved, ErrFormat
 	}
-	for i := range c.Words {
-		if c.Words[i].LimitWriters(); !c.Words[i].Valid() {
-			return c, ErrCorrupt
+	for i := range saved.Overrides {
+		if saved.Overrides[i].LimitWriters(); !saved.Overrides[i].Valid() {
+			return saved, ErrCorrupt
 		}
 	}
-	return c, nil
+	return saved, nil
 }
 
-func compose(c content) ([]byte, error) {
-	text, err := cbor.Marshal(c)
+func encode(saved content) ([]byte, error) {
+	text, err := cbor.Marshal(saved)
 	if err != nil {
 		return nil, err
 	}
@@ -240,12 +240,12 @@
 
 // Save hands over all words there are; then is called from another goroutine once they are on the disk, or are not, and
 // behind Options.Found. Sets that wait are written as one, the newest.
-func (s *Store) Save(words []state.Override, then func(err error)) {
+func (s *Store) Save(overrides []state.Override, callback func(err error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.words, s.due = words, true
-	if then != nil {
-		s.then = append(s.then, then)
+	s.overrides, s.pending = overrides, true
+	if callback != nil {
+		s.callbacks = append(s.callbacks, callback)
 	}
 	s.wake.Signal()
 }
@@ -254,98 +254,98 @@
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state
+	return s.stats
 }
 
 // Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
-func (s *Store) Close(patience time.Duration) {
+func (s *Store) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	s.wake.Signal()
 	s.mu.Unlock()
 	select {
 	case <-s.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
 func (s *Store) run() {
 	defer close(s.done)
-	every := max(leastStamp, min(stampEvery, s.opt.Retention/stampPart))
-	var tick *time.Timer
-	tick = time.AfterFunc(every, func() {
+	interval := max(minRefreshInterval, min(refreshInterval, s.opt.Retention/refreshesPerRetention))
+	var timer *time.Timer
+	timer = time.AfterFunc(interval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.due = true
+		s.pending = true
 		s.wake.Signal()
 	})
-	defer tick.Stop()
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		for !s.due && !s.closed {
+		for !s.pending && !s.closed {
 			s.wake.Wait()
 		}
-		words, then, due := s.words, s.then, s.due
-		s.then, s.due = nil, false
+		overrides, callbacks, pending := s.overrides, s.callbacks, s.pending
+		s.callbacks, s.pending = nil, false
 		s.mu.Unlock()
-		if !due {
+		if !pending {
 			return
 		}
-		err := s.save(words)
-		s.note(err)
-		for _, do := range then {
-			do(err)
+		err := s.saveFile(overrides)
+		s.recordResult(err)
+		for _, callback := range callbacks {
+			callback(err)
 		}
-		pause := every
+		pause := interval
 		if err != nil {
-			pause = min(every, retryEvery)
+			pause = min(interval, retryInterval)
 		}
-		tick.Reset(pause)
+		timer.Reset(pause)
 	}
 }
 
-// save writes the words and hands on what the file had besides.
-func (s *Store) save(words []state.Override) error {
-	knew := s.known
-	var more []state.Override
-	err := s.locked(func() (err error) {
-		more, err = s.write(words, s.opt.Now())
+// saveFile writes the words and hands on what the file had besides.
+func (s *Store) saveFile(overrides []state.Override) error {
+	wasRead := s.fileRead
+	var missing []state.Override
+	err := s.withLock(func() (err error) {
+		missing, err = s.writeFile(overrides, s.opt.Now())
 		return err
 	})
-	if s.opt.OnFound != nil && (len(more) > 0 || s.known && !knew) {
-		s.opt.OnFound(more)
+	if s.opt.OnFound != nil && (len(missing) > 0 || s.fileRead && !wasRead) {
+		s.opt.OnFound(missing)
 	}
 	return err
 }
 
-// write merges what the file has with the words and replaces it; it returns what the words lacked, also where it fails.
-func (s *Store) write(words []state.Override, now ClockReading) (more []state.Override, err error) {
-	had, err := s.read(now)
+// writeFile merges what the file has with the words and replaces it; it returns what the words lacked, also where it fails.
+func (s *Store) writeFile(overrides []state.Override, now ClockReading) (missing []state.Override, err error) {
+	stored, err := s.readFile(now)
 	if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOld) {
 		return nil, err
 	}
 	if err != nil {
 		log.Printf("event=fleet_words_file err=%q", err)
 	}
-	all, more := state.Merge(words, had)
-	text, err := compose(content{
-		Format: format, Fleet: s.opt.Fleet, Gateway: s.opt.Gateway, Session: s.opt.Session, Words: all,
+	all, missing := state.Merge(overrides, stored)
+	text, err := encode(content{
+		Format: format, Fleet: s.opt.Fleet, Gateway: s.opt.Gateway, Session: s.opt.Session, Overrides: all,
 		AtMS: now.Wall.UnixMilli(), Boot: now.BootID, BootMS: now.SinceBoot.Milliseconds(),
 	})
 	if err != nil {
-		return more, err
+		return missing, err
 	}
-	if err := replace(s.path(), text); err != nil {
-		return more, err
+	if err := replaceFile(s.path(), text); err != nil {
+		return missing, err
 	}
-	s.before = s.opt.Session
-	return more, nil
+	s.lastSession = s.opt.Session
+	return missing, nil
 }
 
-// replace puts a new file in the place of an old one: on the disk before it is renamed, and the renaming, too, before it returns.
-func replace(path string, text []byte) error {
-	next := path + ".next"
-	f, err := sys.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+// replaceFile puts a new file in the place of an old one: on the disk before it is renamed, and the renaming, too, before it returns.
+func replaceFile(path string, text []byte) error {
+	temp := path + ".next"
+	f, err := sys.OpenFile(temp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
@@ -353,10 +353,10 @@
 		err = sys.Sync(f)
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = sys.Rename(next, path)
+		err = sys.Rename(temp, path)
 	}
 	if err != nil {
-		_ = os.Remove(next)
+		_ = os.Remove(temp)
 		return err
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -366,18 +366,18 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Store) note(err error) {
+func (s *Store) recordResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.state.Saved++
-		s.state.Err = ""
+		s.stats.Saved++
+		s.stats.Err = ""
 		return
 	}
-	s.state.Failed++
-	s.state.Err = err.Error()
-	if time.Since(s.told) >= logEvery {
-		s.told = time.Now()
-		log.Printf("event=fleet_words_not_saved failed=%d err=%q", s.state.Failed, err)
+	s.stats.Failed++
+	s.stats.Err = err.Error()
+	if time.Since(s.lastLogTime) >= logInterval {
+		s.lastLogTime = time.Now()
+		log.Printf("event=fleet_words_not_saved failed=%d err=%q", s.stats.Failed, err)
 	}
 }
