--- a/internal/peer/audit.go
+++ b/internal/peer/audit.go
@@ -13,7 +13,7 @@
 
 const closeTimeout = 300 * time.Millisecond // for the disk, at the end of the process
 
-// AuditRecorder keep what this process did to databases, by what it acted on. They are gateway.Acts.
+// AuditRecorder records what this process did to databases, and on which versions it acted. It implements gateway.Observer.
 type AuditRecorder struct {
 	links    *Links
 	recorder *audit.Recorder
@@ -22,7 +22,7 @@
 	groups   map[string]int
 }
 
-// StartAudit begins to keep spans. writes tells which classes are writes.
+// StartAudit starts to keep audit records; isWrite reports whether a class is one of writes.
 func (l *Links) StartAudit(isWrite func(class int) bool) (*AuditRecorder, error) {
 	own, _ := l.machine.Self()
 	s := &AuditRecorder{links: l, recorder: audit.NewRecorder(own.Name, own.Session), isWrite: isWrite, groups: map[string]int{}}
@@ -36,26 +36,26 @@
 	return s, nil
 }
 
-// Sent notes an attempt that was begun.
+// Sent records the start of an attempt.
 func (s *AuditRecorder) Sent(host policy.HostID, group policy.GroupID) {
 	s.recorder.Sent(s.links.loop.Now(), string(host), int(group))
 }
 
-// Accepted notes a request that a database has served.
+// Accepted records a write that a database has served; requests of other classes are ignored.
 func (s *AuditRecorder) Accepted(host policy.HostID, group policy.GroupID, class int) {
 	if s.isWrite(class) {
 		s.recorder.WriteAccepted(s.links.loop.Now(), string(host), int(group))
 	}
 }
 
-// PolicyLogged takes in what the decisions have logged.
+// PolicyLogged records the opening of a breaker, which it reads from the policy's log texts.
 func (s *AuditRecorder) PolicyLogged(text string) {
 	if host, ok := strings.CutPrefix(text, "breaker opens on "); ok {
 		s.recorder.BreakerOpened(host, s.groupOf(host))
 	}
 }
 
-// SetList takes in the list: who drains.
+// SetList applies a new list of databases: which are draining, and which are no longer listed.
 func (s *AuditRecorder) SetList(members []policy.Member) {
 	clear(s.groups)
 	for _, m := range members {
@@ -71,11 +71,12 @@
 	})
 }
 
-// Override takes in operators' word on a database.
+// Override records an operator override of a database.
 func (s *AuditRecorder) Override(host string, active bool) {
 	s.recorder.SetSuspended(s.links.loop.Now(), host, s.groupOf(host), active)
 }
 
+// groupOf returns the group of a database; -1: it is not in the list.
 func (s *AuditRecorder) groupOf(host string) int {
 	if g, ok := s.groups[host]; ok {
 		return g
@@ -83,7 +84,7 @@
 	return -1
 }
 
-// tick goes with that of the versions.
+// tick is called with each tick of versions.
 func (s *AuditRecorder) tick(v audit.Version) {
 	now := s.links.loop.Now()
 	s.recorder.Set(now, v)
@@ -91,6 +92,7 @@
 	s.flush()
 }
 
+// flush writes the finished records to the file.
 func (s *AuditRecorder) flush() {
 	for _, line := range s.recorder.Take() {
 		if s.file != nil {
@@ -102,7 +104,7 @@
 	}
 }
 
-// Close ends the last span and waits a moment for the disk.
+// Close writes the last record and waits for the disk, for closeTimeout at most.
 func (s *AuditRecorder) Close() {
 	s.recorder.Flush(s.links.loop.Now())
 	s.flush()
@@ -113,20 +115,20 @@
 	}
 }
 
-// AuditReport is what GET /v1/fleet/audit tells.
+// AuditReport is the answer to GET /v1/fleet/audit.
 type AuditReport struct {
 	Name              string            `json:"name"`
 	File              string            `json:"file,omitempty"`
-	Failure           string            `json:"failure,omitempty"` // of the file
-	Lost              uint64            `json:"lost,omitempty"`    // records that are not in it
+	Failure           string            `json:"failure,omitempty"` // the last error of the file
+	Lost              uint64            `json:"lost,omitempty"`    // records that are missing in the file
 	TimestampsRefused uint64            `json:"stamps_refused,omitempty"`
-	Records           []json.RawMessage `json:"records"` // the newest, as they stand in the file
+	Records           []json.RawMessage `json:"records"` // the newest, as written to the file
 }
 
-// maxReportSize bounds an answer to what operators' tools read.
+// maxReportSize limits an answer, in bytes of records, to what operators' tools read.
 const maxReportSize = 4 << 20
 
-// Audit tells the newest records of this process.
+// Audit returns in JSON the newest records of this process.
 func (s *AuditRecorder) Audit() []byte {
 	s.recorder.Flush(s.links.loop.Now())
 	s.flush()
@@ -152,7 +154,7 @@
 	return append(b, '\n')
 }
 
-// Audit tells the newest records; false: none are kept.
+// Audit returns the newest audit records; false: none are kept.
 func (l *Links) Audit() ([]byte, bool) {
 	if l.audit == nil {
 		return nil, false
--- a/internal/peer/budgets.go
+++ b/internal/peer/budgets.go
@@ -17,15 +17,15 @@
 	maxClockDrift  = 0.01
 )
 
-// Budgets are this gateway's parts of what the fleet may spend. They implement backend.Budget.
+// Budgets holds this gateway's leases of the connection budgets that the fleet shares. It implements backend.Budget.
 type Budgets struct {
 	links   *Links
 	machine *budget.Machine
-	// OnGrant is called when there is more of a host's budget than before.
+	// OnGrant is called when more connections to a host are allowed than before.
 	OnGrant func(host policy.HostID)
 }
 
-// newBudgets makes the machine that the fleet file asks for; nil: none.
+// newBudgets creates the budgets of the fleet file; nil: the file has none.
 func (l *Links) newBudgets(name string) (*Budgets, error) {
 	cfg := l.file.Budgets
 	if cfg == nil {
@@ -47,12 +47,12 @@
 	b.flush()
 }
 
-// Allowed is how many connections to a host may be open and used from now until a moment.
+// Allowed returns how many connections to a host may be open and in use from now until a time.
 func (b *Budgets) Allowed(host policy.HostID, until time.Duration) int {
 	return b.machine.Allowed(b.links.loop.Now(), string(host), until)
 }
 
-// ReportDemand tells how many connections to a host are used, and how many more are waited for.
+// ReportDemand reports how many connections to a host are in use and how many more are waited for.
 func (b *Budgets) ReportDemand(host policy.HostID, used, waiting int) {
 	if used+waiting == 0 {
 		b.machine.Forget(b.links.loop.Now(), string(host))
@@ -62,6 +62,7 @@
 	b.flush()
 }
 
+// flush sends the machine's messages and reports what was granted.
 func (b *Budgets) flush() {
 	out, granted := b.machine.Take()
 	for i := range out {
@@ -74,7 +75,7 @@
 	}
 }
 
-// setMembers tells the machine what this process is to its gateway's name, and whom it can ask.
+// setMembers passes the live members to the machine, and whether this process still owns its gateway's name.
 func (b *Budgets) setMembers(view membership.View) {
 	b.machine.SetLive(view.Names())
 	superseded, now := b.links.machine.Superseded(), b.links.loop.Now()
@@ -82,7 +83,7 @@
 	b.machine.SetHomeDisabled(now, superseded && !b.links.sibling)
 }
 
-// receive takes a message in; false: it is none.
+// receive decodes a message, checks it and passes it to the machine.
 func (b *Budgets) receive(body []byte) error {
 	var msg budget.Message
 	if err := b.links.codec.unmarshal(body, &msg); err != nil {
--- a/internal/peer/envelope.go
+++ b/internal/peer/envelope.go
@@ -1,6 +1,6 @@
-// Package peer carries what gateways tell each other, on the gateway's one loop: datagrams for probes and news,
-// connections for what does not fit in one. What a message means is decided by machines without I/O
-// (internal/fleet/...); here are framing, bounds and counts.
+// Package peer is the network side of the fleet: it exchanges messages with the other gateways on the gateway's event loop,
+// in datagrams for probes and updates and over connections for what does not fit in one. The protocols are state machines
+// without I/O (internal/fleet/...); this package does framing, limits, counters and reports.
 package peer
 
 import (
@@ -15,21 +15,21 @@
 	"lilaccove/internal/fleet/membership"
 )
 
-// An envelope is two bytes of magic, a envelopeVersion, a channel, a digest of the fleet's name, a body in CBOR, and a digest
-// of all that. The digests (xxhash) guard against damage and mix-ups, not against ill will.
+// An envelope consists of two magic bytes, a version, a channel, a hash of the fleet's name, a body in CBOR, and a hash of all
+// that. The hashes (xxhash) detect corruption and misdirected messages; they do not authenticate.
 const (
 	magic0, magic1   = 0x6c, 0x43
 	envelopeVersion  = 1
 	headerSize       = 12
 	trailerSize      = 8
-	lengthPrefixSize = 4         // before each envelope of a stream
-	maxFrame         = 480 << 10 // of a stream
+	lengthPrefixSize = 4         // bytes before each envelope of a stream
+	maxFrame         = 480 << 10 // bytes, of a stream
 )
 
-// Channels say who a message is for.
+// A channel names the protocol that a message belongs to.
 const channelMembership = 1
 
-// Why a message was dropped.
+// Reasons for which a message is dropped.
 var (
 	errGarbage   = errors.New("garbage")
 	errVersion   = errors.New("unknown version")
@@ -38,7 +38,7 @@
 	errMalformed = errors.New("malformed")
 )
 
-// codec packs and unpacks envelopes of one fleet.
+// codec encodes and decodes the envelopes of one fleet.
 type codec struct {
 	fleet uint64
 	enc   cbor.EncMode
@@ -57,7 +57,7 @@
 	return &codec{fleet: xxhash.Sum64String(name), enc: enc, dec: dec}, err
 }
 
-// encode adds an envelope to b.
+// encode appends an envelope to b.
 func (c *codec) encode(b []byte, channel byte, body any) ([]byte, error) {
 	start := len(b)
 	b = append(b, magic0, magic1, envelopeVersion, channel)
@@ -70,7 +70,7 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[start:])), nil
 }
 
-// decode checks an envelope; the body is part of b.
+// decode checks an envelope and returns its channel and body; the body is a slice of b.
 func (c *codec) decode(b []byte) (channel byte, body []byte, err error) {
 	switch {
 	case len(b) < headerSize+trailerSize || b[0] != magic0 || b[1] != magic1:
@@ -85,7 +85,7 @@
 	return b[3], b[headerSize : len(b)-trailerSize], nil
 }
 
-// unmarshal fills to from the body of an envelope.
+// unmarshal decodes the body of an envelope into to.
 func (c *codec) unmarshal(body []byte, to any) error {
 	if err := c.dec.Unmarshal(body, to); err != nil {
 		return fmt.Errorf("%w: %v", errMalformed, err)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// decodeMembership reads a message of that channel.
+// decodeMembership decodes and validates a membership message.
 func (c *codec) decodeMembership(body []byte) (msg membership.Message, err error) {
 	if err := c.unmarshal(body, &msg); err != nil {
 		return msg, err
@@ -109,7 +109,8 @@
 	return msg, nil
 }
 
-// validEntry tells whether an entry can be one. An incarnation is a moment; one from an age to come could not be refuted.
+// validEntry reports whether an entry is plausible. An incarnation is a time; one near the end of the range could not be
+// exceeded to refute it.
 func validEntry(e membership.Entry) bool {
 	return fleet.ValidName(e.Name) && e.Addr.IsValid() && e.Addr.Port() != 0 && e.Incarnation > 0 && e.Incarnation < 1<<62 &&
 		e.State <= membership.Left && (e.SuspectedBy == "" || fleet.ValidName(e.SuspectedBy)) && len(e.Zone) <= 64
--- a/internal/peer/fence.go
+++ b/internal/peer/fence.go
@@ -2,17 +2,18 @@
 
 import "log"
 
-// OnFence has do called whenever this process shuts itself out, or is back. It never is without a bound in the fleet file.
+// OnFence sets a function that is called whenever this process fences itself or lifts the fence. Without a fence bound in the
+// fleet file that never happens.
 func (l *Links) OnFence(callback func(active bool)) { l.onFence = callback }
 
-// CheckFence is to be called before each round's decisions are made: one that has stood still must not act on what it knew.
+// CheckFence must be called before the decisions of each loop round: after a pause the process must not act on stale state.
 func (l *Links) CheckFence() {
 	if l.fence != nil && l.fence.NotePause(l.loop.Now(), l.loop.Lost()) {
 		l.applyFence()
 	}
 }
 
-// applyFence does what the fence has come to.
+// applyFence reports a change of the fence.
 func (l *Links) applyFence() {
 	active, reason := l.fence.Fenced()
 	if active == l.fenced {
@@ -25,10 +26,11 @@
 	}
 }
 
-// Fenced tells whether this process shuts itself out.
+// Fenced reports whether this process is fenced.
 func (l *Links) Fenced() bool { return l.fenced }
 
-// SetFence takes an operator's word: out, or go on with the list that there is; false: the fleet file sets no bound.
+// SetFence applies an operator override: fence this process, or go on with its current list. It returns false if the fleet
+// file sets no fence bound.
 func (l *Links) SetFence(active bool) bool {
 	if l.fence == nil || l.versions == nil {
 		return false
--- a/internal/peer/overrides.go
+++ b/internal/peer/overrides.go
@@ -21,37 +21,37 @@
 	channelOverrides          = 4
 	overridesInterval         = 100 * time.Millisecond
 	maxOverrideLinesPerSecond = 50                     // logged in a second
-	maxSyncTime               = 2 * time.Second        // a gateway that starts waits so long for another's words at most
-	confirmTimeout            = 300 * time.Millisecond // the others have so long to say that they hold a word
-	diskTimeout               = 700 * time.Millisecond // and a disk, before the operator is told that it does not answer
+	maxSyncTime               = 2 * time.Second        // for which a starting gateway waits for the overrides of another
+	confirmTimeout            = 300 * time.Millisecond // for the others to confirm that they hold an override
+	diskTimeout               = 700 * time.Millisecond // for the disk, before the operator is answered without it
 	storeCloseTimeout         = time.Second
 )
 
-// overrides are those of operators to the whole fleet.
+// overrides spreads the operator overrides for the whole fleet and answers the operators that set them.
 type overrides struct {
 	links     *Links
 	set       *state.Overrides
-	syncStart time.Duration // since when others' words are waited for
-	onChange  func(host string, out bool)
+	syncStart time.Duration // when waiting for the overrides of others began
+	onChange  func(host string, active bool)
 	changeLog netloop.Sparse
-	store     *wordstore.Store // nil: none is kept
-	callbacks chan func()      // what the store's goroutine has for the loop
+	store     *wordstore.Store // nil: overrides are not stored
+	callbacks chan func()      // from the store's goroutine, to be run on the loop
 	pending   []*pendingOverride
 
-	storeUnread bool // what the store's file has is not known yet
+	storeUnread bool // the store's file has not been read yet
 }
 
-// pendingOverride is a word whose operator waits to hear who has it.
+// pendingOverride is an override whose operator waits for the confirmations.
 type pendingOverride struct {
 	id         uint64
 	start      time.Duration
-	persistent bool
-	diskResult string // how that went, once it did
-	reply      func(said string)
+	persistent bool   // overrides are to be stored, and the answer includes the disk
+	diskResult string // empty: the disk has not answered yet
+	reply      func(result string)
 }
 
-// OnOverride has do called whenever the fleet leaves a database out, or has it serve again, and for all words that were kept
-// over a restart.
+// OnOverride sets a function that is called whenever an override is set or lifted, and calls it for all overrides that were
+// kept across a restart.
 func (l *Links) OnOverride(callback func(host string, active bool)) {
 	l.overrides.onChange = callback
 	for _, override := range l.overrides.set.All() {
@@ -68,12 +68,12 @@
 		s.set.SetRetention(cfg.Retention)
 		s.openStore(cfg, own)
 	}
-	s.syncStart = l.loop.Clock() // opening may have taken a while
+	s.syncStart = l.loop.Clock() // opening the store may have taken a while
 	return s
 }
 
-// openStore takes in what was kept. Whatever is wrong with it is told and costs a catch-up from the others, or, where it cannot be
-// read yet, a wait for it; never the start.
+// openStore loads the stored overrides. An error is logged and never prevents the start: the overrides then come from the
+// other members, or, if the file cannot be read yet, this gateway waits for it.
 func (s *overrides) openStore(cfg *fleet.Overrides, own membership.Entry) {
 	s.callbacks = make(chan func(), 256)
 	store, stored, err := wordstore.Open(wordstore.Options{
@@ -95,8 +95,8 @@
 	})
 }
 
-// mergeFound takes in what the file had besides: it could not be read before, or another process of this gateway was told. It
-// runs on the store's goroutine.
+// mergeFound applies overrides that the file had and this process had not: the file could not be read before, or a sibling
+// process accepted them. It runs on the store's goroutine.
 func (s *overrides) mergeFound(missing []state.Override) {
 	s.runOnLoop(func() {
 		s.storeUnread = false
@@ -106,13 +106,13 @@
 	})
 }
 
-// runOnLoop has the loop do something that the store's goroutine has for it.
+// runOnLoop runs a task of the store's goroutine on the loop.
 func (s *overrides) runOnLoop(task func()) {
 	s.callbacks <- task
 	s.links.loop.Wake()
 }
 
-// save has all words written to the disk, if there is one, and then tells how that went.
+// save writes all overrides to the store, if there is one, and then calls done on the loop.
 func (s *overrides) save(done func(err error)) {
 	if s.store == nil {
 		return
@@ -126,14 +126,14 @@
 	})
 }
 
-// Close writes what is not on the disk yet.
+// Close writes overrides that are not on disk yet, and gives up after storeCloseTimeout.
 func (l *Links) Close() {
 	if l.overrides.store != nil {
 		l.overrides.store.Close(storeCloseTimeout)
 	}
 }
 
-// overridesMessage is a message with its sender.
+// overridesMessage is a message with the name of its sender.
 type overridesMessage struct {
 	From string                 `cbor:"1,keyasint"`
 	Body state.OverridesMessage `cbor:"2,keyasint"`
@@ -151,7 +151,8 @@
 	s.replyPending()
 }
 
-// replyPending tells operators who has their words, once all others have said so and the disk has, or it has taken too long.
+// replyPending answers the operators whose overrides all other members and the disk have confirmed, or for which the
+// timeouts have passed.
 func (s *overrides) replyPending() {
 	now := s.links.loop.Now()
 	s.pending = slices.DeleteFunc(s.pending, func(pending *pendingOverride) bool {
@@ -176,7 +177,7 @@
 	}
 }
 
-// setMembers tells who lives: not the view, for a word must not wait until a change has held.
+// setMembers passes on the live members instead of the stable view: an override must not wait until the view is stable.
 func (s *overrides) setMembers() {
 	var names []string
 	for _, e := range s.links.machine.Members() {
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// applyOverride does what the words about a database come to.
+// applyOverride logs and reports the effective state of a database after its overrides have changed.
 func (s *overrides) applyOverride(host, from string) {
 	active, conflict := s.set.Active(host)
 	s.changeLog.Printf(s.links.loop.Now(), "event=fleet_word host=%q out=%t conflict=%t from=%s", host, active, conflict, from)
@@ -218,11 +219,12 @@
 	}
 }
 
-// NotOnDisk is said of a word that a restart of all gateways at once would lose.
+// NotOnDisk marks the answer about an override that a restart of all gateways at once would lose.
 const NotOnDisk = "not on disk"
 
-// SetOverride takes an operator's word on a database to the whole fleet; false: there is no room for one more. It binds here at once;
-// then tells, within a second, how many other gateways hold it, and whether it is on the disk where words are kept.
+// SetOverride sets an operator override of a database for the whole fleet; false: the maximum number of overrides is reached.
+// It takes effect here at once; reply is called within a second with how many other gateways hold it, and, where overrides
+// are stored, whether it is on disk.
 func (l *Links) SetOverride(host string, active bool, reply func(result string)) bool {
 	s := l.overrides
 	id := s.set.Set(l.loop.Now(), host, active)
@@ -247,13 +249,13 @@
 	return true
 }
 
-// OverrideActive tells whether the fleet leaves a database out.
+// OverrideActive reports whether an override of a database or gateway is active.
 func (l *Links) OverrideActive(host string) bool {
 	active, _ := l.overrides.set.Active(host)
 	return active
 }
 
-// Synced tells whether this gateway knows what operators told the fleet, or need not wait for it any longer.
+// Synced reports whether this gateway has the fleet's overrides, or has waited for them for maxSyncTime.
 func (l *Links) Synced() bool {
 	if l.loop.Now()-l.overrides.syncStart > maxSyncTime {
 		return true
@@ -262,16 +264,16 @@
 	return !l.overrides.storeUnread && (alone || l.overrides.set.Synced())
 }
 
-// StateReport is what GET /v1/fleet/state tells.
+// StateReport is the answer to GET /v1/fleet/state.
 type StateReport struct {
 	Name      string           `json:"name"`
-	Digest    string           `json:"digest"` // equal in all gateways that have the same words
+	Digest    string           `json:"digest"` // equal in all gateways that have the same overrides
 	Synced    bool             `json:"caught_up"`
 	Overrides []state.Override `json:"words"`
-	Conflicts []string         `json:"conflicts,omitempty"` // databases about which words differ; they are left out
+	Conflicts []string         `json:"conflicts,omitempty"` // databases with concurrent overrides that differ; they are suspended
 }
 
-// State tells in JSON what operators told the fleet, as this gateway has it.
+// State returns in JSON the fleet's overrides as this gateway has them.
 func (l *Links) State() []byte {
 	own, _ := l.machine.Self()
 	set := l.overrides.set
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	maxDatagram             = 1200                   // what is sent at most in one; news are left out where they do not fit
-	datagramLoopShare       = 0.1                    // of the loop's time, for datagrams
-	maxDatagramsPerSecond   = 500                    // datagrams of one sender
-	maxSenders              = 8192                   // whose rates are kept
+	maxDatagram             = 1200                   // bytes sent in one; updates that do not fit are left out
+	datagramLoopShare       = 0.1                    // maximum share of the loop's time spent on datagrams
+	maxDatagramsPerSecond   = 500                    // from one sender
+	maxSenders              = 8192                   // for which rates are kept
 	maxStreams              = 16                     // in each direction
-	streamTimeout           = 2 * time.Second        // an exchange is over by then
-	rebindInterval          = 500 * time.Millisecond // see Links.move
-	oldSocketTime           = 5 * time.Second        // how long the address before a move is still read
+	streamTimeout           = 2 * time.Second        // for a whole exchange
+	rebindInterval          = 500 * time.Millisecond // see Links.rebind
+	oldSocketTime           = 5 * time.Second        // how long the previous address is still read after a rebind
 	maxBindAttempts         = 8
-	maxMemberLinesPerSecond = 200 // changes of members logged in a second
+	maxMemberLinesPerSecond = 200 // state changes of members logged in a second
 )
 
-// Counts are messages dropped, by cause, and what was sent and taken in.
+// Counts holds the messages dropped, by reason, and the traffic sent and received.
 type Counts struct {
 	Garbage, UnknownVersion, Foreign, Corrupt, Malformed, Oversized, RateLimited uint64
 	Received, Sent, ReceivedBytes, SentBytes, Unsent                             uint64
 	Exchanges, ExchangesFailed                                                   uint64
 }
 
-// Links are a gateway's ties to the others of its fleet. Everything runs on the loop's goroutine.
+// Links connects a gateway to the other members of its fleet. All methods run on the loop's goroutine.
 type Links struct {
 	loop           *netloop.Loop
 	file           *fleet.File
@@ -48,10 +48,10 @@
 	listener       *netloop.Listener
 	timer          *netloop.Timer
 	sibling        bool
-	onFallbackPort bool // bound elsewhere than told, as the address was taken
+	onFallbackPort bool // bound to another port, as the configured address was in use
 	lastStreamID   uint64
 	inbound        map[uint64]*stream
-	inboundOrder   []*stream // of those that others opened, oldest first
+	inboundOrder   []*stream // inbound streams, oldest first
 	outboundCount  int
 	buf            []byte
 	counts         Counts
@@ -59,29 +59,29 @@
 	senders        map[netip.AddrPort]*rateWindow
 	invalidLog     netloop.Sparse
 	suspectLog     netloop.Sparse
-	memberLog      netloop.Sparse // a fleet that starts is told whole, one that is told nonsense is not
-	viewVersion    uint64         // of the view that was logged
+	memberLog      netloop.Sparse // its limit lets the start of a fleet be logged whole, but not a flood of invalid members
+	viewVersion    uint64         // of the view logged last
 	budgets        *Budgets
-	versions       *versions // nil: they are not told
+	versions       *versions // nil: versions are not shared
 	overrides      *overrides
-	onView         func()         // the view has changed
-	positions      *Positions     // nil: they are not shared
+	onView         func()         // called when the stable view has changed
+	positions      *Positions     // nil: positions are not shared
 	primaries      *Positions     // likewise
-	audit          *AuditRecorder // nil: they are not kept
-	fence          *audit.Fence   // nil: this process never shuts itself out
-	fenced         bool           // as was told
-	onFence        func(out bool)
+	audit          *AuditRecorder // nil: no audit records are kept
+	fence          *audit.Fence   // nil: this process is never fenced
+	fenced         bool           // as last reported to onFence
+	onFence        func(active bool)
 	deaths         uint64
 	onDeath        func(name string)
 }
 
-// rateWindow bounds what one sender may have read.
+// rateWindow counts the datagrams of one sender within a second.
 type rateWindow struct {
 	start time.Duration
 	count int
 }
 
-// New joins a fleet. The name and the zone are the gateway's; start is the moment at which the process began.
+// New joins a fleet. The name and the zone are the gateway's; start is the time at which the process started.
 func New(loop *netloop.Loop, name, zone string, file *fleet.File, start time.Duration) (*Links, error) {
 	if !fleet.ValidName(name) {
 		return nil, fmt.Errorf("fleet: a gateway named %q cannot be a member; letters, digits, dots, dashes and underscores, 64 at most", name)
@@ -93,7 +93,7 @@
 	l := &Links{loop: loop, file: file, codec: c, inbound: map[uint64]*stream{}, senders: map[netip.AddrPort]*rateWindow{}, memberLog: netloop.Sparse{Most: maxMemberLinesPerSecond}}
 	err = l.bind(file.Listen)
 	if errors.Is(err, unix.EADDRINUSE) {
-		// The process before this one, during an upgrade; or a fault, of which the fleet will tell.
+		// A predecessor during an upgrade has it, or it is a fault, which the fleet will report.
 		log.Printf("event=fleet_address_taken listen=%s", file.Listen)
 		l.onFallbackPort = true
 		err = l.bind(netip.AddrPortFrom(file.Listen.Addr(), 0))
@@ -121,10 +121,10 @@
 	return l, nil
 }
 
-// Budgets are this gateway's parts of the fleet's budgets; nil: none are divided.
+// Budgets returns this gateway's part of the fleet's connection budgets; nil: there are none.
 func (l *Links) Budgets() *Budgets { return l.budgets }
 
-// bind opens the two sockets, on one port.
+// bind opens the listener and the datagram socket on the same port.
 func (l *Links) bind(addr netip.AddrPort) error {
 	for attempt := 1; ; attempt++ {
 		listener, err := l.loop.ListenReserved(addr, maxStreams, l.accept, l.closeOldestStream)
@@ -143,7 +143,7 @@
 	}
 }
 
-// advertisedAddr is where others are advertisedAddr to look for this process.
+// advertisedAddr is the address at which other members reach this process.
 func (l *Links) advertisedAddr() netip.AddrPort {
 	if a := l.file.Advertise; a.IsValid() && !l.onFallbackPort {
 		return a
@@ -151,7 +151,7 @@
 	return l.udp.Addr
 }
 
-// rebind takes the address that was meant, once whoever had it has ended. The old one is read for a while.
+// rebind switches to the configured address once its previous owner has ended. The old one is read for oldSocketTime.
 func (l *Links) rebind() {
 	udp, listener := l.udp, l.listener
 	if l.sibling || l.bind(l.file.Listen) != nil {
@@ -168,19 +168,19 @@
 	})
 }
 
-// Leave tells the fleet that this gateway takes no work any more; Join takes that back.
+// Leave announces to the fleet that this gateway takes no more work; Join reverses it.
 func (l *Links) Leave() {
 	l.machine.Leave(l.loop.Now())
 	l.flush()
 }
 
-// Join is the return after Leave.
+// Join returns to the fleet after Leave.
 func (l *Links) Join() {
 	l.machine.Join(l.loop.Now())
 	l.flush()
 }
 
-// SetSibling tells whether another process of this gateway lives as part of an upgrade.
+// SetSibling sets whether a sibling process of this gateway is alive, as during an upgrade.
 func (l *Links) SetSibling(alive bool) {
 	if l.sibling != alive {
 		l.sibling = alive
@@ -192,22 +192,22 @@
 	}
 }
 
-// OnView has do called whenever the stable view has changed.
+// OnView sets a function that is called whenever the stable view has changed.
 func (l *Links) OnView(callback func()) { l.onView = callback }
 
-// Name is the gateway's.
+// Name returns the gateway's name.
 func (l *Links) Name() string {
 	own, _ := l.machine.Self()
 	return own.Name
 }
 
-// Knows tells whether a gateway of that name has been heard of, or is this one.
+// Knows reports whether a gateway of that name is or was a member, or is this one.
 func (l *Links) Knows(name string) bool {
 	own, _ := l.machine.Self()
 	return name == own.Name || slices.ContainsFunc(l.machine.Members(), func(e membership.Entry) bool { return e.Name == name })
 }
 
-// View is the stable view, see membership.View.
+// View returns the stable view, see [membership.View].
 func (l *Links) View() membership.View { return l.machine.View() }
 
 func (l *Links) tick() {
@@ -215,7 +215,7 @@
 	l.flush()
 }
 
-// flush carries out what the machine wants done and waits for its next moment.
+// flush carries out what the membership machine has decided and sets the timer for its next tick.
 func (l *Links) flush() {
 	out, changes := l.machine.Take()
 	for i := range out {
@@ -246,7 +246,7 @@
 	l.timer = l.loop.At(max(l.machine.Wake(), l.loop.Now()+time.Millisecond), l.tick)
 }
 
-// recordChange logs a change. Suspicions come and go and are told at a limited rate.
+// recordChange counts deaths and logs a membership change. Suspicions are frequent and logged at a limited rate.
 func (l *Links) recordChange(change membership.Change) {
 	e := change.Entry
 	own, member := l.machine.Self()
@@ -270,7 +270,7 @@
 	}
 }
 
-// dialAddr is where a member is found from here.
+// dialAddr returns the address at which this process reaches a member.
 func (l *Links) dialAddr(msg *membership.Send) netip.AddrPort {
 	if a, ok := l.file.Dial[msg.To]; ok && !msg.Direct {
 		return a
@@ -295,7 +295,7 @@
 	}
 }
 
-// sendDatagram sends one datagram, if it could be packed.
+// sendDatagram sends one datagram, or counts it as unsent if encoding or sending failed.
 func (l *Links) sendDatagram(to netip.AddrPort, b []byte, err error) {
 	if err != nil || !l.udp.Send(to, b) {
 		l.counts.Unsent++
@@ -306,7 +306,7 @@
 	l.traffic.countSent(b, 0)
 }
 
-// every has do called again and again.
+// every calls task repeatedly, first after one interval.
 func (l *Links) every(interval time.Duration, task func()) {
 	l.loop.At(l.loop.Now()+interval, func() {
 		task()
@@ -314,7 +314,7 @@
 	})
 }
 
-// sendTo sends a message of another channel to a member, if it lives.
+// sendTo sends a message of another protocol to a member, if it is alive.
 func (l *Links) sendTo(to string, channel byte, body any) {
 	addr, ok := l.machine.Addr(to)
 	if !ok {
@@ -326,7 +326,7 @@
 	l.sendDatagram(l.dialAddr(&membership.Send{To: to, Addr: addr}), b, err)
 }
 
-// receiveDatagram takes one in.
+// receiveDatagram limits the rate per sender and handles one datagram.
 func (l *Links) receiveDatagram(from netip.AddrPort, b []byte) {
 	l.counts.Received++
 	l.counts.ReceivedBytes += uint64(len(b))
@@ -341,7 +341,7 @@
 	}
 	if window.count++; window.count > maxDatagramsPerSecond {
 		l.counts.RateLimited++
-		l.invalidLog.Printf(now, "event=fleet_bad from=%s err=%q", from, "too many datagrams in a second")
+		l.invalidLog.Printf(now, "event=fleet_bad from=%s err=%q", from, "too many datagrams per second")
 		return
 	}
 	l.receiveEnvelope(from, b, 0, 0)
@@ -349,10 +349,11 @@
 
 func (l *Links) receiveOversized(from netip.AddrPort) {
 	l.counts.Oversized++
-	l.invalidLog.Printf(l.loop.Now(), "event=fleet_bad from=%s err=%q", from, "a datagram that is too large")
+	l.invalidLog.Printf(l.loop.Now(), "event=fleet_bad from=%s err=%q", from, "datagram too large")
 }
 
-// receiveEnvelope opens an envelope, before which so many bytes came, and hands on what is in it; false: it was no good.
+// receiveEnvelope decodes an envelope and dispatches its body; prefix is the number of bytes that came before it. It returns
+// false if the envelope was dropped.
 func (l *Links) receiveEnvelope(from netip.AddrPort, b []byte, prefix int, streamID uint64) bool {
 	channel, body, err := l.codec.decode(b)
 	if err == nil {
@@ -407,16 +408,16 @@
 	l.invalidLog.Printf(l.loop.Now(), "event=fleet_bad from=%s err=%q", from, err)
 }
 
-// stream is one exchange over a connection: a frame each way, each behind its length.
+// stream is one exchange over a connection: a frame in each direction, each preceded by its length.
 type stream struct {
 	links   *Links
 	conn    *netloop.Conn
-	id      uint64 // of those that others opened
-	request []byte // to be sent when the connection is up
+	id      uint64 // of an inbound stream; 0: outbound
+	request []byte // sent when the connection is up
 	timer   *netloop.Timer
 }
 
-// sendStream sends a whole list, on a connection of its own or as the answer on another's.
+// sendStream sends a message on a new connection, or as the response on an inbound stream.
 func (l *Links) sendStream(msg *membership.Send) {
 	b, err := l.codec.encode(make([]byte, lengthPrefixSize), channelMembership, msg.Message)
 	if err != nil || len(b) > maxFrame {
@@ -456,7 +457,7 @@
 	st.timer = l.loop.At(l.loop.Now()+streamTimeout, st.fail)
 }
 
-// closeOldestStream closes the connection that was opened first.
+// closeOldestStream frees a descriptor by closing the oldest inbound stream; it returns false if there is none.
 func (l *Links) closeOldestStream() bool {
 	if len(l.inboundOrder) == 0 {
 		return false
@@ -465,7 +466,7 @@
 	return true
 }
 
-// Connected sends what the connection was opened for.
+// Connected sends the request for which the connection was opened.
 func (st *stream) Connected() {
 	st.links.counts.SentBytes += uint64(len(st.request))
 	st.links.traffic.countSent(st.request[lengthPrefixSize:], lengthPrefixSize)
@@ -473,7 +474,7 @@
 	st.request = nil
 }
 
-// Received takes a frame in once it is whole.
+// Received handles a frame once it is complete.
 func (st *stream) Received() {
 	in := st.conn.Input()
 	if len(in) < lengthPrefixSize {
@@ -494,13 +495,13 @@
 	switch {
 	case st.conn.Closed():
 	case st.id == 0 || !ok:
-		st.close() // it was the answer
+		st.close() // the response has come, or the frame was dropped
 	default:
 		st.conn.Consume(lengthPrefixSize + n)
 	}
 }
 
-// Ended tells that the other side has closed it, after its answer or before.
+// Ended is called when the other side has closed the connection, after its response or before.
 func (st *stream) Ended(error) {
 	st.links.counts.ExchangesFailed++
 	st.unregister()
@@ -516,7 +517,7 @@
 	st.unregister()
 }
 
-// finish closes it behind what was written.
+// finish closes the connection after the written data has been sent.
 func (st *stream) finish() {
 	st.conn.Finish(st.links.loop.Now() + streamTimeout)
 	st.unregister()
--- a/internal/peer/positions.go
+++ b/internal/peer/positions.go
@@ -12,39 +12,38 @@
 )
 
 const (
-	channelPositions          = 3 // rumours
+	channelPositions          = 3 // gossip
 	channelPrimaries          = 6
-	channelReconcilePositions = 7                      // anti-entropy under a budget: positions
-	channelReconcilePrimaries = 8                      // and answers as primary
-	minPositionStep           = 200 * time.Millisecond // less is no news
+	channelReconcilePositions = 7                      // anti-entropy within a byte budget: positions
+	channelReconcilePrimaries = 8                      // and times of answers as primary
+	minPositionStep           = 200 * time.Millisecond // smaller advances are not spread
 	minPrimaryStep            = time.Second
-	reconcileOverhead         = headerSize + trailerSize + 3 // of a message: the envelope, and the head of a string of bytes
+	reconcileOverhead         = headerSize + trailerSize + 3 // bytes of a message: the envelope and the header of a CBOR byte string
 )
 
-// errNoBudget refuses what a gateway sends that has a budget for a role, while here there is none.
+// errNoBudget rejects reconciliation messages for a role that has no byte budget here.
 var errNoBudget = fmt.Errorf("%w: positions or primaries under a budget, which the fleet file here does not have", errVersion)
 
-// Positions are moments of databases that only rise, as the fleet knows them: how far each has come, or when each last
-// answered as primary.
+// Positions shares a time per database that never decreases: its replication position, or when it last answered as primary.
 type Positions struct {
 	links          *Links
-	gossip         *state.Positions     // told as rumours; nil where there is a budget
-	reconciler     *antientropy.Machine // under a budget of bytes; nil where there is none
+	gossip         *state.Positions     // nil if there is a byte budget
+	reconciler     *antientropy.Machine // nil if there is no byte budget
 	bytesPerSecond int
 	hosts          func() []policy.Member
-	listChanged    bool // the list has, and r does not know it yet
+	listChanged    bool // reconciler has not been given the new list yet
 	channel        byte
 	onUpdate       func(host policy.HostID, at time.Duration)
 }
 
-// role is what is shared, and how.
+// role says what is shared, and how.
 type role struct {
-	gossipChannel, reconcileChannel byte // channels
+	gossipChannel, reconcileChannel byte
 	minStep                         time.Duration
-	bytesPerSecond                  int // bytes a second; 0: rumours
+	bytesPerSecond                  int // 0: gossip without a budget
 }
 
-// SharePositions begins to tell others of positions, and to hear of theirs.
+// SharePositions starts to exchange replication positions with the other members; deliver receives the updates.
 func (l *Links) SharePositions(listed func(policy.HostID) bool, hosts func() []policy.Member, deliver func(policy.Event)) *Positions {
 	l.positions = l.sharePositions(role{channelPositions, channelReconcilePositions, minPositionStep, l.file.PositionBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
 		deliver(policy.PositionReported{Host: h, Position: at})
@@ -52,7 +51,7 @@
 	return l.positions
 }
 
-// SharePrimaries begins to tell others of answers as primary, and to hear of theirs.
+// SharePrimaries starts to exchange the times of answers as primary; deliver receives the updates.
 func (l *Links) SharePrimaries(listed func(policy.HostID) bool, hosts func() []policy.Member, deliver func(policy.Event)) *Positions {
 	l.primaries = l.sharePositions(role{channelPrimaries, channelReconcilePrimaries, minPrimaryStep, l.file.PrimaryBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
 		deliver(policy.PrimaryReported{Host: h, At: at})
@@ -78,7 +77,7 @@
 	return s
 }
 
-// Observe takes in what a database told this gateway.
+// Observe records what a database reported to this gateway.
 func (s *Positions) Observe(host policy.HostID, at time.Duration) {
 	if s.reconciler == nil {
 		s.gossip.Observe(string(host), at)
@@ -88,7 +87,7 @@
 	}
 }
 
-// Ages are how old the moments are that are known, in no order.
+// Ages returns the ages of the known positions, in no order.
 func (s *Positions) Ages() []time.Duration {
 	if s.reconciler != nil {
 		return s.reconciler.Ages(s.links.loop.Now())
@@ -96,7 +95,7 @@
 	return s.gossip.Ages(s.links.loop.Now())
 }
 
-// UpdateCounts is how many moments were news so far, from databases and from other gateways.
+// UpdateCounts returns how many updates have come so far from databases and from other gateways.
 func (s *Positions) UpdateCounts() (observed, received uint64) {
 	if s.reconciler != nil {
 		n := s.reconciler.Counts()
@@ -106,15 +105,15 @@
 	return n.Learned, n.Received
 }
 
-// ListChanged drops what left the list, and takes up what has come; under a budget before the next message, for many changes
-// may come at once and each would cost half a millisecond at 810 databases.
+// ListChanged drops databases that left the list and adds new ones. With a byte budget this waits for the next message:
+// many changes may come at once, and each would cost half a millisecond with 810 databases.
 func (s *Positions) ListChanged() {
 	if s.listChanged = true; s.reconciler == nil {
 		s.gossip.DropUnlisted()
 	}
 }
 
-// updateList has the machine know the list as it is now.
+// updateList gives the reconciler the current list if it has changed.
 func (s *Positions) updateList() {
 	if !s.listChanged {
 		return
@@ -157,8 +156,8 @@
 	}
 }
 
-// receiveGossip takes in what a gateway without a budget tells. One with a budget takes it in, too: a floor is one whoever
-// tells it, and so a fleet that changes over loses nothing.
+// receiveGossip applies a message of a gateway without a byte budget. A gateway with a budget applies it as well: a lower
+// bound is valid whichever way it came, so that nothing is lost while a fleet is switched from one to the other.
 func (s *Positions) receiveGossip(body []byte) error {
 	var msg state.PositionsMessage
 	if err := s.links.codec.unmarshal(body, &msg); err != nil {
@@ -178,7 +177,7 @@
 	return nil
 }
 
-// receiveReconcile takes in what a gateway with a budget sends.
+// receiveReconcile applies a message of a gateway with a byte budget.
 func (s *Positions) receiveReconcile(body []byte) error {
 	if s.reconciler == nil {
 		return errNoBudget
@@ -204,7 +203,7 @@
 	}
 }
 
-// appendMetrics adds the figures of a role.
+// appendMetrics adds the metrics of a role.
 func (s *Positions) appendMetrics(name string, line func(name string, n uint64)) {
 	if s.reconciler == nil {
 		n := s.gossip.Counts()
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -11,18 +11,18 @@
 	"lilaccove/internal/stats"
 )
 
-// Report is what GET /v1/fleet/members tells.
+// Report is the answer to GET /v1/fleet/members.
 type Report struct {
 	Fleet       string         `json:"fleet"`
 	Name        string         `json:"name"`
 	Addr        string         `json:"addr"`
 	Session     string         `json:"session"`
 	Incarnation uint64         `json:"incarnation"`
-	Member      bool           `json:"member"` // not while it is drained, ends, or another process has its name
+	Member      bool           `json:"member"` // false while it is drained or shutting down, or another process has its name
 	Superseded  bool           `json:"superseded"`
-	Health      int            `json:"health"` // 0: well; up to 8: this process doubts itself
+	Health      int            `json:"health"` // 0: healthy; up to 8: this process may be too slow to judge others
 	View        ReportView     `json:"view"`
-	Known       []ReportMember `json:"known"` // the others, those that have ended too
+	Known       []ReportMember `json:"known"` // the other gateways, including those that have ended
 	At          time.Time      `json:"at"`
 }
 
@@ -45,7 +45,7 @@
 
 func hex(n uint64) string { return strconv.FormatUint(n, 16) }
 
-// Report tells in JSON what this gateway knows of the others.
+// Report returns in JSON what this gateway knows of the fleet.
 func (l *Links) Report() []byte {
 	own, member := l.machine.Self()
 	view := l.machine.View()
@@ -69,7 +69,7 @@
 	return append(b, '\n')
 }
 
-// Metrics adds the figures, a line each.
+// Metrics appends the metrics, one per line.
 func (l *Links) Metrics(b []byte) []byte {
 	line := func(name string, n uint64) {
 		b = append(append(append(b, "edge_gw.fleet_"...), name...), '=')
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -5,26 +5,26 @@
 	"lilaccove/internal/stats"
 )
 
-// roleNames name what the channels are for; positions and primaries have one without a budget and one with.
+// roleNames maps channels to roles; positions and primaries have one channel without a byte budget and one with.
 var roleNames = [...]string{
 	channelMembership: "membership", channelBudget: "budgets", channelPositions: "positions", channelOverrides: "words", channelVersions: "versions",
 	channelPrimaries: "primaries", channelReconcilePositions: "positions", channelReconcilePrimaries: "primaries",
 }
 
-// traffic is that of each channel.
+// traffic counts the traffic of each channel.
 type traffic [len(roleNames)]stats.Traffic
 
-// countSent counts an envelope that was sent, and so many bytes before it.
+// countSent counts a sent envelope, with prefix bytes before it.
 func (t *traffic) countSent(b []byte, prefix int) { t[b[3]].Out(len(b) + prefix) }
 
-// countReceived counts an envelope that has come. Only a sound one tells its channel.
+// countReceived counts a received envelope. The channel is known only of a valid one.
 func (t *traffic) countReceived(channel byte, size int) {
 	if int(channel) < len(t) {
 		t[channel].In(size)
 	}
 }
 
-// Traffic tells what each role has sent and taken in, by its name.
+// Traffic returns what each role has sent and received, by its name.
 func (l *Links) Traffic() map[string]stats.Traffic {
 	all := map[string]stats.Traffic{}
 	for channel, role := range roleNames {
@@ -35,14 +35,14 @@
 	return all
 }
 
-// Totals are the messages dropped, sent and taken in, of all roles.
+// Totals returns the messages dropped, sent and received, of all roles.
 func (l *Links) Totals() Counts { return l.counts }
 
-// Self is this gateway's entry, and whether it is a member at the moment.
+// Self returns this gateway's entry, and whether it is currently a member.
 func (l *Links) Self() (own membership.Entry, member bool) { return l.machine.Self() }
 
-// OnDeath has do called with the name of each gateway that was known here and is now taken for dead.
+// OnDeath sets a function that is called with the name of each known gateway that is newly considered dead.
 func (l *Links) OnDeath(callback func(name string)) { l.onDeath = callback }
 
-// Deaths is how many gateways that were known here were taken for dead so far.
+// Deaths returns how many known gateways have been considered dead so far.
 func (l *Links) Deaths() uint64 { return l.deaths }
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -13,25 +13,26 @@
 	channelVersions   = 5
 	versionsInterval  = 250 * time.Millisecond
 	maxListLag        = time.Second
-	listRequestSpread = 100 * time.Millisecond // of a fleet of stragglers, as the module's between calls to discovery
+	listRequestSpread = 100 * time.Millisecond // spreads the requests of many lagging gateways, like the policy's pace of discovery calls
 )
 
-// LocalVersions are what this process acts on, as far as the fleet is told of it.
+// LocalVersions names the versions on which this process acts, to be shared with the fleet.
 type LocalVersions struct {
-	ListVersion                   func() int64 // the version of the list now
-	RequestList                   func()       // asks discovery out of turn
-	ConfigDigest, FleetFileDigest string       // digests
+	ListVersion                   func() int64 // returns the current list version
+	RequestList                   func()       // asks discovery for the list ahead of schedule
+	ConfigDigest, FleetFileDigest string
 	Build                         string
 }
 
+// versions exchanges versions with the other members.
 type versions struct {
 	links   *Links
 	tracker *audit.Versions
 	local   LocalVersions
-	lagging bool // that this process is behind
+	lagging bool // this process has an older list than others, as last logged
 }
 
-// ShareVersions begins to tell others what this process acts on, and to bring its list up when others have a newer one.
+// ShareVersions starts to exchange versions with the other members, and to request the list when others have a newer one.
 func (l *Links) ShareVersions(local LocalVersions) {
 	own, _ := l.machine.Self()
 	s := &versions{links: l, local: local, tracker: audit.NewVersions(audit.VersionsConfig{Name: own.Name, MaxLag: maxListLag, RequestSpread: listRequestSpread, Seed: rand.Uint64()})}
@@ -57,7 +58,7 @@
 		l.fence.Tick(l.loop.Now(), current.ListVersion, s.tracker.Others(), view.Names())
 		l.applyFence()
 	}
-	if member { // one that is drained, or whose name is another's, only listens
+	if member { // a drained or superseded process only receives
 		for _, m := range out {
 			if l.audit != nil {
 				m.Message.Timestamp = l.audit.recorder.Clock().Now(l.loop.Now())
@@ -84,26 +85,26 @@
 		s.links.audit.recorder.Clock().Observe(s.links.loop.Now(), msg.Timestamp)
 	}
 	if s.links.fence != nil && s.links.udp.Emptied() < s.links.fence.PauseEnd() {
-		return nil // it waited while this process stood still, and tells of then
+		return nil // it was queued during a pause of this process and is outdated
 	}
 	s.tracker.Receive(s.links.loop.Now(), msg)
 	return nil
 }
 
-// VersionsReport is what GET /v1/fleet/versions tells.
+// VersionsReport is the answer to GET /v1/fleet/versions.
 type VersionsReport struct {
 	Name     string          `json:"name"`
 	Versions []VersionReport `json:"versions"`
 }
 
-// VersionReport is one gateway's versions as another knows them.
+// VersionReport holds one gateway's versions as another knows them.
 type VersionReport struct {
 	audit.Version
 	ReceivedMS int64 `json:"heard_ms_ago"`
-	LaggingMS  int64 `json:"behind_ms,omitempty"` // for so long others have had a newer list
+	LaggingMS  int64 `json:"behind_ms,omitempty"` // how long others have had a newer list
 }
 
-// Versions tells in JSON who acts on which versions.
+// Versions returns in JSON the versions on which each gateway acts.
 func (l *Links) Versions() []byte {
 	now := l.loop.Now()
 	own, _ := l.machine.Self()
