--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -1,5 +1,5 @@
 // Package auditfile appends lines to a file that is rotated by size, on a goroutine of its own: a slow, full or failing disk
-// costs lines, which are counted, and never holds up who writes them.
+// loses lines, which are counted, and never blocks the caller.
 package auditfile
 
 import (
@@ -17,24 +17,24 @@
 )
 
 const (
-	queueSize   = 256              // lines on their way to the disk
-	logInterval = 10 * time.Second // a disk that goes on failing is told so often
+	queueSize   = 256              // lines that wait for the disk
+	logInterval = 10 * time.Second // between log lines about a failing disk
 )
 
-// Options are a file's.
+// Options configures a Writer.
 type Options struct {
 	Path     string
-	MaxBytes int64 // bytes of one file, over which it is renamed to PATH.1, that to PATH.2 and so on
-	Keep     int   // files of old lines
+	MaxBytes int64 // of one file; a larger one is renamed to PATH.1, that one to PATH.2 and so on
+	Keep     int   // number of rotated files
 }
 
-// Stats is how it went so far.
+// Stats counts lines and holds the last error.
 type Stats struct {
 	Written, Lost uint64
-	Err           string // the last failure, empty once a line was written again
+	Err           string // the last failure, empty after a line was written
 }
 
-// Writer writes the lines. Use Open.
+// Writer writes lines to the file. Use Open.
 type Writer struct {
 	opt         Options
 	lines       chan []byte
@@ -43,12 +43,12 @@
 	size        int64
 	lastLogTime time.Time
 
-	mu    sync.Mutex // between the writer and who asks for the state
+	mu    sync.Mutex // guards stats
 	stats Stats
 }
 
-// Open begins to write. A path that cannot be used is an error; what the system lacks for a moment costs lines, as later, and
-// is told by State and the log.
+// Open opens the file and starts the writer. An unusable path is an error. A temporary lack of system resources is not: it
+// loses lines, as it does later, and is logged.
 func Open(opt Options) (*Writer, error) {
 	w := &Writer{opt: opt, lines: make(chan []byte, queueSize), done: make(chan struct{})}
 	if err := w.open(); err != nil {
@@ -61,8 +61,8 @@
 	return w, nil
 }
 
-// open opens the file. A last line without its end is what a process that was killed had not finished: the next begins on
-// a line of its own.
+// open opens the file. If the last line has no line break, as a killed process leaves it, one is added, so that the next
+// line starts on its own.
 func (w *Writer) open() error {
 	f, err := os.OpenFile(w.opt.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Write hands a line over, without its end. It does not wait; false: the line is lost.
+// Write queues a line, given without its line break. It does not block; false: the line is lost.
 func (w *Writer) Write(line []byte) bool {
 	select {
 	case w.lines <- line:
@@ -95,14 +95,14 @@
 	}
 }
 
-// Stats is how it went so far.
+// Stats returns the statistics so far.
 func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stats
 }
 
-// Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
+// Close writes what is queued and ends the writer, or gives up after the timeout: a disk may hang forever.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.lines)
 	select {
@@ -139,7 +139,7 @@
 	}
 }
 
-// write appends a line, whole or not at all as far as that can be had.
+// write appends a line; after a partial write it truncates the file to its previous size, if it can.
 func (w *Writer) write(line []byte) error {
 	if w.file != nil && w.size > 0 && w.size+int64(len(line)) > w.opt.MaxBytes {
 		if err := w.rotate(); err != nil {
@@ -157,13 +157,14 @@
 		return nil
 	}
 	if n > 0 && w.file.Truncate(w.size) != nil {
-		w.size += int64(n) // the half of a line stays: the next goes to a new end of line
+		w.size += int64(n) // the partial line stays; open ends it with a line break
 	}
-	w.file.Close() // it is opened anew for the next line
+	w.file.Close() // the next line opens it again
 	w.file = nil
 	return err
 }
 
+// rotate shifts each file to the next number and removes the oldest.
 func (w *Writer) rotate() error {
 	w.file.Close()
 	w.file = nil
@@ -189,7 +190,7 @@
 	return fmt.Sprintf("%s.%d", w.opt.Path, i)
 }
 
-// Lines reads a file and its older ones, oldest first: whole lines only.
+// Lines returns the complete lines of a file and its rotated ones, oldest first.
 func Lines(path string) (lines [][]byte, err error) {
 	w := Writer{opt: Options{Path: path}}
 	last := 0
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -278,6 +278,7 @@
 	return msg.Addr
 }
 
+// send sends a membership message, leaving out the updates that do not fit in a datagram.
 func (l *Links) send(msg *membership.Send) {
 	if msg.Stream {
 		l.sendStream(msg)
@@ -392,6 +393,7 @@
 	return err == nil
 }
 
+// countDropped counts and logs a message that was dropped.
 func (l *Links) countDropped(from netip.AddrPort, err error) {
 	count := &l.counts.Malformed
 	switch {
@@ -523,6 +525,7 @@
 	st.unregister()
 }
 
+// unregister removes the stream from the links' bookkeeping.
 func (st *stream) unregister() {
 	st.timer.Stop()
 	if st.id == 0 {
--- a/internal/wordstore/clock.go
+++ b/internal/wordstore/clock.go
@@ -10,17 +10,17 @@
 	"lilaccove/internal/sys"
 )
 
-// bootPath is where Linux tells which boot of the machine this is.
+// bootPath is where Linux exposes the ID of the current boot.
 const bootPath = "/proc/sys/kernel/random/boot_id"
 
-// ClockReading is a point in time by two clocks of the machine.
+// ClockReading is a point in time as read from two clocks of the machine.
 type ClockReading struct {
-	Wall      time.Time     // it may be stepped
-	BootID    string        // which boot of the machine it is; empty: not known
-	SinceBoot time.Duration // real time since then, standby included
+	Wall      time.Time     // wall clock, which may be stepped
+	BootID    string        // ID of the machine's boot; empty: unknown
+	SinceBoot time.Duration // elapsed time since that boot, including suspend
 }
 
-// Now is the moment now.
+// Now reads the clocks.
 func Now() ClockReading {
 	m := ClockReading{Wall: time.Unix(0, int64(sys.WallClock()))}
 	boot, err := os.ReadFile(bootPath)
@@ -34,7 +34,7 @@
 	return m
 }
 
-// since is how long before m another moment was: in real time where both are of one boot, else by the wall clock.
+// since returns the time from earlier to c: by the boot clock if both are of the same boot, otherwise by the wall clock.
 func (c ClockReading) since(earlier ClockReading) time.Duration {
 	if c.BootID != "" && c.BootID == earlier.BootID && c.SinceBoot >= earlier.SinceBoot {
 		return c.SinceBoot - earlier.SinceBoot
--- a/internal/wordstore/wordstore.go
+++ b/internal/wordstore/wordstore.go
@@ -1,8 +1,9 @@
-// Package wordstore keeps operators' words to the fleet in a file, on a goroutine of its own: a slow, full or failing disk is
-// told and never holds up who saves. The file is one more copy of the words, under the rules of all copies: what it has and
-// the process has not is kept, whichever process wrote it. It is replaced whole, so that it is either the old or the new one
-// whenever the machine stops, and bears a sum, so that damage shows. A file that is damaged, foreign, of a later build or too
-// old is put aside or left alone: the gateway starts without it and catches up from the others.
+// Package wordstore stores the fleet's operator overrides in a file, on a goroutine of its own: a slow, full or failing disk
+// is reported and never blocks the caller. The file is one more copy of the overrides and is merged like any other copy:
+// overrides that it has and the process lacks are kept, whichever process wrote them. It is replaced atomically, so that a
+// crash leaves either the old file or the new one, and carries a checksum, so that corruption is detected. A corrupt or
+// expired file is moved aside, one of another gateway, another fleet or a later build is left alone: the gateway starts
+// without it and gets the overrides from the other members.
 package wordstore
 
 import (
@@ -29,70 +30,70 @@
 	fileName              = "words"
 	magic                 = "lilaccove words\n"
 	format                = 1
-	maxFileSize           = 64 << 20
-	lockTimeout           = 2 * time.Second        // for another process of this gateway that saves
-	lockRetryInterval     = 5 * time.Millisecond   // between two tries
-	refreshInterval       = time.Minute            // how often it is noted that the process lives
-	retryInterval         = time.Second            // and behind a failure
-	logInterval           = 10 * time.Second       // a disk that goes on failing is told so often
-	refreshesPerRetention = 4                      // and in a horizon at least so often
-	minRefreshInterval    = 100 * time.Millisecond // whatever the horizon
+	maxFileSize           = 64 << 20               // bytes
+	lockTimeout           = 2 * time.Second        // to wait while another process of this gateway saves
+	lockRetryInterval     = 5 * time.Millisecond   // between two attempts
+	refreshInterval       = time.Minute            // for rewriting the file with a new time, which shows that the process runs
+	retryInterval         = time.Second            // after a failed write
+	logInterval           = 10 * time.Second       // between log lines about a failing disk
+	refreshesPerRetention = 4                      // minimum number of refreshes within the retention time
+	minRefreshInterval    = 100 * time.Millisecond // for a short retention time
 )
 
-// Why a file is not used.
+// Reasons for which a file is not used.
 var (
 	ErrForeign    = errors.New("it is another gateway's or another fleet's")
 	ErrFormat     = errors.New("it is of a later build")
-	ErrOld        = errors.New("its process was away for longer than words are kept")
+	ErrOld        = errors.New("its process was stopped for longer than overrides are kept")
 	ErrCorrupt    = errors.New("it is damaged")
 	ErrInUse      = errors.New("another process holds the lock")
-	ErrUnreadable = errors.New("it cannot be read yet") // it is tried again: see Options.Found
+	ErrUnreadable = errors.New("it cannot be read yet") // reading is retried: see Options.OnFound
 )
 
-// Options are a store's.
+// Options configures a store.
 type Options struct {
 	Dir       string
-	Fleet     string              // its name
-	Gateway   string              // likewise
-	Session   uint64              // of the process
-	Retention time.Duration       // a copy that was not in use for so long may bring back what others have forgotten
+	Fleet     string              // the fleet's name
+	Gateway   string              // the gateway's name
+	Session   uint64              // of this process
+	Retention time.Duration       // a file unused for longer is not loaded: it may hold overrides that the others have already dropped
 	Now       func() ClockReading // nil: the machine's clocks
 
-	// OnFound is called from another goroutine with words that the file has besides those saved; nil: nobody asks. Behind an
-	// Open that ended with ErrUnread it is called once the file has been read, also if there are none.
-	OnFound func(words []state.Override)
+	// OnFound is called from another goroutine with overrides that the file has and those saved lack; nil: not called. After
+	// an Open that returned ErrUnreadable it is called once the file has been read, even if it has none.
+	OnFound func(overrides []state.Override)
 }
 
-// content is what the file tells.
+// content is the content of the file.
 type content struct {
 	Format    int              `cbor:"1,keyasint"`
 	Fleet     string           `cbor:"2,keyasint"`
 	Gateway   string           `cbor:"3,keyasint"`
 	Session   uint64           `cbor:"4,keyasint"` // of the process that wrote it
-	AtMS      int64            `cbor:"5,keyasint"` // when it did, Unix time
+	AtMS      int64            `cbor:"5,keyasint"` // when it was written, Unix time
 	Overrides []state.Override `cbor:"6,keyasint"`
-	Boot      string           `cbor:"7,keyasint,omitempty"` // of its machine
-	BootMS    int64            `cbor:"8,keyasint,omitempty"` // when it did, since then
+	Boot      string           `cbor:"7,keyasint,omitempty"` // boot ID of that machine
+	BootMS    int64            `cbor:"8,keyasint,omitempty"` // when it was written, since that boot
 }
 
-// writtenAt is when a file was written.
+// writtenAt returns when the file was written.
 func (c *content) writtenAt() ClockReading {
 	return ClockReading{Wall: time.UnixMilli(c.AtMS), BootID: c.Boot, SinceBoot: time.Duration(c.BootMS) * time.Millisecond}
 }
 
-// Stats is how it went so far.
+// Stats counts writes and holds the last error.
 type Stats struct {
 	Saved, Failed uint64 // writes
-	OtherWriters  uint64 // files found that another process had written meanwhile
-	Err           string // the last failure, empty once a write was done again
+	OtherWriters  uint64 // times that the file was found to be written by another process
+	Err           string // the last failure, empty after a successful write
 }
 
-// Store is the file. Use Open.
+// Store writes the file. Use Open.
 type Store struct {
 	opt  Options
 	done chan struct{}
 
-	mu        sync.Mutex // between the writer and who hands over
+	mu        sync.Mutex // guards the fields up to stats
 	wake      sync.Cond
 	overrides []state.Override
 	callbacks []func(err error)
@@ -100,13 +101,14 @@
 	closed    bool
 	stats     Stats
 
-	lastSession uint64 // the session that the last file was of; only the writer's
-	fileRead    bool   // what the file had has been read, or it was put aside; only the writer's
+	// Only the writer uses these.
+	lastSession uint64 // of the process that wrote the file last
+	fileRead    bool   // the file has been read or moved aside, or there was none
 	lastLogTime time.Time
 }
 
-// Open reads the words and begins to take new ones. What is wrong with a file is told in the error; the store beside it is
-// nil where the file is not this gateway's to replace. With ErrUnread the store goes on trying to read.
+// Open reads the stored overrides and starts the writer. An error tells why the file is not used; with ErrForeign and
+// ErrFormat, where this process must not replace the file, the store is nil. With ErrUnreadable the store retries reading.
 func Open(opt Options) (*Store, []state.Override, error) {
 	if opt.Now == nil {
 		opt.Now = Now
@@ -134,7 +136,7 @@
 
 func (s *Store) path() string { return filepath.Join(s.opt.Dir, fileName) }
 
-// withLock does something while no other process does. The system gives the lock back when a process ends.
+// withLock calls run while holding the lock that excludes other processes. The kernel releases the lock when a process ends.
 func (s *Store) withLock(run func() error) error {
 	f, err := sys.OpenFile(s.path()+".lock", os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
@@ -153,7 +155,7 @@
 	}
 }
 
-// readFile takes in the file; one that is damaged or too old is put aside.
+// readFile reads the file; one that is corrupt or expired is moved aside.
 func (s *Store) readFile(now ClockReading) ([]state.Override, error) {
 	text, err := s.loadFile()
 	if err != nil && !errors.Is(err, ErrCorrupt) {
@@ -187,7 +189,7 @@
 	return saved.Overrides, nil
 }
 
-// loadFile is the file's text; nil: there is none.
+// loadFile returns the file's bytes; nil: there is no file.
 func (s *Store) loadFile() ([]byte, error) {
 	info, err := os.Stat(s.path())
 	switch {
@@ -201,16 +203,16 @@
 	return sys.ReadFile(s.path())
 }
 
-// moveAside renames the file, so that it can be looked at, and the next begins anew.
+// moveAside renames the file, so that it can be examined and the next write creates a new one.
 func (s *Store) moveAside(suffix string, reason error, now ClockReading) error {
 	to := fmt.Sprintf("%s.%s.%d", s.path(), suffix, now.Wall.UnixMilli())
 	if err := sys.Rename(s.path(), to); err != nil {
-		return fmt.Errorf("%s: %w; it cannot be put aside: %w", s.path(), reason, err)
+		return fmt.Errorf("%s: %w; it cannot be moved aside: %w", s.path(), reason, err)
 	}
-	return fmt.Errorf("%s: %w; it is now %s", s.path(), reason, to)
+	return fmt.Errorf("%s: %w; it was moved to %s", s.path(), reason, to)
 }
 
-// parse takes a file's text.
+// parse decodes and validates a file.
 func parse(text []byte) (saved content, err error) {
 	rest, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(rest) < 8 || xxhash.Sum64(rest[8:]) != binary.BigEndian.Uint64(rest) {
@@ -230,6 +232,7 @@
 	return saved, nil
 }
 
+// encode returns the bytes of a file: the magic, a checksum and the content in CBOR.
 func encode(saved content) ([]byte, error) {
 	text, err := cbor.Marshal(saved)
 	if err != nil {
@@ -238,8 +241,8 @@
 	return append(binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text)), text...), nil
 }
 
-// Save hands over all words there are; then is called from another goroutine once they are on the disk, or are not, and
-// behind Options.Found. Sets that wait are written as one, the newest.
+// Save queues the complete set of overrides; callback is called from another goroutine once the write has succeeded or
+// failed, after Options.OnFound. Of the sets that wait only the newest is written.
 func (s *Store) Save(overrides []state.Override, callback func(err error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,14 +253,14 @@
 	s.wake.Signal()
 }
 
-// Stats is how it went so far.
+// Stats returns the statistics so far.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
+// Close writes what is queued and ends the writer, or gives up after the timeout: a disk may hang forever.
 func (s *Store) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
@@ -269,6 +272,7 @@
 	}
 }
 
+// run writes queued overrides until Close, and rewrites the file at intervals so that it does not expire.
 func (s *Store) run() {
 	defer close(s.done)
 	interval := max(minRefreshInterval, min(refreshInterval, s.opt.Retention/refreshesPerRetention))
@@ -304,7 +308,7 @@
 	}
 }
 
-// saveFile writes the words and hands on what the file had besides.
+// saveFile writes the overrides and passes those that only the file had to Options.OnFound.
 func (s *Store) saveFile(overrides []state.Override) error {
 	wasRead := s.fileRead
 	var missing []state.Override
@@ -318,7 +322,7 @@
 	return err
 }
 
-// writeFile merges what the file has with the words and replaces it; it returns what the words lacked, also where it fails.
+// writeFile merges the file with the overrides and replaces it. It returns those that only the file had, even with an error.
 func (s *Store) writeFile(overrides []state.Override, now ClockReading) (missing []state.Override, err error) {
 	stored, err := s.readFile(now)
 	if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOld) {
@@ -342,7 +346,7 @@
 	return missing, nil
 }
 
-// replaceFile puts a new file in the place of an old one: on the disk before it is renamed, and the renaming, too, before it returns.
+// replaceFile replaces a file atomically and durably: the new file is synced before it is renamed, and the directory after.
 func replaceFile(path string, text []byte) error {
 	temp := path + ".next"
 	f, err := sys.OpenFile(temp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
