--- a/internal/handover/faults_test.go
+++ b/internal/handover/faults_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// withoutDescriptors runs do while this process can open nothing: every open ends with EMFILE.
+// withoutDescriptors calls run while this process cannot open files: every open fails with EMFILE.
 func withoutDescriptors(t *testing.T, run func()) {
 	t.Helper()
 	var limit unix.Rlimit
@@ -23,7 +23,7 @@
 	run()
 }
 
-// A word that could not be written when it was given is written later: a successor must know it.
+// An override that could not be written when it was set is written later: a successor must know it.
 func TestOverrideIsWrittenAgainAfterWriteFailure(t *testing.T) {
 	dir := t.TempDir()
 	predecessor := join(t, dir)
@@ -38,7 +38,7 @@
 	assert.True(t, state.Drained.Active)
 }
 
-// A state that could not be read when it changed is read later.
+// A state file that could not be read when it changed is read later.
 func TestStateIsReadAgainAfterReadFailure(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, successor := join(t, dir), join(t, dir)
@@ -49,7 +49,7 @@
 	assert.True(t, successor.Acknowledged())
 }
 
-// The order of words is that in which they were given, whatever the processes' clocks say.
+// Overrides are ordered as they were set, even if the clocks of the processes differ.
 func TestLaterOverrideWinsDespiteClockDifference(t *testing.T) {
 	for name, step := range map[string]time.Duration{"back": -time.Hour, "forward": time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -72,25 +72,25 @@
 	}
 }
 
-// A process whose file cannot be looked at just now is not taken for dead.
+// A process whose file cannot be checked at the moment is not considered dead.
 func TestProcessWithUnreadableFileCountsAsAlive(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, successor := join(t, dir), join(t, dir)
 	require.True(t, successor.Poll(ignoreState))
 	withoutDescriptors(t, func() {
-		assert.True(t, successor.Poll(ignoreState), "nothing tells that the other has ended")
+		assert.True(t, successor.Poll(ignoreState), "nothing shows that the other process has ended")
 	})
 	assert.FileExists(t, predecessor.processFile.Name())
 	assert.True(t, successor.Poll(ignoreState))
 
-	loop := filepath.Join(dir, processFilePrefix+"loop") // opening it ends with ELOOP
+	loop := filepath.Join(dir, processFilePrefix+"loop") // opening it fails with ELOOP
 	require.NoError(t, os.Symlink(loop, loop))
 	successor.Poll(ignoreState)
 	_, err := os.Lstat(loop)
-	assert.NoError(t, err, "only the files of the dead are removed")
+	assert.NoError(t, err, "only files of ended processes are removed")
 }
 
-// What a kill has left of a write is removed once nobody lives who might be writing it.
+// A partial write that a killed process left is removed once no process is alive that could still be writing it.
 func TestPartialWriteIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	tempFile := filepath.Join(dir, "lilaccove-new-1")
@@ -99,8 +99,8 @@
 	assert.NoFileExists(t, tempFile)
 }
 
-// A word of another process that is read while this one takes a word of its own is acted on by the next poll, and until then
-// the other is not told that it was.
+// A sibling's override that is read while this process records its own is applied by the next poll, and not acknowledged
+// before.
 func TestOverrideReadDuringOwnOverrideIsApplied(t *testing.T) {
 	for name, override := range map[string]func(s *SharedState){
 		"suspend": func(s *SharedState) { s.Suspend("a", true, 2*sec) },
@@ -111,7 +111,7 @@
 			predecessor, successor := join(t, dir), join(t, dir)
 			successor.Suspend("b", true, sec)
 			override(predecessor)
-			assert.False(t, successor.Acknowledged(), "the old process has not acted on it")
+			assert.False(t, successor.Acknowledged(), "the predecessor has not applied it")
 			var applied State
 			predecessor.Poll(func(s State) { applied = s })
 			assert.True(t, applied.Suspended["b"].Active)
@@ -121,8 +121,8 @@
 	}
 }
 
-// That a database serves again is not forgotten for a step of the clock: a process that stood still meanwhile would bring the
-// older word back.
+// An inactive override is not dropped because of a clock step: a process that was stalled meanwhile would restore the older,
+// active one.
 func TestInactiveOverrideIsKeptAcrossClockStep(t *testing.T) {
 	dir := t.TempDir()
 	now := 10 * time.Hour
