--- a/internal/auditfile/auditfile_test.go
+++ b/internal/auditfile/auditfile_test.go
@@ -22,7 +22,8 @@
 	return list
 }
 
-// Lines go on behind those of a process before, the half of a line that it left is by itself, and old files are kept.
+// Lines are appended after those of an earlier process, a partial line that it left stays on its own, and rotated files are
+// kept.
 func TestLinesAndRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit")
 	require.NoError(t, os.WriteFile(path, []byte("one\ntw"), 0o600))
@@ -34,7 +35,7 @@
 	w.Close(time.Minute)
 	got := lineTexts(t, path)
 	assert.Equal(t, "line 0029", got[len(got)-1])
-	assert.Len(t, got, 21, "the current file and two old ones")
+	assert.Len(t, got, 21, "the current file and two rotated ones")
 	assert.Equal(t, Stats{Written: 30}, w.Stats())
 	_, err = os.Stat(path + ".3")
 	assert.ErrorIs(t, err, os.ErrNotExist)
@@ -47,7 +48,7 @@
 	assert.Equal(t, []string{"one", "tw", "three"}, lineTexts(t, path+"x"))
 }
 
-// What cannot be written is counted and told; the file is there again when the disk is.
+// Lines that cannot be written are counted and the error is reported; writing resumes when the disk has recovered.
 func TestDiskFailureLosesLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	_, err := Open(Options{Path: filepath.Join(dir, "audit")})
@@ -59,7 +60,7 @@
 	w.Write([]byte("first line"))
 	require.Eventually(t, func() bool { return w.Stats().Written == 1 }, time.Minute, time.Millisecond)
 	require.NoError(t, os.RemoveAll(dir))
-	w.Write([]byte("second line")) // to a new file, which has no place
+	w.Write([]byte("second line")) // needs a new file, which cannot be created
 	require.Eventually(t, func() bool { return w.Stats().Lost == 1 }, time.Minute, time.Millisecond)
 	assert.NotEmpty(t, w.Stats().Err)
 	require.NoError(t, os.Mkdir(dir, 0o700))
@@ -69,17 +70,17 @@
 	assert.Equal(t, []string{"third line"}, lineTexts(t, filepath.Join(dir, "audit")))
 }
 
-// Who writes is never held up: what has no room on its way is lost.
+// Write never blocks: a line that does not fit in the queue is lost.
 func TestWriteNeverBlocks(t *testing.T) {
-	w := &Writer{lines: make(chan []byte, 1), done: make(chan struct{})} // nobody reads
+	w := &Writer{lines: make(chan []byte, 1), done: make(chan struct{})} // no goroutine reads
 	assert.True(t, w.Write([]byte("a")))
 	assert.False(t, w.Write([]byte("b")))
 	assert.Equal(t, Stats{Lost: 1}, w.Stats())
 	w.Close(time.Millisecond)
 }
 
-// The system may have no descriptor in the moment of the start. That costs the lines until then, not the start; a path that
-// leads nowhere is told at once.
+// The process may be out of descriptors when the file is opened. That loses the lines until it has one again but does not
+// fail Open; an unusable path does.
 func TestMissingDescriptorAtOpenLosesLines(t *testing.T) {
 	var limit, none unix.Rlimit
 	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &limit))
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -38,7 +38,7 @@
 
 	_, _, err = testCodec(t, "b").decode(b)
 	assert.ErrorIs(t, err, errForeign)
-	for i := range b { // each damaged byte shows
+	for i := range b { // a change of any byte is detected
 		d := append([]byte(nil), b...)
 		d[i] ^= 0x10
 		_, _, err := c.decode(d)
@@ -50,7 +50,7 @@
 	}
 }
 
-// What a later version adds passes; what cannot be does not.
+// Unknown fields, as a later version may add, are accepted; implausible messages are rejected.
 func TestMembershipMessageValidation(t *testing.T) {
 	c := testCodec(t, "a")
 	open := func(body any) error {
@@ -62,13 +62,13 @@
 	from := map[int]any{1: "n1", 2: []byte{127, 0, 0, 1, 1, 0}, 3: 5, 4: 7}
 	assert.NoError(t, open(map[int]any{1: 1, 2: from, 77: "new"}))
 	for what, body := range map[string]any{
-		"no sender":       map[int]any{1: 1},
-		"an unknown kind": map[int]any{1: 99, 2: from},
-		"an odd name":     map[int]any{1: 1, 2: map[int]any{1: "a b", 2: []byte{127, 0, 0, 1, 1, 0}, 3: 5}},
-		"no address":      map[int]any{1: 1, 2: map[int]any{1: "n1", 3: 5}},
-		"an age to come":  map[int]any{1: 1, 2: map[int]any{1: "n1", 2: []byte{127, 0, 0, 1, 1, 0}, 3: uint64(1) << 63}},
-		"odd news":        map[int]any{1: 1, 2: from, 9: []any{map[int]any{1: "x"}}},
-		"a list":          []int{1},
+		"no sender":                map[int]any{1: 1},
+		"unknown kind":             map[int]any{1: 99, 2: from},
+		"invalid name":             map[int]any{1: 1, 2: map[int]any{1: "a b", 2: []byte{127, 0, 0, 1, 1, 0}, 3: 5}},
+		"no address":               map[int]any{1: 1, 2: map[int]any{1: "n1", 3: 5}},
+		"incarnation out of range": map[int]any{1: 1, 2: map[int]any{1: "n1", 2: []byte{127, 0, 0, 1, 1, 0}, 3: uint64(1) << 63}},
+		"invalid update":           map[int]any{1: 1, 2: from, 9: []any{map[int]any{1: "x"}}},
+		"array instead of map":     []int{1},
 	} {
 		assert.ErrorIs(t, open(body), errMalformed, what)
 	}
@@ -104,7 +104,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) { _, _, _ = c.decode(b) })
 }
 
-// BenchmarkDatagram is one probe's way through: opened, decided on, answered.
+// BenchmarkDatagram measures the handling of one probe: decoding, the state machine, and encoding the response.
 func BenchmarkDatagram(b *testing.B) {
 	c := testCodec(b, "a")
 	now := 1_800_000_000 * time.Second
@@ -126,7 +126,7 @@
 	}
 }
 
-// Two gateways on one loop find each other, also with a list that is too large for a datagram.
+// Two gateways on one loop find each other, even if a member list is too large for a datagram.
 func TestTwoGatewaysOnOneLoop(t *testing.T) {
 	loop, err := netloop.New(256, 0, 16<<20)
 	require.NoError(t, err)
--- a/internal/peer/positions_test.go
+++ b/internal/peer/positions_test.go
@@ -16,7 +16,7 @@
 	"lilaccove/policy"
 )
 
-// positionsPair are two gateways on one loop that tell each other of positions, each by its own file's line.
+// positionsPair holds two gateways on one loop that share positions, each with its own byte budget.
 type positionsPair struct {
 	loop   *netloop.Loop
 	links  [2]*Links
@@ -49,7 +49,7 @@
 	return pair
 }
 
-// runUntil runs the loop once runUntil something has come true.
+// runUntil runs the loop until the condition has held. It may be called once per pair.
 func (pair *positionsPair) runUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	timeout := pair.loop.At(pair.loop.Now()+10*time.Second, pair.loop.Stop)
@@ -64,15 +64,15 @@
 	require.True(t, done, description)
 }
 
-// Under a budget a position goes from one gateway to another's decisions, as a floor, and only where the other's list has
-// the database; what the datagrams took is what the budget counts.
+// With a byte budget a position reaches the other gateway's policy, as a lower bound, and only if that gateway's list has the
+// database. The budget shows in the metrics.
 func TestPositionsWithByteBudget(t *testing.T) {
 	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2", "s3"}, {"s1", "s3"}})
 	at := pair.loop.Now() - time.Second
 	for _, h := range []policy.HostID{"s1", "s2"} {
 		pair.roles[0].Observe(h, at)
 	}
-	pair.runUntil(t, "it is told, and some time goes by", func() bool { return len(pair.events[1]) > 0 && pair.roles[0].reconciler.Counts().Requests > 3 })
+	pair.runUntil(t, "the position is received and several requests are sent", func() bool { return len(pair.events[1]) > 0 && pair.roles[0].reconciler.Counts().Requests > 3 })
 	reported := pair.events[1][0].(policy.PositionReported)
 	assert.Equal(t, policy.HostID("s1"), reported.Host)
 	assert.LessOrEqual(t, reported.Position, at)
@@ -86,18 +86,20 @@
 	assert.NotContains(t, text, "fleet_primaries")
 }
 
-// During a change-over: who has a budget takes rumours in; who has none refuses asks, and says so.
+// While a fleet is switched to byte budgets: a gateway with a budget accepts gossip; one without a budget rejects
+// reconciliation requests and logs it.
 func TestGossipAndByteBudgetsTogether(t *testing.T) {
 	list := []string{"s1"}
 	pair := newPositionsPair(t, [2]int{0, 1500}, [2][]string{list, list})
 	pair.roles[0].Observe("s1", pair.loop.Now()-time.Second)
-	pair.runUntil(t, "rumours are heard and asks are refused", func() bool { return len(pair.events[1]) > 0 && pair.links[0].counts.UnknownVersion > 0 })
+	pair.runUntil(t, "gossip is received and requests are rejected", func() bool { return len(pair.events[1]) > 0 && pair.links[0].counts.UnknownVersion > 0 })
 	assert.Empty(t, pair.events[0])
 	assert.ErrorContains(t, pair.roles[0].receiveReconcile(nil), "under a budget, which the fleet file here does not have")
 	assert.ErrorIs(t, pair.roles[0].receiveReconcile(nil), errVersion)
 }
 
-// A build that knows neither channel refuses it as this one refuses a later channel; garbage is malformed.
+// An unknown channel is rejected as of an unknown version, as older builds do with the reconciliation channels; a body that
+// cannot be decoded is malformed.
 func TestUnknownChannelsAndMalformedBodies(t *testing.T) {
 	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1"}, {"s1"}})
 	l := pair.links[0]
@@ -116,8 +118,7 @@
 	assert.Empty(t, pair.events[0])
 }
 
-// A message that comes right behind a change of the list meets the list as it is, however many changes there were; in
-// between nothing is made anew.
+// A message that comes right after changes of the list is applied to the current list; between changes nothing is rebuilt.
 func TestMessageAfterListChangeUsesNewList(t *testing.T) {
 	pair := newPositionsPair(t, [2]int{1500, 1500}, [2][]string{{"s1", "s2"}, {"s1", "s2"}})
 	s := pair.roles[0]
@@ -138,7 +139,7 @@
 	receive("s2", "s3")
 	require.Len(t, pair.events[0], 2)
 	assert.Equal(t, policy.HostID("s3"), pair.events[0][1].(policy.PositionReported).Host)
-	assert.Zero(t, s.reconciler.TimeOf("s2"), "of a database that left nothing is kept")
+	assert.Zero(t, s.reconciler.TimeOf("s2"), "nothing is kept of a database that left the list")
 	pair.lists[0] = []string{"s3"}
 	s.ListChanged()
 	receive("s1")
@@ -148,5 +149,5 @@
 	pair.lists[0] = []string{"s3", "s4"}
 	s.ListChanged()
 	s.Observe("s4", at)
-	assert.Equal(t, at, s.reconciler.TimeOf("s4"), "what this gateway itself hears of a new one is not lost")
+	assert.Equal(t, at, s.reconciler.TimeOf("s4"), "what this gateway itself observes of a new database is not lost")
 }
--- a/internal/wordstore/clock.go
+++ b/internal/wordstore/clock.go
@@ -22,16 +22,16 @@
 
 // Now reads the clocks.
 func Now() ClockReading {
-	m := ClockReading{Wall: time.Unix(0, int64(sys.WallClock()))}
+	reading := ClockReading{Wall: time.Unix(0, int64(sys.WallClock()))}
 	boot, err := os.ReadFile(bootPath)
 	var since unix.Timespec
 	if err == nil {
 		err = unix.ClockGettime(unix.CLOCK_BOOTTIME, &since)
 	}
 	if err == nil {
-		m.BootID, m.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
+		reading.BootID, reading.SinceBoot = strings.TrimSpace(string(boot)), time.Duration(since.Nano())
 	}
-	return m
+	return reading
 }
 
 // since returns the time from earlier to c: by the boot clock if both are of the same boot, otherwise by the wall clock.
--- a/internal/wordstore/wordstore_test.go
+++ b/internal/wordstore/wordstore_test.go
@@ -29,7 +29,7 @@
 	return Options{Dir: dir, Fleet: "f", Gateway: "n1", Session: 7, Retention: time.Hour, Now: func() ClockReading { return now }}
 }
 
-// saveAndWait writes words to a directory and waits until they are there.
+// saveAndWait saves overrides and waits for the result.
 func saveAndWait(t *testing.T, s *Store, overrides ...state.Override) error {
 	t.Helper()
 	done := make(chan error, 1)
@@ -38,26 +38,26 @@
 	case err := <-done:
 		return err
 	case <-time.After(10 * time.Second):
-		t.Fatal("the disk does not answer")
+		t.Fatal("no result of the write")
 	}
 	return nil
 }
 
-// withFound is options whose store notes the words that it finds, a set for each call.
+// withFound returns options with an OnFound that sends the overrides of each call to a channel.
 func withFound(opt Options) (Options, chan []state.Override) {
 	found := make(chan []state.Override, 16)
 	opt.OnFound = func(overrides []state.Override) { found <- overrides }
 	return opt, found
 }
 
-// nextFound is the next set that is found.
+// nextFound returns the next set of overrides from the channel.
 func nextFound(t *testing.T, found chan []state.Override) []state.Override {
 	t.Helper()
 	select {
 	case overrides := <-found:
 		return overrides
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing is found")
+		t.Fatal("no overrides were found")
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 	assert.Equal(t, []state.Override{suspended}, overrides)
 }
 
-// What is handed over before the end is written, though nobody waits for it.
+// What is queued before Close is written, even if no caller waits for it.
 func TestCloseWrites(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openStore(t, options(dir))
@@ -91,7 +91,7 @@
 	assert.Equal(t, []state.Override{suspended}, overrides)
 }
 
-// Two processes of a gateway save to one directory during an upgrade: neither undoes what the other was told.
+// Two processes of a gateway save to one directory during an upgrade: neither discards the other's overrides.
 func TestTwoProcessesShareOneDirectory(t *testing.T) {
 	dir := t.TempDir()
 	opt, foundA := withFound(options(dir))
@@ -101,17 +101,17 @@
 	b, _ := openStore(t, opt)
 	err := saveAndWait(t, a, suspended)
 	require.NoError(t, err)
-	assert.Empty(t, foundA, "there was nothing besides")
+	assert.Empty(t, foundA, "the file had no other overrides")
 	require.NoError(t, saveAndWait(t, b, testOverride("s2", true, map[string]uint64{"b": 1})))
-	assert.Equal(t, []state.Override{suspended}, nextFound(t, foundB), "it hears of what the other was told")
+	assert.Equal(t, []state.Override{suspended}, nextFound(t, foundB), "it finds the override of the other process")
 	require.NoError(t, saveAndWait(t, a, resumed))
 	assert.Len(t, nextFound(t, foundA), 1)
 	assert.Positive(t, a.Stats().OtherWriters)
 	_, overrides := openStore(t, options(dir))
-	assert.Equal(t, []state.Override{resumed, testOverride("s2", true, map[string]uint64{"b": 1})}, overrides, "an older word does not come back")
+	assert.Equal(t, []state.Override{resumed, testOverride("s2", true, map[string]uint64{"b": 1})}, overrides, "the older override does not return")
 }
 
-// Each byte that is changed, and each place at which the file is cut, shows; the file is put aside and the next one is good.
+// A change of any byte and a truncation at any place are detected; the file is moved aside and the next one is valid.
 func TestDamagedFileIsMovedAside(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openStore(t, options(dir))
@@ -144,7 +144,7 @@
 	assert.Equal(t, []state.Override{resumed}, overrides)
 }
 
-// A copy that was away for longer than words are remembered could bring back one that all others have forgotten.
+// A file unused for longer than the retention time could restore an override that all others have dropped.
 func TestExpiredFileIsNotUsed(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openStore(t, options(dir))
@@ -157,8 +157,8 @@
 	s.Close(time.Second)
 }
 
-// laterOptions are the options of a process that starts behind now by so much, in real time and by a wall clock that may have been
-// stepped, in some boot of its machine.
+// laterOptions returns the options of a process that starts later than now by elapsed on the boot clock and by wall on the
+// wall clock, which may have been stepped, in the given boot of the machine.
 func laterOptions(dir string, elapsed, wall time.Duration, boot string) Options {
 	opt := options(dir)
 	opt.Now = func() ClockReading {
@@ -167,20 +167,20 @@
 	return opt
 }
 
-// How long a copy was away is counted in real time within one boot of the machine. Across boots only the wall clock tells.
+// The age of a file is measured by the boot clock within one boot of the machine, and by the wall clock across boots.
 func TestFileAgeUsesBootClock(t *testing.T) {
 	for name, tt := range map[string]struct {
-		span, wall time.Duration
-		boot       string
-		old        bool
+		elapsed, wall time.Duration
+		boot          string
+		expired       bool
 	}{
-		"a moment, stepped ahead":                     {time.Second, 2 * time.Hour, now.BootID, false},
-		"a moment, stepped back":                      {time.Second, -2 * time.Hour, now.BootID, false},
-		"long, stepped back":                          {2 * time.Hour, -time.Minute, now.BootID, true},
-		"another boot, long":                          {-now.SinceBoot, 2 * time.Hour, "another", true},
-		"another boot, a moment":                      {-now.SinceBoot, time.Minute, "another", false},
-		"no boot is known, long":                      {time.Second, 2 * time.Hour, "", true},
-		"the time since the boot went back, a moment": {-time.Hour, time.Minute, now.BootID, false},
+		"one second, stepped forward":      {time.Second, 2 * time.Hour, now.BootID, false},
+		"one second, stepped back":         {time.Second, -2 * time.Hour, now.BootID, false},
+		"long, stepped back":               {2 * time.Hour, -time.Minute, now.BootID, true},
+		"another boot, long":               {-now.SinceBoot, 2 * time.Hour, "another", true},
+		"another boot, one minute":         {-now.SinceBoot, time.Minute, "another", false},
+		"boot unknown, long":               {time.Second, 2 * time.Hour, "", true},
+		"boot clock went back, one minute": {-time.Hour, time.Minute, now.BootID, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -188,8 +188,8 @@
 			err := saveAndWait(t, s, suspended)
 			require.NoError(t, err)
 			s.Close(time.Second)
-			s, overrides, err := Open(laterOptions(dir, tt.span, tt.wall, tt.boot))
-			if s.Close(time.Second); tt.old {
+			s, overrides, err := Open(laterOptions(dir, tt.elapsed, tt.wall, tt.boot))
+			if s.Close(time.Second); tt.expired {
 				require.ErrorIs(t, err, ErrOld)
 				assert.Empty(t, overrides)
 				return
@@ -200,7 +200,7 @@
 	}
 }
 
-// A file of a build that did not note the boot is judged by the wall clock.
+// The age of a file of an earlier build without a boot ID is measured by the wall clock.
 func TestFileWithoutBootID(t *testing.T) {
 	text, err := encode(content{Format: format, AtMS: now.Wall.UnixMilli()})
 	require.NoError(t, err)
@@ -209,7 +209,7 @@
 	assert.Equal(t, time.Minute, laterOptions("", time.Second, time.Minute, now.BootID).Now().since(saved.writtenAt()).Round(time.Millisecond*10))
 }
 
-// While its process lives the copy does not grow old, though no word is said.
+// While its process runs the file does not expire, even if no override is set.
 func TestFileIsRefreshedWhileProcessRuns(t *testing.T) {
 	opt := options(t.TempDir())
 	opt.Retention = 400 * time.Millisecond
@@ -224,7 +224,7 @@
 	assert.Len(t, overrides, 1)
 }
 
-// Another's directory is left as it is.
+// The file of another gateway or fleet is not changed.
 func TestForeignFilesAreLeftAlone(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := openStore(t, options(dir))
@@ -250,7 +250,7 @@
 	assert.Equal(t, before, after)
 }
 
-// A disk that fails is told to whoever waits, and what is saved once it is well again is all there is.
+// A write error is reported to the caller, and a write after the disk has recovered succeeds and clears it.
 func TestDiskFailureIsReported(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	s, _ := openStore(t, options(dir))
@@ -264,7 +264,7 @@
 	assert.Empty(t, s.Stats().Err)
 }
 
-// A disk that failed once is tried again soon, not only when the next word or stamp is due.
+// After a failed write the store retries soon, not only with the next override or refresh.
 func TestOverridesAreSavedSoonAfterDiskFailure(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "words")
 	s, _ := openStore(t, options(dir))
@@ -279,11 +279,11 @@
 	assert.Equal(t, []state.Override{suspended}, overrides)
 }
 
-// What could not be read while the store was opened is handed over once it can be: another process holds the lock, or the
-// directory is out of reach. That there are no words is told as well.
+// A file that cannot be read by Open, because another process holds the lock or the directory is inaccessible, is passed to
+// OnFound once it can be read, even if it has no overrides.
 func TestOverridesAreFoundOnceTheFileIsReadable(t *testing.T) {
 	for _, stored := range [][]state.Override{nil, {suspended}} {
-		t.Run(fmt.Sprintf("%d words, lock held", len(stored)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d overrides, lock held", len(stored)), func(t *testing.T) {
 			dir := t.TempDir()
 			before, _, err := Open(options(dir))
 			require.NoError(t, err)
@@ -304,7 +304,7 @@
 			assert.Equal(t, stored, nextFound(t, found))
 		})
 	}
-	t.Run("directory out of reach", func(t *testing.T) {
+	t.Run("directory inaccessible", func(t *testing.T) {
 		dir := filepath.Join(t.TempDir(), "words")
 		before, _, err := Open(options(dir))
 		require.NoError(t, err)
@@ -322,8 +322,8 @@
 	})
 }
 
-// An earlier build wrote words with an entry for each process that ever spoke, without a bound. None of the file is lost for
-// that: such a word counts, folded.
+// An earlier build wrote version vectors with an entry for each process that ever set the override, without a limit. Such an
+// override is still loaded, with its vector folded, and the rest of the file as well.
 func TestOverrideWithTooManyWritersIsFolded(t *testing.T) {
 	dir := t.TempDir()
 	before, _, err := Open(options(dir))
@@ -340,5 +340,5 @@
 	assert.True(t, overrides[1].Active && overrides[1].Valid())
 	require.NoError(t, saveAndWait(t, s, overrides...))
 	_, again := openStore(t, options(dir))
-	assert.Equal(t, overrides, again, "once and for all")
+	assert.Equal(t, overrides, again, "folding is stable")
 }
