--- a/internal/peer/overrides.go
+++ b/internal/peer/overrides.go
@@ -61,7 +61,10 @@
 
 func (l *Links) newOverrides() *overrides {
 	own, _ := l.machine.Self()
-	s := &overrides{links: l, changeLog: netloop.Sparse{Most: maxOverrideLinesPerSecond}, set: state.NewOverrides(own.Name, fmt.Sprintf("%s@%x", own.Name, own.Session), rand.Uint64())}
+	s := &overrides{
+		links: l, changeLog: netloop.Sparse{Most: maxOverrideLinesPerSecond},
+		set: state.NewOverrides(own.Name, fmt.Sprintf("%s@%x", own.Name, own.Session), rand.Uint64()),
+	}
 	s.set.ExpectPeers(len(l.file.Seeds))
 	l.every(overridesInterval, s.tick)
 	if cfg := l.file.Overrides; cfg != nil {
@@ -157,7 +160,8 @@
 	now := s.links.loop.Now()
 	s.pending = slices.DeleteFunc(s.pending, func(pending *pendingOverride) bool {
 		confirmed, peers := s.set.Confirmations(pending.id)
-		if confirmed < peers && now-pending.start < confirmTimeout || pending.diskResult == "" && pending.persistent && now-pending.start < diskTimeout {
+		if confirmed < peers && now-pending.start < confirmTimeout ||
+			pending.diskResult == "" && pending.persistent && now-pending.start < diskTimeout {
 			return false
 		}
 		text := fmt.Sprintf("held by %d of %d others", confirmed, peers)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -90,7 +90,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	l := &Links{loop: loop, file: file, codec: c, inbound: map[uint64]*stream{}, senders: map[netip.AddrPort]*rateWindow{}, memberLog: netloop.Sparse{Most: maxMemberLinesPerSecond}}
+	l := &Links{
+		loop: loop, file: file, codec: c, inbound: map[uint64]*stream{}, senders: map[netip.AddrPort]*rateWindow{},
+		memberLog: netloop.Sparse{Most: maxMemberLinesPerSecond},
+	}
 	err = l.bind(file.Listen)
 	if errors.Is(err, unix.EADDRINUSE) {
 		// A predecessor during an upgrade has it, or it is a fault, which the fleet will report.
@@ -266,7 +269,8 @@
 	case e.State == membership.Suspect:
 		l.suspectLog.Printf(l.loop.Now(), "event=fleet_suspect name=%s by=%s", e.Name, e.SuspectedBy)
 	case change.New || change.Previous != e.State && change.Previous != membership.Suspect || e.State != membership.Alive:
-		l.memberLog.Printf(l.loop.Now(), "event=fleet_member name=%s state=%s addr=%s session=%x twice=%t", e.Name, e.State, e.Addr, e.Session, e.DuplicateName)
+		l.memberLog.Printf(l.loop.Now(), "event=fleet_member name=%s state=%s addr=%s session=%x twice=%t",
+			e.Name, e.State, e.Addr, e.Session, e.DuplicateName)
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -134,13 +134,13 @@
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	a, err := New(loop, "a", "", &fleet.File{Fleet: "f", Listen: any}, loop.Now())
 	require.NoError(t, err)
-	var news []membership.Entry
+	var updates []membership.Entry
 	for i := range 200 {
 		e := testEntry(fmt.Sprintf("x%03d", i))
 		e.State = membership.Left
-		news = append(news, e)
+		updates = append(updates, e)
 	}
-	a.machine.Receive(loop.Now(), membership.Message{Kind: membership.Gossip, From: news[0], Observer: true, Updates: news}, 0)
+	a.machine.Receive(loop.Now(), membership.Message{Kind: membership.Gossip, From: updates[0], Observer: true, Updates: updates}, 0)
 	b, err := New(loop, "b", "", &fleet.File{Fleet: "f", Listen: any, Seeds: []netip.AddrPort{a.udp.Addr}}, loop.Now())
 	require.NoError(t, err)
 	_, err = New(loop, "c d", "", &fleet.File{Fleet: "f", Listen: any}, loop.Now())
--- a/internal/peer/positions.go
+++ b/internal/peer/positions.go
@@ -45,7 +45,9 @@
 
 // SharePositions starts to exchange replication positions with the other members; deliver receives the updates.
 func (l *Links) SharePositions(listed func(policy.HostID) bool, hosts func() []policy.Member, deliver func(policy.Event)) *Positions {
-	l.positions = l.sharePositions(role{channelPositions, channelReconcilePositions, minPositionStep, l.file.PositionBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
+	l.positions = l.sharePositions(role{
+		channelPositions, channelReconcilePositions, minPositionStep, l.file.PositionBytes,
+	}, listed, hosts, func(h policy.HostID, at time.Duration) {
 		deliver(policy.PositionReported{Host: h, Position: at})
 	})
 	return l.positions
@@ -53,13 +55,18 @@
 
 // SharePrimaries starts to exchange the times of answers as primary; deliver receives the updates.
 func (l *Links) SharePrimaries(listed func(policy.HostID) bool, hosts func() []policy.Member, deliver func(policy.Event)) *Positions {
-	l.primaries = l.sharePositions(role{channelPrimaries, channelReconcilePrimaries, minPrimaryStep, l.file.PrimaryBytes}, listed, hosts, func(h policy.HostID, at time.Duration) {
+	l.primaries = l.sharePositions(role{
+		channelPrimaries, channelReconcilePrimaries, minPrimaryStep, l.file.PrimaryBytes,
+	}, listed, hosts, func(h policy.HostID, at time.Duration) {
 		deliver(policy.PrimaryReported{Host: h, At: at})
 	})
 	return l.primaries
 }
 
-func (l *Links) sharePositions(role role, listed func(policy.HostID) bool, hosts func() []policy.Member, onUpdate func(policy.HostID, time.Duration)) *Positions {
+// sharePositions starts the sharing of one role, by gossip or, with a byte budget, by reconciliation.
+func (l *Links) sharePositions(
+	role role, listed func(policy.HostID) bool, hosts func() []policy.Member, onUpdate func(policy.HostID, time.Duration),
+) *Positions {
 	own, _ := l.machine.Self()
 	s := &Positions{links: l, channel: role.gossipChannel, onUpdate: onUpdate, hosts: hosts, bytesPerSecond: role.bytesPerSecond}
 	if role.bytesPerSecond == 0 {
@@ -68,7 +75,8 @@
 	} else {
 		s.channel = role.reconcileChannel
 		s.reconciler = antientropy.New(antientropy.Config{
-			Name: own.Name, Zone: own.Zone, Seed: rand.Uint64(), BytesPerSecond: role.bytesPerSecond, MessageOverhead: reconcileOverhead, Step: role.minStep,
+			Name: own.Name, Zone: own.Zone, Seed: rand.Uint64(), BytesPerSecond: role.bytesPerSecond,
+			MessageOverhead: reconcileOverhead, Step: role.minStep,
 		}, l.loop.Now())
 		s.listChanged = true
 		l.loop.At(s.reconciler.NextTick(), s.reconcileTick)
--- a/internal/peer/positions_test.go
+++ b/internal/peer/positions_test.go
@@ -72,7 +72,9 @@
 	for _, h := range []policy.HostID{"s1", "s2"} {
 		pair.roles[0].Observe(h, at)
 	}
-	pair.runUntil(t, "the position is received and several requests are sent", func() bool { return len(pair.events[1]) > 0 && pair.roles[0].reconciler.Counts().Requests > 3 })
+	pair.runUntil(t, "the position is received and several requests are sent", func() bool {
+		return len(pair.events[1]) > 0 && pair.roles[0].reconciler.Counts().Requests > 3
+	})
 	reported := pair.events[1][0].(policy.PositionReported)
 	assert.Equal(t, policy.HostID("s1"), reported.Host)
 	assert.LessOrEqual(t, reported.Position, at)
@@ -92,7 +94,9 @@
 	list := []string{"s1"}
 	pair := newPositionsPair(t, [2]int{0, 1500}, [2][]string{list, list})
 	pair.roles[0].Observe("s1", pair.loop.Now()-time.Second)
-	pair.runUntil(t, "gossip is received and requests are rejected", func() bool { return len(pair.events[1]) > 0 && pair.links[0].counts.UnknownVersion > 0 })
+	pair.runUntil(t, "gossip is received and requests are rejected", func() bool {
+		return len(pair.events[1]) > 0 && pair.links[0].counts.UnknownVersion > 0
+	})
 	assert.Empty(t, pair.events[0])
 	assert.ErrorContains(t, pair.roles[0].receiveReconcile(nil), "under a budget, which the fleet file here does not have")
 	assert.ErrorIs(t, pair.roles[0].receiveReconcile(nil), errVersion)
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -51,15 +51,18 @@
 	view := l.machine.View()
 	r := Report{
 		Fleet: l.file.Fleet, Name: own.Name, Addr: own.Addr.String(), Session: hex(own.Session), Incarnation: own.Incarnation, Member: member,
-		Superseded: l.machine.Superseded(), Health: l.machine.Health(), View: ReportView{Version: view.Version, Digest: hex(view.Digest)}, Known: []ReportMember{},
-		At: time.Unix(0, int64(l.loop.Now())).UTC(),
+		Superseded: l.machine.Superseded(), Health: l.machine.Health(),
+		View: ReportView{Version: view.Version, Digest: hex(view.Digest)}, Known: []ReportMember{}, At: time.Unix(0, int64(l.loop.Now())).UTC(),
 	}
 	for _, m := range view.Members {
-		r.View.Members = append(r.View.Members, ReportMember{Name: m.Name, Addr: m.Addr.String(), Session: hex(m.Session), DuplicateName: m.DuplicateName})
+		r.View.Members = append(r.View.Members, ReportMember{
+			Name: m.Name, Addr: m.Addr.String(), Session: hex(m.Session), DuplicateName: m.DuplicateName,
+		})
 	}
 	for _, e := range l.machine.Members() {
 		r.Known = append(r.Known, ReportMember{
-			Name: e.Name, Addr: e.Addr.String(), Session: hex(e.Session), State: e.State.String(), Incarnation: e.Incarnation, DuplicateName: e.DuplicateName,
+			Name: e.Name, Addr: e.Addr.String(), Session: hex(e.Session), State: e.State.String(), Incarnation: e.Incarnation,
+			DuplicateName: e.DuplicateName,
 		})
 	}
 	b, err := json.Marshal(r)
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -35,7 +35,9 @@
 // ShareVersions starts to exchange versions with the other members, and to request the list when others have a newer one.
 func (l *Links) ShareVersions(local LocalVersions) {
 	own, _ := l.machine.Self()
-	s := &versions{links: l, local: local, tracker: audit.NewVersions(audit.VersionsConfig{Name: own.Name, MaxLag: maxListLag, RequestSpread: listRequestSpread, Seed: rand.Uint64()})}
+	s := &versions{links: l, local: local, tracker: audit.NewVersions(audit.VersionsConfig{
+		Name: own.Name, MaxLag: maxListLag, RequestSpread: listRequestSpread, Seed: rand.Uint64(),
+	})}
 	l.versions = s
 	s.tick()
 	l.every(versionsInterval, s.tick)
@@ -47,7 +49,8 @@
 	view := l.machine.View()
 	s.tracker.SetMembers(view.Names())
 	current := audit.Version{
-		Session: own.Session, ListVersion: s.local.ListVersion(), OverridesDigest: l.overrides.set.Digest(), ViewDigest: view.Digest, ConfigDigest: s.local.ConfigDigest, FleetFileDigest: s.local.FleetFileDigest, Build: s.local.Build,
+		Session: own.Session, ListVersion: s.local.ListVersion(), OverridesDigest: l.overrides.set.Digest(), ViewDigest: view.Digest,
+		ConfigDigest: s.local.ConfigDigest, FleetFileDigest: s.local.FleetFileDigest, Build: s.local.Build,
 	}
 	s.tracker.Set(current)
 	if l.audit != nil {
