--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -1,5 +1,5 @@
 // Package auditfile appends lines to a file that is rotated by size, on a goroutine of its own: a slow, full or failing disk
-// costs lines, which are counted, and never holds up who writes them.
+// loses lines, which are counted, and never blocks the caller.
 package auditfile
 
 import (
@@ -17,40 +17,40 @@
 )
 
 const (
-	waiting  = 256              // lines on their way to the disk
-	logEvery = 10 * time.Second // a disk that goes on failing is told so often
+	queueSize   = 256              // lines that wait for the disk
+	logInterval = 10 * time.Second // between log lines about a failing disk
 )
 
-// Options are a file's.
+// Options configures a Writer.
 type Options struct {
 	Path     string
-	MaxBytes int64 // bytes of one file, over which it is renamed to PATH.1, that to PATH.2 and so on
-	Keep     int   // files of old lines
+	MaxBytes int64 // of one file; a larger one is renamed to PATH.1, that one to PATH.2 and so on
+	Keep     int   // number of rotated files
 }
 
-// Stats is how it went so far.
+// Stats counts lines and holds the last error.
 type Stats struct {
 	Written, Lost uint64
-	Err           string // the last failure, empty once a line was written again
+	Err           string // the last failure, empty after a line was written
 }
 
-// Writer writes the lines. Use Open.
+// Writer writes lines to the file. Use Open.
 type Writer struct {
-	opt   Options
-	lines chan []byte
-	done  chan struct{}
-	file  *os.File
-	size  int64
-	told  time.Time
-
-	mu    sync.Mutex // between the writer and who asks for the state
-	state Stats
+	opt         Options
+	lines       chan []byte
+	done        chan struct{}
+	file        *os.File
+	size        int64
+	lastLogTime time.Time
+
+	mu    sync.Mutex // guards stats
+	stats Stats
 }
 
-// Open begins to write. A path that cannot be used is an error; what the system lacks for a moment costs lines, as later, and
-// is told by State and the log.
+// Open opens the file and starts the writer. An unusable path is an error. A temporary lack of system resources is not: it
+// loses lines, as it does later, and is logged.
 func Open(opt Options) (*Writer, error) {
-	w := &Writer{opt: opt, lines: make(chan []byte, waiting), done: make(chan struct{})}
+	w := &Writer{opt: opt, lines: make(chan []byte, queueSize), done: make(chan struct{})}
 	if err := w.open(); err != nil {
 		if !sys.Passing(err) {
 			return nil, err
@@ -61,8 +61,8 @@
 	return w, nil
 }
 
-// open opens the file. A last line without its end is what a process that was killed had not finished: the next begins on
-// a line of its own.
+// open opens the file. If the last line has no line break, as a killed process leaves it, one is added, so that the next
+// line starts on its own.
 func (w *Writer) open() error {
 	f, err := os.OpenFile(w.opt.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
 	if err != nil {
@@ -84,30 +84,30 @@
 	return nil
 }
 
-// Write hands a line over, without its end. It does not wait; false: the line is lost.
+// Write queues a line, given without its line break. It does not block; false: the line is lost.
 func (w *Writer) Write(line []byte) bool {
 	select {
 	case w.lines <- line:
 		return true
 	default:
-		w.note(nil, false)
+		w.recordResult(nil, false)
 		return false
 	}
 }
 
-// Stats is how it went so far.
+// Stats returns the statistics so far.
 func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.state
+	return w.stats
 }
 
-// Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
-func (w *Writer) Close(patience time.Duration) {
+// Close writes what is queued and ends the writer, or gives up after the timeout: a disk may hang forever.
+func (w *Writer) Close(timeout time.Duration) {
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
@@ -115,9 +115,9 @@
 	defer close(w.done)
 	for line := range w.lines {
 		err := w.write(append(bytes.Clone(line), '\n'))
-		w.note(err, err == nil)
-		if err != nil && time.Since(w.told) >= logEvery {
-			w.told = time.Now()
+		w.recordResult(err, err == nil)
+		if err != nil && time.Since(w.lastLogTime) >= logInterval {
+			w.lastLogTime = time.Now()
 			log.Printf("event=audit_file_failed lost=%d err=%q", w.Stats().Lost, err)
 		}
 	}
@@ -126,20 +126,20 @@
 	}
 }
 
-func (w *Writer) note(err error, written bool) {
+func (w *Writer) recordResult(err error, written bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if written {
-		w.state.Written++
-		w.state.Err = ""
+		w.stats.Written++
+		w.stats.Err = ""
 		return
 	}
-	if w.state.Lost++; err != nil {
-		w.state.Err = err.Error()
+	if w.stats.Lost++; err != nil {
+		w.stats.Err = err.Error()
 	}
 }
 
-// write appends a line, whole or not at all as far as that can be had.
+// write appends a line; after a partial write it truncates the file to its previous size, if it can.
 func (w *Writer) write(line []byte) error {
 	if w.file != nil && w.size > 0 && w.size+int64(len(line)) > w.opt.MaxBytes {
 		if err := w.rotate(); err != nil {
@@ -157,23 +157,24 @@
 		return nil
 	}
 	if n > 0 && w.file.Truncate(w.size) != nil {
-		w.size += int64(n) // the half of a line stays: the next goes to a new end of line
+		w.size += int64(n) // the partial line stays; open ends it with a line break
 	}
-	w.file.Close() // it is opened anew for the next line
+	w.file.Close() // the next line opens it again
 	w.file = nil
 	return err
 }
 
+// rotate shifts each file to the next number and removes the oldest.
 func (w *Writer) rotate() error {
 	w.file.Close()
 	w.file = nil
 	for i := w.opt.Keep; i >= 0; i-- {
-		from := w.name(i)
+		from := w.rotatedPath(i)
 		var err error
 		if i == w.opt.Keep {
 			err = os.Remove(from)
 		} else {
-			err = os.Rename(from, w.name(i+1))
+			err = os.Rename(from, w.rotatedPath(i+1))
 		}
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("rotate: %w", err)
@@ -182,25 +183,25 @@
 	return nil
 }
 
-func (w *Writer) name(i int) string {
+func (w *Writer) rotatedPath(i int) string {
 	if i == 0 {
 		return w.opt.Path
 	}
 	return fmt.Sprintf("%s.%d", w.opt.Path, i)
 }
 
-// Lines reads a file and its older ones, oldest first: whole lines only.
+// Lines returns the complete lines of a file and its rotated ones, oldest first.
 func Lines(path string) (lines [][]byte, err error) {
 	w := Writer{opt: Options{Path: path}}
 	last := 0
 	for {
-		if _, err := os.Stat(w.name(last + 1)); err != nil {
+		if _, err := os.Stat(w.rotatedPath(last + 1)); err != nil {
 			break
 		}
 		last++
 	}
 	for i := last; i >= 0; i-- {
-		text, err := os.ReadFile(w.name(i))
+		text, err := os.ReadFile(w.rotatedPath(i))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/wordstore/wordstore.go
+++ b/internal/wordstore/wordstore.go
@@ -1,8 +1,9 @@
-// Package wordstore keeps operators' words to the fleet in a file, on a goroutine of its own: a slow, full or failing disk is
-// told and never holds up who saves. The file is one more copy of the words, under the rules of all copies: what it has and
-// the process has not is kept, whichever process wrote it. It is replaced whole, so that it is either the old or the new one
-// whenever the machine stops, and bears a sum, so that damage shows. A file that is damaged, foreign, of a later build or too
-// old is put aside or left alone: the gateway starts without it and catches up from the others.
+// Package wordstore stores the fleet's operator overrides in a file, on a goroutine of its own: a slow, full or failing disk
+// is reported and never blocks the caller. The file is one more copy of the overrides and is merged like any other copy:
+// overrides that it has and the process lacks are kept, whichever process wrote them. It is replaced atomically, so that a
+// crash leaves either the old file or the new one, and carries a checksum, so that corruption is detected. A corrupt or
+// expired file is moved aside, one of another gateway, another fleet or a later build is left alone: the gateway starts
+// without it and gets the overrides from the other members.
 package wordstore
 
 import (
@@ -26,326 +27,329 @@
 )
 
 const (
-	fileName   = "words"
-	magic      = "lilaccove words\n"
-	format     = 1
-	mostBytes  = 64 << 20
-	lockWait   = 2 * time.Second        // for another process of this gateway that saves
-	lockPause  = 5 * time.Millisecond   // between two tries
-	stampEvery = time.Minute            // how often it is noted that the process lives
-	retryEvery = time.Second            // and behind a failure
-	logEvery   = 10 * time.Second       // a disk that goes on failing is told so often
-	stampPart  = 4                      // and in a horizon at least so often
-	leastStamp = 100 * time.Millisecond // whatever the horizon
+	fileName              = "words"
+	magic                 = "lilaccove words\n"
+	format                = 1
+	maxFileSize           = 64 << 20               // bytes
+	lockTimeout           = 2 * time.Second        // to wait while another process of this gateway saves
+	lockRetryInterval     = 5 * time.Millisecond   // between two attempts
+	refreshInterval       = time.Minute            // for rewriting the file with a new time, which shows that the process runs
+	retryInterval         = time.Second            // after a failed write
+	logInterval           = 10 * time.Second       // between log lines about a failing disk
+	refreshesPerRetention = 4                      // minimum number of refreshes within the retention time
+	minRefreshInterval    = 100 * time.Millisecond // for a short retention time
 )
 
-// Why a file is not used.
+// Reasons for which a file is not used.
 var (
 	ErrForeign    = errors.New("it is another gateway's or another fleet's")
 	ErrFormat     = errors.New("it is of a later build")
-	ErrOld        = errors.New("its process was away for longer than words are kept")
+	ErrOld        = errors.New("its process was stopped for longer than overrides are kept")
 	ErrCorrupt    = errors.New("it is damaged")
 	ErrInUse      = errors.New("another process holds the lock")
-	ErrUnreadable = errors.New("it cannot be read yet") // it is tried again: see Options.Found
+	ErrUnreadable = errors.New("it cannot be read yet") // reading is retried: see Options.OnFound
 )
 
-// Options are a store's.
+// Options configures a store.
 type Options struct {
 	Dir       string
-	Fleet     string              // its name
-	Gateway   string              // likewise
-	Session   uint64              // of the process
-	Retention time.Duration       // a copy that was not in use for so long may bring back what others have forgotten
+	Fleet     string              // the fleet's name
+	Gateway   string              // the gateway's name
+	Session   uint64              // of this process
+	Retention time.Duration       // a file unused for longer is not loaded: it may hold overrides that the others have already dropped
 	Now       func() ClockReading // nil: the machine's clocks
 
-	// OnFound is called from another goroutine with words that the file has besides those saved; nil: nobody asks. Behind an
-	// Open that ended with ErrUnread it is called once the file has been read, also if there are none.
-	OnFound func(words []state.Override)
+	// OnFound is called from another goroutine with overrides that the file has and those saved lack; nil: not called. After
+	// an Open that returned ErrUnreadable it is called once the file has been read, even if it has none.
+	OnFound func(overrides []state.Override)
 }
 
-// content is what the file tells.
+// content is the content of the file.
 type content struct {
-	Format  int              `cbor:"1,keyasint"`
-	Fleet   string           `cbor:"2,keyasint"`
-	Gateway string           `cbor:"3,keyasint"`
-	Session uint64           `cbor:"4,keyasint"` // of the process that wrote it
-	AtMS    int64            `cbor:"5,keyasint"` // when it did, Unix time
-	Words   []state.Override `cbor:"6,keyasint"`
-	Boot    string           `cbor:"7,keyasint,omitempty"` // of its machine
-	BootMS  int64            `cbor:"8,keyasint,omitempty"` // when it did, since then
+	Format    int              `cbor:"1,keyasint"`
+	Fleet     string           `cbor:"2,keyasint"`
+	Gateway   string           `cbor:"3,keyasint"`
+	Session   uint64           `cbor:"4,keyasint"` // of the process that wrote it
+	AtMS      int64            `cbor:"5,keyasint"` // when it was written, Unix time
+	Overrides []state.Override `cbor:"6,keyasint"`
+	Boot      string           `cbor:"7,keyasint,omitempty"` // boot ID of that machine
+	BootMS    int64            `cbor:"8,keyasint,omitempty"` // when it was written, since that boot
 }
 
-// at is when a file was written.
-func (c *content) at() ClockReading {
+// writtenAt returns when the file was written.
+func (c *content) writtenAt() ClockReading {
 	return ClockReading{Wall: time.UnixMilli(c.AtMS), BootID: c.Boot, SinceBoot: time.Duration(c.BootMS) * time.Millisecond}
 }
 
-// Stats is how it went so far.
+// Stats counts writes and holds the last error.
 type Stats struct {
 	Saved, Failed uint64 // writes
-	OtherWriters  uint64 // files found that another process had written meanwhile
-	Err           string // the last failure, empty once a write was done again
+	OtherWriters  uint64 // times that the file was found to be written by another process
+	Err           string // the last failure, empty after a successful write
 }
 
-// Store is the file. Use Open.
+// Store writes the file. Use Open.
 type Store struct {
 	opt  Options
 	done chan struct{}
 
-	mu     sync.Mutex // between the writer and who hands over
-	wake   sync.Cond
-	words  []state.Override
-	then   []func(err error)
-	due    bool
-	closed bool
-	state  Stats
+	mu        sync.Mutex // guards the fields up to stats
+	wake      sync.Cond
+	overrides []state.Override
+	callbacks []func(err error)
+	pending   bool
+	closed    bool
+	stats     Stats
 
-	before uint64 // the session that the last file was of; only the writer's
-	known  bool   // what the file had has been read, or it was put aside; only the writer's
-	told   time.Time
+	// Only the writer uses these.
+	lastSession uint64 // of the process that wrote the file last
+	fileRead    bool   // the file has been read or moved aside, or there was none
+	lastLogTime time.Time
 }
 
-// Open reads the words and begins to take new ones. What is wrong with a file is told in the error; the store beside it is
-// nil where the file is not this gateway's to replace. With ErrUnread the store goes on trying to read.
+// Open reads the stored overrides and starts the writer. An error tells why the file is not used; with ErrForeign and
+// ErrFormat, where this process must not replace the file, the store is nil. With ErrUnreadable the store retries reading.
 func Open(opt Options) (*Store, []state.Override, error) {
 	if opt.Now == nil {
 		opt.Now = Now
 	}
 	s := &Store{opt: opt, done: make(chan struct{})}
 	s.wake.L = &s.mu
-	var words []state.Override
+	var overrides []state.Override
 	err := os.MkdirAll(opt.Dir, 0o750)
 	if err == nil {
-		err = s.locked(func() (err error) {
-			words, err = s.read(opt.Now())
+		err = s.withLock(func() (err error) {
+			overrides, err = s.readFile(opt.Now())
 			return err
 		})
 	}
 	if errors.Is(err, ErrForeign) || errors.Is(err, ErrFormat) {
 		return nil, nil, err
 	}
-	if !s.known {
+	if !s.fileRead {
 		err = fmt.Errorf("%w: %w", ErrUnreadable, err)
-		s.due = true
+		s.pending = true
 	}
 	go s.run()
-	return s, words, err
+	return s, overrides, err
 }
 
 func (s *Store) path() string { return filepath.Join(s.opt.Dir, fileName) }
 
-// locked does something while no other process does. The system gives the lock back when a process ends.
-func (s *Store) locked(do func() error) error {
+// withLock calls run while holding the lock that excludes other processes. The kernel releases the lock when a process ends.
+func (s *Store) withLock(run func() error) error {
 	f, err := sys.OpenFile(s.path()+".lock", os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	for late := time.Now().Add(lockWait); ; time.Sleep(lockPause) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		switch err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
 		case err == nil:
-			return do()
+			return run()
 		case err != unix.EWOULDBLOCK && err != unix.EINTR:
 			return err
-		case time.Now().After(late):
+		case time.Now().After(deadline):
 			return ErrInUse
 		}
 	}
 }
 
-// read takes in the file; one that is damaged or too old is put aside.
-func (s *Store) read(now ClockReading) ([]state.Override, error) {
-	text, err := s.load()
+// readFile reads the file; one that is corrupt or expired is moved aside.
+func (s *Store) readFile(now ClockReading) ([]state.Override, error) {
+	text, err := s.loadFile()
 	if err != nil && !errors.Is(err, ErrCorrupt) {
 		return nil, err
 	}
-	s.known = true
+	s.fileRead = true
 	if err != nil {
-		return nil, s.aside("torn", err, now)
+		return nil, s.moveAside("torn", err, now)
 	}
 	if text == nil {
 		return nil, nil
 	}
-	c, err := parse(text)
+	saved, err := parse(text)
 	switch {
 	case errors.Is(err, ErrCorrupt):
-		return nil, s.aside("torn", err, now)
+		return nil, s.moveAside("torn", err, now)
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", s.path(), err)
-	case c.Fleet != s.opt.Fleet || c.Gateway != s.opt.Gateway:
-		return nil, fmt.Errorf("%s: %w: of %s in %s", s.path(), ErrForeign, c.Gateway, c.Fleet)
-	case now.since(c.at()) > s.opt.Retention:
-		since := time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339)
-		return nil, s.aside("old", fmt.Errorf("%w: since %s", ErrOld, since), now)
+	case saved.Fleet != s.opt.Fleet || saved.Gateway != s.opt.Gateway:
+		return nil, fmt.Errorf("%s: %w: of %s in %s", s.path(), ErrForeign, saved.Gateway, saved.Fleet)
+	case now.since(saved.writtenAt()) > s.opt.Retention:
+		since := time.UnixMilli(saved.AtMS).UTC().Format(time.RFC3339)
+		return nil, s.moveAside("old", fmt.Errorf("%w: since %s", ErrOld, since), now)
 	}
-	if s.before != 0 && c.Session != s.before && c.Session != s.opt.Session {
+	if s.lastSession != 0 && saved.Session != s.lastSession && saved.Session != s.opt.Session {
 		s.mu.Lock()
-		s.state.OtherWriters++
+		s.stats.OtherWriters++
 		s.mu.Unlock()
 	}
-	s.before = c.Session
-	return c.Words, nil
+	s.lastSession = saved.Session
+	return saved.Overrides, nil
 }
 
-// load is the file's text; nil: there is none.
-func (s *Store) load() ([]byte, error) {
+// loadFile returns the file's bytes; nil: there is no file.
+func (s *Store) loadFile() ([]byte, error) {
 	info, err := os.Stat(s.path())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, nil
 	case err != nil:
 		return nil, err
-	case info.Size() > mostBytes:
+	case info.Size() > maxFileSize:
 		return nil, ErrCorrupt
 	}
 	return sys.ReadFile(s.path())
 }
 
-// aside renames the file, so that it can be looked at, and the next begins anew.
-func (s *Store) aside(what string, why error, now ClockReading) error {
-	to := fmt.Sprintf("%s.%s.%d", s.path(), what, now.Wall.UnixMilli())
+// moveAside renames the file, so that it can be examined and the next write creates a new one.
+func (s *Store) moveAside(suffix string, reason error, now ClockReading) error {
+	to := fmt.Sprintf("%s.%s.%d", s.path(), suffix, now.Wall.UnixMilli())
 	if err := sys.Rename(s.path(), to); err != nil {
-		return fmt.Errorf("%s: %w; it cannot be put aside: %w", s.path(), why, err)
+		return fmt.Errorf("%s: %w; it cannot be moved aside: %w", s.path(), reason, err)
 	}
-	return fmt.Errorf("%s: %w; it is now %s", s.path(), why, to)
+	return fmt.Errorf("%s: %w; it was moved to %s", s.path(), reason, to)
 }
 
-// parse takes a file's text.
-func parse(text []byte) (c content, err error) {
+// parse decodes and validates a file.
+func parse(text []byte) (saved content, err error) {
 	rest, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(rest) < 8 || xxhash.Sum64(rest[8:]) != binary.BigEndian.Uint64(rest) {
-		return c, ErrCorrupt
+		return saved, ErrCorrupt
 	}
-	if err := cbor.Unmarshal(rest[8:], &c); err != nil {
-		return c, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	if err := cbor.Unmarshal(rest[8:], &saved); err != nil {
+		return saved, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	if c.Format > format {
-		return c, ErrFormat
+	if saved.Format > format {
+		return saved, ErrFormat
 	}
-	for i := range c.Words {
-		if c.Words[i].LimitWriters(); !c.Words[i].Valid() {
-			return c, ErrCorrupt
+	for i := range saved.Overrides {
+		if saved.Overrides[i].LimitWriters(); !saved.Overrides[i].Valid() {
+			return saved, ErrCorrupt
 		}
 	}
-	return c, nil
+	return saved, nil
 }
 
-func compose(c content) ([]byte, error) {
-	text, err := cbor.Marshal(c)
+// encode returns the bytes of a file: the magic, a checksum and the content in CBOR.
+func encode(saved content) ([]byte, error) {
+	text, err := cbor.Marshal(saved)
 	if err != nil {
 		return nil, err
 	}
 	return append(binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(text)), text...), nil
 }
 
-// Save hands over all words there are; then is called from another goroutine once they are on the disk, or are not, and
-// behind Options.Found. Sets that wait are written as one, the newest.
-func (s *Store) Save(words []state.Override, then func(err error)) {
+// Save queues the complete set of overrides; callback is called from another goroutine once the write has succeeded or
+// failed, after Options.OnFound. Of the sets that wait only the newest is written.
+func (s *Store) Save(overrides []state.Override, callback func(err error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.words, s.due = words, true
-	if then != nil {
-		s.then = append(s.then, then)
+	s.overrides, s.pending = overrides, true
+	if callback != nil {
+		s.callbacks = append(s.callbacks, callback)
 	}
 	s.wake.Signal()
 }
 
-// Stats is how it went so far.
+// Stats returns the statistics so far.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state
+	return s.stats
 }
 
-// Close writes what was handed over and ends, or gives up after a while: a disk may hang for ever.
-func (s *Store) Close(patience time.Duration) {
+// Close writes what is queued and ends the writer, or gives up after the timeout: a disk may hang forever.
+func (s *Store) Close(timeout time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	s.wake.Signal()
 	s.mu.Unlock()
 	select {
 	case <-s.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
+// run writes queued overrides until Close, and rewrites the file at intervals so that it does not expire.
 func (s *Store) run() {
 	defer close(s.done)
-	every := max(leastStamp, min(stampEvery, s.opt.Retention/stampPart))
-	var tick *time.Timer
-	tick = time.AfterFunc(every, func() {
+	interval := max(minRefreshInterval, min(refreshInterval, s.opt.Retention/refreshesPerRetention))
+	var timer *time.Timer
+	timer = time.AfterFunc(interval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.due = true
+		s.pending = true
 		s.wake.Signal()
 	})
-	defer tick.Stop()
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		for !s.due && !s.closed {
+		for !s.pending && !s.closed {
 			s.wake.Wait()
 		}
-		words, then, due := s.words, s.then, s.due
-		s.then, s.due = nil, false
+		overrides, callbacks, pending := s.overrides, s.callbacks, s.pending
+		s.callbacks, s.pending = nil, false
 		s.mu.Unlock()
-		if !due {
+		if !pending {
 			return
 		}
-		err := s.save(words)
-		s.note(err)
-		for _, do := range then {
-			do(err)
+		err := s.saveFile(overrides)
+		s.recordResult(err)
+		for _, callback := range callbacks {
+			callback(err)
 		}
-		pause := every
+		pause := interval
 		if err != nil {
-			pause = min(every, retryEvery)
+			pause = min(interval, retryInterval)
 		}
-		tick.Reset(pause)
+		timer.Reset(pause)
 	}
 }
 
-// save writes the words and hands on what the file had besides.
-func (s *Store) save(words []state.Override) error {
-	knew := s.known
-	var more []state.Override
-	err := s.locked(func() (err error) {
-		more, err = s.write(words, s.opt.Now())
+// saveFile writes the overrides and passes those that only the file had to Options.OnFound.
+func (s *Store) saveFile(overrides []state.Override) error {
+	wasRead := s.fileRead
+	var missing []state.Override
+	err := s.withLock(func() (err error) {
+		missing, err = s.writeFile(overrides, s.opt.Now())
 		return err
 	})
-	if s.opt.OnFound != nil && (len(more) > 0 || s.known && !knew) {
-		s.opt.OnFound(more)
+	if s.opt.OnFound != nil && (len(missing) > 0 || s.fileRead && !wasRead) {
+		s.opt.OnFound(missing)
 	}
 	return err
 }
 
-// write merges what the file has with the words and replaces it; it returns what the words lacked, also where it fails.
-func (s *Store) write(words []state.Override, now ClockReading) (more []state.Override, err error) {
-	had, err := s.read(now)
+// writeFile merges the file with the overrides and replaces it. It returns those that only the file had, even with an error.
+func (s *Store) writeFile(overrides []state.Override, now ClockReading) (missing []state.Override, err error) {
+	stored, err := s.readFile(now)
 	if err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrOld) {
 		return nil, err
 	}
 	if err != nil {
 		log.Printf("event=fleet_words_file err=%q", err)
 	}
-	all, more := state.Merge(words, had)
-	text, err := compose(content{
-		Format: format, Fleet: s.opt.Fleet, Gateway: s.opt.Gateway, Session: s.opt.Session, Words: all,
+	all, missing := state.Merge(overrides, stored)
+	text, err := encode(content{
+		Format: format, Fleet: s.opt.Fleet, Gateway: s.opt.Gateway, Session: s.opt.Session, Overrides: all,
 		AtMS: now.Wall.UnixMilli(), Boot: now.BootID, BootMS: now.SinceBoot.Milliseconds(),
 	})
 	if err != nil {
-		return more, err
+		return missing, err
 	}
-	if err := replace(s.path(), text); err != nil {
-		return more, err
+	if err := replaceFile(s.path(), text); err != nil {
+		return missing, err
 	}
-	s.before = s.opt.Session
-	return more, nil
+	s.lastSession = s.opt.Session
+	return missing, nil
 }
 
-// replace puts a new file in the place of an old one: on the disk before it is renamed, and the renaming, too, before it returns.
-func replace(path string, text []byte) error {
-	next := path + ".next"
-	f, err := sys.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+// replaceFile replaces a file atomically and durably: the new file is synced before it is renamed, and the directory after.
+func replaceFile(path string, text []byte) error {
+	temp := path + ".next"
+	f, err := sys.OpenFile(temp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
@@ -353,10 +357,10 @@
 		err = sys.Sync(f)
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = sys.Rename(next, path)
+		err = sys.Rename(temp, path)
 	}
 	if err != nil {
-		_ = os.Remove(next)
+		_ = os.Remove(temp)
 		return err
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -366,18 +370,18 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-func (s *Store) note(err error) {
+func (s *Store) recordResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.state.Saved++
-		s.state.Err = ""
+		s.stats.Saved++
+		s.stats.Err = ""
 		return
 	}
-	s.state.Failed++
-	s.state.Err = err.Error()
-	if time.Since(s.told) >= logEvery {
-		s.told = time.Now()
-		log.Printf("event=fleet_words_not_saved failed=%d err=%q", s.state.Failed, err)
+	s.stats.Failed++
+	s.stats.Err = err.Error()
+	if time.Since(s.lastLogTime) >= logInterval {
+		s.lastLogTime = time.Now()
+		log.Printf("event=fleet_words_not_saved failed=%d err=%q", s.stats.Failed, err)
 	}
 }
