--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	askEvery  = 40 * time.Millisecond // between two asks for one key
-	askMost   = 2                     // gateways asked at once
-	hintLasts = time.Second           // for which one that had nothing to lend is not asked
-	idleAfter = 2 * time.Second       // a borrowed unit without use for so long is returned
-	keysMost  = 4096
+	requestInterval = 40 * time.Millisecond // between two asks for one key
+	maxRequestees   = 2                     // gateways asked at once
+	emptyHintTTL    = time.Second           // for which one that had nothing to lend is not asked
+	idleTimeout     = 2 * time.Second       // a borrowed unit without use for so long is returned
+	maxKeys         = 4096
 	// A process may lend for so long before it sees that a successor has begun beside it.
-	upgradeSees = time.Second
-	seenWithin  = 300 * time.Millisecond // by when it usually has
+	siblingDetectMax   = time.Second
+	siblingDetectUsual = 300 * time.Millisecond // by when it usually has
 )
 
 // Kind is what a message is for.
@@ -74,36 +74,36 @@
 	Seed    uint64
 }
 
-// loan is units that are somewhere else than at home.
-type loan struct {
-	who     string
-	session uint64
-	serial  uint64
-	units   int
-	until   time.Duration // by this gateway's clock
+// lease is units that are somewhere else than at home.
+type lease struct {
+	holder    string
+	session   uint64
+	serial    uint64
+	units     int
+	expiresAt time.Duration // by this gateway's clock
 }
 
-// ask is a question that is out.
-type ask struct {
-	who    string
-	serial uint64
-	units  int
-	round  uint64 // of an Extend
-	at     time.Duration
+// request is a question that is out.
+type request struct {
+	holder      string
+	serial      uint64
+	units       int
+	renewSerial uint64 // of an Extend
+	sentAt      time.Duration
 }
 
 // account is one key.
 type account struct {
 	key            string
 	home           int
-	lent           []loan // given away, and not back
-	borrowed       []loan
-	asks           []ask
-	extends        []ask // serial: of the loan
+	lent           []lease // given away, and not back
+	borrowed       []lease
+	requests       []request
+	renewals       []request // serial: of the loan
 	inUse, waiting int
-	busyAt         time.Duration // when what is borrowed was last needed in full
-	nextAsk        time.Duration
-	unmet          map[string]time.Duration // who was refused here, and when
+	lastNeededAt   time.Duration // when what is borrowed was last needed in full
+	nextRequest    time.Duration
+	refused        map[string]time.Duration // who was refused here, and when
 }
 
 // Counts are what has happened since the start.
@@ -113,91 +113,91 @@
 
 // Machine is one gateway's parts. Use New. Nothing here is locked.
 type Machine struct {
-	cfg     Config
-	rnd     *rand.Rand
-	now     time.Duration
-	begun   time.Duration
-	quiet   time.Duration // until then a predecessor's loans may run
-	hold    time.Duration // until then the process beside this one may not have seen it
-	part    int           // 1; 2 while another process of this gateway has the other half
-	second  bool          // this process has the smaller half
-	none    bool          // another process has the home parts
-	live    []string      // holders that can be asked
-	empty   map[string]time.Duration
-	keys    map[string]*account
-	order   []*account
-	serial  uint64
-	out     []Send
-	granted []string
-	counts  Counts
+	cfg          Config
+	rng          *rand.Rand
+	now          time.Duration
+	startedAt    time.Duration
+	lendAfter    time.Duration // until then a predecessor's loans may run
+	useHomeAfter time.Duration // until then the process beside this one may not have seen it
+	homeSplit    int           // 1; 2 while another process of this gateway has the other half
+	smallerHalf  bool          // this process has the smaller half
+	homeDisabled bool          // another process has the home parts
+	liveHolders  []string      // holders that can be asked
+	emptyUntil   map[string]time.Duration
+	accounts     map[string]*account
+	order        []*account
+	serial       uint64
+	out          []Send
+	granted      []string
+	counts       Counts
 }
 
 // New makes a machine. What a predecessor of the name may have lent is left alone for a lease.
 func New(cfg Config, now time.Duration) *Machine {
 	return &Machine{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x6275)), now: now, part: 1, keys: map[string]*account{}, empty: map[string]time.Duration{},
-		begun: now, quiet: now + long(cfg.Lease, cfg.Drift) + upgradeSees,
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6275)), now: now, homeSplit: 1, accounts: map[string]*account{}, emptyUntil: map[string]time.Duration{},
+		startedAt: now, lendAfter: now + lenderTerm(cfg.Lease, cfg.Drift) + siblingDetectMax,
 	}
 }
 
-// long is a lease by the clock of who lends, short by that of who borrows.
-func long(d time.Duration, drift float64) time.Duration {
-	return time.Duration(float64(d) * (1 + 2*drift))
+// lenderTerm is a lease by the clock of who lends, short by that of who borrows.
+func lenderTerm(term time.Duration, drift float64) time.Duration {
+	return time.Duration(float64(term) * (1 + 2*drift))
 }
-func short(d time.Duration, drift float64) time.Duration {
-	return time.Duration(float64(d) * (1 - 2*drift))
+func borrowerTerm(term time.Duration, drift float64) time.Duration {
+	return time.Duration(float64(term) * (1 - 2*drift))
 }
 
 // HomeShare is the home part of a holder: the whole divided evenly, what is left over goes by a rotation that depends on
 // the key, so that not the same holders get it everywhere.
-func HomeShare(holders []string, whole int, name, key string) int {
-	i := slices.Index(holders, name)
-	if i < 0 {
+func HomeShare(holders []string, total int, name, key string) int {
+	index := slices.Index(holders, name)
+	if index < 0 {
 		return 0
 	}
 	n := len(holders)
-	h := 0
+	offset := 0
 	for _, c := range []byte(key) {
-		h = (h*31 + int(c)) % n
+		offset = (offset*31 + int(c)) % n
 	}
-	part := whole / n
-	if (i+h)%n < whole%n {
-		part++
+	share := total / n
+	if (index+offset)%n < total%n {
+		share++
 	}
-	return part
+	return share
 }
 
 func (m *Machine) account(key string) *account {
-	a := m.keys[key]
-	if a == nil {
-		a = &account{key: key, home: HomeShare(m.cfg.Holders, m.cfg.Total, m.cfg.Name, key)}
-		m.keys[key] = a
-		m.order = append(m.order, a)
+	acct := m.accounts[key]
+	if acct == nil {
+		acct = &account{key: key, home: HomeShare(m.cfg.Holders, m.cfg.Total, m.cfg.Name, key)}
+		m.accounts[key] = acct
+		m.order = append(m.order, acct)
 	}
-	return a
+	return acct
 }
 
 // reserve is what is never lent, so that a process that has just started may use it at once.
 func (a *account) reserve() int { return (a.home + 3) / 4 }
 
-// own is what of the home part may be used at the moment.
-func (m *Machine) own(a *account) int {
+// availableHome is what of the home part may be used at the moment.
+func (m *Machine) availableHome(a *account) int {
 	n := a.home
 	switch {
-	case m.none || m.now < m.hold:
+	case m.homeDisabled || m.now < m.useHomeAfter:
 		return 0
-	case m.now < m.quiet:
+	case m.now < m.lendAfter:
 		n = a.reserve()
 	default:
 		for _, l := range a.lent {
 			n -= l.units
 		}
 	}
-	if m.part == 2 {
+	if m.homeSplit == 2 {
 		n = (n + 1) / 2
-		if m.second {
+		if m.smallerHalf {
 			n = a.home / 2
-			if m.now < m.quiet {
+			if m.now < m.lendAfter {
 				n = a.reserve() / 2
 			}
 		}
@@ -210,70 +210,70 @@
 func (m *Machine) Allowed(now time.Duration, key string, until time.Duration) int {
 	m.now = max(m.now, now)
 	a := m.account(key)
-	m.lapse(a)
-	n := m.own(a)
+	m.expire(a)
+	units := m.availableHome(a)
 	for _, l := range a.borrowed {
-		if l.until > max(until, m.now) {
-			n += l.units
+		if l.expiresAt > max(until, m.now) {
+			units += l.units
 		}
 	}
-	return n
+	return units
 }
 
-// lapse takes back what was lent for a time that is over, and drops what was borrowed so.
-func (m *Machine) lapse(a *account) {
-	over := func(l loan) bool {
-		if l.until > m.now {
+// expire takes back what was lent for a time that is over, and drops what was borrowed so.
+func (m *Machine) expire(a *account) {
+	expired := func(l lease) bool {
+		if l.expiresAt > m.now {
 			return false
 		}
 		m.counts.Expired++
 		return true
 	}
-	a.lent = slices.DeleteFunc(a.lent, over)
-	a.borrowed = slices.DeleteFunc(a.borrowed, over)
+	a.lent = slices.DeleteFunc(a.lent, expired)
+	a.borrowed = slices.DeleteFunc(a.borrowed, expired)
 }
 
 // SetDemand tells how many units of a key are in use and how many more are waited for.
 func (m *Machine) SetDemand(now time.Duration, key string, inUse, waiting int) {
 	m.now = max(m.now, now)
-	if m.keys[key] == nil && len(m.keys) >= keysMost {
+	if m.accounts[key] == nil && len(m.accounts) >= maxKeys {
 		return
 	}
 	a := m.account(key)
 	a.inUse, a.waiting = inUse, waiting
-	m.lapse(a)
-	m.want(a)
+	m.expire(a)
+	m.requestMissing(a)
 }
 
 // SetLive tells which holders can be asked; it is a hint and nothing else.
-func (m *Machine) SetLive(names []string) { m.live = names }
+func (m *Machine) SetLive(names []string) { m.liveHolders = names }
 
 // SetSibling divides the home parts with another process of this gateway, which lives as part of an upgrade; second
 // is the one with the smaller half. A process that begins beside another waits until that has heard of it.
-func (m *Machine) SetSibling(now time.Duration, beside, second bool) {
+func (m *Machine) SetSibling(now time.Duration, present, smallerHalf bool) {
 	m.now = max(m.now, now)
-	if m.part, m.second = 1, second; !beside {
+	if m.homeSplit, m.smallerHalf = 1, smallerHalf; !present {
 		return
 	}
-	m.part = 2
-	if m.now-m.begun < upgradeSees {
-		m.hold = m.begun + seenWithin
+	m.homeSplit = 2
+	if m.now-m.startedAt < siblingDetectMax {
+		m.useHomeAfter = m.startedAt + siblingDetectUsual
 	}
 }
 
 // SetHomeDisabled takes the home parts away: another process of the name has them, and that is a fault.
 func (m *Machine) SetHomeDisabled(now time.Duration, on bool) {
 	m.now = max(m.now, now)
-	m.none = on
+	m.homeDisabled = on
 }
 
 // Forget tells that a key is not needed at the moment; it is dropped once nothing of it is lent or borrowed.
 func (m *Machine) Forget(now time.Duration, key string) {
 	m.now = max(m.now, now)
-	if a := m.keys[key]; a != nil {
+	if a := m.accounts[key]; a != nil {
 		a.inUse, a.waiting = 0, 0
-		if m.lapse(a); len(a.lent)+len(a.borrowed) == 0 {
-			delete(m.keys, key)
+		if m.expire(a); len(a.lent)+len(a.borrowed) == 0 {
+			delete(m.accounts, key)
 			m.order = slices.DeleteFunc(m.order, func(o *account) bool { return o == a })
 		}
 	}
@@ -290,9 +290,9 @@
 func (m *Machine) Counts() Counts { return m.counts }
 
 // Totals are the units of all keys: at home and not lent, lent, borrowed.
-func (m *Machine) Totals() (own, lent, borrowed int) {
+func (m *Machine) Totals() (home, lent, borrowed int) {
 	for _, a := range m.order {
-		own += m.own(a)
+		home += m.availableHome(a)
 		for _, l := range a.lent {
 			lent += l.units
 		}
@@ -300,7 +300,7 @@
 			borrowed += l.units
 		}
 	}
-	return own, lent, borrowed
+	return home, lent, borrowed
 }
 
 func (m *Machine) send(to string, msg Message) {
@@ -308,37 +308,37 @@
 	m.out = append(m.out, Send{To: to, Message: msg})
 }
 
-// have is what may be used at the moment, with all that is borrowed.
-func (m *Machine) have(a *account) int {
-	n := m.own(a)
+// available is what may be used at the moment, with all that is borrowed.
+func (m *Machine) available(a *account) int {
+	n := m.availableHome(a)
 	for _, l := range a.borrowed {
 		n += l.units
 	}
 	return n
 }
 
-// want asks others for what is missing, not the same ones again that had nothing.
-func (m *Machine) want(a *account) {
-	have := m.have(a)
-	missing := a.inUse + a.waiting - have
-	if a.inUse+a.waiting >= have || len(a.borrowed) == 0 {
-		a.busyAt = m.now
+// requestMissing asks others for what is missing, not the same ones again that had nothing.
+func (m *Machine) requestMissing(a *account) {
+	available := m.available(a)
+	missing := a.inUse + a.waiting - available
+	if a.inUse+a.waiting >= available || len(a.borrowed) == 0 {
+		a.lastNeededAt = m.now
 	}
-	a.asks = slices.DeleteFunc(a.asks, func(q ask) bool { return q.at+m.cfg.Lease <= m.now })
-	if missing <= 0 || a.waiting == 0 || m.now < a.nextAsk {
+	a.requests = slices.DeleteFunc(a.requests, func(r request) bool { return r.sentAt+m.cfg.Lease <= m.now })
+	if missing <= 0 || a.waiting == 0 || m.now < a.nextRequest {
 		return
 	}
-	a.nextAsk = m.now + askEvery
-	var whom []string
-	for _, i := range m.rnd.Perm(len(m.live)) {
-		if w := m.live[i]; w != m.cfg.Name && m.empty[w+"\x00"+a.key] <= m.now && slices.Contains(m.cfg.Holders, w) {
-			whom = append(whom, w)
+	a.nextRequest = m.now + requestInterval
+	var lenders []string
+	for _, i := range m.rng.Perm(len(m.liveHolders)) {
+		if w := m.liveHolders[i]; w != m.cfg.Name && m.emptyUntil[w+"\x00"+a.key] <= m.now && slices.Contains(m.cfg.Holders, w) {
+			lenders = append(lenders, w)
 		}
 	}
-	whom = whom[:min(len(whom), askMost)]
-	for i, w := range whom {
-		units := missing / len(whom)
-		if i < missing%len(whom) {
+	lenders = lenders[:min(len(lenders), maxRequestees)]
+	for i, w := range lenders {
+		units := missing / len(lenders)
+		if i < missing%len(lenders) {
 			units++
 		}
 		if units == 0 {
@@ -346,7 +346,7 @@
 		}
 		m.serial++
 		m.counts.Requested++
-		a.asks = append(a.asks, ask{who: w, serial: m.serial, units: units, at: m.now})
+		a.requests = append(a.requests, request{holder: w, serial: m.serial, units: units, sentAt: m.now})
 		m.send(w, Message{Kind: Request, Session: m.cfg.Session, Key: a.key, Serial: m.serial, Units: units})
 	}
 }
@@ -354,113 +354,115 @@
 // Receive takes a message in.
 func (m *Machine) Receive(now time.Duration, msg Message) {
 	m.now = max(m.now, now)
-	if m.keys[msg.Key] == nil && (len(m.keys) >= keysMost || msg.Kind != Request) || !slices.Contains(m.cfg.Holders, msg.From) || msg.From == m.cfg.Name {
+	if m.accounts[msg.Key] == nil && (len(m.accounts) >= maxKeys || msg.Kind != Request) || !slices.Contains(m.cfg.Holders, msg.From) || msg.From == m.cfg.Name {
 		return
 	}
 	a := m.account(msg.Key)
-	m.lapse(a)
+	m.expire(a)
 	switch msg.Kind {
 	case Request:
-		m.asked(a, msg)
+		m.handleRequest(a, msg)
 	case Grant:
-		m.grant(a, msg)
+		m.handleGrant(a, msg)
 	case Renew:
-		m.extend(a, msg)
+		m.handleRenew(a, msg)
 	case Renewed:
-		m.extended(a, msg)
+		m.handleRenewed(a, msg)
 	case Release:
-		a.lent = slices.DeleteFunc(a.lent, func(l loan) bool { return same(l, msg) })
+		a.lent = slices.DeleteFunc(a.lent, func(l lease) bool { return matches(l, msg) })
 	}
 }
 
-func same(l loan, msg Message) bool {
-	return l.who == msg.From && l.session == msg.Session && l.serial == msg.Serial
+func matches(l lease, msg Message) bool {
+	return l.holder == msg.From && l.session == msg.Session && l.serial == msg.Serial
 }
 
-// asked lends what is not needed here. An ask that comes twice is answered twice, and lent for once as long as the
+// handleRequest lends what is not needed here. An ask that comes twice is answered twice, and lent for once as long as the
 // loan runs; one that comes again later costs units until they lapse, for the borrower takes no grant twice.
-func (m *Machine) asked(a *account, msg Message) {
-	if i := slices.IndexFunc(a.lent, func(l loan) bool { return same(l, msg) }); i >= 0 {
+func (m *Machine) handleRequest(a *account, msg Message) {
+	if i := slices.IndexFunc(a.lent, func(l lease) bool { return matches(l, msg) }); i >= 0 {
 		m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: a.key, Serial: msg.Serial, Units: a.lent[i].units})
 		return
 	}
 	units := 0
-	if m.now >= m.quiet && m.part == 1 && !m.none {
-		spare := m.own(a) - max(a.inUse+a.waiting, a.reserve())
+	if m.now >= m.lendAfter && m.homeSplit == 1 && !m.homeDisabled {
+		spare := m.availableHome(a) - max(a.inUse+a.waiting, a.reserve())
 		// Half of it at a time: the next to ask gets some, too.
 		units = max(0, min(msg.Units, (spare+1)/2))
 	}
 	if units > 0 {
-		a.lent = append(a.lent, loan{who: msg.From, session: msg.Session, serial: msg.Serial, units: units, until: m.now + long(m.cfg.Lease, m.cfg.Drift)})
+		a.lent = append(a.lent, lease{holder: msg.From, session: msg.Session, serial: msg.Serial, units: units, expiresAt: m.now + lenderTerm(m.cfg.Lease, m.cfg.Drift)})
 		m.counts.Lent += uint64(units)
 	} else {
 		m.counts.Refused++
-		if a.unmet == nil {
-			a.unmet = map[string]time.Duration{}
+		if a.refused == nil {
+			a.refused = map[string]time.Duration{}
 		}
-		a.unmet[msg.From] = m.now
+		a.refused[msg.From] = m.now
 	}
 	m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: a.key, Serial: msg.Serial, Units: units})
 }
 
-// grant takes what this process has asked for, once.
-func (m *Machine) grant(a *account, msg Message) {
-	i := slices.IndexFunc(a.asks, func(q ask) bool { return q.who == msg.From && q.serial == msg.Serial })
+// handleGrant takes what this process has asked for, once.
+func (m *Machine) handleGrant(a *account, msg Message) {
+	i := slices.IndexFunc(a.requests, func(q request) bool { return q.holder == msg.From && q.serial == msg.Serial })
 	if i < 0 || msg.Session != m.cfg.Session {
 		return
 	}
-	q := a.asks[i]
-	a.asks = slices.Delete(a.asks, i, i+1)
-	until := q.at + short(m.cfg.Lease, m.cfg.Drift)
+	q := a.requests[i]
+	a.requests = slices.Delete(a.requests, i, i+1)
+	expiresAt := q.sentAt + borrowerTerm(m.cfg.Lease, m.cfg.Drift)
 	if msg.Units <= 0 || msg.Units > q.units {
-		m.empty[msg.From+"\x00"+a.key] = m.now + hintLasts
-		m.want(a)
+		m.emptyUntil[msg.From+"\x00"+a.key] = m.now + emptyHintTTL
+		m.requestMissing(a)
 		return
 	}
-	if until <= m.now {
+	if expiresAt <= m.now {
 		return
 	}
 	m.counts.Granted += uint64(msg.Units)
-	a.borrowed = append(a.borrowed, loan{who: msg.From, session: msg.Session, serial: msg.Serial, units: msg.Units, until: until})
+	a.borrowed = append(a.borrowed, lease{holder: msg.From, session: msg.Session, serial: msg.Serial, units: msg.Units, expiresAt: expiresAt})
 	m.granted = append(m.granted, a.key)
 }
 
-// sharesWith tells whether another holder was refused lately that has less from here than a borrower.
-func (m *Machine) sharesWith(a *account, borrower string) bool {
-	has := map[string]int{}
+// refusedHolderHasLess tells whether another holder was refused lately that has less from here than a borrower.
+func (m *Machine) refusedHolderHasLess(a *account, borrower string) bool {
+	lentTo := map[string]int{}
 	for _, l := range a.lent {
-		has[l.who] += l.units
+		lentTo[l.holder] += l.units
 	}
-	for who, at := range a.unmet {
-		if at+2*hintLasts <= m.now {
-			delete(a.unmet, who)
-		} else if who != borrower && has[who] < has[borrower] {
+	for holder, refusedAt := range a.refused {
+		if refusedAt+2*emptyHintTTL <= m.now {
+			delete(a.refused, holder)
+		} else if holder != borrower && lentTo[holder] < lentTo[borrower] {
 			return true
 		}
 	}
 	return false
 }
 
-// extend lets a loan go on, unless the units are wanted at home, or by one that has less.
-func (m *Machine) extend(a *account, msg Message) {
-	i := slices.IndexFunc(a.lent, func(l loan) bool { return same(l, msg) })
-	if i < 0 || m.part != 1 || m.none || a.inUse+a.waiting > m.own(a) || m.sharesWith(a, msg.From) {
+// handleRenew lets a loan go on, unless the units are wanted at home, or by one that has less.
+func (m *Machine) handleRenew(a *account, msg Message) {
+	i := slices.IndexFunc(a.lent, func(l lease) bool { return matches(l, msg) })
+	if i < 0 || m.homeSplit != 1 || m.homeDisabled || a.inUse+a.waiting > m.availableHome(a) || m.refusedHolderHasLess(a, msg.From) {
 		return // it lapses
 	}
-	a.lent[i].until = max(a.lent[i].until, m.now+long(m.cfg.Lease, m.cfg.Drift))
+	a.lent[i].expiresAt = max(a.lent[i].expiresAt, m.now+lenderTerm(m.cfg.Lease, m.cfg.Drift))
 	m.send(msg.From, Message{Kind: Renewed, Session: msg.Session, Key: a.key, Serial: msg.Serial, RenewSerial: msg.RenewSerial})
 }
 
-func (m *Machine) extended(a *account, msg Message) {
-	i := slices.IndexFunc(a.extends, func(q ask) bool { return q.who == msg.From && q.serial == msg.Serial && q.round == msg.RenewSerial })
+func (m *Machine) handleRenewed(a *account, msg Message) {
+	i := slices.IndexFunc(a.renewals, func(q request) bool {
+		return q.holder == msg.From && q.serial == msg.Serial && q.renewSerial == msg.RenewSerial
+	})
 	if i < 0 || msg.Session != m.cfg.Session {
 		return
 	}
-	q := a.extends[i]
-	a.extends = slices.Delete(a.extends, i, i+1)
+	q := a.renewals[i]
+	a.renewals = slices.Delete(a.renewals, i, i+1)
 	for j := range a.borrowed {
-		if l := &a.borrowed[j]; l.who == msg.From && l.serial == msg.Serial {
-			l.until = max(l.until, q.at+short(m.cfg.Lease, m.cfg.Drift))
+		if l := &a.borrowed[j]; l.holder == msg.From && l.serial == msg.Serial {
+			l.expiresAt = max(l.expiresAt, q.sentAt+borrowerTerm(m.cfg.Lease, m.cfg.Drift))
 			m.counts.Renewed++
 		}
 	}
@@ -471,38 +473,38 @@
 func (m *Machine) Tick(now time.Duration) {
 	m.now = max(m.now, now)
 	for _, a := range m.order {
-		m.lapse(a)
-		m.tidy(a)
-		m.want(a)
+		m.expire(a)
+		m.maintainLeases(a)
+		m.requestMissing(a)
 	}
-	for k, until := range m.empty {
+	for k, until := range m.emptyUntil {
 		if until <= m.now {
-			delete(m.empty, k)
+			delete(m.emptyUntil, k)
 		}
 	}
 }
 
-func (m *Machine) tidy(a *account) {
-	a.extends = slices.DeleteFunc(a.extends, func(q ask) bool { return q.at+m.cfg.Lease <= m.now })
-	have := m.have(a)
+func (m *Machine) maintainLeases(a *account) {
+	a.renewals = slices.DeleteFunc(a.renewals, func(q request) bool { return q.sentAt+m.cfg.Lease <= m.now })
+	available := m.available(a)
 	// The loan that ends last is asked for longest: the others go first.
-	slices.SortStableFunc(a.borrowed, func(x, y loan) int { return cmp.Compare(x.until, y.until) })
-	a.borrowed = slices.DeleteFunc(a.borrowed, func(l loan) bool {
-		if m.now-a.busyAt < idleAfter || have-l.units < a.inUse+a.waiting {
+	slices.SortStableFunc(a.borrowed, func(x, y lease) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
+	a.borrowed = slices.DeleteFunc(a.borrowed, func(l lease) bool {
+		if m.now-a.lastNeededAt < idleTimeout || available-l.units < a.inUse+a.waiting {
 			return false
 		}
-		have -= l.units
+		available -= l.units
 		m.counts.Released += uint64(l.units)
-		m.send(l.who, Message{Kind: Release, Session: l.session, Key: a.key, Serial: l.serial})
+		m.send(l.holder, Message{Kind: Release, Session: l.session, Key: a.key, Serial: l.serial})
 		return true
 	})
 	for _, l := range a.borrowed {
-		asked := slices.ContainsFunc(a.extends, func(q ask) bool { return q.serial == l.serial && q.at+m.cfg.Lease/8 > m.now })
-		if l.until-m.now > m.cfg.Lease*3/4 || asked {
+		renewing := slices.ContainsFunc(a.renewals, func(q request) bool { return q.serial == l.serial && q.sentAt+m.cfg.Lease/8 > m.now })
+		if l.expiresAt-m.now > m.cfg.Lease*3/4 || renewing {
 			continue
 		}
 		m.serial++
-		a.extends = append(a.extends, ask{who: l.who, serial: l.serial, round: m.serial, at: m.now})
-		m.send(l.who, Message{Kind: Renew, Session: l.session, Key: a.key, Serial: l.serial, RenewSerial: m.serial})
+		a.renewals = append(a.renewals, request{holder: l.holder, serial: l.serial, renewSerial: m.serial, sentAt: m.now})
+		m.send(l.holder, Message{Kind: Renew, Session: l.session, Key: a.key, Serial: l.serial, RenewSerial: m.serial})
 	}
 }
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	lease = 2 * time.Second
-	drift = 0.01
-	key   = "db"
+	testLease = 2 * time.Second
+	testDrift = 0.01
+	testKey   = "db"
 )
 
 // world is holders whose clocks drift, and the messages between them.
@@ -45,13 +45,13 @@
 
 // clock is what gateway i reads: each runs at a rate of its own, within the drift.
 func (w *world) clock(i int) time.Duration {
-	rate := []float64{1 + drift, 1 - drift, 1}[i%3]
+	rate := []float64{1 + testDrift, 1 - testDrift, 1}[i%3]
 	return time.Duration(float64(w.now) * rate)
 }
 
 func (w *world) start(i int) {
 	w.session++
-	w.ms[i] = New(Config{Name: w.names[i], Holders: w.names, Total: w.whole, Lease: lease, Drift: drift, Session: w.session, Seed: 7}, w.clock(i))
+	w.ms[i] = New(Config{Name: w.names[i], Holders: w.names, Total: w.whole, Lease: testLease, Drift: testDrift, Session: w.session, Seed: 7}, w.clock(i))
 	w.ms[i].SetLive(w.names)
 }
 
@@ -80,7 +80,7 @@
 // sum is what all may use at this moment.
 func (w *world) sum() (n int) {
 	for i, m := range w.ms {
-		n += m.Allowed(w.clock(i), key, 0)
+		n += m.Allowed(w.clock(i), testKey, 0)
 	}
 	return n
 }
@@ -97,20 +97,20 @@
 }
 
 // quieten lets the time pass in which nobody may lend.
-func (w *world) quieten() { w.tick(long(lease, drift) + 2*upgradeSees) }
+func (w *world) quieten() { w.tick(lenderTerm(testLease, testDrift) + 2*siblingDetectMax) }
 
 func (m *Machine) clone() *Machine {
 	c := *m
-	c.rnd = rand.New(rand.NewPCG(7, m.serial)) // a function of the state
-	c.empty, c.keys, c.order = map[string]time.Duration{}, map[string]*account{}, nil
-	for k, v := range m.empty {
-		c.empty[k] = v
+	c.rng = rand.New(rand.NewPCG(7, m.serial)) // a function of the state
+	c.emptyUntil, c.accounts, c.order = map[string]time.Duration{}, map[string]*account{}, nil
+	for k, v := range m.emptyUntil {
+		c.emptyUntil[k] = v
 	}
 	for _, a := range m.order {
 		b := *a
 		b.lent, b.borrowed = slices.Clone(a.lent), slices.Clone(a.borrowed)
-		b.asks, b.extends, b.unmet = slices.Clone(a.asks), slices.Clone(a.extends), maps.Clone(a.unmet)
-		c.keys[b.key] = &b
+		b.requests, b.renewals, b.refused = slices.Clone(a.requests), slices.Clone(a.renewals), maps.Clone(a.refused)
+		c.accounts[b.key] = &b
 		c.order = append(c.order, &b)
 	}
 	c.out, c.granted = nil, nil
@@ -131,7 +131,7 @@
 	var b strings.Builder
 	fmt.Fprint(&b, w.now, w.session)
 	for _, m := range w.ms {
-		fmt.Fprint(&b, "|", m.now, m.quiet, m.serial, m.cfg.Session)
+		fmt.Fprint(&b, "|", m.now, m.lendAfter, m.serial, m.cfg.Session)
 		for _, a := range m.order {
 			fmt.Fprint(&b, *a)
 		}
@@ -156,7 +156,7 @@
 	w.quieten()
 	w.msgs = nil
 	for i := range 2 {
-		w.ms[i].SetDemand(w.clock(i), key, 3, 2)
+		w.ms[i].SetDemand(w.clock(i), testKey, 3, 2)
 		w.collect(i)
 	}
 	require.NotEmpty(t, w.msgs)
@@ -194,7 +194,7 @@
 			}
 		}
 		c := w.clone()
-		c.tick(lease / 2)
+		c.tick(testLease / 2)
 		search(c, left-1, path+" tick")
 		for i := range w.ms {
 			c := w.clone()
@@ -219,7 +219,7 @@
 			switch rapid.SampledFrom([]string{"need", "need", "deliver", "deliver", "deliver", "all", "lose", "again", "tick", "pass", "crash", "stop"}).Draw(r, "what") {
 			case "need":
 				if !stopped[i] {
-					w.ms[i].SetDemand(w.clock(i), key, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
+					w.ms[i].SetDemand(w.clock(i), testKey, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
 					w.collect(i)
 				}
 			case "deliver", "again":
@@ -299,8 +299,8 @@
 	want := []int{40, 4, 4, 4, 4, 4, 4, 4}
 	for range 20 { // 50 ms each
 		for i, m := range w.ms {
-			use[i] = min(want[i], m.Allowed(w.clock(i), key, 0))
-			m.SetDemand(w.clock(i), key, use[i], want[i]-use[i])
+			use[i] = min(want[i], m.Allowed(w.clock(i), testKey, 0))
+			m.SetDemand(w.clock(i), testKey, use[i], want[i]-use[i])
 			w.collect(i)
 		}
 		w.settle()
@@ -320,8 +320,8 @@
 	want[0], want[5] = 2, 40
 	for range 160 {
 		for i, m := range w.ms {
-			use[i] = min(want[i], m.Allowed(w.clock(i), key, 0))
-			m.SetDemand(w.clock(i), key, use[i], want[i]-use[i])
+			use[i] = min(want[i], m.Allowed(w.clock(i), testKey, 0))
+			m.SetDemand(w.clock(i), testKey, use[i], want[i]-use[i])
 			w.collect(i)
 		}
 		w.settle()
@@ -340,8 +340,8 @@
 	run := func(d time.Duration) {
 		for end := w.now + d; w.now < end; {
 			for i, m := range w.ms {
-				use := min(want[i], m.Allowed(w.clock(i), key, 0))
-				m.SetDemand(w.clock(i), key, use, want[i]-use)
+				use := min(want[i], m.Allowed(w.clock(i), testKey, 0))
+				m.SetDemand(w.clock(i), testKey, use, want[i]-use)
 				w.collect(i)
 			}
 			w.settle()
@@ -350,10 +350,10 @@
 		}
 	}
 	run(2 * time.Second)
-	first := w.ms[0].Allowed(w.clock(0), key, 0)
+	first := w.ms[0].Allowed(w.clock(0), testKey, 0)
 	want[1] = 30
-	run(5 * lease)
-	a, b := w.ms[0].Allowed(w.clock(0), key, 0), w.ms[1].Allowed(w.clock(1), key, 0)
+	run(5 * testLease)
+	a, b := w.ms[0].Allowed(w.clock(0), testKey, 0), w.ms[1].Allowed(w.clock(1), testKey, 0)
 	t.Logf("the first had %d; then %d and %d", first, a, b)
 	assert.Greater(t, first, a)
 	assert.InDelta(t, a, b, 6)
@@ -363,54 +363,54 @@
 func TestLoansAcrossAPartitionLapse(t *testing.T) {
 	w := newWorld(2, 8)
 	w.quieten()
-	w.ms[1].SetDemand(w.clock(1), key, 4, 2) // its clock is slow, that of the lender fast
+	w.ms[1].SetDemand(w.clock(1), testKey, 4, 2) // its clock is slow, that of the lender fast
 	w.collect(1)
 	w.settle()
-	had := w.ms[1].Allowed(w.clock(1), key, 0)
+	had := w.ms[1].Allowed(w.clock(1), testKey, 0)
 	require.Greater(t, had, 4)
-	assert.Equal(t, had, w.ms[1].Allowed(w.clock(1), key, w.clock(1)+lease/2), "for a use that ends within the lease")
-	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), key, w.clock(1)+lease), "and not for one that ends after it")
+	assert.Equal(t, had, w.ms[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease/2), "for a use that ends within the lease")
+	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease), "and not for one that ends after it")
 	for range 1500 {
 		w.tick(2 * time.Millisecond)
 		w.msgs = nil
 		require.LessOrEqual(t, w.sum(), 8)
 	}
-	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), key, 0))
-	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), key, 0))
+	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), testKey, 0))
+	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), testKey, 0))
 }
 
 // A loan in use goes on without an end; it is not there any more after the process stood still, before any timer.
 func TestStoodStillBeyondTheLease(t *testing.T) {
 	w := newWorld(2, 8)
 	w.quieten()
-	w.ms[0].SetDemand(w.clock(0), key, 4, 2)
+	w.ms[0].SetDemand(w.clock(0), testKey, 4, 2)
 	w.collect(0)
 	w.settle()
-	had := w.ms[0].Allowed(w.clock(0), key, 0)
+	had := w.ms[0].Allowed(w.clock(0), testKey, 0)
 	require.Greater(t, had, 4)
 	for range 100 {
-		w.ms[0].SetDemand(w.clock(0), key, had, 0)
+		w.ms[0].SetDemand(w.clock(0), testKey, had, 0)
 		w.collect(0)
 		w.tick(100 * time.Millisecond)
 		w.settle()
-		require.Equal(t, had, w.ms[0].Allowed(w.clock(0), key, 0), "it is extended in time")
+		require.Equal(t, had, w.ms[0].Allowed(w.clock(0), testKey, 0), "it is extended in time")
 	}
-	w.now += 3 * lease
-	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), key, 0))
-	assert.Less(t, w.ms[0].Allowed(w.clock(0), key, w.clock(0)+time.Hour), 5)
+	w.now += 3 * testLease
+	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), testKey, 0))
+	assert.Less(t, w.ms[0].Allowed(w.clock(0), testKey, w.clock(0)+time.Hour), 5)
 }
 
 func TestUpgradeSharesTheHome(t *testing.T) {
 	w := newWorld(2, 9)
 	w.quieten()
-	next := New(Config{Name: "n0", Holders: w.names, Total: 9, Lease: lease, Drift: drift, Session: 99, Seed: 1}, w.clock(0))
+	next := New(Config{Name: "n0", Holders: w.names, Total: 9, Lease: testLease, Drift: testDrift, Session: 99, Seed: 1}, w.clock(0))
 	w.ms[0].SetSibling(w.clock(0), true, true)
 	next.SetSibling(w.clock(0), true, false)
 	for range 12 {
-		assert.LessOrEqual(t, w.sum()+next.Allowed(w.clock(0), key, 0), 9)
+		assert.LessOrEqual(t, w.sum()+next.Allowed(w.clock(0), testKey, 0), 9)
 		w.tick(time.Second)
 	}
 	w.ms[0].SetHomeDisabled(w.clock(0), true)
 	next.SetSibling(w.clock(0), false, false)
-	assert.Equal(t, 9, w.sum()+next.Allowed(w.clock(0), key, 0))
+	assert.Equal(t, 9, w.sum()+next.Allowed(w.clock(0), testKey, 0))
 }
--- a/internal/fleet/membership/capacity_test.go
+++ b/internal/fleet/membership/capacity_test.go
@@ -55,7 +55,7 @@
 	const before, window = 5 * time.Second, 20 * time.Second
 	w := joined(t, 27, n)
 	for _, o := range w.nodes {
-		o.m.queue = nil // as when the news of the beginning have gone round
+		o.m.updates = nil // as when the news of the beginning have gone round
 	}
 	w.size, w.loss = sized(t), loss
 	w.far = func(from, to int) time.Duration {
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/fleet/membership/machine_test.go
@@ -115,7 +115,7 @@
 // A return under the same name prevails at once, even before the end of the first was noticed.
 func TestReturnUnderTheSameName(t *testing.T) {
 	w := joined(t, 7, 8)
-	first := w.nodes[3].m.own.Session
+	first := w.nodes[3].m.self.Session
 	w.kill(3)
 	w.run(300 * time.Millisecond)
 	w.start(3, "n003", w.now)
@@ -199,7 +199,7 @@
 		w.run(100 * time.Millisecond)
 		require.True(t, w.nodes[0].sees("n003"), "the name is in the view all along")
 		require.Len(t, w.nodes[0].m.View().Members, 6)
-		require.False(t, w.nodes[6].m.own.DuplicateName)
+		require.False(t, w.nodes[6].m.self.DuplicateName)
 	}
 	assert.True(t, w.nodes[3].m.Superseded())
 	w.nodes[3].m.Leave(w.now) // it ends
@@ -220,9 +220,9 @@
 			e.State = Dead
 		}
 		w.now += 300 * time.Millisecond
-		m.learn(e)
+		m.applyUpdate(e)
 		m.now = w.now
-		m.show()
+		m.updateView()
 	}
 	assert.Equal(t, before, m.View().Version)
 }
@@ -283,7 +283,7 @@
 	const size, seeds, every = 6, 2, 20 * time.Second
 	w := joined(t, 1, size)
 	gone := map[string]time.Duration{}
-	for next := size; w.now < epoch+5*forget/2; next++ {
+	for next := size; w.now < epoch+5*tombstoneTTL/2; next++ {
 		i := seeds + next%(size-seeds)
 		n := w.nodes[i]
 		n.m.Leave(w.now)
@@ -295,9 +295,9 @@
 		w.run(every)
 	}
 	for _, n := range w.nodes {
-		for _, o := range n.m.names {
+		for _, o := range n.m.sorted {
 			if at, ok := gone[o.Name]; ok {
-				assert.Less(t, w.now-at, forget*3/2, "%s remembers %s", n.name, o.Name)
+				assert.Less(t, w.now-at, tombstoneTTL*3/2, "%s remembers %s", n.name, o.Name)
 			}
 		}
 	}
@@ -307,14 +307,14 @@
 func TestOldDepartureIsNoNews(t *testing.T) {
 	w := joined(t, 1, 3)
 	m := w.nodes[0].m
-	other := w.nodes[1].m.own
+	other := w.nodes[1].m.self
 	tell := func(name string, gone time.Duration) {
 		e := Entry{Name: name, Addr: at(9), Incarnation: 5, Session: 7, State: Left, GoneForMS: uint32(gone / time.Millisecond)}
-		m.take(Message{Kind: Gossip, From: other, Updates: []Entry{e}}, 0)
+		m.handleMessage(Message{Kind: Gossip, From: other, Updates: []Entry{e}}, 0)
 	}
-	tell("old", forget)
+	tell("old", tombstoneTTL)
 	assert.NotContains(t, m.members, "old")
-	tell("late", forget-time.Minute)
+	tell("late", tombstoneTTL-time.Minute)
 	require.Contains(t, m.members, "late")
 	w.run(2 * time.Minute)
 	assert.NotContains(t, m.members, "late")
--- a/internal/fleet/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -72,7 +72,7 @@
 // views tells what each process sees, for failures.
 func (w *network) views() (s string) {
 	for _, n := range w.up() {
-		s += fmt.Sprintf("\n%s %d:", n.name, n.m.standing)
+		s += fmt.Sprintf("\n%s %d:", n.name, n.m.participation)
 		for _, o := range w.up() {
 			if !n.sees(o.name) {
 				e := Entry{}
