--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	maxHealth              = 8 // Lifeguard's S
-	suspicionMult          = 3 // periods before an undoubted suspicion ends, times log10 of the fleet
-	suspicionMaxMult       = 6 // times that without confirmations
-	maxConfirmations       = 3 // that shorten it all the way
-	retransmitMult         = 4 // times log10 of the fleet is how often a piece of news is sent on
-	maxPiggyback           = 12
-	maxRefutationPings     = 16 // members told in one exchange that they were taken for dead
+	maxHealth              = 8  // maximum of the local health score; Lifeguard's S
+	suspicionMult          = 3  // the shortest suspicion timeout in probe periods, times log10 of the fleet size
+	suspicionMaxMult       = 6  // the timeout without confirmations, as a multiple of the shortest
+	maxConfirmations       = 3  // confirmations that shorten a suspicion to the shortest timeout
+	retransmitMult         = 4  // transmissions of each update, times log10 of the fleet size
+	maxPiggyback           = 12 // updates in one datagram
+	maxRefutationPings     = 16 // members pinged per exchange because the peer believes them dead
 	maxRelays              = 256
-	maxTakeovers           = 3 // two processes that tell one address must not take the name from each other for ever
+	maxTakeovers           = 3 // so that two processes with one address do not take the name from each other for ever
 	syncInterval           = 2 * time.Second
-	reconnectInterval      = 2 * time.Second // how often one that is gone, or a seed, is tried again
+	reconnectInterval      = 2 * time.Second // between attempts to reach a dead member or a seed
 	firstReconnectInterval = 250 * time.Millisecond
 	observeInterval        = time.Second
-	duplicateTTL           = 5 * time.Second
-	tombstoneTTL           = 10 * time.Minute // the dead
+	duplicateTTL           = 5 * time.Second  // DuplicateName is cleared this long after the last claim
+	tombstoneTTL           = 10 * time.Minute // how long dead and left members are remembered
 )
 
-// participation is what this process is to the fleet.
+// participation is this process's role in the fleet.
 type participation uint8
 
 const (
 	active     participation = iota // a member
 	superseded                      // another process has the name
-	departed                        // it took leave
+	departed                        // it left and observes
 )
 
-// member is what is known of another.
+// member is the local record of another gateway.
 type member struct {
 	Entry
-	stateSince time.Duration // in this state
-	suspicion  *suspicion    // its suspicion
-	inView     viewEntry     // in the view
+	stateSince time.Duration
+	suspicion  *suspicion    // nil: not suspected
+	inView     viewEntry     // as the current view shows it
 	changedAt  time.Duration // when what the view should show last changed
-	liveIndex  int           // in Machine.live; -1: it is not
+	liveIndex  int           // index in Machine.live; -1: not live
 }
 
-// suspicion is a suspicion that runs.
+// suspicion is a running suspicion timeout.
 type suspicion struct {
 	startedAt, deadline time.Duration
-	reporters           []string
+	reporters           []string // members that suspect it, the first included
 }
 
-// viewEntry is what of a member the view shows; the zero viewEntry: it is not in it.
+// viewEntry is the part of a member that the view shows; the zero value means not in the view.
 type viewEntry struct {
 	session       uint64
 	addr          netip.AddrPort
@@ -63,61 +63,61 @@
 	zone          string
 }
 
-// pendingUpdate is a piece that is sent on with other messages.
+// pendingUpdate is a membership update that is being piggybacked on outgoing messages.
 type pendingUpdate struct {
-	subject       string
+	subject       string // member name, with the suspecting member for a suspicion
 	entry         Entry
 	transmissions int
 }
 
-// probe is the one that is out.
+// probe is the outstanding probe.
 type probe struct {
 	target            *member
 	seq               uint64
 	session           uint64
-	indirect          bool
-	retryAt, deadline time.Duration // when it is sent again; when it has failed
-	relaysAsked       int           // helpers
+	indirect          bool          // helpers were asked
+	retryAt, deadline time.Duration // when it is sent again, and when it has failed
+	relaysAsked       int           // number of helpers asked
 	nacks             int
 }
 
-// relay is a probe that this gateway makes for another.
+// relay is an indirect probe that this gateway makes for another.
 type relay struct {
 	seq, requesterSeq uint64
 	requester         Entry
 	nackAt, deadline  time.Duration
 }
 
-// Machine is one gateway's membership. Use New. Nothing here is locked.
+// Machine is the membership state of one gateway; create it with New. It is not safe for concurrent use.
 type Machine struct {
 	cfg           Config
 	rng           *rand.Rand
 	now           time.Duration
 	self          Entry
 	participation participation
-	hasSibling    bool // an upgrade is on: two processes of the name are as it should be
+	hasSibling    bool // during an upgrade: two processes legitimately share the name
 	selfInView    viewEntry
 
 	members     map[string]*member
 	live        []*member
-	sorted      []*member // all, sorted by name
-	probeOrder  []*member // who is probed next, from the end
+	sorted      []*member // all members, sorted by name
+	probeOrder  []*member // rest of this probe round, taken from the end
 	updates     []pendingUpdate
 	relays      []relay
 	probe       *probe
 	seq         uint64
 	health      int
 	suspects    []*member
-	pendingView []*member // the view does not show them as they are
+	pendingView []*member // members whose latest change the view does not show yet
 
 	nextProbe, nextSync, nextReconnect, nextObserve time.Duration
 	reconnectPause                                  time.Duration
 	seeds                                           []seed
 	nextSeed                                        int
-	reconnectSeqs                                   []uint64 // probes of who is gone, by number
+	reconnectSeqs                                   []uint64 // sequence numbers of recent probes of dead members
 	duplicateSeenAt                                 time.Duration
-	takeovers                                       int    // of the name, as its holder had this address
-	cachedDigest                                    uint64 // of the live; 0: not known
+	takeovers                                       int    // times the name was taken over because its holder had this address
+	cachedDigest                                    uint64 // of the live members; 0: not computed
 	wake                                            time.Duration
 
 	out     []Send
@@ -128,11 +128,11 @@
 
 type seed struct {
 	addr netip.AddrPort
-	name string // who answered there
-	seq  uint64
+	name string // of the gateway that answered there
+	seq  uint64 // of the probe sent to it
 }
 
-// New makes a machine that is alone at first.
+// New returns a machine that knows no other member yet.
 func New(cfg Config, now time.Duration) *Machine {
 	cfg = cfg.Defaults()
 	m := &Machine{
@@ -141,8 +141,8 @@
 		reconnectPause: firstReconnectInterval,
 	}
 	m.seq = m.rng.Uint64() >> 8
-	for _, addr := range cfg.Seeds {
-		m.seeds = append(m.seeds, seed{addr: addr})
+	for _, seedAddr := range cfg.Seeds {
+		m.seeds = append(m.seeds, seed{addr: seedAddr})
 	}
 	m.nextProbe = now + m.jitter(cfg.ProbePeriod)
 	m.nextSync = now + m.jitter(syncInterval)
@@ -154,40 +154,40 @@
 	return m
 }
 
-// jitter is a random jitter of a time.
-func (m *Machine) jitter(d time.Duration) time.Duration {
-	return time.Duration(m.rng.Int64N(int64(d) + 1))
+// jitter returns a random duration from 0 to limit.
+func (m *Machine) jitter(limit time.Duration) time.Duration {
+	return time.Duration(m.rng.Int64N(int64(limit) + 1))
 }
 
-// Wake is when Tick is to be called, at the latest.
+// Wake returns the time by which Tick must be called.
 func (m *Machine) Wake() time.Duration { return m.wake }
 
-// Take hands over what is to be sent and what has changed since the last call.
+// Take returns the messages to send and the changes since the last call.
 func (m *Machine) Take() (out []Send, changes []Change) {
 	out, changes = m.out, m.changes
 	m.out, m.changes = nil, nil
 	return out, changes
 }
 
-// View is the stable view. It is not changed after it was given out.
+// View returns the stable view. A returned view is never modified.
 func (m *Machine) View() View { return m.view }
 
-// Self is this gateway's entry, and whether it is a member at the moment.
+// Self returns this gateway's entry, and whether it is currently a member.
 func (m *Machine) Self() (Entry, bool) { return m.self, m.participation == active }
 
-// Superseded tells whether another process has this gateway's name.
+// Superseded reports whether another process has this gateway's name.
 func (m *Machine) Superseded() bool { return m.participation == superseded }
 
-// Members are all others that are known, the dead included, sorted by name.
+// Members returns all other known members, including dead ones, sorted by name.
 func (m *Machine) Members() []Entry {
-	list := make([]Entry, len(m.sorted))
+	entries := make([]Entry, len(m.sorted))
 	for i, member := range m.sorted {
-		list[i] = member.Entry
+		entries[i] = member.Entry
 	}
-	return list
+	return entries
 }
 
-// Addr is where a member that lives told others to look for it.
+// Addr returns the advertised address of a member that is live or has left.
 func (m *Machine) Addr(name string) (addr netip.AddrPort, ok bool) {
 	if member := m.members[name]; member != nil && (member.State.Live() || member.State == Left) {
 		return member.Addr, true
@@ -195,13 +195,13 @@
 	return addr, false
 }
 
-// Health is Lifeguard's multiplier: 0 is well, 8 is the most that this process doubts itself.
+// Health returns Lifeguard's local health score: 0 is healthy, 8 the worst. Timeouts grow with it.
 func (m *Machine) Health() int { return m.health }
 
-// Counts are figures since the start.
+// Counts returns the counters since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// SetSibling tells whether another process of this name lives as part of an upgrade.
+// SetSibling sets whether another process of this name runs as part of an upgrade.
 func (m *Machine) SetSibling(on bool) {
 	if m.hasSibling = on; on && m.self.DuplicateName {
 		m.self.DuplicateName = false
@@ -209,7 +209,7 @@
 	}
 }
 
-// SetAddr tells that this process is now to be found at another address.
+// SetAddr changes the address that this process advertises.
 func (m *Machine) SetAddr(now time.Duration, addr netip.AddrPort) {
 	m.advanceClock(now)
 	m.self.Addr = addr
@@ -219,7 +219,7 @@
 	m.finish()
 }
 
-// Leave takes this gateway out of the fleet in order; it goes on observing. Join takes it in again.
+// Leave removes this gateway from the fleet in an orderly way; it continues to observe. Join reverses it.
 func (m *Machine) Leave(now time.Duration) {
 	m.advanceClock(now)
 	if m.participation == active {
@@ -232,7 +232,7 @@
 	m.finish()
 }
 
-// Join is the return after Leave.
+// Join makes this gateway a member again after Leave.
 func (m *Machine) Join(now time.Duration) {
 	m.advanceClock(now)
 	if m.participation == departed {
@@ -244,14 +244,14 @@
 	m.finish()
 }
 
-// Tick does what is due.
+// Tick runs what is due at the given time.
 func (m *Machine) Tick(now time.Duration) {
 	m.advanceClock(now)
 	m.runDue()
 	m.finish()
 }
 
-// Receive takes a message in; via is the connection it came on, 0 for a datagram.
+// Receive handles a message; via is the connection on which it came, 0 for a datagram.
 func (m *Machine) Receive(now time.Duration, msg Message, via uint64) {
 	m.advanceClock(now)
 	m.handleMessage(msg, via)
@@ -259,8 +259,8 @@
 	m.finish()
 }
 
-// advanceClock moves the time on. A moment later than planned by more than a period means that this process stood
-// still: what it waited for may lie unread, so its own deadlines move along, and it doubts itself first.
+// advanceClock sets the current time. If it is later than the planned wake-up by more than a period, this process
+// was paused: answers may still be unread, so it extends its deadlines by the gap and worsens its own health score.
 func (m *Machine) advanceClock(now time.Duration) {
 	m.now = max(m.now, now)
 	gap := m.now - m.wake
@@ -286,15 +286,17 @@
 	}
 }
 
+// worsenHealth and improveHealth adjust the local health score.
 func (m *Machine) worsenHealth(by int) { m.health = min(maxHealth, m.health+by) }
 func (m *Machine) improveHealth()      { m.health = max(0, m.health-1) }
 
+// finish updates the view and the wake-up time after an event.
 func (m *Machine) finish() {
 	m.updateView()
 	m.scheduleWake()
 }
 
-// scheduleWake finds the next moment at which something is due.
+// scheduleWake computes the next time at which something is due.
 func (m *Machine) scheduleWake() {
 	wake := m.now + time.Minute
 	wakeBy := func(t time.Duration) { wake = min(wake, t) }
@@ -328,11 +330,12 @@
 	m.wake = max(wake, m.now)
 }
 
-// fleetSize is of the fleet, with this gateway.
+// fleetSize is the number of live members, including this gateway.
 func (m *Machine) fleetSize() int { return len(m.live) + 1 }
 
 func (m *Machine) logFleetSize() float64 { return max(1, math.Log10(float64(m.fleetSize()))) }
 
+// runDue runs all timers that have expired.
 func (m *Machine) runDue() {
 	for _, suspect := range slices.Clone(m.suspects) {
 		if suspect.suspicion != nil && suspect.suspicion.deadline <= m.now {
@@ -370,11 +373,11 @@
 	}
 }
 
-// runProbes is SWIM's failure detector: one member a period, each once a round, in a random order.
+// runProbes is SWIM's failure detector: it probes one member per period, each once per round in random order.
 func (m *Machine) runProbes() {
 	if p := m.probe; p != nil {
 		if p.retryAt <= m.now {
-			// A datagram may just have been lost: it is sent again and again, and helpers are asked once.
+			// The datagram may simply have been lost: the ping is repeated, and helpers are asked once.
 			if p.retryAt = m.now + m.cfg.ProbeTimeout/2; !p.indirect {
 				p.indirect = true
 				request := Message{Kind: PingReq, Seq: p.seq, Target: p.target.Name, Session: p.session, Addr: p.target.Addr}
@@ -395,13 +398,13 @@
 	}
 	scale := time.Duration(m.health + 1)
 	m.nextProbe = m.now + m.cfg.ProbePeriod*scale
-	target := m.nextProbeTarget()
-	if target == nil {
+	probed := m.nextProbeTarget()
+	if probed == nil {
 		return
 	}
 	m.counts.Probes++
 	m.seq++
-	m.probe = &probe{target: target, seq: m.seq, session: target.Session, retryAt: m.now + m.cfg.ProbeTimeout*scale, deadline: m.now + m.cfg.ProbePeriod*scale}
+	m.probe = &probe{target: probed, seq: m.seq, session: probed.Session, retryAt: m.now + m.cfg.ProbeTimeout*scale, deadline: m.now + m.cfg.ProbePeriod*scale}
 	m.sendPing(m.probe)
 }
 
@@ -409,7 +412,7 @@
 	m.sendTo(p.target, Message{Kind: Ping, Seq: p.seq, Target: p.target.Name, Session: p.session})
 }
 
-// nextProbeTarget is the member whose turn it is.
+// nextProbeTarget returns the next member of the probe round, starting a new round when it is exhausted.
 func (m *Machine) nextProbeTarget() *member {
 	for {
 		if len(m.probeOrder) == 0 {
@@ -419,15 +422,15 @@
 			m.probeOrder = append(m.probeOrder, m.live...)
 			m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 		}
-		target := m.probeOrder[len(m.probeOrder)-1]
-		if m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]; target.liveIndex >= 0 {
-			return target
+		next := m.probeOrder[len(m.probeOrder)-1]
+		if m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]; next.liveIndex >= 0 {
+			return next
 		}
 	}
 }
 
-// probeFailed is a probe without an answer. Whether this process is the one that is ill shows in the helpers that are
-// silent as well.
+// probeFailed handles a probe that nobody answered. Helpers that sent no Nack either suggest that this process
+// itself is slow, so they worsen its health score.
 func (m *Machine) probeFailed(p *probe) {
 	m.counts.FailedProbes++
 	if p.relaysAsked == 0 {
@@ -444,10 +447,10 @@
 	}
 }
 
-// suspect begins a suspicion or confirms one; what is new goes on.
+// suspect starts or confirms a suspicion, disseminates it if new, and reports whether it was.
 func (m *Machine) suspect(target *member, entry Entry) bool {
 	shortest, longest := m.suspicionTimeouts()
-	confirmers := min(maxConfirmations, m.fleetSize()-2) // who may confirm it, besides the first
+	confirmers := min(maxConfirmations, m.fleetSize()-2) // members that may confirm it, besides the first reporter
 	if target.suspicion == nil {
 		target.suspicion = &suspicion{startedAt: m.now, deadline: m.now + longest, reporters: []string{entry.SuspectedBy}}
 		if confirmers < 1 {
@@ -469,13 +472,14 @@
 	return true
 }
 
-// suspicionTimeouts is how long a suspicion lasts: confirmed by others, and without.
+// suspicionTimeouts returns the suspicion timeouts with all confirmations and with none.
 func (m *Machine) suspicionTimeouts() (shortest, longest time.Duration) {
 	shortest = time.Duration(suspicionMult * m.logFleetSize() * float64(m.cfg.ProbePeriod))
 	return shortest, suspicionMaxMult * shortest
 }
 
-// observe is what a process does that is no member: it asks for the list, and claims its name.
+// observe runs periodically while this process is not a member: it requests the member list and, if superseded,
+// probes the holder of its name.
 func (m *Machine) observe() {
 	m.nextObserve = m.now + observeInterval/2 + m.jitter(observeInterval)
 	if m.participation == departed && slices.ContainsFunc(m.updates, func(u pendingUpdate) bool { return u.entry.Session == m.self.Session }) {
@@ -492,7 +496,7 @@
 	}
 }
 
-// canReconnect tells whether there is anyone who is not here and could be.
+// canReconnect reports whether a known member or a seed is not live and could be reached again.
 func (m *Machine) canReconnect() bool {
 	return len(m.sorted) > len(m.live) || slices.ContainsFunc(m.seeds, m.seedMissing)
 }
@@ -505,7 +509,8 @@
 	return member == nil || member.liveIndex < 0
 }
 
-// reconnect tries one that is gone or a seed, for ever: a partition ends at any time.
+// reconnect probes one dead member or missing seed. It never gives up, since a partition may end at any time. It
+// also removes expired tombstones.
 func (m *Machine) reconnect() {
 	if len(m.live) > 0 {
 		m.reconnectPause = reconnectInterval
@@ -544,63 +549,64 @@
 	}
 }
 
-// gossip sends news at once to some members.
+// gossip sends pending updates to n random members at once.
 func (m *Machine) gossip(n int) {
 	for _, peer := range m.pickLive(n, nil) {
 		m.sendTo(peer, Message{Kind: Gossip})
 	}
 }
 
-// pickLive draws up to n live members, without one.
-func (m *Machine) pickLive(n int, exclude *member) (list []*member) {
+// pickLive returns up to n random live members other than exclude.
+func (m *Machine) pickLive(n int, exclude *member) (picked []*member) {
 	for range 4 * n {
-		if len(list) == n || len(m.live) == 0 {
+		if len(picked) == n || len(m.live) == 0 {
 			break
 		}
-		if candidate := m.live[m.rng.IntN(len(m.live))]; candidate != exclude && !slices.Contains(list, candidate) {
-			list = append(list, candidate)
+		if candidate := m.live[m.rng.IntN(len(m.live))]; candidate != exclude && !slices.Contains(picked, candidate) {
+			picked = append(picked, candidate)
 		}
 	}
-	return list
+	return picked
 }
 
-// sendTo has a message go to a member, with news for it.
+// sendTo sends a datagram to a member, with piggybacked updates.
 func (m *Machine) sendTo(to *member, msg Message) { m.sendToEntry(to.Entry, 0, msg) }
 
+// sendStream sends a message to a member over a new connection.
 func (m *Machine) sendStream(to *member, msg Message) {
 	m.counts.Exchanges++
 	m.enqueue(Send{To: to.Name, Addr: to.Addr, Stream: true, Message: msg}, to.Session)
 }
 
-// sendToEntry sends a message to whoever an entry stands for. Where that is not the process that has the name, only the
-// address that it told itself leads to it.
+// sendToEntry sends a message to the process that an entry describes. If that is not the holder of the name, only
+// the address that it advertised itself reaches it.
 func (m *Machine) sendToEntry(to Entry, via uint64, msg Message) {
 	known := m.members[to.Name]
 	differentProcess := known != nil && to.Session != 0 && to.Session != known.Session
 	m.enqueue(Send{To: to.Name, Addr: to.Addr, Direct: differentProcess, Stream: via != 0, Via: via, Message: msg}, to.Session)
 }
 
-// enqueue has a message go out; session is the receiver's, 0 where it is not known.
-func (m *Machine) enqueue(send Send, session uint64) {
-	msg := &send.Message
+// enqueue adds updates to a message and queues it for sending; session is the receiver's, 0 if unknown.
+func (m *Machine) enqueue(out Send, session uint64) {
+	msg := &out.Message
 	msg.From, msg.Observer = m.self, m.participation != active
 	switch {
-	case send.Stream && m.participation != superseded && msg.Kind != Exchange || send.Stream && m.participation == active:
+	case out.Stream && m.participation != superseded && msg.Kind != Exchange || out.Stream && m.participation == active:
 		for _, member := range m.sorted {
 			msg.Updates = append(msg.Updates, member.Entry)
 		}
-	case send.Stream:
-		// an observer only asks
+	case out.Stream:
+		// An observer only requests the list.
 	default:
-		msg.Updates = append(msg.Updates, m.takePiggyback(send.To, session)...)
+		msg.Updates = append(msg.Updates, m.takePiggyback(out.To, session)...)
 	}
 	for i := range msg.Updates {
 		msg.Updates[i].GoneForMS = m.goneForMS(&msg.Updates[i])
 	}
-	m.out = append(m.out, send)
+	m.out = append(m.out, out)
 }
 
-// goneForMS is how many milliseconds ago the member of an entry went; 0: it lives, or is not known.
+// goneForMS returns how many milliseconds ago the member of an entry died or left; 0: it is live or unknown.
 func (m *Machine) goneForMS(entry *Entry) uint32 {
 	member := m.members[entry.Name]
 	if member == nil || member.liveIndex >= 0 || entry.State.Live() {
@@ -609,18 +615,18 @@
 	return uint32(max(0, m.now-member.stateSince) / time.Millisecond)
 }
 
-// takePiggyback is the news that go with a datagram: what the receiver must refute, then what was sent least often.
-func (m *Machine) takePiggyback(to string, session uint64) (list []Entry) {
+// takePiggyback returns the updates for a datagram: first what the receiver must refute, then those sent least often.
+func (m *Machine) takePiggyback(to string, session uint64) (entries []Entry) {
 	if receiver := m.members[to]; receiver != nil && (receiver.State != Alive || session != 0 && session != receiver.Session) {
-		list = append(list, receiver.Entry)
+		entries = append(entries, receiver.Entry)
 	}
 	maxTransmissions := retransmitMult * int(math.Ceil(math.Log10(float64(m.fleetSize()+1))))
 	slices.SortStableFunc(m.updates, func(a, b pendingUpdate) int { return a.transmissions - b.transmissions })
 	kept := m.updates[:0]
 	for i := range m.updates {
 		update := &m.updates[i]
-		if len(list) < maxPiggyback && update.entry.Name != to {
-			list = append(list, update.entry)
+		if len(entries) < maxPiggyback && update.entry.Name != to {
+			entries = append(entries, update.entry)
 			update.transmissions++
 		}
 		if update.transmissions < maxTransmissions {
@@ -628,22 +634,23 @@
 		}
 	}
 	m.updates = kept
-	return list
+	return entries
 }
 
-// disseminate has a piece of news go round, before those that have been sent as often. It takes the place of what it makes old.
+// disseminate queues an update for piggybacking, ahead of those sent equally often, and drops queued updates that it
+// makes obsolete.
 func (m *Machine) disseminate(entry Entry) {
-	subject := entry.Name
+	key := entry.Name
 	if entry.State == Suspect {
-		subject += "\x00" + entry.SuspectedBy
+		key += "\x00" + entry.SuspectedBy
 	}
 	m.updates = slices.DeleteFunc(m.updates, func(u pendingUpdate) bool {
-		return u.subject == subject || u.entry.Name == entry.Name && (entry.State != Suspect || u.entry.State != Suspect)
+		return u.subject == key || u.entry.Name == entry.Name && (entry.State != Suspect || u.entry.State != Suspect)
 	})
-	m.updates = slices.Insert(m.updates, 0, pendingUpdate{subject: subject, entry: entry})
+	m.updates = slices.Insert(m.updates, 0, pendingUpdate{subject: key, entry: entry})
 }
 
-// raiseIncarnation has this gateway's word prevail over an incarnation.
+// raiseIncarnation raises this gateway's incarnation above the given one and disseminates its entry.
 func (m *Machine) raiseIncarnation(over uint64) {
 	m.self.Incarnation = max(m.self.Incarnation, over) + 1
 	m.cachedDigest = 0
@@ -651,7 +658,7 @@
 	m.gossip(m.cfg.IndirectProbes)
 }
 
-// membershipDigest is a digest of who lives, as this gateway sees it.
+// membershipDigest returns a digest of the live members as this gateway knows them.
 func (m *Machine) membershipDigest() uint64 {
 	if m.cachedDigest == 0 {
 		hash := xxhash.New()
@@ -683,7 +690,7 @@
 	return m.cachedDigest
 }
 
-// searchName is the place of a name among all.
+// searchName returns the index of a name in m.sorted, or where it would be inserted.
 func (m *Machine) searchName(name string) (int, bool) {
 	return slices.BinarySearchFunc(m.sorted, name, func(member *member, n string) int { return strings.Compare(member.Name, n) })
 }
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// handleMessage is a message that has come.
+// handleMessage applies the updates of a received message and answers it.
 func (m *Machine) handleMessage(msg Message, via uint64) {
 	from := msg.From
 	if from.Name == m.self.Name && from.Session == m.self.Session {
@@ -25,7 +25,7 @@
 	} else if !msg.Observer {
 		m.applyUpdate(from)
 	} else if sender := m.members[from.Name]; sender != nil && sender.Session == from.Session {
-		m.applyUpdate(from) // it has left
+		m.applyUpdate(from) // the member has left and observes
 	}
 	fullList := msg.Kind == Exchange || msg.Kind == Reply
 	pinged := 0
@@ -59,7 +59,7 @@
 	}
 }
 
-// handlePing answers a probe. One for another process at this address tells that that process has ended.
+// handlePing answers a probe. A probe for another process at this address means that that process has ended.
 func (m *Machine) handlePing(msg Message) {
 	switch {
 	case msg.Target == "" || msg.Target == m.self.Name && msg.Session == m.self.Session:
@@ -77,11 +77,11 @@
 		}
 		m.sendToEntry(msg.From, 0, Message{Kind: Gossip})
 	default:
-		m.sendToEntry(msg.From, 0, Message{Kind: Gossip}) // another name lives at this address now
+		m.sendToEntry(msg.From, 0, Message{Kind: Gossip}) // a gateway of another name now has this address
 	}
 }
 
-// handlePingReq probes a member for another gateway.
+// handlePingReq starts an indirect probe for another gateway.
 func (m *Machine) handlePingReq(msg Message) {
 	if len(m.relays) >= maxRelays || m.participation != active || msg.Target == m.self.Name {
 		return
@@ -94,7 +94,8 @@
 	m.sendToEntry(target, 0, Message{Kind: Ping, Seq: m.seq, Target: msg.Target, Session: msg.Session})
 }
 
-// handleAck is the answer to a probe, one's own or one made for another.
+// handleAck handles the answer to a probe: this gateway's own, one relayed for another, or one of a dead member or a
+// seed.
 func (m *Machine) handleAck(msg Message) {
 	if p := m.probe; p != nil && p.seq == msg.Seq {
 		m.probe = nil
@@ -123,7 +124,7 @@
 	}
 }
 
-// handleDuplicateName is another process that bears this gateway's name and is no member for that.
+// handleDuplicateName handles a message from another process with this gateway's name, which this gateway supersedes.
 func (m *Machine) handleDuplicateName(from Entry) {
 	if m.participation != active || m.hasSibling {
 		return
@@ -137,7 +138,7 @@
 	}
 }
 
-// supersedes tells whether an entry prevails over another of the same member.
+// supersedes reports whether an entry takes precedence over another one of the same member.
 func supersedes(entry, over Entry) bool {
 	switch {
 	case entry.Incarnation != over.Incarnation:
@@ -148,7 +149,7 @@
 	return entry.State > over.State
 }
 
-// applyUpdate takes in what is said of a member.
+// applyUpdate applies an update about a member and disseminates it if it is new.
 func (m *Machine) applyUpdate(entry Entry) {
 	if entry.Name == m.self.Name {
 		m.applySelfUpdate(entry)
@@ -177,7 +178,7 @@
 	m.disseminate(entry)
 }
 
-// addMember takes in a member that was not known, also one that has been gone for a while, but not one that all forget by now.
+// addMember adds an unknown member, even one that has been gone for a while, unless its tombstone has expired.
 func (m *Machine) addMember(entry Entry, goneFor time.Duration) {
 	if !entry.State.Live() && goneFor >= tombstoneTTL {
 		return
@@ -187,7 +188,7 @@
 		return
 	}
 	added := &member{Entry: entry, liveIndex: -1, stateSince: m.now, changedAt: m.now}
-	added.State = Dead // until set
+	added.State = Dead // until setEntry
 	i, _ := m.searchName(entry.Name)
 	m.members[entry.Name] = added
 	m.sorted = slices.Insert(m.sorted, i, added)
@@ -203,7 +204,7 @@
 	m.changes[len(m.changes)-1].New = true
 }
 
-// evictOldest forgets the one that has been gone longest.
+// evictOldest removes the member that has been gone longest and reports whether there was one.
 func (m *Machine) evictOldest() bool {
 	var oldest *member
 	for _, candidate := range m.sorted {
@@ -218,15 +219,15 @@
 	return true
 }
 
-// endSuspicion ends a suspicion.
+// endSuspicion cancels the suspicion of a member, if any.
 func (m *Machine) endSuspicion(target *member) {
 	if target.suspicion != nil {
 		target.suspicion = nil
-		m.suspects = slices.DeleteFunc(m.suspects, func(x *member) bool { return x == target })
+		m.suspects = slices.DeleteFunc(m.suspects, func(suspect *member) bool { return suspect == target })
 	}
 }
 
-// setEntry changes what is known of a member.
+// setEntry updates the record of a member and the lists that depend on its state.
 func (m *Machine) setEntry(target *member, entry Entry) {
 	previous := target.Entry
 	if entry.State != Suspect {
@@ -242,7 +243,7 @@
 	case entry.State.Live() && target.liveIndex < 0:
 		target.liveIndex = len(m.live)
 		m.live = append(m.live, target)
-		// It is probed somewhere in this round.
+		// A random position, so that it is probed within the current round.
 		m.probeOrder = slices.Insert(m.probeOrder, m.rng.IntN(len(m.probeOrder)+1), target)
 	case !entry.State.Live() && target.liveIndex >= 0:
 		last := m.live[len(m.live)-1]
@@ -259,8 +260,9 @@
 	}
 }
 
-// disputeDeath is a member that another gateway takes for dead and this one does not: the member is told, so that it
-// can refute, and doubted for the longest time.
+// disputeDeath handles a peer's entry that declares a member dead which is live here: this gateway suspects the
+// member with the longest timeout and, if ping is set, pings it with the entry so that it can refute. It returns the
+// number of pings sent.
 func (m *Machine) disputeDeath(entry Entry, by string, ping bool) int {
 	target := m.members[entry.Name]
 	if target == nil || target.liveIndex < 0 {
@@ -283,7 +285,8 @@
 	return 1
 }
 
-// applySelfUpdate is what others say of this gateway's name.
+// applySelfUpdate handles an update about this gateway's name: it refutes claims about this process, and decides
+// which process holds the name if the update is about another one.
 func (m *Machine) applySelfUpdate(entry Entry) {
 	if entry.Session == m.self.Session {
 		switch {
@@ -317,31 +320,31 @@
 		}
 		m.reclaimName(entry.Incarnation)
 	case m.participation == departed && supersedes(entry, m.self):
-		m.self.Incarnation = entry.Incarnation // a successor has the name; an own return comes after it
+		m.self.Incarnation = entry.Incarnation // a successor has the name; rejoining raises above it
 	case older:
-		if entry.State.Live() && !slices.ContainsFunc(m.updates, func(n pendingUpdate) bool { return n.entry.Session == m.self.Session }) {
-			m.disseminate(m.self) // somebody has not heard of this process
+		if entry.State.Live() && !slices.ContainsFunc(m.updates, func(u pendingUpdate) bool { return u.entry.Session == m.self.Session }) {
+			m.disseminate(m.self) // the sender does not know this process yet
 		}
 	case entry.State.Live() && entry.Addr == m.self.Addr && m.takeovers < maxTakeovers:
-		// Who had the name was where this process is now, so it has ended; its clock was ahead.
+		// The previous holder had this process's address, so it has ended; its clock was ahead.
 		m.takeovers++
 		m.raiseIncarnation(entry.Incarnation)
 	case entry.State.Live():
 		m.participation, m.probe = superseded, nil
 		m.counts.Superseded++
 		m.self.DuplicateName = false
-		m.updates = slices.DeleteFunc(m.updates, func(n pendingUpdate) bool { return n.entry.Name == m.self.Name })
+		m.updates = slices.DeleteFunc(m.updates, func(u pendingUpdate) bool { return u.entry.Name == m.self.Name })
 		m.members[entry.Name] = &member{Entry: entry, liveIndex: -1}
 		m.nextObserve = m.now
 		m.disseminate(entry)
 		m.cachedDigest = 0
 		m.changes = append(m.changes, Change{Entry: entry, Previous: Alive})
 	default:
-		m.raiseIncarnation(entry.Incarnation) // a predecessor, as its clock was ahead
+		m.raiseIncarnation(entry.Incarnation) // a predecessor that has ended; its clock was ahead
 	}
 }
 
-// reclaimName takes the name back: who had it has ended.
+// reclaimName makes this process a member again after the process that held its name has ended.
 func (m *Machine) reclaimName(over uint64) {
 	holder := m.members[m.self.Name]
 	delete(m.members, m.self.Name)
@@ -352,7 +355,7 @@
 	m.changes = append(m.changes, Change{Entry: m.self, Previous: holder.State})
 }
 
-// viewEntryOf is what a view has of a member.
+// viewEntryOf returns what a view should show of a member.
 func viewEntryOf(entry Entry, live bool) viewEntry {
 	if !live {
 		return viewEntry{}
@@ -360,7 +363,7 @@
 	return viewEntry{session: entry.Session, addr: entry.Addr, duplicateName: entry.DuplicateName, zone: entry.Zone}
 }
 
-// updateView brings the view up to date.
+// updateView publishes a new view if a change has become stable.
 func (m *Machine) updateView() {
 	changed := false
 	m.pendingView = slices.DeleteFunc(m.pendingView, func(member *member) bool {
@@ -396,7 +399,7 @@
 	m.view = next
 }
 
-// viewDigest is one of members sorted by name.
+// viewDigest returns the digest of members sorted by name.
 func viewDigest(members []Member) uint64 {
 	hash := xxhash.New()
 	for _, member := range members {
