--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -1,14 +1,15 @@
-// Package budget divides what a whole fleet may spend at once (connections at a database) into parts, one for each
-// gateway, that move to where the demand is and never add up to more than the whole. It is a state machine without
-// input or output: demands, messages and moments in, messages out.
+// Package budget divides a fleet-wide budget (connections to a database) among the gateways. The shares move to where
+// the demand is and never add up to more than the total. It is a state machine without I/O: demands, messages and
+// timestamps go in, messages come out.
 //
-// Each gateway that the fleet file names as a holder has a home part; the home parts add up to the whole, whatever
-// anybody sees of the fleet. A holder lends units that it does not need, as escrow (O'Neil 1986) under a lease (Gray
-// and Cheriton 1989): it subtracts them before it tells, and has them back when the borrower returns them or when the
-// lease has certainly lapsed. The borrower counts the lease from when it asked, which was before the lender began to
-// count, and both leave room for the drift of their clocks: no clocks need to agree. Whatever is lost, doubled, late or
-// replayed, a unit is at one holder or at none. A process that starts does not know what its predecessor lent: it uses
-// only what nobody may lend until every lease of that time has lapsed.
+// Each gateway that the fleet file lists as a holder has a home share; the home shares add up to the total, whatever
+// any gateway knows of the fleet's membership. A holder lends units that it does not need, as escrow (O'Neil 1986)
+// under a lease (Gray and Cheriton 1989): it subtracts them before it sends the grant, and gets them back when the
+// borrower releases them or when the lease has certainly expired. The borrower counts the lease from when it sent the
+// request, which is before the lender starts to count, and both allow for clock drift, so no clocks need to agree.
+// Whatever messages are lost, duplicated, delayed or replayed, a unit is held by one holder or by none. A process that
+// starts does not know what its predecessor lent: until every lease of that time has expired it uses only the reserve,
+// which is never lent.
 package budget
 
 import (
@@ -19,40 +20,40 @@
 )
 
 const (
-	requestInterval = 40 * time.Millisecond // between two asks for one key
-	maxRequestees   = 2                     // gateways asked at once
-	emptyHintTTL    = time.Second           // for which one that had nothing to lend is not asked
-	idleTimeout     = 2 * time.Second       // a borrowed unit without use for so long is returned
+	requestInterval = 40 * time.Millisecond // between requests for one key
+	maxRequestees   = 2                     // gateways that get a request at once
+	emptyHintTTL    = time.Second           // how long a gateway that refused is not asked again
+	idleTimeout     = 2 * time.Second       // borrowed units unused for this long are released
 	maxKeys         = 4096
-	// A process may lend for so long before it sees that a successor has begun beside it.
+	// The longest time for which a process may go on lending before it detects that its successor has started.
 	siblingDetectMax   = time.Second
-	siblingDetectUsual = 300 * time.Millisecond // by when it usually has
+	siblingDetectUsual = 300 * time.Millisecond // time within which it usually detects it
 )
 
-// Kind is what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds.
 const (
-	Request Kind = iota + 1 // lend me Units
-	Grant                   // I have lent you Units, perhaps 0
-	Renew                   // may the loan go on
-	Renewed                 // it may
-	Release                 // I have stopped using it
+	Request Kind = iota + 1 // asks for a lease of Units
+	Grant                   // grants a lease of Units; 0: refused
+	Renew                   // asks to renew a lease
+	Renewed                 // the lease is renewed
+	Release                 // the borrower has released the lease
 )
 
-// Message is one between two holders.
+// Message is a message between two holders.
 type Message struct {
 	Kind        Kind   `cbor:"1,keyasint"`
 	From        string `cbor:"2,keyasint"`
-	Session     uint64 `cbor:"3,keyasint"` // of the borrower, which counts its loans
+	Session     uint64 `cbor:"3,keyasint"` // of the borrower, which numbers its leases
 	Key         string `cbor:"4,keyasint"`
-	Serial      uint64 `cbor:"5,keyasint"` // of the loan, drawn by the borrower
+	Serial      uint64 `cbor:"5,keyasint"` // of the lease, assigned by the borrower
 	Units       int    `cbor:"6,keyasint,omitempty"`
-	RenewSerial uint64 `cbor:"7,keyasint,omitempty"` // of an Extend, told back by its answer
+	RenewSerial uint64 `cbor:"7,keyasint,omitempty"` // of a Renew, echoed in the Renewed
 }
 
-// Valid tells whether a message can be one.
+// Valid reports whether the fields of a message are within their limits.
 func (m *Message) Valid() bool {
 	return m.Kind >= Request && m.Kind <= Release && m.Key != "" && len(m.Key) <= 256 && m.Units >= 0 && m.Units <= 1<<20
 }
@@ -63,67 +64,67 @@
 	Message Message
 }
 
-// Config is what a machine is told at its start.
+// Config configures a Machine.
 type Config struct {
 	Name    string
-	Holders []string // in the same order everywhere; a name that is not among them has no home part
-	Total   int      // units of each key, of all holders together
+	Holders []string // in the same order everywhere; a name that is not listed has no home share
+	Total   int      // units of each key, over all holders
 	Lease   time.Duration
-	Drift   float64 // by how much a clock may run fast or slow, as a share
+	Drift   float64 // by how much a clock may run fast or slow, as a fraction
 	Session uint64
 	Seed    uint64
 }
 
-// lease is units that are somewhere else than at home.
+// lease is a number of units held away from home, as recorded by the lender or by the borrower.
 type lease struct {
-	holder    string
+	peer      string
 	session   uint64
 	serial    uint64
 	units     int
 	expiresAt time.Duration // by this gateway's clock
 }
 
-// request is a question that is out.
+// request is an outstanding Request or Renew.
 type request struct {
-	holder      string
+	peer        string
 	serial      uint64
 	units       int
-	renewSerial uint64 // of an Extend
+	renewSerial uint64 // of a Renew
 	sentAt      time.Duration
 }
 
-// account is one key.
+// account is the state of one key.
 type account struct {
 	key            string
 	home           int
-	lent           []lease // given away, and not back
+	lent           []lease // granted to other holders
 	borrowed       []lease
 	requests       []request
-	renewals       []request // serial: of the loan
+	renewals       []request // with the serial of the lease
 	inUse, waiting int
-	lastNeededAt   time.Duration // when what is borrowed was last needed in full
+	lastNeededAt   time.Duration // when the borrowed units were last needed in full
 	nextRequest    time.Duration
-	refused        map[string]time.Duration // who was refused here, and when
+	refused        map[string]time.Duration // when each holder was last refused here
 }
 
-// Counts are what has happened since the start.
+// Counts are counters since the start of the process.
 type Counts struct {
 	Requested, Granted, Lent, Released, Expired, Renewed, Refused uint64
 }
 
-// Machine is one gateway's parts. Use New. Nothing here is locked.
+// Machine holds the shares of one gateway; create it with New. It is not safe for concurrent use.
 type Machine struct {
 	cfg          Config
 	rng          *rand.Rand
 	now          time.Duration
 	startedAt    time.Duration
-	lendAfter    time.Duration // until then a predecessor's loans may run
-	useHomeAfter time.Duration // until then the process beside this one may not have seen it
-	homeSplit    int           // 1; 2 while another process of this gateway has the other half
-	smallerHalf  bool          // this process has the smaller half
-	homeDisabled bool          // another process has the home parts
-	liveHolders  []string      // holders that can be asked
-	emptyUntil   map[string]time.Duration
+	lendAfter    time.Duration            // leases granted by a predecessor may run until then
+	useHomeAfter time.Duration            // the sibling process may not have detected this one until then
+	homeSplit    int                      // 1; 2 while the sibling process has the other half of the home shares
+	smallerHalf  bool                     // this process has the smaller half
+	homeDisabled bool                     // another process has the home shares
+	liveHolders  []string                 // holders that can be asked
+	emptyUntil   map[string]time.Duration // by holder and key: not asked until then, as it had nothing to lend
 	accounts     map[string]*account
 	order        []*account
 	serial       uint64
@@ -132,7 +133,7 @@
 	counts       Counts
 }
 
-// New makes a machine. What a predecessor of the name may have lent is left alone for a lease.
+// New returns a machine. For the length of a lease it uses only what a predecessor of its name cannot have lent.
 func New(cfg Config, now time.Duration) *Machine {
 	return &Machine{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x6275)), now: now, homeSplit: 1, accounts: map[string]*account{}, emptyUntil: map[string]time.Duration{},
@@ -140,28 +141,30 @@
 	}
 }
 
-// lenderTerm is a lease by the clock of who lends, short by that of who borrows.
+// lenderTerm is the length of a lease by the lender's clock: extended by the drift.
 func lenderTerm(term time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(term) * (1 + 2*drift))
 }
+
+// borrowerTerm is the length of a lease by the borrower's clock: shortened by the drift.
 func borrowerTerm(term time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(term) * (1 - 2*drift))
 }
 
-// HomeShare is the home part of a holder: the whole divided evenly, what is left over goes by a rotation that depends on
-// the key, so that not the same holders get it everywhere.
+// HomeShare returns the home share of a holder: the total divided evenly. The remainder is assigned by a rotation that
+// depends on the key, so that the same holders do not get it for every key.
 func HomeShare(holders []string, total int, name, key string) int {
 	index := slices.Index(holders, name)
 	if index < 0 {
 		return 0
 	}
-	n := len(holders)
+	holderCount := len(holders)
 	offset := 0
 	for _, c := range []byte(key) {
-		offset = (offset*31 + int(c)) % n
+		offset = (offset*31 + int(c)) % holderCount
 	}
-	share := total / n
-	if (index+offset)%n < total%n {
+	share := total / holderCount
+	if (index+offset)%holderCount < total%holderCount {
 		share++
 	}
 	return share
@@ -177,42 +180,43 @@
 	return acct
 }
 
-// reserve is what is never lent, so that a process that has just started may use it at once.
+// reserve is the part of the home share that is never lent, so that a process may use it as soon as it starts.
 func (a *account) reserve() int { return (a.home + 3) / 4 }
 
-// availableHome is what of the home part may be used at the moment.
-func (m *Machine) availableHome(a *account) int {
-	n := a.home
+// availableHome is the part of the home share that may be used now.
+func (m *Machine) availableHome(acct *account) int {
+	units := acct.home
 	switch {
 	case m.homeDisabled || m.now < m.useHomeAfter:
 		return 0
 	case m.now < m.lendAfter:
-		n = a.reserve()
+		units = acct.reserve()
 	default:
-		for _, l := range a.lent {
-			n -= l.units
+		for _, l := range acct.lent {
+			units -= l.units
 		}
 	}
 	if m.homeSplit == 2 {
-		n = (n + 1) / 2
+		units = (units + 1) / 2
 		if m.smallerHalf {
-			n = a.home / 2
+			units = acct.home / 2
 			if m.now < m.lendAfter {
-				n = a.reserve() / 2
+				units = acct.reserve() / 2
 			}
 		}
 	}
-	return max(0, n)
+	return max(0, units)
 }
 
-// Allowed is how many units may be in use from now until a moment, with what is borrowed for long enough. It is asked
-// before each use: what has lapsed while the process stood still is not there, whether a timer has fired or not.
+// Allowed returns how many units may be in use from now until the given time, including leases that last that long.
+// Call it before each use: leases that expired during a process pause are not counted, whether a timer has fired or
+// not.
 func (m *Machine) Allowed(now time.Duration, key string, until time.Duration) int {
 	m.now = max(m.now, now)
-	a := m.account(key)
-	m.expire(a)
-	units := m.availableHome(a)
-	for _, l := range a.borrowed {
+	acct := m.account(key)
+	m.expire(acct)
+	units := m.availableHome(acct)
+	for _, l := range acct.borrowed {
 		if l.expiresAt > max(until, m.now) {
 			units += l.units
 		}
@@ -220,8 +224,8 @@
 	return units
 }
 
-// expire takes back what was lent for a time that is over, and drops what was borrowed so.
-func (m *Machine) expire(a *account) {
+// expire removes expired leases: lent units return to the home share, borrowed ones are dropped.
+func (m *Machine) expire(acct *account) {
 	expired := func(l lease) bool {
 		if l.expiresAt > m.now {
 			return false
@@ -229,27 +233,27 @@
 		m.counts.Expired++
 		return true
 	}
-	a.lent = slices.DeleteFunc(a.lent, expired)
-	a.borrowed = slices.DeleteFunc(a.borrowed, expired)
+	acct.lent = slices.DeleteFunc(acct.lent, expired)
+	acct.borrowed = slices.DeleteFunc(acct.borrowed, expired)
 }
 
-// SetDemand tells how many units of a key are in use and how many more are waited for.
+// SetDemand sets how many units of a key are in use and how many more are needed.
 func (m *Machine) SetDemand(now time.Duration, key string, inUse, waiting int) {
 	m.now = max(m.now, now)
 	if m.accounts[key] == nil && len(m.accounts) >= maxKeys {
 		return
 	}
-	a := m.account(key)
-	a.inUse, a.waiting = inUse, waiting
-	m.expire(a)
-	m.requestMissing(a)
+	acct := m.account(key)
+	acct.inUse, acct.waiting = inUse, waiting
+	m.expire(acct)
+	m.requestMissing(acct)
 }
 
-// SetLive tells which holders can be asked; it is a hint and nothing else.
+// SetLive sets which holders can be asked; it is only a hint.
 func (m *Machine) SetLive(names []string) { m.liveHolders = names }
 
-// SetSibling divides the home parts with another process of this gateway, which lives as part of an upgrade; second
-// is the one with the smaller half. A process that begins beside another waits until that has heard of it.
+// SetSibling sets whether the home shares are split with the sibling process during an upgrade, and whether this
+// process has the smaller half. A process that has just started uses none until its sibling should have detected it.
 func (m *Machine) SetSibling(now time.Duration, present, smallerHalf bool) {
 	m.now = max(m.now, now)
 	if m.homeSplit, m.smallerHalf = 1, smallerHalf; !present {
@@ -261,42 +265,42 @@
 	}
 }
 
-// SetHomeDisabled takes the home parts away: another process of the name has them, and that is a fault.
+// SetHomeDisabled sets whether the home shares are unusable because another process of this name has them, a fault.
 func (m *Machine) SetHomeDisabled(now time.Duration, on bool) {
 	m.now = max(m.now, now)
 	m.homeDisabled = on
 }
 
-// Forget tells that a key is not needed at the moment; it is dropped once nothing of it is lent or borrowed.
+// Forget clears the demand for a key, and drops the key if none of its units are lent or borrowed.
 func (m *Machine) Forget(now time.Duration, key string) {
 	m.now = max(m.now, now)
-	if a := m.accounts[key]; a != nil {
-		a.inUse, a.waiting = 0, 0
-		if m.expire(a); len(a.lent)+len(a.borrowed) == 0 {
+	if acct := m.accounts[key]; acct != nil {
+		acct.inUse, acct.waiting = 0, 0
+		if m.expire(acct); len(acct.lent)+len(acct.borrowed) == 0 {
 			delete(m.accounts, key)
-			m.order = slices.DeleteFunc(m.order, func(o *account) bool { return o == a })
+			m.order = slices.DeleteFunc(m.order, func(other *account) bool { return other == acct })
 		}
 	}
 }
 
-// Take hands over what is to be sent, and the keys of which there is more than before.
+// Take returns the messages to send, and the keys for which units were granted, since the last call.
 func (m *Machine) Take() (out []Send, granted []string) {
 	out, granted = m.out, m.granted
 	m.out, m.granted = nil, nil
 	return out, granted
 }
 
-// Counts are figures since the start.
+// Counts returns the counters since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// Totals are the units of all keys: at home and not lent, lent, borrowed.
+// Totals returns the units of all keys: usable from the home shares, lent, and borrowed.
 func (m *Machine) Totals() (home, lent, borrowed int) {
-	for _, a := range m.order {
-		home += m.availableHome(a)
-		for _, l := range a.lent {
+	for _, acct := range m.order {
+		home += m.availableHome(acct)
+		for _, l := range acct.lent {
 			lent += l.units
 		}
-		for _, l := range a.borrowed {
+		for _, l := range acct.borrowed {
 			borrowed += l.units
 		}
 	}
@@ -308,35 +312,35 @@
 	m.out = append(m.out, Send{To: to, Message: msg})
 }
 
-// available is what may be used at the moment, with all that is borrowed.
-func (m *Machine) available(a *account) int {
-	n := m.availableHome(a)
-	for _, l := range a.borrowed {
-		n += l.units
+// available is the number of units that may be used now, including all borrowed ones.
+func (m *Machine) available(acct *account) int {
+	units := m.availableHome(acct)
+	for _, l := range acct.borrowed {
+		units += l.units
 	}
-	return n
+	return units
 }
 
-// requestMissing asks others for what is missing, not the same ones again that had nothing.
-func (m *Machine) requestMissing(a *account) {
-	available := m.available(a)
-	missing := a.inUse + a.waiting - available
-	if a.inUse+a.waiting >= available || len(a.borrowed) == 0 {
-		a.lastNeededAt = m.now
+// requestMissing requests the units that demand lacks from other holders, skipping those that recently had none.
+func (m *Machine) requestMissing(acct *account) {
+	available := m.available(acct)
+	missing := acct.inUse + acct.waiting - available
+	if acct.inUse+acct.waiting >= available || len(acct.borrowed) == 0 {
+		acct.lastNeededAt = m.now
 	}
-	a.requests = slices.DeleteFunc(a.requests, func(r request) bool { return r.sentAt+m.cfg.Lease <= m.now })
-	if missing <= 0 || a.waiting == 0 || m.now < a.nextRequest {
+	acct.requests = slices.DeleteFunc(acct.requests, func(r request) bool { return r.sentAt+m.cfg.Lease <= m.now })
+	if missing <= 0 || acct.waiting == 0 || m.now < acct.nextRequest {
 		return
 	}
-	a.nextRequest = m.now + requestInterval
+	acct.nextRequest = m.now + requestInterval
 	var lenders []string
 	for _, i := range m.rng.Perm(len(m.liveHolders)) {
-		if w := m.liveHolders[i]; w != m.cfg.Name && m.emptyUntil[w+"\x00"+a.key] <= m.now && slices.Contains(m.cfg.Holders, w) {
-			lenders = append(lenders, w)
+		if name := m.liveHolders[i]; name != m.cfg.Name && m.emptyUntil[name+"\x00"+acct.key] <= m.now && slices.Contains(m.cfg.Holders, name) {
+			lenders = append(lenders, name)
 		}
 	}
 	lenders = lenders[:min(len(lenders), maxRequestees)]
-	for i, w := range lenders {
+	for i, lender := range lenders {
 		units := missing / len(lenders)
 		if i < missing%len(lenders) {
 			units++
@@ -346,165 +350,169 @@
 		}
 		m.serial++
 		m.counts.Requested++
-		a.requests = append(a.requests, request{holder: w, serial: m.serial, units: units, sentAt: m.now})
-		m.send(w, Message{Kind: Request, Session: m.cfg.Session, Key: a.key, Serial: m.serial, Units: units})
+		acct.requests = append(acct.requests, request{peer: lender, serial: m.serial, units: units, sentAt: m.now})
+		m.send(lender, Message{Kind: Request, Session: m.cfg.Session, Key: acct.key, Serial: m.serial, Units: units})
 	}
 }
 
-// Receive takes a message in.
+// Receive handles a message.
 func (m *Machine) Receive(now time.Duration, msg Message) {
 	m.now = max(m.now, now)
 	if m.accounts[msg.Key] == nil && (len(m.accounts) >= maxKeys || msg.Kind != Request) || !slices.Contains(m.cfg.Holders, msg.From) || msg.From == m.cfg.Name {
 		return
 	}
-	a := m.account(msg.Key)
-	m.expire(a)
+	acct := m.account(msg.Key)
+	m.expire(acct)
 	switch msg.Kind {
 	case Request:
-		m.handleRequest(a, msg)
+		m.handleRequest(acct, msg)
 	case Grant:
-		m.handleGrant(a, msg)
+		m.handleGrant(acct, msg)
 	case Renew:
-		m.handleRenew(a, msg)
+		m.handleRenew(acct, msg)
 	case Renewed:
-		m.handleRenewed(a, msg)
+		m.handleRenewed(acct, msg)
 	case Release:
-		a.lent = slices.DeleteFunc(a.lent, func(l lease) bool { return matches(l, msg) })
+		acct.lent = slices.DeleteFunc(acct.lent, func(l lease) bool { return matches(l, msg) })
 	}
 }
 
+// matches reports whether a message refers to a lease that this gateway granted.
 func matches(l lease, msg Message) bool {
-	return l.holder == msg.From && l.session == msg.Session && l.serial == msg.Serial
+	return l.peer == msg.From && l.session == msg.Session && l.serial == msg.Serial
 }
 
-// handleRequest lends what is not needed here. An ask that comes twice is answered twice, and lent for once as long as the
-// loan runs; one that comes again later costs units until they lapse, for the borrower takes no grant twice.
-func (m *Machine) handleRequest(a *account, msg Message) {
-	if i := slices.IndexFunc(a.lent, func(l lease) bool { return matches(l, msg) }); i >= 0 {
-		m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: a.key, Serial: msg.Serial, Units: a.lent[i].units})
+// handleRequest grants units that are not needed here. A duplicate request is answered again but granted only once
+// while the lease runs; one that arrives after that blocks units until they expire, since the borrower accepts no
+// grant twice.
+func (m *Machine) handleRequest(acct *account, msg Message) {
+	if i := slices.IndexFunc(acct.lent, func(l lease) bool { return matches(l, msg) }); i >= 0 {
+		m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: acct.key, Serial: msg.Serial, Units: acct.lent[i].units})
 		return
 	}
 	units := 0
 	if m.now >= m.lendAfter && m.homeSplit == 1 && !m.homeDisabled {
-		spare := m.availableHome(a) - max(a.inUse+a.waiting, a.reserve())
-		// Half of it at a time: the next to ask gets some, too.
-		units = max(0, min(msg.Units, (spare+1)/2))
+		lendable := m.availableHome(acct) - max(acct.inUse+acct.waiting, acct.reserve())
+		// Half of it at a time, so that the next holder to ask gets some as well.
+		units = max(0, min(msg.Units, (lendable+1)/2))
 	}
 	if units > 0 {
-		a.lent = append(a.lent, lease{holder: msg.From, session: msg.Session, serial: msg.Serial, units: units, expiresAt: m.now + lenderTerm(m.cfg.Lease, m.cfg.Drift)})
+		acct.lent = append(acct.lent, lease{peer: msg.From, session: msg.Session, serial: msg.Serial, units: units, expiresAt: m.now + lenderTerm(m.cfg.Lease, m.cfg.Drift)})
 		m.counts.Lent += uint64(units)
 	} else {
 		m.counts.Refused++
-		if a.refused == nil {
-			a.refused = map[string]time.Duration{}
+		if acct.refused == nil {
+			acct.refused = map[string]time.Duration{}
 		}
-		a.refused[msg.From] = m.now
+		acct.refused[msg.From] = m.now
 	}
-	m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: a.key, Serial: msg.Serial, Units: units})
+	m.send(msg.From, Message{Kind: Grant, Session: msg.Session, Key: acct.key, Serial: msg.Serial, Units: units})
 }
 
-// handleGrant takes what this process has asked for, once.
-func (m *Machine) handleGrant(a *account, msg Message) {
-	i := slices.IndexFunc(a.requests, func(q request) bool { return q.holder == msg.From && q.serial == msg.Serial })
+// handleGrant accepts the answer to an outstanding request, once.
+func (m *Machine) handleGrant(acct *account, msg Message) {
+	i := slices.IndexFunc(acct.requests, func(r request) bool { return r.peer == msg.From && r.serial == msg.Serial })
 	if i < 0 || msg.Session != m.cfg.Session {
 		return
 	}
-	q := a.requests[i]
-	a.requests = slices.Delete(a.requests, i, i+1)
-	expiresAt := q.sentAt + borrowerTerm(m.cfg.Lease, m.cfg.Drift)
-	if msg.Units <= 0 || msg.Units > q.units {
-		m.emptyUntil[msg.From+"\x00"+a.key] = m.now + emptyHintTTL
-		m.requestMissing(a)
+	req := acct.requests[i]
+	acct.requests = slices.Delete(acct.requests, i, i+1)
+	expiresAt := req.sentAt + borrowerTerm(m.cfg.Lease, m.cfg.Drift)
+	if msg.Units <= 0 || msg.Units > req.units {
+		m.emptyUntil[msg.From+"\x00"+acct.key] = m.now + emptyHintTTL
+		m.requestMissing(acct)
 		return
 	}
 	if expiresAt <= m.now {
 		return
 	}
 	m.counts.Granted += uint64(msg.Units)
-	a.borrowed = append(a.borrowed, lease{holder: msg.From, session: msg.Session, serial: msg.Serial, units: msg.Units, expiresAt: expiresAt})
-	m.granted = append(m.granted, a.key)
+	acct.borrowed = append(acct.borrowed, lease{peer: msg.From, session: msg.Session, serial: msg.Serial, units: msg.Units, expiresAt: expiresAt})
+	m.granted = append(m.granted, acct.key)
 }
 
-// refusedHolderHasLess tells whether another holder was refused lately that has less from here than a borrower.
-func (m *Machine) refusedHolderHasLess(a *account, borrower string) bool {
+// refusedHolderHasLess reports whether a recently refused holder has fewer units from here than the borrower.
+func (m *Machine) refusedHolderHasLess(acct *account, borrower string) bool {
 	lentTo := map[string]int{}
-	for _, l := range a.lent {
-		lentTo[l.holder] += l.units
+	for _, l := range acct.lent {
+		lentTo[l.peer] += l.units
 	}
-	for holder, refusedAt := range a.refused {
+	for peer, refusedAt := range acct.refused {
 		if refusedAt+2*emptyHintTTL <= m.now {
-			delete(a.refused, holder)
-		} else if holder != borrower && lentTo[holder] < lentTo[borrower] {
+			delete(acct.refused, peer)
+		} else if peer != borrower && lentTo[peer] < lentTo[borrower] {
 			return true
 		}
 	}
 	return false
 }
 
-// handleRenew lets a loan go on, unless the units are wanted at home, or by one that has less.
-func (m *Machine) handleRenew(a *account, msg Message) {
-	i := slices.IndexFunc(a.lent, func(l lease) bool { return matches(l, msg) })
-	if i < 0 || m.homeSplit != 1 || m.homeDisabled || a.inUse+a.waiting > m.availableHome(a) || m.refusedHolderHasLess(a, msg.From) {
-		return // it lapses
+// handleRenew renews a lease, unless the units are needed at home or by a holder that has fewer.
+func (m *Machine) handleRenew(acct *account, msg Message) {
+	i := slices.IndexFunc(acct.lent, func(l lease) bool { return matches(l, msg) })
+	if i < 0 || m.homeSplit != 1 || m.homeDisabled || acct.inUse+acct.waiting > m.availableHome(acct) || m.refusedHolderHasLess(acct, msg.From) {
+		return // the lease expires
 	}
-	a.lent[i].expiresAt = max(a.lent[i].expiresAt, m.now+lenderTerm(m.cfg.Lease, m.cfg.Drift))
-	m.send(msg.From, Message{Kind: Renewed, Session: msg.Session, Key: a.key, Serial: msg.Serial, RenewSerial: msg.RenewSerial})
+	acct.lent[i].expiresAt = max(acct.lent[i].expiresAt, m.now+lenderTerm(m.cfg.Lease, m.cfg.Drift))
+	m.send(msg.From, Message{Kind: Renewed, Session: msg.Session, Key: acct.key, Serial: msg.Serial, RenewSerial: msg.RenewSerial})
 }
 
-func (m *Machine) handleRenewed(a *account, msg Message) {
-	i := slices.IndexFunc(a.renewals, func(q request) bool {
-		return q.holder == msg.From && q.serial == msg.Serial && q.renewSerial == msg.RenewSerial
+// handleRenewed extends a borrowed lease from when its renewal was requested.
+func (m *Machine) handleRenewed(acct *account, msg Message) {
+	i := slices.IndexFunc(acct.renewals, func(r request) bool {
+		return r.peer == msg.From && r.serial == msg.Serial && r.renewSerial == msg.RenewSerial
 	})
 	if i < 0 || msg.Session != m.cfg.Session {
 		return
 	}
-	q := a.renewals[i]
-	a.renewals = slices.Delete(a.renewals, i, i+1)
-	for j := range a.borrowed {
-		if l := &a.borrowed[j]; l.holder == msg.From && l.serial == msg.Serial {
-			l.expiresAt = max(l.expiresAt, q.sentAt+borrowerTerm(m.cfg.Lease, m.cfg.Drift))
+	renewal := acct.renewals[i]
+	acct.renewals = slices.Delete(acct.renewals, i, i+1)
+	for j := range acct.borrowed {
+		if l := &acct.borrowed[j]; l.peer == msg.From && l.serial == msg.Serial {
+			l.expiresAt = max(l.expiresAt, renewal.sentAt+borrowerTerm(m.cfg.Lease, m.cfg.Drift))
 			m.counts.Renewed++
 		}
 	}
 }
 
-// Tick extends loans that are in use, returns those that are not, and asks again. It is to be called several times in
-// a lease.
+// Tick renews leases that are in use, releases those that are not, and requests missing units again. Call it several
+// times per lease.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = max(m.now, now)
-	for _, a := range m.order {
-		m.expire(a)
-		m.maintainLeases(a)
-		m.requestMissing(a)
+	for _, acct := range m.order {
+		m.expire(acct)
+		m.maintainLeases(acct)
+		m.requestMissing(acct)
 	}
-	for k, until := range m.emptyUntil {
+	for hintKey, until := range m.emptyUntil {
 		if until <= m.now {
-			delete(m.emptyUntil, k)
+			delete(m.emptyUntil, hintKey)
 		}
 	}
 }
 
-func (m *Machine) maintainLeases(a *account) {
-	a.renewals = slices.DeleteFunc(a.renewals, func(q request) bool { return q.sentAt+m.cfg.Lease <= m.now })
-	available := m.available(a)
-	// The loan that ends last is asked for longest: the others go first.
-	slices.SortStableFunc(a.borrowed, func(x, y lease) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
-	a.borrowed = slices.DeleteFunc(a.borrowed, func(l lease) bool {
-		if m.now-a.lastNeededAt < idleTimeout || available-l.units < a.inUse+a.waiting {
+// maintainLeases releases idle leases and renews the others.
+func (m *Machine) maintainLeases(acct *account) {
+	acct.renewals = slices.DeleteFunc(acct.renewals, func(r request) bool { return r.sentAt+m.cfg.Lease <= m.now })
+	available := m.available(acct)
+	// The lease that expires last is kept longest.
+	slices.SortStableFunc(acct.borrowed, func(x, y lease) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
+	acct.borrowed = slices.DeleteFunc(acct.borrowed, func(l lease) bool {
+		if m.now-acct.lastNeededAt < idleTimeout || available-l.units < acct.inUse+acct.waiting {
 			return false
 		}
 		available -= l.units
 		m.counts.Released += uint64(l.units)
-		m.send(l.holder, Message{Kind: Release, Session: l.session, Key: a.key, Serial: l.serial})
+		m.send(l.peer, Message{Kind: Release, Session: l.session, Key: acct.key, Serial: l.serial})
 		return true
 	})
-	for _, l := range a.borrowed {
-		renewing := slices.ContainsFunc(a.renewals, func(q request) bool { return q.serial == l.serial && q.sentAt+m.cfg.Lease/8 > m.now })
+	for _, l := range acct.borrowed {
+		renewing := slices.ContainsFunc(acct.renewals, func(r request) bool { return r.serial == l.serial && r.sentAt+m.cfg.Lease/8 > m.now })
 		if l.expiresAt-m.now > m.cfg.Lease*3/4 || renewing {
 			continue
 		}
 		m.serial++
-		a.renewals = append(a.renewals, request{holder: l.holder, serial: l.serial, renewSerial: m.serial, sentAt: m.now})
-		m.send(l.holder, Message{Kind: Renew, Session: l.session, Key: a.key, Serial: l.serial, RenewSerial: m.serial})
+		acct.renewals = append(acct.renewals, request{peer: l.peer, serial: l.serial, renewSerial: m.serial, sentAt: m.now})
+		m.send(l.peer, Message{Kind: Renew, Session: l.session, Key: acct.key, Serial: l.serial, RenewSerial: m.serial})
 	}
 }
