--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -59,7 +59,7 @@
 
 // Common is the part that is to be equal in all files of a fleet, as text.
 func (f *File) Common() []byte {
-	return fmt.Appendf(nil, "%s %v %v %d %s %t %t %v %t %v %v%s%s", f.Fleet, f.ProbePeriod, f.StableAfter, f.MaxMembers, f.Budgets.text(), f.Positions, f.Subsets, f.FenceAfter, f.Primaries, f.Overrides.keep(), f.RetryBudget,
+	return fmt.Appendf(nil, "%s %v %v %d %s %t %t %v %t %v %v%s%s", f.Fleet, f.ProbePeriod, f.StableAfter, f.MaxMembers, f.Budgets.text(), f.Positions, f.Subsets, f.FenceAfter, f.Primaries, f.Overrides.retention(), f.RetryBudget,
 		bytesText(" positions", f.PositionBytes), bytesText(" primaries", f.PrimaryBytes))
 }
 
@@ -73,27 +73,27 @@
 		return nil, err
 	}
 	f := &File{Dial: map[string]netip.AddrPort{}}
-	got := r.Fields(top, "", "fleet", "listen", "advertise", "seeds", "dial", "period", "still", "most", "budgets", "subsets", "positions", "primaries", "audit", "fence", "words", "repeats")
-	need := func(key string) *yaml.Node {
-		if got[key] == nil && top.Kind == yaml.MappingNode {
+	fields := r.Fields(top, "", "fleet", "listen", "advertise", "seeds", "dial", "period", "still", "most", "budgets", "subsets", "positions", "primaries", "audit", "fence", "words", "repeats")
+	required := func(key string) *yaml.Node {
+		if fields[key] == nil && top.Kind == yaml.MappingNode {
 			r.Fail(top, key, "missing")
 		}
-		return got[key]
+		return fields[key]
 	}
-	if s, ok := r.Text(need("fleet"), "fleet"); ok {
+	if s, ok := r.Text(required("fleet"), "fleet"); ok {
 		if f.Fleet = s; !ValidName(s) {
-			r.Fail(got["fleet"], "fleet", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", s)
+			r.Fail(fields["fleet"], "fleet", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", s)
 		}
 	}
-	f.Listen = r.Addr(need("listen"), "listen")
-	f.Advertise = r.Addr(got["advertise"], "advertise")
-	if a := f.Listen.Addr(); got["advertise"] == nil && a.IsValid() && a.IsUnspecified() {
-		r.Fail(got["listen"], "listen", "%s is every address; say with advertise where others find this gateway", f.Listen)
+	f.Listen = r.Addr(required("listen"), "listen")
+	f.Advertise = r.Addr(fields["advertise"], "advertise")
+	if addr := f.Listen.Addr(); fields["advertise"] == nil && addr.IsValid() && addr.IsUnspecified() {
+		r.Fail(fields["listen"], "listen", "%s is every address; say with advertise where others find this gateway", f.Listen)
 	}
-	if a := f.Advertise; a.IsValid() && (a.Addr().IsUnspecified() || a.Port() == 0) {
-		r.Fail(got["advertise"], "advertise", "nobody can dial %s", a)
+	if addr := f.Advertise; addr.IsValid() && (addr.Addr().IsUnspecified() || addr.Port() == 0) {
+		r.Fail(fields["advertise"], "advertise", "nobody can dial %s", addr)
 	}
-	if n := got["seeds"]; n != nil {
+	if n := fields["seeds"]; n != nil {
 		if n.Kind != yaml.SequenceNode {
 			r.Fail(n, "seeds", "a list of addresses is wanted, like [127.0.0.1:7400, 127.0.0.1:7401]")
 		} else {
@@ -102,29 +102,29 @@
 			}
 		}
 	}
-	for name, v := range r.Fields(got["dial"], "dial") {
+	for name, v := range r.Fields(fields["dial"], "dial") {
 		if !ValidName(name) {
 			r.Fail(v, "dial", "%q is no name of a gateway", name)
 		}
 		f.Dial[name] = r.Addr(v, name)
 	}
-	span := func(key string, to *time.Duration, least, most time.Duration) {
-		if n := got[key]; n != nil {
-			if *to = r.Time(n, key); *to < least || *to > most {
-				r.Fail(n, key, "from %v to %v would do", least, most)
+	duration := func(key string, dst *time.Duration, shortest, longest time.Duration) {
+		if n := fields[key]; n != nil {
+			if *dst = r.Time(n, key); *dst < shortest || *dst > longest {
+				r.Fail(n, key, "from %v to %v would do", shortest, longest)
 			}
 		}
 	}
-	span("period", &f.ProbePeriod, 50*time.Millisecond, 10*time.Second)
-	span("still", &f.StableAfter, 0, time.Minute)
-	span("fence", &f.FenceAfter, time.Second, time.Hour)
-	if n := got["most"]; n != nil {
+	duration("period", &f.ProbePeriod, 50*time.Millisecond, 10*time.Second)
+	duration("still", &f.StableAfter, 0, time.Minute)
+	duration("fence", &f.FenceAfter, time.Second, time.Hour)
+	if n := fields["most"]; n != nil {
 		f.MaxMembers = r.Count(n, "most", 2, MaxMembers)
 	}
-	f.Positions, f.PositionBytes = shared(r, got["positions"], "positions")
-	f.Primaries, f.PrimaryBytes = shared(r, got["primaries"], "primaries")
-	f.Subsets = r.Bool(got["subsets"], "subsets")
-	if n := got["audit"]; n != nil {
+	f.Positions, f.PositionBytes = parsePublished(r, fields["positions"], "positions")
+	f.Primaries, f.PrimaryBytes = parsePublished(r, fields["primaries"], "primaries")
+	f.Subsets = r.Bool(fields["subsets"], "subsets")
+	if n := fields["audit"]; n != nil {
 		f.Audit = &Audit{Megabytes: 8, Keep: 4}
 		a := r.Fields(n, "audit", "file", "megabytes", "keep")
 		if v := a["file"]; v == nil {
@@ -139,16 +139,16 @@
 			f.Audit.Keep = r.Count(v, "keep", 0, 100)
 		}
 	}
-	if n := got["repeats"]; n != nil {
+	if n := fields["repeats"]; n != nil {
 		if f.RetryBudget = r.Share(n, "repeats"); f.RetryBudget <= 0 {
 			r.Fail(n, "repeats", "over 0%% up to 100%% would do, like 20%%; without the line they are not bounded")
 		}
 	}
-	if n := got["words"]; n != nil {
-		f.Overrides = words(r, n)
+	if n := fields["words"]; n != nil {
+		f.Overrides = parseOverrides(r, n)
 	}
-	if n := got["budgets"]; n != nil {
-		f.Budgets = budgets(r, n)
+	if n := fields["budgets"]; n != nil {
+		f.Budgets = parseBudgets(r, n)
 	}
 	if err := r.Err(); err != nil {
 		return nil, err
@@ -156,10 +156,10 @@
 	return f, nil
 }
 
-func budgets(r *yamlfile.Reader, n *yaml.Node) *Budgets {
-	b := &Budgets{Lease: 8 * time.Second}
-	f := r.Fields(n, "budgets", "holders", "connections", "lease")
-	if list := f["holders"]; list == nil || list.Kind != yaml.SequenceNode || len(list.Content) == 0 {
+func parseBudgets(r *yamlfile.Reader, n *yaml.Node) *Budgets {
+	budgets := &Budgets{Lease: 8 * time.Second}
+	fields := r.Fields(n, "budgets", "holders", "connections", "lease")
+	if list := fields["holders"]; list == nil || list.Kind != yaml.SequenceNode || len(list.Content) == 0 {
 		r.Fail(n, "holders", "a list of the names of all gateways that share the budgets is wanted, the same in every file")
 	} else {
 		for _, v := range list.Content {
@@ -167,45 +167,45 @@
 			switch {
 			case !ValidName(name):
 				r.Fail(v, "holders", "%q is no name of a gateway", name)
-			case slices.Contains(b.Holders, name):
+			case slices.Contains(budgets.Holders, name):
 				r.Fail(v, "holders", "%s stands twice", name)
 			}
-			b.Holders = append(b.Holders, name)
+			budgets.Holders = append(budgets.Holders, name)
 		}
 	}
-	if v := f["connections"]; v == nil {
+	if v := fields["connections"]; v == nil {
 		r.Fail(n, "connections", "missing: how many all gateways together may have at one database")
-	} else if b.Connections = r.Count(v, "connections", 1, 1_000_000); b.Connections < len(b.Holders) {
-		r.Fail(v, "connections", "%d for %d holders: each wants one at least", b.Connections, len(b.Holders))
+	} else if budgets.Connections = r.Count(v, "connections", 1, 1_000_000); budgets.Connections < len(budgets.Holders) {
+		r.Fail(v, "connections", "%d for %d holders: each wants one at least", budgets.Connections, len(budgets.Holders))
 	}
-	if v := f["lease"]; v != nil {
-		if b.Lease = r.Time(v, "lease"); b.Lease < time.Second || b.Lease > time.Minute {
+	if v := fields["lease"]; v != nil {
+		if budgets.Lease = r.Time(v, "lease"); budgets.Lease < time.Second || budgets.Lease > time.Minute {
 			r.Fail(v, "lease", "from 1s to 1m0s would do; longer than the longest deadline of a request")
 		}
 	}
-	return b
+	return budgets
 }
 
-func words(r *yamlfile.Reader, n *yaml.Node) *Overrides {
-	w := &Overrides{Retention: 7 * 24 * time.Hour}
-	f := r.Fields(n, "words", "dir", "keep")
-	if v := f["dir"]; v == nil {
+func parseOverrides(r *yamlfile.Reader, n *yaml.Node) *Overrides {
+	overrides := &Overrides{Retention: 7 * 24 * time.Hour}
+	fields := r.Fields(n, "words", "dir", "keep")
+	if v := fields["dir"]; v == nil {
 		r.Fail(n, "dir", "missing: a directory of this gateway's own, in which operators' words are kept over restarts")
 	} else {
-		w.Dir, _ = r.Text(v, "dir")
+		overrides.Dir, _ = r.Text(v, "dir")
 	}
-	if v := f["keep"]; v != nil {
-		x, ok := r.Number(v, "keep", "7 days", map[string]float64{"s": 1, "min": 60, "h": 3600, "days": 24 * 3600})
-		if ok && (x < 1 || x > 366*24*3600) {
+	if v := fields["keep"]; v != nil {
+		seconds, ok := r.Number(v, "keep", "7 days", map[string]float64{"s": 1, "min": 60, "h": 3600, "days": 24 * 3600})
+		if ok && (seconds < 1 || seconds > 366*24*3600) {
 			r.Fail(v, "keep", "from 1 s to 366 days would do; the same in every file")
 		} else {
-			w.Retention = time.Duration(x * float64(time.Second))
+			overrides.Retention = time.Duration(seconds * float64(time.Second))
 		}
 	}
-	return w
+	return overrides
 }
 
-func (w *Overrides) keep() time.Duration {
+func (w *Overrides) retention() time.Duration {
 	if w == nil {
 		return 0
 	}
@@ -225,30 +225,30 @@
 	return true
 }
 
-// shared reads what gateways tell each other: true, or a budget in bytes.
-func shared(r *yamlfile.Reader, n *yaml.Node, key string) (on bool, bytes int) {
+// parsePublished reads what gateways tell each other: true, or a budget in bytes.
+func parsePublished(r *yamlfile.Reader, n *yaml.Node, key string) (on bool, bytes int) {
 	if n == nil || n.Kind != yaml.MappingNode {
-		s, ok := r.Text(n, key)
-		if ok && s != "true" && s != "false" {
-			r.Fail(n, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", s)
+		text, ok := r.Text(n, key)
+		if ok && text != "true" && text != "false" {
+			r.Fail(n, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", text)
 		}
-		return s == "true", 0
+		return text == "true", 0
 	}
-	f := r.Fields(n, key, "bytes")
-	v := f["bytes"]
-	if v == nil {
+	fields := r.Fields(n, key, "bytes")
+	value := fields["bytes"]
+	if value == nil {
 		r.Fail(n, "bytes", "missing: what %s may send, like {bytes: 1500/s}; the same in every file", key)
 		return true, 0
 	}
-	x, ok := r.Number(v, "bytes", "1500/s", map[string]float64{"/s": 1})
+	rate, ok := r.Number(value, "bytes", "1500/s", map[string]float64{"/s": 1})
 	if !ok {
 		return true, 0
 	}
-	if x != math.Trunc(x) || x < antientropy.MinBytesPerSecond || x > antientropy.MaxBytesPerSecond {
-		r.Fail(v, "bytes", "a whole number from %d/s to %d/s would do: less does not carry a question and an answer a second; the same in every file",
+	if rate != math.Trunc(rate) || rate < antientropy.MinBytesPerSecond || rate > antientropy.MaxBytesPerSecond {
+		r.Fail(value, "bytes", "a whole number from %d/s to %d/s would do: less does not carry a question and an answer a second; the same in every file",
 			antientropy.MinBytesPerSecond, antientropy.MaxBytesPerSecond)
 	}
-	return true, int(x)
+	return true, int(rate)
 }
 
 // bytesText is nothing without a budget, so that files without one have the digest they had.
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,6 +1,6 @@
-// Package share divides the members of a group among the gateways of a fleet without talk: which each uses first (a
-// subset). Everything follows from the lists given, so that two gateways with equal lists come to equal answers; with
-// unequal ones subsets overlap, and nothing worse may come of it. It has no input or output.
+// Package share assigns to each gateway of a fleet the subset of a group's databases that it uses first, without
+// communication. The result depends only on the lists given, so gateways with equal lists compute equal subsets; with
+// unequal lists subsets may overlap, which must do no further harm. The package does no I/O.
 package share
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gateway is one of the fleet.
+// Gateway is a gateway of the fleet.
 type Gateway struct {
 	Name string
 	Zone int
@@ -23,165 +23,166 @@
 	Zone int
 }
 
-// score is the weight of rendezvous hashing (Thaler and Ravishankar 1998): each pair has one of its own, which
-// depends on nothing else.
+// score is the weight of rendezvous hashing (Thaler and Ravishankar 1998): the weight of a pair depends on nothing
+// but the pair.
 func score(parts ...string) uint64 {
-	h := xxhash.New()
-	for _, p := range parts {
-		var n [4]byte
-		binary.BigEndian.PutUint32(n[:], uint32(len(p)))
-		_, _ = h.Write(n[:])
-		_, _ = h.WriteString(p)
+	hash := xxhash.New()
+	for _, part := range parts {
+		var length [4]byte
+		binary.BigEndian.PutUint32(length[:], uint32(len(part)))
+		_, _ = hash.Write(length[:])
+		_, _ = hash.WriteString(part)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// edge is a gateway that may use a member first.
+// edge is a candidate pair of the matching; gateway and database are indexes.
 type edge struct {
-	g, m  int
-	near  bool
-	score uint64
+	gateway, database int
+	sameZone          bool
+	score             uint64
 }
 
-// SubsetSize is how many members of a group each of so many gateways uses first: one to serve and one for when that
-// fails, and more where there would be members that nobody uses.
-func SubsetSize(gateways, members int) int {
-	if gateways <= 0 || members <= 0 {
+// SubsetSize returns how many databases of a group each gateway uses first: one to serve and one for failover, and
+// more if some databases would otherwise be in no subset.
+func SubsetSize(gateways, databases int) int {
+	if gateways <= 0 || databases <= 0 {
 		return 0
 	}
-	return min(members, max(2, (members+gateways-1)/gateways))
+	return min(databases, max(2, (databases+gateways-1)/gateways))
 }
 
-// Subsets gives each gateway its members of a group, by gateways in the order given, each list in the order of use.
-// Every member gets the same number of gateways within one. Pairs are taken by score, those of one zone first, as long
-// as both sides have room (a greedy matching; what is stable under it depends only on the scores, so that one that
-// comes or goes moves little more than its own pairs); who is left without room trades with another.
-func Subsets(gateways []Gateway, members []Database) [][]string {
-	n, m := len(gateways), len(members)
-	k := SubsetSize(n, m)
-	out := make([][]string, n)
-	if k == 0 {
-		return out
+// Subsets returns the databases of each gateway, for the gateways in the order given, each list in order of preference.
+// The numbers of gateways per database differ by one at most. Pairs are matched greedily by score, those within one
+// zone first, while both sides have capacity; since the order depends only on the scores, adding or removing a gateway
+// or database moves little more than its own pairs. A gateway that is still short swaps with others.
+func Subsets(gateways []Gateway, databases []Database) [][]string {
+	gatewayCount, databaseCount := len(gateways), len(databases)
+	size := SubsetSize(gatewayCount, databaseCount)
+	subsets := make([][]string, gatewayCount)
+	if size == 0 {
+		return subsets
 	}
-	asked := gateways
-	gateways, members = slices.Clone(gateways), slices.Clone(members)
+	inOrder := gateways
+	gateways, databases = slices.Clone(gateways), slices.Clone(databases)
 	slices.SortFunc(gateways, func(a, b Gateway) int { return strings.Compare(a.Name, b.Name) })
-	slices.SortFunc(members, func(a, b Database) int { return strings.Compare(a.ID, b.ID) })
-	edges := make([]edge, 0, n*m)
+	slices.SortFunc(databases, func(a, b Database) int { return strings.Compare(a.ID, b.ID) })
+	edges := make([]edge, 0, gatewayCount*databaseCount)
 	for i, g := range gateways {
-		for j, d := range members {
-			edges = append(edges, edge{g: i, m: j, near: g.Zone == d.Zone, score: score(g.Name, d.ID)})
+		for j, d := range databases {
+			edges = append(edges, edge{gateway: i, database: j, sameZone: g.Zone == d.Zone, score: score(g.Name, d.ID)})
 		}
 	}
 	slices.SortFunc(edges, func(a, b edge) int {
 		switch {
-		case a.near != b.near && a.near:
+		case a.sameZone != b.sameZone && a.sameZone:
 			return -1
-		case a.near != b.near:
+		case a.sameZone != b.sameZone:
 			return 1
 		case a.score != b.score && a.score > b.score:
 			return -1
 		case a.score != b.score:
 			return 1
 		}
-		return strings.Compare(gateways[a.g].Name+"\x00"+members[a.m].ID, gateways[b.g].Name+"\x00"+members[b.m].ID)
+		return strings.Compare(gateways[a.gateway].Name+"\x00"+databases[a.database].ID, gateways[b.gateway].Name+"\x00"+databases[b.database].ID)
 	})
-	t := &table{room: places(members, n*k), want: make([]int, n), has: make([][]bool, n)}
+	mt := &matching{capacity: capacities(databases, gatewayCount*size), missing: make([]int, gatewayCount), assigned: make([][]bool, gatewayCount)}
 	for i := range gateways {
-		t.want[i], t.has[i] = k, make([]bool, m)
+		mt.missing[i], mt.assigned[i] = size, make([]bool, databaseCount)
 	}
 	for _, e := range edges {
-		if t.want[e.g] > 0 && t.room[e.m] > 0 {
-			t.give(e.g, e.m)
+		if mt.missing[e.gateway] > 0 && mt.capacity[e.database] > 0 {
+			mt.assign(e.gateway, e.database)
 		}
 	}
 	for i := range gateways {
-		for t.want[i] > 0 && t.trade(i) {
+		for mt.missing[i] > 0 && mt.augment(i) {
 		}
 	}
 	lists := map[string][]string{}
-	for _, e := range edges { // in the order of use
-		if t.has[e.g][e.m] {
-			name := gateways[e.g].Name
-			lists[name] = append(lists[name], members[e.m].ID)
+	for _, e := range edges { // in order of preference
+		if mt.assigned[e.gateway][e.database] {
+			name := gateways[e.gateway].Name
+			lists[name] = append(lists[name], databases[e.database].ID)
 		}
 	}
-	for i, g := range asked {
-		out[i] = lists[g.Name]
+	for i, g := range inOrder {
+		subsets[i] = lists[g.Name]
 	}
-	return out
+	return subsets
 }
 
-// places is how many gateways each member gets; who has one more than others follows from a hash.
-func places(members []Database, all int) []int {
-	order := make([]int, len(members))
+// capacities returns how many gateways each database gets. A hash decides which databases get one more than others.
+func capacities(databases []Database, pairs int) []int {
+	order := make([]int, len(databases))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		if x, y := score(members[a].ID), score(members[b].ID); x != y {
+		if x, y := score(databases[a].ID), score(databases[b].ID); x != y {
 			if x < y {
 				return -1
 			}
 			return 1
 		}
-		return strings.Compare(members[a].ID, members[b].ID)
+		return strings.Compare(databases[a].ID, databases[b].ID)
 	})
-	room := make([]int, len(members))
-	for r, i := range order {
-		if room[i] = all / len(members); r < all%len(members) {
-			room[i]++
+	capacity := make([]int, len(databases))
+	for rank, i := range order {
+		if capacity[i] = pairs / len(databases); rank < pairs%len(databases) {
+			capacity[i]++
 		}
 	}
-	return room
+	return capacity
 }
 
-// table is a matching in the making.
-type table struct {
-	room []int // left, by member
-	want []int // still, by gateway
-	has  [][]bool
+// matching is a partial assignment of databases to gateways.
+type matching struct {
+	capacity []int // remaining, by database
+	missing  []int // databases still to assign, by gateway
+	assigned [][]bool
 }
 
-func (t *table) give(g, m int) {
-	t.has[g][m] = true
-	t.room[m]--
-	t.want[g]--
+func (mt *matching) assign(gateway, database int) {
+	mt.assigned[gateway][database] = true
+	mt.capacity[database]--
+	mt.missing[gateway]--
 }
 
-// trade finds room for one more member of gateway g along the shortest way: g takes a member that another gives up for
-// one with room, and so on (an augmenting path). It exists as long as there is room, for no member has more than all.
-func (t *table) trade(g int) bool {
-	type step struct{ g, m, back int } // gateway g could take m; back is the step by which g lost a member
+// augment assigns one more database to a gateway along the shortest augmenting path: the gateway takes a database
+// that another gives up for one with free capacity, and so on. A path exists while there is free capacity, since no
+// database has more capacity than there are gateways.
+func (mt *matching) augment(start int) bool {
+	type step struct{ gateway, database, previous int } // gateway could take database; previous is the step in which it lost one
 	var steps []step
-	seen := make([]bool, len(t.room))
-	add := func(g, back int) {
-		for m := range t.room {
-			if !t.has[g][m] && !seen[m] {
-				seen[m] = true
-				steps = append(steps, step{g, m, back})
+	seen := make([]bool, len(mt.capacity))
+	add := func(gateway, previous int) {
+		for database := range mt.capacity {
+			if !mt.assigned[gateway][database] && !seen[database] {
+				seen[database] = true
+				steps = append(steps, step{gateway, database, previous})
 			}
 		}
 	}
-	add(g, -1)
+	add(start, -1)
 	for i := 0; i < len(steps); i++ {
 		s := steps[i]
-		if t.room[s.m] > 0 {
-			t.room[s.m]--
-			t.want[g]--
+		if mt.capacity[s.database] > 0 {
+			mt.capacity[s.database]--
+			mt.missing[start]--
 			for {
-				t.has[s.g][s.m] = true
-				if s.back < 0 {
+				mt.assigned[s.gateway][s.database] = true
+				if s.previous < 0 {
 					return true
 				}
-				p := steps[s.back]
-				t.has[s.g][p.m] = false // handed to the gateway before
-				s = p
+				prev := steps[s.previous]
+				mt.assigned[s.gateway][prev.database] = false // passed to the gateway of the previous step
+				s = prev
 			}
 		}
-		for o := range t.has {
-			if t.has[o][s.m] {
-				add(o, i)
+		for owner := range mt.assigned {
+			if mt.assigned[owner][s.database] {
+				add(owner, i)
 			}
 		}
 	}
