--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -1,4 +1,4 @@
-// Package fleet reads the file that makes a gateway one of a fleet. Without one a gateway knows no other.
+// Package fleet reads the fleet file, which makes a gateway a member of a fleet. Without it a gateway knows no others.
 package fleet
 
 import (
@@ -14,190 +14,192 @@
 	"lilaccove/internal/yamlfile"
 )
 
-// File is what it says.
+// File holds the contents of a fleet file.
 type File struct {
-	Fleet       string                    // its name; messages of another are dropped
-	Listen      netip.AddrPort            // UDP and TCP, for other gateways alone
-	Advertise   netip.AddrPort            // where others find this gateway, if not at Listen
-	Seeds       []netip.AddrPort          // where others may be found at first
-	Dial        map[string]netip.AddrPort // where a gateway is found from here, before what it tells itself
-	ProbePeriod time.Duration             // of probes; 0: the default
-	StableAfter time.Duration             // how long a change holds before it counts; 0: the default
-	MaxMembers  int                       // members kept at most; 0: the default
-	Budgets     *Budgets                  // nil: none is divided
-	Positions   bool                      // gateways tell each other how far databases have come
-	Primaries   bool                      // and which of them answered as primary
-	RetryBudget float64                   // of attempts, as a share of first ones; 0: not bounded
-	Subsets     bool                      // each gateway uses some replicas of a group first
-	Audit       *Audit                    // nil: records stay in memory
-	Overrides   *Overrides                // nil: operators' words are not kept on a disk
-	FenceAfter  time.Duration             // behind others for so long a gateway shuts itself out; 0: never
+	Fleet       string                    // name of the fleet; messages of other fleets are dropped
+	Listen      netip.AddrPort            // UDP and TCP, for other gateways only
+	Advertise   netip.AddrPort            // where others reach this gateway, if not at Listen
+	Seeds       []netip.AddrPort          // where to look for other gateways first
+	Dial        map[string]netip.AddrPort // addresses by gateway, used instead of those they advertise
+	ProbePeriod time.Duration             // between membership probes; 0: the default
+	StableAfter time.Duration             // how long a change must last before the view shows it; 0: the default
+	MaxMembers  int                       // members kept; 0: the default
+	Budgets     *Budgets                  // nil: no shared budgets
+	Positions   bool                      // gateways exchange the replication positions of databases
+	Primaries   bool                      // gateways exchange which databases answered as primary
+	RetryBudget float64                   // retries as a fraction of first attempts; 0: unlimited
+	Subsets     bool                      // each gateway prefers a subset of a group's replicas
+	Audit       *Audit                    // nil: audit records stay in memory
+	Overrides   *Overrides                // nil: operator overrides are not stored on disk
+	FenceAfter  time.Duration             // a gateway that lags behind its peers this long fences itself; 0: never
 
-	// What telling positions, and primaries, may send in bytes a second; 0: they go as rumours, whatever that takes.
+	// Bytes per second for exchanging positions and primaries; 0: they are gossiped without a limit.
 	PositionBytes, PrimaryBytes int
 }
 
-// Budgets are what the whole fleet may spend at once.
+// Budgets configures the budgets that the fleet shares.
 type Budgets struct {
-	Holders     []string      // the gateways among which they are divided
+	Holders     []string      // gateways among which they are divided
 	Connections int           // to each database
-	Lease       time.Duration // of what one holder lends another
+	Lease       time.Duration // length of a lease from one holder to another
 }
 
-// Overrides is where operators' words to the fleet are kept over restarts.
+// Overrides configures the storage of operator overrides across restarts.
 type Overrides struct {
-	Dir       string        // a directory of this gateway's own
-	Retention time.Duration // a copy that was away for longer is not used; nothing younger is forgotten
+	Dir       string        // a directory used by this gateway only
+	Retention time.Duration // a copy unused for longer is ignored; nothing younger is forgotten
 }
 
-// Audit is where records of what this gateway did are kept.
+// Audit configures the storage of audit records.
 type Audit struct {
 	File      string
-	Megabytes int // of one file, over which a new one is begun
-	Keep      int // old ones
+	Megabytes int // size at which a file is rotated
+	Keep      int // number of old files kept
 }
 
-// Common is the part that is to be equal in all files of a fleet, as text.
+// Common returns, as text, the settings that must be equal in all files of a fleet.
 func (f *File) Common() []byte {
 	return fmt.Appendf(nil, "%s %v %v %d %s %t %t %v %t %v %v%s%s", f.Fleet, f.ProbePeriod, f.StableAfter, f.MaxMembers, f.Budgets.text(), f.Positions, f.Subsets, f.FenceAfter, f.Primaries, f.Overrides.retention(), f.RetryBudget,
 		bytesText(" positions", f.PositionBytes), bytesText(" primaries", f.PrimaryBytes))
 }
 
-// MaxMembers bounds what a file may ask for.
+// MaxMembers is the largest value that a file may set for the members kept.
 const MaxMembers = 4096
 
-// Parse reads a fleet file. Everything that is wrong with it is told at once, with its place.
-func Parse(file string, text []byte) (*File, error) {
-	r, top, err := yamlfile.Open(file, text, "fleet file")
+// Parse reads a fleet file. Its error lists everything that is wrong with the file, with positions.
+func Parse(filename string, text []byte) (*File, error) {
+	reader, top, err := yamlfile.Open(filename, text, "fleet file")
 	if err != nil {
 		return nil, err
 	}
-	f := &File{Dial: map[string]netip.AddrPort{}}
-	fields := r.Fields(top, "", "fleet", "listen", "advertise", "seeds", "dial", "period", "still", "most", "budgets", "subsets", "positions", "primaries", "audit", "fence", "words", "repeats")
+	file := &File{Dial: map[string]netip.AddrPort{}}
+	fields := reader.Fields(top, "", "fleet", "listen", "advertise", "seeds", "dial", "period", "still", "most", "budgets", "subsets", "positions", "primaries", "audit", "fence", "words", "repeats")
 	required := func(key string) *yaml.Node {
 		if fields[key] == nil && top.Kind == yaml.MappingNode {
-			r.Fail(top, key, "missing")
+			reader.Fail(top, key, "missing")
 		}
 		return fields[key]
 	}
-	if s, ok := r.Text(required("fleet"), "fleet"); ok {
-		if f.Fleet = s; !ValidName(s) {
-			r.Fail(fields["fleet"], "fleet", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", s)
+	if name, ok := reader.Text(required("fleet"), "fleet"); ok {
+		if file.Fleet = name; !ValidName(name) {
+			reader.Fail(fields["fleet"], "fleet", "%q is not a valid name: use letters, digits, dots, dashes and underscores, at most 64 characters", name)
 		}
 	}
-	f.Listen = r.Addr(required("listen"), "listen")
-	f.Advertise = r.Addr(fields["advertise"], "advertise")
-	if addr := f.Listen.Addr(); fields["advertise"] == nil && addr.IsValid() && addr.IsUnspecified() {
-		r.Fail(fields["listen"], "listen", "%s is every address; say with advertise where others find this gateway", f.Listen)
+	file.Listen = reader.Addr(required("listen"), "listen")
+	file.Advertise = reader.Addr(fields["advertise"], "advertise")
+	if addr := file.Listen.Addr(); fields["advertise"] == nil && addr.IsValid() && addr.IsUnspecified() {
+		reader.Fail(fields["listen"], "listen", "%s is the unspecified address; set advertise to the address where others reach this gateway", file.Listen)
 	}
-	if addr := f.Advertise; addr.IsValid() && (addr.Addr().IsUnspecified() || addr.Port() == 0) {
-		r.Fail(fields["advertise"], "advertise", "nobody can dial %s", addr)
+	if addr := file.Advertise; addr.IsValid() && (addr.Addr().IsUnspecified() || addr.Port() == 0) {
+		reader.Fail(fields["advertise"], "advertise", "%s cannot be dialled", addr)
 	}
-	if n := fields["seeds"]; n != nil {
-		if n.Kind != yaml.SequenceNode {
-			r.Fail(n, "seeds", "a list of addresses is wanted, like [127.0.0.1:7400, 127.0.0.1:7401]")
+	if node := fields["seeds"]; node != nil {
+		if node.Kind != yaml.SequenceNode {
+			reader.Fail(node, "seeds", "must be a list of addresses, like [127.0.0.1:7400, 127.0.0.1:7401]")
 		} else {
-			for _, v := range n.Content {
-				f.Seeds = append(f.Seeds, r.Addr(v, "seeds"))
+			for _, value := range node.Content {
+				file.Seeds = append(file.Seeds, reader.Addr(value, "seeds"))
 			}
 		}
 	}
-	for name, v := range r.Fields(fields["dial"], "dial") {
+	for name, value := range reader.Fields(fields["dial"], "dial") {
 		if !ValidName(name) {
-			r.Fail(v, "dial", "%q is no name of a gateway", name)
+			reader.Fail(value, "dial", "%q is not a valid gateway name", name)
 		}
-		f.Dial[name] = r.Addr(v, name)
+		file.Dial[name] = reader.Addr(value, name)
 	}
 	duration := func(key string, dst *time.Duration, shortest, longest time.Duration) {
-		if n := fields[key]; n != nil {
-			if *dst = r.Time(n, key); *dst < shortest || *dst > longest {
-				r.Fail(n, key, "from %v to %v would do", shortest, longest)
+		if node := fields[key]; node != nil {
+			if *dst = reader.Time(node, key); *dst < shortest || *dst > longest {
+				reader.Fail(node, key, "must be from %v to %v", shortest, longest)
 			}
 		}
 	}
-	duration("period", &f.ProbePeriod, 50*time.Millisecond, 10*time.Second)
-	duration("still", &f.StableAfter, 0, time.Minute)
-	duration("fence", &f.FenceAfter, time.Second, time.Hour)
-	if n := fields["most"]; n != nil {
-		f.MaxMembers = r.Count(n, "most", 2, MaxMembers)
+	duration("period", &file.ProbePeriod, 50*time.Millisecond, 10*time.Second)
+	duration("still", &file.StableAfter, 0, time.Minute)
+	duration("fence", &file.FenceAfter, time.Second, time.Hour)
+	if node := fields["most"]; node != nil {
+		file.MaxMembers = reader.Count(node, "most", 2, MaxMembers)
 	}
-	f.Positions, f.PositionBytes = parsePublished(r, fields["positions"], "positions")
-	f.Primaries, f.PrimaryBytes = parsePublished(r, fields["primaries"], "primaries")
-	f.Subsets = r.Bool(fields["subsets"], "subsets")
-	if n := fields["audit"]; n != nil {
-		f.Audit = &Audit{Megabytes: 8, Keep: 4}
-		a := r.Fields(n, "audit", "file", "megabytes", "keep")
-		if v := a["file"]; v == nil {
-			r.Fail(n, "file", "missing: the path of the file that records are written to")
+	file.Positions, file.PositionBytes = parseGossipSetting(reader, fields["positions"], "positions")
+	file.Primaries, file.PrimaryBytes = parseGossipSetting(reader, fields["primaries"], "primaries")
+	file.Subsets = reader.Bool(fields["subsets"], "subsets")
+	if node := fields["audit"]; node != nil {
+		file.Audit = &Audit{Megabytes: 8, Keep: 4}
+		auditFields := reader.Fields(node, "audit", "file", "megabytes", "keep")
+		if value := auditFields["file"]; value == nil {
+			reader.Fail(node, "file", "missing: the path of the file to which audit records are written")
 		} else {
-			f.Audit.File, _ = r.Text(v, "file")
+			file.Audit.File, _ = reader.Text(value, "file")
 		}
-		if v := a["megabytes"]; v != nil {
-			f.Audit.Megabytes = r.Count(v, "megabytes", 1, 1024)
+		if value := auditFields["megabytes"]; value != nil {
+			file.Audit.Megabytes = reader.Count(value, "megabytes", 1, 1024)
 		}
-		if v := a["keep"]; v != nil {
-			f.Audit.Keep = r.Count(v, "keep", 0, 100)
+		if value := auditFields["keep"]; value != nil {
+			file.Audit.Keep = reader.Count(value, "keep", 0, 100)
 		}
 	}
-	if n := fields["repeats"]; n != nil {
-		if f.RetryBudget = r.Share(n, "repeats"); f.RetryBudget <= 0 {
-			r.Fail(n, "repeats", "over 0%% up to 100%% would do, like 20%%; without the line they are not bounded")
+	if node := fields["repeats"]; node != nil {
+		if file.RetryBudget = reader.Share(node, "repeats"); file.RetryBudget <= 0 {
+			reader.Fail(node, "repeats", "must be above 0%% and at most 100%%, like 20%%; omit it for unlimited retries")
 		}
 	}
-	if n := fields["words"]; n != nil {
-		f.Overrides = parseOverrides(r, n)
+	if node := fields["words"]; node != nil {
+		file.Overrides = parseOverrides(reader, node)
 	}
-	if n := fields["budgets"]; n != nil {
-		f.Budgets = parseBudgets(r, n)
+	if node := fields["budgets"]; node != nil {
+		file.Budgets = parseBudgets(reader, node)
 	}
-	if err := r.Err(); err != nil {
+	if err := reader.Err(); err != nil {
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
-func parseBudgets(r *yamlfile.Reader, n *yaml.Node) *Budgets {
+// parseBudgets reads the mapping "budgets".
+func parseBudgets(reader *yamlfile.Reader, node *yaml.Node) *Budgets {
 	budgets := &Budgets{Lease: 8 * time.Second}
-	fields := r.Fields(n, "budgets", "holders", "connections", "lease")
+	fields := reader.Fields(node, "budgets", "holders", "connections", "lease")
 	if list := fields["holders"]; list == nil || list.Kind != yaml.SequenceNode || len(list.Content) == 0 {
-		r.Fail(n, "holders", "a list of the names of all gateways that share the budgets is wanted, the same in every file")
+		reader.Fail(node, "holders", "must be a list of the names of all gateways that share the budgets, the same in every file")
 	} else {
-		for _, v := range list.Content {
-			name, _ := r.Text(v, "holders")
+		for _, value := range list.Content {
+			name, _ := reader.Text(value, "holders")
 			switch {
 			case !ValidName(name):
-				r.Fail(v, "holders", "%q is no name of a gateway", name)
+				reader.Fail(value, "holders", "%q is not a valid gateway name", name)
 			case slices.Contains(budgets.Holders, name):
-				r.Fail(v, "holders", "%s stands twice", name)
+				reader.Fail(value, "holders", "%s is listed twice", name)
 			}
 			budgets.Holders = append(budgets.Holders, name)
 		}
 	}
-	if v := fields["connections"]; v == nil {
-		r.Fail(n, "connections", "missing: how many all gateways together may have at one database")
-	} else if budgets.Connections = r.Count(v, "connections", 1, 1_000_000); budgets.Connections < len(budgets.Holders) {
-		r.Fail(v, "connections", "%d for %d holders: each wants one at least", budgets.Connections, len(budgets.Holders))
+	if value := fields["connections"]; value == nil {
+		reader.Fail(node, "connections", "missing: how many connections all gateways together may have to one database")
+	} else if budgets.Connections = reader.Count(value, "connections", 1, 1_000_000); budgets.Connections < len(budgets.Holders) {
+		reader.Fail(value, "connections", "%d is too few for %d holders: each needs at least one", budgets.Connections, len(budgets.Holders))
 	}
-	if v := fields["lease"]; v != nil {
-		if budgets.Lease = r.Time(v, "lease"); budgets.Lease < time.Second || budgets.Lease > time.Minute {
-			r.Fail(v, "lease", "from 1s to 1m0s would do; longer than the longest deadline of a request")
+	if value := fields["lease"]; value != nil {
+		if budgets.Lease = reader.Time(value, "lease"); budgets.Lease < time.Second || budgets.Lease > time.Minute {
+			reader.Fail(value, "lease", "must be from 1s to 1m0s, and longer than the longest deadline of a request")
 		}
 	}
 	return budgets
 }
 
-func parseOverrides(r *yamlfile.Reader, n *yaml.Node) *Overrides {
+// parseOverrides reads the mapping "words".
+func parseOverrides(reader *yamlfile.Reader, node *yaml.Node) *Overrides {
 	overrides := &Overrides{Retention: 7 * 24 * time.Hour}
-	fields := r.Fields(n, "words", "dir", "keep")
-	if v := fields["dir"]; v == nil {
-		r.Fail(n, "dir", "missing: a directory of this gateway's own, in which operators' words are kept over restarts")
+	fields := reader.Fields(node, "words", "dir", "keep")
+	if value := fields["dir"]; value == nil {
+		reader.Fail(node, "dir", "missing: a directory used by this gateway only, in which operator overrides are kept across restarts")
 	} else {
-		overrides.Dir, _ = r.Text(v, "dir")
+		overrides.Dir, _ = reader.Text(value, "dir")
 	}
-	if v := fields["keep"]; v != nil {
-		seconds, ok := r.Number(v, "keep", "7 days", map[string]float64{"s": 1, "min": 60, "h": 3600, "days": 24 * 3600})
+	if value := fields["keep"]; value != nil {
+		seconds, ok := reader.Number(value, "keep", "7 days", map[string]float64{"s": 1, "min": 60, "h": 3600, "days": 24 * 3600})
 		if ok && (seconds < 1 || seconds > 366*24*3600) {
-			r.Fail(v, "keep", "from 1 s to 366 days would do; the same in every file")
+			reader.Fail(value, "keep", "must be from 1 s to 366 days, the same in every file")
 		} else {
 			overrides.Retention = time.Duration(seconds * float64(time.Second))
 		}
@@ -205,14 +207,15 @@
 	return overrides
 }
 
-func (w *Overrides) retention() time.Duration {
-	if w == nil {
+// retention returns o.Retention, or 0 without overrides.
+func (o *Overrides) retention() time.Duration {
+	if o == nil {
 		return 0
 	}
-	return w.Retention
+	return o.Retention
 }
 
-// ValidName tells whether a text can name a gateway or a fleet.
+// ValidName reports whether s is a valid name of a gateway or a fleet.
 func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
@@ -225,40 +228,42 @@
 	return true
 }
 
-// parsePublished reads what gateways tell each other: true, or a budget in bytes.
-func parsePublished(r *yamlfile.Reader, n *yaml.Node, key string) (on bool, bytes int) {
-	if n == nil || n.Kind != yaml.MappingNode {
-		text, ok := r.Text(n, key)
+// parseGossipSetting reads whether gateways exchange something: true or false, or a limit in bytes per second.
+func parseGossipSetting(reader *yamlfile.Reader, node *yaml.Node, key string) (enabled bool, bytesPerSecond int) {
+	if node == nil || node.Kind != yaml.MappingNode {
+		text, ok := reader.Text(node, key)
 		if ok && text != "true" && text != "false" {
-			r.Fail(n, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", text)
+			reader.Fail(node, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", text)
 		}
 		return text == "true", 0
 	}
-	fields := r.Fields(n, key, "bytes")
+	fields := reader.Fields(node, key, "bytes")
 	value := fields["bytes"]
 	if value == nil {
-		r.Fail(n, "bytes", "missing: what %s may send, like {bytes: 1500/s}; the same in every file", key)
+		reader.Fail(node, "bytes", "missing: the rate at which %s may send, like {bytes: 1500/s}; the same in every file", key)
 		return true, 0
 	}
-	rate, ok := r.Number(value, "bytes", "1500/s", map[string]float64{"/s": 1})
+	rate, ok := reader.Number(value, "bytes", "1500/s", map[string]float64{"/s": 1})
 	if !ok {
 		return true, 0
 	}
 	if rate != math.Trunc(rate) || rate < antientropy.MinBytesPerSecond || rate > antientropy.MaxBytesPerSecond {
-		r.Fail(value, "bytes", "a whole number from %d/s to %d/s would do: less does not carry a question and an answer a second; the same in every file",
+		reader.Fail(value, "bytes", "must be a whole number from %d/s to %d/s: less does not carry one request and one answer per second; the same in every file",
 			antientropy.MinBytesPerSecond, antientropy.MaxBytesPerSecond)
 	}
 	return true, int(rate)
 }
 
-// bytesText is nothing without a budget, so that files without one have the digest they had.
-func bytesText(key string, n int) string {
-	if n == 0 {
+// bytesText returns the text of a limit for Common. It is empty without a limit, so that files without one keep the
+// digest they had before the setting existed.
+func bytesText(key string, bytesPerSecond int) string {
+	if bytesPerSecond == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s %d/s", key, n)
+	return fmt.Sprintf("%s %d/s", key, bytesPerSecond)
 }
 
+// text returns the budgets' settings for Common.
 func (b *Budgets) text() string {
 	if b == nil {
 		return "-"
