--- a/internal/fleet/membership/capacity_test.go
+++ b/internal/fleet/membership/capacity_test.go
@@ -13,29 +13,29 @@
 )
 
 var (
-	capacityDir = flag.String("capacity", "", "where BenchmarkCapacity writes sim-membership.json")
-	capacitySum = flag.Int("capacity-most", 490, "sizes of fleets over it are left out")
+	capacityDir         = flag.String("capacity", "", "where BenchmarkCapacity writes sim-membership.json")
+	capacityMaxGateways = flag.Int("capacity-most", 490, "largest fleet size to measure")
 )
 
 // trial is a run on the simulated network.
 type trial struct {
 	Part          string  `json:"part"`
 	Gateways      int     `json:"gateways"`
-	Regions       int     `json:"regions"` // links within one take 1 ms
+	Regions       int     `json:"regions"` // links within a region take 1 ms
 	OneWayMS      float64 `json:"one_way_ms"`
 	Loss          float64 `json:"loss"`
 	Seconds       float64 `json:"seconds"`
-	BytesOut      float64 `json:"bytes_out_per_s"` // the mean over gateways
-	BytesOutMost  float64 `json:"bytes_out_per_s_max"`
+	BytesOut      float64 `json:"bytes_out_per_s"` // mean over gateways
+	BytesOutMax   float64 `json:"bytes_out_per_s_max"`
 	MessagesOut   float64 `json:"messages_per_s"`
 	FalseDeaths   int     `json:"false_deaths"`
 	Probes        float64 `json:"probes_per_s"`
 	Failed        float64 `json:"probes_failed_per_s"`
-	SecondsBefore float64 `json:"seconds_before"` // since the links took so long, not counted but for deaths
+	SecondsBefore float64 `json:"seconds_before"` // warm-up with these links; only deaths are counted in it
 }
 
-// sized is what a message takes on the wire: the envelope of internal/peer has 20 bytes besides its body.
-func sized(t require.TestingT) func(*Send) int {
+// messageSizer returns a function for the size of a message on the wire: internal/peer adds an envelope of 20 bytes.
+func messageSizer(t require.TestingT) func(*Send) int {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	require.NoError(t, err)
 	return func(s *Send) int {
@@ -51,56 +51,57 @@
 	}
 }
 
-func capacity(t require.TestingT, n, regions int, oneWay time.Duration, loss float64) trial {
-	const before, window = 5 * time.Second, 20 * time.Second
-	w := joined(t, 27, n)
+// measureCapacity runs a fleet of n gateways and returns what each of them sends.
+func measureCapacity(t require.TestingT, n, regions int, oneWay time.Duration, loss float64) trial {
+	const warmup, window = 5 * time.Second, 20 * time.Second
+	w := joinedFleet(t, 27, n)
 	for _, o := range w.nodes {
-		o.m.updates = nil // as when the news of the beginning have gone round
+		o.machine.updates = nil // as if the updates of the start were disseminated
 	}
-	w.size, w.loss = sized(t), loss
-	w.far = func(from, to int) time.Duration {
+	w.messageSize, w.loss = messageSizer(t), loss
+	w.linkDelay = func(from, to int) time.Duration {
 		if regions > 1 && from%regions == to%regions {
 			return time.Millisecond
 		}
 		return oneWay
 	}
-	w.run(before)
+	w.run(warmup)
 	clear(w.bytes)
 	clear(w.sent)
-	was := Counts{}
-	sum := func() (c Counts) {
+	start := Counts{}
+	totals := func() (c Counts) {
 		for _, o := range w.nodes {
-			k := o.m.Counts()
+			k := o.machine.Counts()
 			c.Probes += k.Probes
 			c.FailedProbes += k.FailedProbes
 		}
 		return c
 	}
-	was = sum()
+	start = totals()
 	w.run(window)
-	is := sum()
-	r := trial{
+	end := totals()
+	result := trial{
 		Part: "membership", Gateways: n, Regions: regions, OneWayMS: float64(oneWay) / 1e6, Loss: loss, Seconds: window.Seconds(),
-		SecondsBefore: before.Seconds(), FalseDeaths: len(w.deaths),
+		SecondsBefore: warmup.Seconds(), FalseDeaths: len(w.deaths),
 	}
-	each := float64(n) * window.Seconds()
+	gatewaySeconds := float64(n) * window.Seconds()
 	for i := range n {
-		r.BytesOut += float64(w.bytes[i]) / each
-		r.MessagesOut += float64(w.sent[i]) / each
-		r.BytesOutMost = max(r.BytesOutMost, float64(w.bytes[i])/window.Seconds())
+		result.BytesOut += float64(w.bytes[i]) / gatewaySeconds
+		result.MessagesOut += float64(w.sent[i]) / gatewaySeconds
+		result.BytesOutMax = max(result.BytesOutMax, float64(w.bytes[i])/window.Seconds())
 	}
-	r.Probes, r.Failed = float64(is.Probes-was.Probes)/each, float64(is.FailedProbes-was.FailedProbes)/each
-	return r
+	result.Probes, result.Failed = float64(end.Probes-start.Probes)/gatewaySeconds, float64(end.FailedProbes-start.FailedProbes)/gatewaySeconds
+	return result
 }
 
-// BenchmarkCapacity measures what a member sends at sizes of the fleet and lengths of the links; docs/CAPACITY.md.
+// BenchmarkCapacity measures what a member sends, by fleet size and link delay; see docs/CAPACITY.md.
 func BenchmarkCapacity(b *testing.B) {
 	const command = "go test ./internal/fleet/membership -run ^$ -bench Capacity -benchtime 1x -timeout 30m -capacity $PWD/docs/capacity"
 	for b.Loop() {
 		rows := []trial{}
 		add := func(n, regions int, oneWay time.Duration, loss float64) {
-			if n <= *capacitySum {
-				rows = append(rows, capacity(b, n, regions, oneWay, loss))
+			if n <= *capacityMaxGateways {
+				rows = append(rows, measureCapacity(b, n, regions, oneWay, loss))
 				b.Logf("%+v", rows[len(rows)-1])
 				if *capacityDir != "" {
 					text, err := json.MarshalIndent(map[string]any{"command": command, "kind": "trial", "seed": 27, "rows": rows}, "", " ")
--- a/internal/fleet/membership/property_test.go
+++ b/internal/fleet/membership/property_test.go
@@ -10,45 +10,46 @@
 	"pgregory.net/rapid"
 )
 
-// What the design note states. A dead member is out of every view, and a live one back in, within bound of the last
-// fault; a live member that others reach by some way is never out of a view for longer than absent.
-func bound(n int) time.Duration {
+// convergenceBound is the design's limit for a fleet of n: within this time after the last fault, a dead member is out
+// of every view and a live one back in it.
+func convergenceBound(n int) time.Duration {
 	return 20*time.Second + time.Duration(5*math.Log10(float64(n)))*time.Second
 }
 
-const absent = 4 * time.Second
+// maxAbsence is the design's limit for how long a reachable live member may be missing from a view.
+const maxAbsence = 4 * time.Second
 
-// Kills, returns, stops, cuts and partitions in any order: when they are over, every view becomes that of who runs.
-func TestViewsBecomeEqual(t *testing.T) {
+// After kills, restarts, pauses, cuts and partitions in any order, every view converges to the running processes.
+func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(3, 24).Draw(r, "n")
-		w := joined(r, rapid.Uint64().Draw(r, "seed"), n)
+		w := joinedFleet(r, rapid.Uint64().Draw(r, "seed"), n)
 		w.loss = rapid.Float64Range(0, 0.3).Draw(r, "loss")
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
 			i := rapid.IntRange(0, n-1).Draw(r, "who")
-			switch rapid.SampledFrom([]string{"kill", "return", "early", "stop", "cut", "split", "leave"}).Draw(r, "fault") {
+			switch rapid.SampledFrom([]string{"kill", "restart", "restart with clock set back", "pause", "cut", "partition", "leave"}).Draw(r, "fault") {
 			case "kill":
 				w.kill(i)
-			case "return":
+			case "restart":
 				w.kill(i)
 				w.start(i, fmt.Sprintf("n%03d", i), w.now)
-			case "early":
+			case "restart with clock set back":
 				w.kill(i)
 				w.start(i, fmt.Sprintf("n%03d", i), w.now-time.Hour)
-			case "stop":
-				if !w.nodes[i].down && !w.nodes[i].stopped {
-					w.stop(i, time.Duration(rapid.IntRange(100, 5000).Draw(r, "ms"))*time.Millisecond)
+			case "pause":
+				if !w.nodes[i].killed && !w.nodes[i].paused {
+					w.pause(i, time.Duration(rapid.IntRange(100, 5000).Draw(r, "ms"))*time.Millisecond)
 				}
 			case "cut":
 				j := rapid.IntRange(0, n-1).Draw(r, "to")
 				w.cut = func(from, to int) bool { return from == i && to == j }
-			case "split":
+			case "partition":
 				k := rapid.IntRange(1, n-1).Draw(r, "side")
 				w.cut = func(from, to int) bool { return (from < k) != (to < k) }
 			case "leave":
-				if !w.nodes[i].down && !w.nodes[i].stopped {
-					w.nodes[i].m.Leave(w.now)
-					w.after(w.nodes[i])
+				if !w.nodes[i].killed && !w.nodes[i].paused {
+					w.nodes[i].machine.Leave(w.now)
+					w.flush(w.nodes[i])
 					w.run(time.Second)
 					w.kill(i)
 				}
@@ -56,60 +57,60 @@
 			w.run(time.Duration(rapid.IntRange(0, 8000).Draw(r, "wait")) * time.Millisecond)
 		}
 		w.cut, w.loss = nil, 0
-		w.run(5 * time.Second) // the last stop is over
-		if len(w.up()) == 0 {
+		w.run(5 * time.Second) // until the last pause has ended
+		if len(w.running()) == 0 {
 			return
 		}
-		if w.nodes[0].down && w.nodes[1].down { // somebody has to be where newcomers look
+		if w.nodes[0].killed && w.nodes[1].killed { // one of the seeds must run
 			w.start(0, "n000", w.now)
 		}
-		if !w.until(w.now+bound(n), func() bool { return w.agreed(len(w.up())) }) {
-			r.Fatalf("after %v: %s", bound(n), w.views())
+		if !w.runUntil(w.now+convergenceBound(n), func() bool { return w.viewsAgree(len(w.running())) }) {
+			r.Fatalf("after %v: %s", convergenceBound(n), w.describeViews())
 		}
 	})
 }
 
-// views tells what each process sees, for failures.
-func (w *network) views() (s string) {
-	for _, n := range w.up() {
-		s += fmt.Sprintf("\n%s %d:", n.name, n.m.participation)
-		for _, o := range w.up() {
-			if !n.sees(o.name) {
-				e := Entry{}
-				if x := n.m.members[o.name]; x != nil {
-					e = x.Entry
+// describeViews lists the members that each process does not see, for failure messages.
+func (w *network) describeViews() (s string) {
+	for _, n := range w.running() {
+		s += fmt.Sprintf("\n%s %d:", n.name, n.machine.participation)
+		for _, other := range w.running() {
+			if !n.sees(other.name) {
+				entry := Entry{}
+				if known := n.machine.members[other.name]; known != nil {
+					entry = known.Entry
 				}
-				s += fmt.Sprintf(" -%s(%v)", o.name, e.State)
+				s += fmt.Sprintf(" -%s(%v)", other.name, entry.State)
 			}
 		}
-		s += fmt.Sprintf(" of %d", len(n.m.View().Members))
+		s += fmt.Sprintf(" of %d", len(n.machine.View().Members))
 	}
 	return s
 }
 
-// Loss and one-way cuts alone kill nobody for long, whatever the size.
-func TestWhoCanBeReachedStays(t *testing.T) {
+// Packet loss and one-way cuts alone do not keep a live member out of views for long, whatever the fleet's size.
+func TestReachableMembersStayInViews(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5, 8, 16, 30}).Draw(r, "n")
 		if rapid.IntRange(0, 99).Draw(r, "large") == 99 {
 			n = 200
 		}
-		w := joined(r, rapid.Uint64().Draw(r, "seed"), n)
+		w := joinedFleet(r, rapid.Uint64().Draw(r, "seed"), n)
 		w.loss = rapid.Float64Range(0, 0.2).Draw(r, "loss")
-		// Each process is cut off from, or cannot reach, one other: a quorum can still reach it.
+		// Each process cannot reach one other, and one other cannot reach it: a quorum still can.
 		w.cut = func(from, to int) bool { return n > 3 && to == (from+1)%n }
-		out := map[string]time.Duration{}
+		missingSince := map[string]time.Duration{}
 		end := w.now + 8*time.Second
 		for w.now < end {
 			w.run(100 * time.Millisecond)
 			for _, a := range w.nodes {
 				for _, b := range w.nodes {
 					if k := a.name + b.name; a.sees(b.name) {
-						delete(out, k)
-					} else if out[k] == 0 {
-						out[k] = w.now
-					} else if w.now-out[k] > absent {
-						r.Fatalf("%s has not seen %s for %v", a.name, b.name, w.now-out[k])
+						delete(missingSince, k)
+					} else if missingSince[k] == 0 {
+						missingSince[k] = w.now
+					} else if w.now-missingSince[k] > maxAbsence {
+						r.Fatalf("%s has not seen %s for %v", a.name, b.name, w.now-missingSince[k])
 					}
 				}
 			}
@@ -117,10 +118,10 @@
 	})
 }
 
-// A member's messages do not grow with the fleet.
-func TestMessagesDoNotGrow(t *testing.T) {
+// The rate of messages that a member sends does not grow with the fleet.
+func TestMessageRateIsIndependentOfFleetSize(t *testing.T) {
 	rate := func(n int) float64 {
-		w := joined(t, 3, n)
+		w := joinedFleet(t, 3, n)
 		w.run(5 * time.Second)
 		clear(w.sent)
 		clear(w.bytes)
@@ -132,6 +133,6 @@
 		return float64(sent) / float64(n) / 10
 	}
 	small, large := rate(8), rate(150)
-	t.Logf("messages a second: %.1f at 8, %.1f at 150", small, large)
+	t.Logf("messages per second: %.1f at 8 members, %.1f at 150", small, large)
 	require.Less(t, large, 1.2*small)
 }
