--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -21,87 +21,88 @@
 	testKey   = "db"
 )
 
-// world is holders whose clocks drift, and the messages between them.
-type world struct {
-	names   []string
-	ms      []*Machine
-	now     time.Duration // the true time
-	msgs    []Send
-	whole   int
-	session uint64
+// simulation holds machines whose clocks drift, and the messages between them.
+type simulation struct {
+	names       []string
+	machines    []*Machine
+	now         time.Duration // true time
+	inFlight    []Send
+	total       int
+	lastSession uint64
 }
 
-func newWorld(n, whole int) *world {
-	w := &world{whole: whole, now: time.Hour}
+func newSimulation(n, total int) *simulation {
+	w := &simulation{total: total, now: time.Hour}
 	for i := range n {
 		w.names = append(w.names, fmt.Sprintf("n%d", i))
 	}
 	for i := range n {
-		w.ms = append(w.ms, nil)
+		w.machines = append(w.machines, nil)
 		w.start(i)
 	}
 	return w
 }
 
-// clock is what gateway i reads: each runs at a rate of its own, within the drift.
-func (w *world) clock(i int) time.Duration {
+// clock returns the time on gateway i's clock. Clocks run at different rates, within the drift.
+func (w *simulation) clock(i int) time.Duration {
 	rate := []float64{1 + testDrift, 1 - testDrift, 1}[i%3]
 	return time.Duration(float64(w.now) * rate)
 }
 
-func (w *world) start(i int) {
-	w.session++
-	w.ms[i] = New(Config{Name: w.names[i], Holders: w.names, Total: w.whole, Lease: testLease, Drift: testDrift, Session: w.session, Seed: 7}, w.clock(i))
-	w.ms[i].SetLive(w.names)
+func (w *simulation) start(i int) {
+	w.lastSession++
+	w.machines[i] = New(Config{Name: w.names[i], Holders: w.names, Total: w.total, Lease: testLease, Drift: testDrift, Session: w.lastSession, Seed: 7}, w.clock(i))
+	w.machines[i].SetLive(w.names)
 }
 
-func (w *world) collect(i int) {
-	out, _ := w.ms[i].Take()
-	w.msgs = append(w.msgs, out...)
+func (w *simulation) collect(i int) {
+	out, _ := w.machines[i].Take()
+	w.inFlight = append(w.inFlight, out...)
 }
 
-func (w *world) index(name string) int { return slices.Index(w.names, name) }
+func (w *simulation) index(name string) int { return slices.Index(w.names, name) }
 
-func (w *world) deliver(k int) {
-	s := w.msgs[k]
+// deliver delivers one message in flight without removing it.
+func (w *simulation) deliver(index int) {
+	s := w.inFlight[index]
 	i := w.index(s.To)
-	w.ms[i].Receive(w.clock(i), s.Message)
+	w.machines[i].Receive(w.clock(i), s.Message)
 	w.collect(i)
 }
 
-func (w *world) tick(d time.Duration) {
+func (w *simulation) tick(d time.Duration) {
 	w.now += d
-	for i, m := range w.ms {
+	for i, m := range w.machines {
 		m.Tick(w.clock(i))
 		w.collect(i)
 	}
 }
 
-// sum is what all may use at this moment.
-func (w *world) sum() (n int) {
-	for i, m := range w.ms {
+// allowedTotal returns how many units all gateways together may use now.
+func (w *simulation) allowedTotal() (n int) {
+	for i, m := range w.machines {
 		n += m.Allowed(w.clock(i), testKey, 0)
 	}
 	return n
 }
 
-// settle delivers all messages until there are none.
-func (w *world) settle() {
-	for n := 0; len(w.msgs) > 0 && n < 10_000; n++ {
-		s := w.msgs[0]
-		w.msgs = w.msgs[1:]
+// deliverAll delivers messages until none are in flight.
+func (w *simulation) deliverAll() {
+	for n := 0; len(w.inFlight) > 0 && n < 10_000; n++ {
+		s := w.inFlight[0]
+		w.inFlight = w.inFlight[1:]
 		i := w.index(s.To)
-		w.ms[i].Receive(w.clock(i), s.Message)
+		w.machines[i].Receive(w.clock(i), s.Message)
 		w.collect(i)
 	}
 }
 
-// quieten lets the time pass in which nobody may lend.
-func (w *world) quieten() { w.tick(lenderTerm(testLease, testDrift) + 2*siblingDetectMax) }
+// passLendAfter advances the time until all machines may lend.
+func (w *simulation) passLendAfter() { w.tick(lenderTerm(testLease, testDrift) + 2*siblingDetectMax) }
 
 func (m *Machine) clone() *Machine {
 	c := *m
-	c.rng = rand.New(rand.NewPCG(7, m.serial)) // a function of the state
+	c.rng = rand.New(rand.NewPCG(7, m.serial)) // seeded by the state, so that equal states continue equally
 	c.emptyUntil, c.accounts, c.order = map[string]time.Duration{}, map[string]*account{}, nil
 	for k, v := range m.emptyUntil {
 		c.emptyUntil[k] = v
@@ -117,300 +118,302 @@
 	return &c
 }
 
-func (w *world) clone() *world {
+func (w *simulation) clone() *simulation {
 	c := *w
-	c.ms, c.msgs = nil, slices.Clone(w.msgs)
-	for _, m := range w.ms {
-		c.ms = append(c.ms, m.clone())
+	c.machines, c.inFlight = nil, slices.Clone(w.inFlight)
+	for _, m := range w.machines {
+		c.machines = append(c.machines, m.clone())
 	}
 	return &c
 }
 
-// print is a state as text, equal for equal ones.
-func (w *world) print() string {
+// print returns the state as text, equal for equal states.
+func (w *simulation) print() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.session)
-	for _, m := range w.ms {
+	fmt.Fprint(&b, w.now, w.lastSession)
+	for _, m := range w.machines {
 		fmt.Fprint(&b, "|", m.now, m.lendAfter, m.serial, m.cfg.Session)
 		for _, a := range m.order {
 			fmt.Fprint(&b, *a)
 		}
 	}
-	msgs := []string{}
-	for _, s := range w.msgs {
-		msgs = append(msgs, fmt.Sprint(s))
+	messages := []string{}
+	for _, s := range w.inFlight {
+		messages = append(messages, fmt.Sprint(s))
 	}
-	sort.Strings(msgs)
-	fmt.Fprint(&b, msgs)
+	sort.Strings(messages)
+	fmt.Fprint(&b, messages)
 	return b.String()
 }
 
-// Every order of deliveries, losses, doubles, crashes and lapses of three gateways of which two want what others have,
-// to a depth: at no state do the parts add up to more than the whole.
+// Searches every order of deliveries, losses, duplicates, crashes and lease expiries, to a depth, for three gateways of
+// which two need more than their home shares: in no state may the shares add up to more than the total.
 func TestExhaustiveSearch(t *testing.T) {
 	depth := 5
 	if testing.Short() {
 		depth = 4
 	}
-	w := newWorld(3, 9)
-	w.quieten()
-	w.msgs = nil
+	w := newSimulation(3, 9)
+	w.passLendAfter()
+	w.inFlight = nil
 	for i := range 2 {
-		w.ms[i].SetDemand(w.clock(i), testKey, 3, 2)
+		w.machines[i].SetDemand(w.clock(i), testKey, 3, 2)
 		w.collect(i)
 	}
-	require.NotEmpty(t, w.msgs)
+	require.NotEmpty(t, w.inFlight)
 	seen := map[string]int{}
-	states, lent := 0, 0
-	var search func(w *world, left int, path string)
-	search = func(w *world, left int, path string) {
-		if n := w.sum(); n > w.whole {
-			t.Fatalf("%d of %d in use after%s\n%s", n, w.whole, path, w.print())
+	states, statesWithLeases := 0, 0
+	var search func(w *simulation, depthLeft int, path string)
+	search = func(w *simulation, depthLeft int, path string) {
+		if n := w.allowedTotal(); n > w.total {
+			t.Fatalf("%d of %d in use after%s\n%s", n, w.total, path, w.print())
 		}
-		for _, m := range w.ms {
-			if _, l, _ := m.Totals(); l > 0 {
-				lent++
+		for _, m := range w.machines {
+			if _, lent, _ := m.Totals(); lent > 0 {
+				statesWithLeases++
 			}
 		}
-		p := w.print()
-		if seen[p] >= left+1 {
+		key := w.print()
+		if seen[key] >= depthLeft+1 {
 			return
 		}
-		seen[p] = left + 1
+		seen[key] = depthLeft + 1
 		states++
-		if left == 0 {
+		if depthLeft == 0 {
 			return
 		}
-		for k, s := range w.msgs {
-			what := fmt.Sprintf(" %d>%s:%s", s.Message.Kind, s.To, s.Message.From)
+		for k, s := range w.inFlight {
+			step := fmt.Sprintf(" %d>%s:%s", s.Message.Kind, s.To, s.Message.From)
 			c := w.clone()
 			c.deliver(k)
-			c.msgs = slices.Delete(c.msgs, k, k+1)
-			search(c, left-1, path+what)
-			if left >= 2 {
-				c = w.clone() // it will come again
+			c.inFlight = slices.Delete(c.inFlight, k, k+1)
+			search(c, depthLeft-1, path+step)
+			if depthLeft >= 2 {
+				c = w.clone() // the message remains in flight
 				c.deliver(k)
-				search(c, left-1, path+what+"(kept)")
+				search(c, depthLeft-1, path+step+"(kept)")
 			}
 		}
 		c := w.clone()
 		c.tick(testLease / 2)
-		search(c, left-1, path+" tick")
-		for i := range w.ms {
+		search(c, depthLeft-1, path+" tick")
+		for i := range w.machines {
 			c := w.clone()
 			c.start(i)
-			search(c, left-1, path+fmt.Sprintf(" crash%d", i))
+			search(c, depthLeft-1, path+fmt.Sprintf(" crash%d", i))
 		}
 	}
 	search(w, depth, "")
 	t.Logf("%d states", states)
 	assert.Greater(t, states, 1000)
-	assert.Positive(t, lent, "something was lent in some of them")
+	assert.Positive(t, statesWithLeases, "some states have leases")
 }
 
-// The same at random with more gateways, steps of time of any length, stops, upgrades and partitions.
-func TestSumNeverExceedsTheWhole(t *testing.T) {
+// The same property in random runs with more gateways, time steps of any length, pauses, crashes and lost messages.
+func TestSumNeverExceedsTheTotal(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(r, "n")
-		w := newWorld(n, rapid.IntRange(1, 40).Draw(r, "whole"))
-		stopped := make([]bool, n)
+		w := newSimulation(n, rapid.IntRange(1, 40).Draw(r, "total"))
+		paused := make([]bool, n)
 		for range rapid.IntRange(10, 80).Draw(r, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(r, "who")
-			switch rapid.SampledFrom([]string{"need", "need", "deliver", "deliver", "deliver", "all", "lose", "again", "tick", "pass", "crash", "stop"}).Draw(r, "what") {
-			case "need":
-				if !stopped[i] {
-					w.ms[i].SetDemand(w.clock(i), testKey, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
+			switch rapid.SampledFrom([]string{"demand", "demand", "deliver", "deliver", "deliver", "deliver all", "lose", "deliver again", "tick", "pass without timers", "crash", "pause or resume"}).Draw(r, "what") {
+			case "demand":
+				if !paused[i] {
+					w.machines[i].SetDemand(w.clock(i), testKey, rapid.IntRange(0, 10).Draw(r, "use"), rapid.IntRange(0, 20).Draw(r, "wait"))
 					w.collect(i)
 				}
-			case "deliver", "again":
-				if len(w.msgs) > 0 {
-					k := rapid.IntRange(0, len(w.msgs)-1).Draw(r, "msg")
-					if !stopped[w.index(w.msgs[k].To)] {
-						w.deliver(k)
+			case "deliver", "deliver again":
+				if len(w.inFlight) > 0 {
+					index := rapid.IntRange(0, len(w.inFlight)-1).Draw(r, "msg")
+					if !paused[w.index(w.inFlight[index].To)] {
+						w.deliver(index)
 						if rapid.Bool().Draw(r, "keep") {
-							w.msgs = slices.Delete(w.msgs, k, k+1)
+							w.inFlight = slices.Delete(w.inFlight, index, index+1)
 						}
 					}
 				}
-			case "all":
+			case "deliver all":
 				for j := range n {
-					stopped[j] = false
+					paused[j] = false
 				}
-				w.settle()
+				w.deliverAll()
 			case "lose":
-				if len(w.msgs) > 0 {
-					w.msgs = w.msgs[1:]
+				if len(w.inFlight) > 0 {
+					w.inFlight = w.inFlight[1:]
 				}
 			case "tick":
 				w.now += time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond
-				for j, m := range w.ms {
-					if !stopped[j] {
+				for j, m := range w.machines {
+					if !paused[j] {
 						m.Tick(w.clock(j))
 						w.collect(j)
 					}
 				}
-			case "pass":
-				w.now += time.Duration(rapid.IntRange(1, 8000).Draw(r, "ms")) * time.Millisecond // nobody's timer fires
+			case "pass without timers":
+				w.now += time.Duration(rapid.IntRange(1, 8000).Draw(r, "ms")) * time.Millisecond // without any timer firing
 			case "crash":
 				w.start(i)
-				stopped[i] = false
-			case "stop":
-				stopped[i] = !stopped[i]
+				paused[i] = false
+			case "pause or resume":
+				paused[i] = !paused[i]
 			}
-			if got := w.sum(); got > w.whole {
-				r.Fatalf("%d of %d", got, w.whole)
+			if allowed := w.allowedTotal(); allowed > w.total {
+				r.Fatalf("%d of %d", allowed, w.total)
 			}
 		}
 	})
 }
 
-func TestHomesAddUp(t *testing.T) {
+func TestHomeSharesAddUp(t *testing.T) {
 	for n := 1; n < 20; n++ {
-		w := newWorld(n, 1)
-		for whole := range 50 {
-			for _, k := range []string{"a", "b", "s-0001"} {
-				sum, least, most := 0, whole, 0
+		w := newSimulation(n, 1)
+		for total := range 50 {
+			for _, key := range []string{"a", "b", "s-0001"} {
+				sum, smallest, largest := 0, total, 0
 				for _, name := range w.names {
-					h := HomeShare(w.names, whole, name, k)
-					sum, least, most = sum+h, min(least, h), max(most, h)
+					share := HomeShare(w.names, total, name, key)
+					sum, smallest, largest = sum+share, min(smallest, share), max(largest, share)
 				}
-				require.Equal(t, whole, sum)
-				require.LessOrEqual(t, most-least, 1)
+				require.Equal(t, total, sum)
+				require.LessOrEqual(t, largest-smallest, 1)
 			}
 		}
 	}
 	assert.Zero(t, HomeShare([]string{"a"}, 5, "b", "k"))
 }
 
-// jain is Jain's index of fairness: 1 is even.
-func jain(x []float64) float64 {
+// jain returns Jain's fairness index: 1 if all values are equal.
+func jain(values []float64) float64 {
 	sum, squares := 0.0, 0.0
-	for _, v := range x {
+	for _, v := range values {
 		sum, squares = sum+v, squares+v*v
 	}
-	return sum * sum / (float64(len(x)) * squares)
+	return sum * sum / (float64(len(values)) * squares)
 }
 
-// One gateway is asked for ten times as much as the others: it gets what they do not need, within a second.
-func TestTheBusyOneGetsWhatOthersDoNotNeed(t *testing.T) {
-	w := newWorld(8, 64)
-	w.quieten()
-	use := make([]int, 8)
-	want := []int{40, 4, 4, 4, 4, 4, 4, 4}
+// A gateway with ten times the demand of the others gets what they do not need within a second.
+func TestBusyGatewayBorrowsUnusedUnits(t *testing.T) {
+	w := newSimulation(8, 64)
+	w.passLendAfter()
+	inUse := make([]int, 8)
+	demand := []int{40, 4, 4, 4, 4, 4, 4, 4}
 	for range 20 { // 50 ms each
-		for i, m := range w.ms {
-			use[i] = min(want[i], m.Allowed(w.clock(i), testKey, 0))
-			m.SetDemand(w.clock(i), testKey, use[i], want[i]-use[i])
+		for i, m := range w.machines {
+			inUse[i] = min(demand[i], m.Allowed(w.clock(i), testKey, 0))
+			m.SetDemand(w.clock(i), testKey, inUse[i], demand[i]-inUse[i])
 			w.collect(i)
 		}
-		w.settle()
+		w.deliverAll()
 		w.tick(50 * time.Millisecond)
 	}
-	t.Logf("in use %v", use)
-	assert.GreaterOrEqual(t, use[0], 24, "8 at home, and of the 28 that others have over all but what they never lend")
+	t.Logf("in use %v", inUse)
+	assert.GreaterOrEqual(t, inUse[0], 24, "8 at home, and the 28 units that others do not need, less their reserves")
 	served := make([]float64, 8)
-	for i := range use {
-		served[i] = float64(use[i]) / float64(want[i])
+	for i := range inUse {
+		served[i] = float64(inUse[i]) / float64(demand[i])
 	}
-	t.Logf("Jain's index of what each got of what it wants: %.3f, the worst %.2f", jain(served), slices.Min(served))
+	t.Logf("Jain's index of units in use over demand: %.3f, the worst %.2f", jain(served), slices.Min(served))
 	assert.Greater(t, jain(served), 0.9)
-	assert.LessOrEqual(t, w.sum(), 64)
+	assert.LessOrEqual(t, w.allowedTotal(), 64)
 
-	// The load moves: what was borrowed goes back.
-	want[0], want[5] = 2, 40
+	// The load moves to another gateway: the borrowed units must be released.
+	demand[0], demand[5] = 2, 40
 	for range 160 {
-		for i, m := range w.ms {
-			use[i] = min(want[i], m.Allowed(w.clock(i), testKey, 0))
-			m.SetDemand(w.clock(i), testKey, use[i], want[i]-use[i])
+		for i, m := range w.machines {
+			inUse[i] = min(demand[i], m.Allowed(w.clock(i), testKey, 0))
+			m.SetDemand(w.clock(i), testKey, inUse[i], demand[i]-inUse[i])
 			w.collect(i)
 		}
-		w.settle()
+		w.deliverAll()
 		w.tick(50 * time.Millisecond)
 	}
-	assert.GreaterOrEqual(t, use[5], 24, "%v", use)
-	_, _, borrowed := w.ms[0].Totals()
+	assert.GreaterOrEqual(t, inUse[5], 24, "%v", inUse)
+	_, _, borrowed := w.machines[0].Totals()
 	assert.Zero(t, borrowed)
 }
 
-// Two that want all there is: who comes second gets its half when the loans of the first end, not never.
-func TestTwoBusyOnesShare(t *testing.T) {
-	w := newWorld(4, 32)
-	w.quieten()
-	want := []int{30, 0, 1, 1}
+// Two gateways each need nearly the total: the second to ask must get its half when the leases of the first expire,
+// which a lender that always renews would prevent.
+func TestTwoBusyGatewaysShare(t *testing.T) {
+	w := newSimulation(4, 32)
+	w.passLendAfter()
+	demand := []int{30, 0, 1, 1}
 	run := func(d time.Duration) {
 		for end := w.now + d; w.now < end; {
-			for i, m := range w.ms {
-				use := min(want[i], m.Allowed(w.clock(i), testKey, 0))
-				m.SetDemand(w.clock(i), testKey, use, want[i]-use)
+			for i, m := range w.machines {
+				inUse := min(demand[i], m.Allowed(w.clock(i), testKey, 0))
+				m.SetDemand(w.clock(i), testKey, inUse, demand[i]-inUse)
 				w.collect(i)
 			}
-			w.settle()
+			w.deliverAll()
 			w.tick(50 * time.Millisecond)
-			require.LessOrEqual(t, w.sum(), 32)
+			require.LessOrEqual(t, w.allowedTotal(), 32)
 		}
 	}
 	run(2 * time.Second)
-	first := w.ms[0].Allowed(w.clock(0), testKey, 0)
-	want[1] = 30
+	first := w.machines[0].Allowed(w.clock(0), testKey, 0)
+	demand[1] = 30
 	run(5 * testLease)
-	a, b := w.ms[0].Allowed(w.clock(0), testKey, 0), w.ms[1].Allowed(w.clock(1), testKey, 0)
-	t.Logf("the first had %d; then %d and %d", first, a, b)
-	assert.Greater(t, first, a)
-	assert.InDelta(t, a, b, 6)
+	firstAfter, secondAfter := w.machines[0].Allowed(w.clock(0), testKey, 0), w.machines[1].Allowed(w.clock(1), testKey, 0)
+	t.Logf("the first had %d units; then the two have %d and %d", first, firstAfter, secondAfter)
+	assert.Greater(t, first, firstAfter)
+	assert.InDelta(t, firstAfter, secondAfter, 6)
 }
 
-// A partition for longer than a lease: each side lives with what it holds, and loans across it lapse on both sides.
-func TestLoansAcrossAPartitionLapse(t *testing.T) {
-	w := newWorld(2, 8)
-	w.quieten()
-	w.ms[1].SetDemand(w.clock(1), testKey, 4, 2) // its clock is slow, that of the lender fast
+// In a partition longer than a lease each side continues with what it holds, and leases across it expire on both sides.
+func TestLeasesAcrossAPartitionExpire(t *testing.T) {
+	w := newSimulation(2, 8)
+	w.passLendAfter()
+	w.machines[1].SetDemand(w.clock(1), testKey, 4, 2) // its clock runs slow, the lender's fast
 	w.collect(1)
-	w.settle()
-	had := w.ms[1].Allowed(w.clock(1), testKey, 0)
-	require.Greater(t, had, 4)
-	assert.Equal(t, had, w.ms[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease/2), "for a use that ends within the lease")
-	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease), "and not for one that ends after it")
+	w.deliverAll()
+	before := w.machines[1].Allowed(w.clock(1), testKey, 0)
+	require.Greater(t, before, 4)
+	assert.Equal(t, before, w.machines[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease/2), "for a use that ends within the lease")
+	assert.Equal(t, 4, w.machines[1].Allowed(w.clock(1), testKey, w.clock(1)+testLease), "and not for one that ends after it")
 	for range 1500 {
 		w.tick(2 * time.Millisecond)
-		w.msgs = nil
-		require.LessOrEqual(t, w.sum(), 8)
+		w.inFlight = nil
+		require.LessOrEqual(t, w.allowedTotal(), 8)
 	}
-	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), testKey, 0))
-	assert.Equal(t, 4, w.ms[1].Allowed(w.clock(1), testKey, 0))
+	assert.Equal(t, 4, w.machines[0].Allowed(w.clock(0), testKey, 0))
+	assert.Equal(t, 4, w.machines[1].Allowed(w.clock(1), testKey, 0))
 }
 
-// A loan in use goes on without an end; it is not there any more after the process stood still, before any timer.
-func TestStoodStillBeyondTheLease(t *testing.T) {
-	w := newWorld(2, 8)
-	w.quieten()
-	w.ms[0].SetDemand(w.clock(0), testKey, 4, 2)
+// A lease in use is renewed indefinitely. After a process pause longer than the lease its units must not be counted,
+// even before any timer fires.
+func TestPauseLongerThanTheLease(t *testing.T) {
+	w := newSimulation(2, 8)
+	w.passLendAfter()
+	w.machines[0].SetDemand(w.clock(0), testKey, 4, 2)
 	w.collect(0)
-	w.settle()
-	had := w.ms[0].Allowed(w.clock(0), testKey, 0)
-	require.Greater(t, had, 4)
+	w.deliverAll()
+	before := w.machines[0].Allowed(w.clock(0), testKey, 0)
+	require.Greater(t, before, 4)
 	for range 100 {
-		w.ms[0].SetDemand(w.clock(0), testKey, had, 0)
+		w.machines[0].SetDemand(w.clock(0), testKey, before, 0)
 		w.collect(0)
 		w.tick(100 * time.Millisecond)
-		w.settle()
-		require.Equal(t, had, w.ms[0].Allowed(w.clock(0), testKey, 0), "it is extended in time")
+		w.deliverAll()
+		require.Equal(t, before, w.machines[0].Allowed(w.clock(0), testKey, 0), "the lease is renewed in time")
 	}
 	w.now += 3 * testLease
-	assert.Equal(t, 4, w.ms[0].Allowed(w.clock(0), testKey, 0))
-	assert.Less(t, w.ms[0].Allowed(w.clock(0), testKey, w.clock(0)+time.Hour), 5)
+	assert.Equal(t, 4, w.machines[0].Allowed(w.clock(0), testKey, 0))
+	assert.Less(t, w.machines[0].Allowed(w.clock(0), testKey, w.clock(0)+time.Hour), 5)
 }
 
-func TestUpgradeSharesTheHome(t *testing.T) {
-	w := newWorld(2, 9)
-	w.quieten()
-	next := New(Config{Name: "n0", Holders: w.names, Total: 9, Lease: testLease, Drift: testDrift, Session: 99, Seed: 1}, w.clock(0))
-	w.ms[0].SetSibling(w.clock(0), true, true)
-	next.SetSibling(w.clock(0), true, false)
+func TestUpgradeSplitsTheHomeShare(t *testing.T) {
+	w := newSimulation(2, 9)
+	w.passLendAfter()
+	successor := New(Config{Name: "n0", Holders: w.names, Total: 9, Lease: testLease, Drift: testDrift, Session: 99, Seed: 1}, w.clock(0))
+	w.machines[0].SetSibling(w.clock(0), true, true)
+	successor.SetSibling(w.clock(0), true, false)
 	for range 12 {
-		assert.LessOrEqual(t, w.sum()+next.Allowed(w.clock(0), testKey, 0), 9)
+		assert.LessOrEqual(t, w.allowedTotal()+successor.Allowed(w.clock(0), testKey, 0), 9)
 		w.tick(time.Second)
 	}
-	w.ms[0].SetHomeDisabled(w.clock(0), true)
-	next.SetSibling(w.clock(0), false, false)
-	assert.Equal(t, 9, w.sum()+next.Allowed(w.clock(0), testKey, 0))
+	w.machines[0].SetHomeDisabled(w.clock(0), true)
+	successor.SetSibling(w.clock(0), false, false)
+	assert.Equal(t, 9, w.allowedTotal()+successor.Allowed(w.clock(0), testKey, 0))
 }
