--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -24,7 +24,7 @@
 	maxRequestees   = 2                     // gateways that get a request at once
 	emptyHintTTL    = time.Second           // how long a gateway that refused is not asked again
 	idleTimeout     = 2 * time.Second       // borrowed units unused for this long are released
-	maxKeys         = 4096
+	maxKeys         = 4096                  // demand and messages for further keys are ignored
 	// The longest time for which a process may go on lending before it detects that its successor has started.
 	siblingDetectMax   = time.Second
 	siblingDetectUsual = 300 * time.Millisecond // time within which it usually detects it
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	maxHealth              = 8  // maximum of the local health score; Lifeguard's S
-	suspicionMult          = 3  // the shortest suspicion timeout in probe periods, times log10 of the fleet size
-	suspicionMaxMult       = 6  // the timeout without confirmations, as a multiple of the shortest
-	maxConfirmations       = 3  // confirmations that shorten a suspicion to the shortest timeout
-	retransmitMult         = 4  // transmissions of each update, times log10 of the fleet size
-	maxPiggyback           = 12 // updates in one datagram
-	maxRefutationPings     = 16 // members pinged per exchange because the peer believes them dead
-	maxRelays              = 256
-	maxTakeovers           = 3 // so that two processes with one address do not take the name from each other for ever
-	syncInterval           = 2 * time.Second
-	reconnectInterval      = 2 * time.Second // between attempts to reach a dead member or a seed
-	firstReconnectInterval = 250 * time.Millisecond
-	observeInterval        = time.Second
-	duplicateTTL           = 5 * time.Second  // DuplicateName is cleared this long after the last claim
-	tombstoneTTL           = 10 * time.Minute // how long dead and left members are remembered
+	maxHealth              = 8                      // maximum of the local health score; Lifeguard's S
+	suspicionMult          = 3                      // the shortest suspicion timeout in probe periods, times log10 of the fleet size
+	suspicionMaxMult       = 6                      // the timeout without confirmations, as a multiple of the shortest
+	maxConfirmations       = 3                      // confirmations that shorten a suspicion to the shortest timeout
+	retransmitMult         = 4                      // transmissions of each update, times log10 of the fleet size
+	maxPiggyback           = 12                     // updates in one datagram
+	maxRefutationPings     = 16                     // members pinged per exchange because the peer believes them dead
+	maxRelays              = 256                    // indirect probes made for others at once
+	maxTakeovers           = 3                      // so that two processes with one address do not take the name from each other for ever
+	syncInterval           = 2 * time.Second        // mean time between digests sent
+	reconnectInterval      = 2 * time.Second        // between attempts to reach a dead member or a seed
+	firstReconnectInterval = 250 * time.Millisecond // doubled up to reconnectInterval while no member is live
+	observeInterval        = time.Second            // mean time between list requests while not a member
+	duplicateTTL           = 5 * time.Second        // DuplicateName is cleared this long after the last claim
+	tombstoneTTL           = 10 * time.Minute       // how long dead and left members are remembered
 )
 
 // participation is this process's role in the fleet.
