--- a/internal/fleet/state/words_test.go
+++ b/internal/fleet/state/overrides_test.go
@@ -191,13 +191,13 @@
 
 func TestWordsAreBounded(t *testing.T) {
 	s := NewOverrides("a", "a@1", 1)
-	for i := range wordsMost {
+	for i := range maxOverrides {
 		require.NotZero(t, s.Set(now, fmt.Sprint("s", i), i > 0))
 	}
 	assert.NotZero(t, s.Set(now, "x", true), "the one that leaves nothing out makes room")
 	assert.Zero(t, s.Set(now, "y", true))
 	assert.False(t, s.merge(Override{Key: "z", VersionVector: map[string]uint64{"b": 1}}))
-	assert.Len(t, s.All(), wordsMost)
+	assert.Len(t, s.All(), maxOverrides)
 }
 
 // What answers the process before, or brings a part of what there is, does not tell a new process that it knows all.
@@ -218,7 +218,7 @@
 	c.start(1)
 	c.list[1].Receive("n0", answer[0].Message)
 	assert.False(t, c.list[1].Synced(), "it answers the process before")
-	for i := range 3 * wordsPerSend {
+	for i := range 3 * overridesPerSend {
 		c.say(0, fmt.Sprint("h", i), true)
 	}
 	c.list[1].Receive("n0", OverridesMessage{Overrides: c.list[0].All()[:1], ConfirmID: 1})
@@ -297,7 +297,7 @@
 // Over the years each database's word is given by hundreds of processes, for each start is a process of its own. Messages go
 // on fitting into datagrams of 1200 bytes with their envelopes, every copy takes each word, and none counts as unsound.
 func TestWordsOfHundredsOfProcesses(t *testing.T) {
-	const hosts, generations = 2 * wordsPerSend, 200
+	const hosts, generations = 2 * overridesPerSend, 200
 	c := newCrew(3, 1)
 	c.measured = true
 	for g := range generations {
@@ -340,9 +340,9 @@
 		c.say(k%2, host, false)
 		c.round()
 		for _, s := range c.list[:2] {
-			require.Len(t, s.words[host], 1, "what was said last has taken the place of all before")
-			require.False(t, s.words[host][0].Active)
-			require.LessOrEqual(t, s.words[host][0].size(), wordMost)
+			require.Len(t, s.byKey[host], 1, "what was said last has taken the place of all before")
+			require.False(t, s.byKey[host][0].Active)
+			require.LessOrEqual(t, s.byKey[host][0].size(), maxOverrideBytes)
 		}
 	}
 	c.cut = nil
@@ -372,13 +372,13 @@
 	for _, s := range c.list[1:] {
 		s.Take()
 	}
-	c.list[1].compare("n2")
+	c.list[1].reconcile("n2")
 	c.list[2].Receive("n1", c.list[1].Take()[0].Message)
 	c.list[1].Receive("n2", c.list[2].Take()[0].Message)
 	assert.False(t, c.list[1].Synced(), "it met one that returned as well")
 	c.list[2].Set(c.now, "s2", true) // now they differ, and the second sends what it has
 	c.list[2].Take()
-	c.list[1].compare("n2")
+	c.list[1].reconcile("n2")
 	c.list[2].Receive("n1", c.list[1].Take()[0].Message)
 	c.list[1].Receive("n2", c.list[2].Take()[0].Message)
 	assert.Equal(t, c.list[2].Digest(), c.list[1].Digest())
@@ -394,7 +394,7 @@
 	}
 
 	whole := newCrew(8, 2)
-	for range 2 * time.Second / (compareEvery / 5) { // a round has one comparison of each that has not caught up
+	for range 2 * time.Second / (reconcileInterval / 5) { // a round has one comparison of each that has not caught up
 		whole.round()
 	}
 	for i, s := range whole.list {
@@ -429,7 +429,7 @@
 	c.list[0].MarkSynced()
 	for range 60 {
 		c.list[1].Take()
-		c.list[1].compare("n0")
+		c.list[1].reconcile("n0")
 		c.list[0].Receive("n1", c.list[1].Take()[0].Message)
 		for i, answer := range c.list[0].Take() {
 			if i < room {
--- a/internal/fleet/state/page.go
+++ b/internal/fleet/state/page.go
@@ -1,18 +1,19 @@
 package state
 
-// bytesPerSend is how many bytes the items of one message take: with its envelope it goes into a datagram of 1200.
-const bytesPerSend = 1000
+// maxItemBytes limits the total size of the items in one message, so that with its envelope it fits into a datagram of 1200
+// bytes.
+const maxItemBytes = 1000
 
-// page is how many items of a list the next message takes: most at most, of bytesPerSend together, but one at least if there
-// are any.
-func page[T any](items []T, most int, size func(T) int) (n int) {
-	bytes := 0
-	for n < min(len(items), most) {
-		bytes += size(items[n])
-		if n > 0 && bytes > bytesPerSend {
+// itemsThatFit returns how many leading items the next message carries: at most limit, at most maxItemBytes together, but
+// at least one if there are any.
+func itemsThatFit[T any](items []T, limit int, size func(T) int) (count int) {
+	total := 0
+	for count < min(len(items), limit) {
+		total += size(items[count])
+		if count > 0 && total > maxItemBytes {
 			break
 		}
-		n++
+		count++
 	}
-	return n
+	return count
 }
--- a/internal/fleet/state/positions.go
+++ b/internal/fleet/state/positions.go
@@ -1,7 +1,7 @@
-// Package state is what the gateways of a fleet tell each other of the world. It is a state machine without input or
-// output. So far it holds the positions of databases: how far each is known to have applied its log. A position only
-// rises, so that the greatest is the one to keep wherever copies differ, and news that are late, doubled or out of order
-// change nothing (a state-based CRDT, Shapiro and others 2011, with the maximum as its join).
+// Package state holds the knowledge that the gateways of a fleet share: replication positions of databases and operator
+// overrides. It consists of state machines without input or output.
+// A position only increases, so wherever copies differ the greatest one is kept, and messages that are late, duplicated or
+// out of order change nothing (a state-based CRDT, Shapiro and others 2011, with the maximum as its join).
 package state
 
 import (
@@ -12,23 +12,23 @@
 )
 
 const (
-	// GossipInterval is how often news go out.
+	// GossipInterval is the time between two rounds of gossip.
 	GossipInterval = 100 * time.Millisecond
-	fanout         = 3
+	fanout         = 3           // members that a message goes to
 	perSend        = 30          // positions in one message
-	ahead          = time.Second // a position so far past the own clock is not believed
-	hostMost       = 256         // bytes of a name
+	maxFuture      = time.Second // positions further ahead of the own clock are rejected
+	maxNameBytes   = 256
 
-	positionRest = 16 // bytes of a position beside its name, at most
+	positionOverhead = 16 // bytes of an encoded position besides its name, at most
 )
 
-// Position is how far a database has come, as somebody heard from it.
+// Position is the replication position of a database.
 type Position struct {
 	Host string        `cbor:"1,keyasint"`
 	At   time.Duration `cbor:"2,keyasint"` // since the Unix epoch; all commits up to it are applied
 }
 
-// PositionsMessage is news.
+// PositionsMessage is a gossip message with changed positions.
 type PositionsMessage struct {
 	Positions []Position `cbor:"1,keyasint,omitempty"`
 }
@@ -39,114 +39,114 @@
 	Message PositionsMessage
 }
 
-// Counts are what has happened since the start.
+// Counts are totals since the start.
 type Counts struct {
-	Learned  uint64 // positions that this gateway heard from a database and that were news
-	Received uint64 // from other gateways
-	Outdated uint64 // heard, and not news
-	Future   uint64 // heard, and past the clock
-	Unknown  uint64 // heard, of databases that are not listed here
+	Learned  uint64 // positions from a database that were newer
+	Received uint64 // positions from other gateways that were newer
+	Outdated uint64 // received, but not newer
+	Future   uint64 // received, but too far ahead of the clock
+	Unknown  uint64 // received, of databases that are not listed here
 }
 
-// Positions is one gateway's copy. Use New.
+// Positions is one gateway's copy of the positions. Use NewPositions.
 type Positions struct {
 	step   time.Duration
 	rnd    *rand.Rand
-	own    string
-	live   []string
-	at     map[string]time.Duration // the greatest known
-	told   map[string]time.Duration // the greatest sent on
-	queue  []string                 // hosts with news, the oldest first
+	name   string
+	peers  []string
+	known  map[string]time.Duration // the greatest known
+	sent   map[string]time.Duration // the greatest sent
+	queue  []string                 // hosts to gossip, oldest first
 	listed func(host string) bool
 	counts Counts
 }
 
-// NewPositions makes an empty copy. A position that has risen by less than step is no news. listed tells which databases the
-// gateway's own list has: of no other anything is kept.
-func NewPositions(own string, seed uint64, step time.Duration, listed func(host string) bool) *Positions {
+// NewPositions makes an empty copy. A position is gossiped only once it has risen by at least step. listed reports whether
+// the gateway's own list has a database: positions of others are not kept.
+func NewPositions(name string, seed uint64, step time.Duration, listed func(host string) bool) *Positions {
 	return &Positions{
-		step: step, rnd: rand.New(rand.NewPCG(seed, 0x706f73)), own: own, at: map[string]time.Duration{}, told: map[string]time.Duration{}, listed: listed,
+		step: step, rnd: rand.New(rand.NewPCG(seed, 0x706f73)), name: name, known: map[string]time.Duration{}, sent: map[string]time.Duration{}, listed: listed,
 	}
 }
 
-// SetMembers tells who can be told news.
+// SetMembers sets the live members; the own name among them is ignored.
 func (p *Positions) SetMembers(names []string) {
-	p.live = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == p.own })
+	p.peers = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == p.name })
 }
 
-// DropUnlisted drops what is known of databases that are not listed any more.
+// DropUnlisted drops the positions of databases that are not listed any more.
 func (p *Positions) DropUnlisted() {
-	for h := range p.at {
-		if !p.listed(h) {
-			delete(p.at, h)
-			delete(p.told, h)
+	for host := range p.known {
+		if !p.listed(host) {
+			delete(p.known, host)
+			delete(p.sent, host)
 		}
 	}
 }
 
-// Observe takes in what a database told this gateway.
+// Observe records a position that a database reported to this gateway.
 func (p *Positions) Observe(host string, at time.Duration) {
-	if p.raise(host, at) {
+	if p.advance(host, at) {
 		p.counts.Learned++
 	}
 }
 
-// raise keeps the greatest, and has it go on where it is news.
-func (p *Positions) raise(host string, at time.Duration) bool {
-	if at <= p.at[host] {
+// advance keeps the greater position and queues it for gossip if it has risen by at least a step since it was last sent.
+func (p *Positions) advance(host string, at time.Duration) bool {
+	if at <= p.known[host] {
 		return false
 	}
-	p.at[host] = at
-	if at >= p.told[host]+p.step && !slices.Contains(p.queue, host) {
+	p.known[host] = at
+	if at >= p.sent[host]+p.step && !slices.Contains(p.queue, host) {
 		p.queue = append(p.queue, host)
 	}
 	return true
 }
 
-// Receive takes in what another gateway tells; it returns what is news here.
-func (p *Positions) Receive(now time.Duration, msg PositionsMessage) (news []Position) {
-	for _, x := range msg.Positions {
+// Receive applies a message of another gateway; it returns the positions that were newer than the known ones.
+func (p *Positions) Receive(now time.Duration, msg PositionsMessage) (newer []Position) {
+	for _, position := range msg.Positions {
 		switch {
-		case len(x.Host) > hostMost || !p.listed(x.Host):
+		case len(position.Host) > maxNameBytes || !p.listed(position.Host):
 			p.counts.Unknown++
-		case x.At > now+ahead:
+		case position.At > now+maxFuture:
 			p.counts.Future++
-		case !p.raise(x.Host, x.At):
+		case !p.advance(position.Host, position.At):
 			p.counts.Outdated++
 		default:
 			p.counts.Received++
-			news = append(news, x)
+			newer = append(newer, position)
 		}
 	}
-	return news
+	return newer
 }
 
-// Tick sends what is news to a few members. What does not fit waits for the next time.
+// Tick sends queued positions to a few random members. What does not fit into the message waits for the next round.
 func (p *Positions) Tick() (out []PositionsSend) {
-	n := page(p.queue, perSend, func(host string) int { return positionRest + len(host) })
-	if n == 0 || len(p.live) == 0 {
+	count := itemsThatFit(p.queue, perSend, func(host string) int { return positionOverhead + len(host) })
+	if count == 0 || len(p.peers) == 0 {
 		return nil
 	}
 	var msg PositionsMessage
-	for _, h := range p.queue[:n] {
-		msg.Positions = append(msg.Positions, Position{Host: h, At: p.at[h]})
-		p.told[h] = p.at[h]
+	for _, host := range p.queue[:count] {
+		msg.Positions = append(msg.Positions, Position{Host: host, At: p.known[host]})
+		p.sent[host] = p.known[host]
 	}
-	p.queue = slices.Delete(p.queue, 0, n)
+	p.queue = slices.Delete(p.queue, 0, count)
 	slices.SortFunc(msg.Positions, func(a, b Position) int { return strings.Compare(a.Host, b.Host) })
-	for _, i := range p.rnd.Perm(len(p.live))[:min(fanout, len(p.live))] {
-		out = append(out, PositionsSend{To: p.live[i], Message: msg})
+	for _, i := range p.rnd.Perm(len(p.peers))[:min(fanout, len(p.peers))] {
+		out = append(out, PositionsSend{To: p.peers[i], Message: msg})
 	}
 	return out
 }
 
-// Counts are figures since the start.
+// Counts returns the totals since the start.
 func (p *Positions) Counts() Counts { return p.counts }
 
-// Ages are how far the positions that are known lie behind a moment, in no order.
+// Ages returns the ages of the known positions at a time, in no order.
 func (p *Positions) Ages(now time.Duration) (ages []time.Duration) {
-	for _, at := range p.at {
-		ages = append(ages, now-at)
+	for _, position := range p.known {
+		ages = append(ages, now-position)
 	}
 	return ages
 }
--- a/internal/fleet/state/positions_test.go
+++ b/internal/fleet/state/positions_test.go
@@ -62,7 +62,7 @@
 			list[rnd.IntN(n)].Observe(host, truth[host])
 			round(loss)
 			for _, p := range list {
-				for h, at := range p.at {
+				for h, at := range p.known {
 					require.LessOrEqual(r, at, truth[h])
 				}
 			}
@@ -78,7 +78,7 @@
 		know := 0
 		for _, p := range list {
 			for h, at := range truth {
-				if p.at[h] == at {
+				if p.known[h] == at {
 					know++
 				}
 			}
@@ -117,14 +117,14 @@
 	}
 	p.listed = func(h string) bool { return h == "s1" }
 	p.DropUnlisted()
-	assert.Len(t, p.at, 1)
+	assert.Len(t, p.known, 1)
 }
 
 // Databases may have names of up to 256 bytes: news of many still fit into datagrams of 1200 bytes with their envelopes, and
 // all arrive.
 func TestPositionsOfLongNamesFitTheirMessages(t *testing.T) {
 	const hosts = 40
-	for _, long := range []int{0, 40, 100, hostMost - 2} {
+	for _, long := range []int{0, 40, 100, maxNameBytes - 2} {
 		a, b := NewPositions("a", 1, step, all), NewPositions("b", 2, step, all)
 		a.SetMembers([]string{"b"})
 		for i := range hosts {
