--- a/internal/fleet/antientropy/machine_test.go
+++ b/internal/fleet/antientropy/machine_test.go
@@ -122,7 +122,7 @@
 			earned := float64(bytes) * (s.at - epoch).Seconds()
 			low = min(low, sum-earned)
 			sum += float64(s.size)
-			require.LessOrEqual(t, s.size, datagram)
+			require.LessOrEqual(t, s.size, maxDatagramBytes)
 			require.LessOrEqual(t, sum-earned-low, float64(bytes)+0.001, "machine %d at %v", i, s.at-epoch)
 		}
 	}
@@ -173,8 +173,8 @@
 		truth := map[string]time.Duration{}
 		check := func() {
 			for _, m := range f.nodes {
-				for _, d := range m.list {
-					require.LessOrEqual(r, d.at, truth[d.host])
+				for _, d := range m.databases {
+					require.LessOrEqual(r, d.known, truth[d.host])
 				}
 			}
 		}
@@ -196,7 +196,7 @@
 		check()
 		for _, m := range f.nodes {
 			for h, at := range truth {
-				require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(grain), "%s at %s", h, m.cfg.Name)
+				require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(timeResolution), "%s at %s", h, m.cfg.Name)
 			}
 		}
 	})
@@ -235,14 +235,14 @@
 		for i, m := range f.nodes {
 			for h, at := range truth {
 				if slices.Contains(has[i], h) {
-					require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(grain), "%s at %d", h, i)
+					require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(timeResolution), "%s at %d", h, i)
 					require.LessOrEqual(r, m.TimeOf(h), at)
 				} else {
 					require.Zero(r, m.TimeOf(h))
 				}
 			}
 			require.Zero(r, m.TimeOf("s-999"))
-			require.Len(r, m.list, len(has[i]))
+			require.Len(r, m.databases, len(has[i]))
 		}
 	})
 }
@@ -283,7 +283,7 @@
 	for _, h := range hosts(300) {
 		a.Observe(h, f.now)
 	}
-	ask := Message{Kind: Request, From: "n1", ListDigest: a.digest}
+	ask := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
 	for i := range 300 {
 		ask.Entries = append(ask.Entries, Entry{Index: i})
 	}
@@ -299,9 +299,9 @@
 			b.Receive(f.now, msg)
 			switch {
 			case msg.Kind == Busy:
-				assert.Equal(t, max(windowLeast, was/2), b.Window())
+				assert.Equal(t, max(minWindow, was/2), b.Window())
 			case !msg.Truncated:
-				assert.Equal(t, was+windowGrow, b.Window())
+				assert.Equal(t, was+windowIncrement, b.Window())
 			default:
 				assert.Equal(t, was, b.Window())
 			}
@@ -317,7 +317,7 @@
 func TestTheLargestGainGoesFirst(t *testing.T) {
 	f := newFleet(1, 2, 1500, hosts(600))
 	a := f.nodes[0]
-	ask := Message{Kind: Request, From: "n1", ListDigest: a.digest}
+	ask := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
 	for i, h := range hosts(600) {
 		a.Observe(h, f.now+time.Duration(i%10)*100*time.Millisecond)
 		ask.Entries = append(ask.Entries, Entry{Index: i, At: f.now - time.Minute})
@@ -340,7 +340,7 @@
 	}
 	more := 0
 	for i := range 600 {
-		if a.list[i].at > least {
+		if a.databases[i].known > least {
 			more++
 		}
 	}
@@ -356,9 +356,9 @@
 	assert.Equal(t, []Entry{{Index: 0, Host: "s1", At: f.now - time.Second}}, news)
 	k := a.Counts()
 	assert.Equal(t, [4]uint64{1, 1, 1, 1}, [4]uint64{k.Received, k.Outdated, k.Future, k.Unknown})
-	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.digest + 1, Entries: []Entry{{Index: 1, At: f.now}}})
+	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest + 1, Entries: []Entry{{Index: 1, At: f.now}}})
 	assert.Empty(t, news, "an index of another list")
-	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.digest, Entries: []Entry{{Index: 2, At: f.now}}})
+	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest, Entries: []Entry{{Index: 2, At: f.now}}})
 	assert.Empty(t, news, "an index past the list")
 	out, news := a.Receive(f.now, Message{Kind: Request, From: "n0", Entries: []Entry{{Host: "s1", At: f.now}}})
 	assert.Empty(t, append(news, make([]Entry, len(out))...), "from itself")
@@ -383,7 +383,7 @@
 	f.nodes[17].Observe(list[len(list)-1], at)
 	know := func() (k int) {
 		for _, m := range f.nodes {
-			if m.TimeOf(list[len(list)-1]) >= at.Truncate(grain) {
+			if m.TimeOf(list[len(list)-1]) >= at.Truncate(timeResolution) {
 				k++
 			}
 		}
@@ -397,8 +397,8 @@
 
 func TestNoIndexPastAnyList(t *testing.T) {
 	for _, m := range []Message{
-		{Kind: Request, From: "a", ListDigest: 7, WantIndexes: []int{indexMost}},
-		{Kind: Response, From: "a", ListDigest: 7, Entries: []Entry{{Index: indexMost, At: epoch}}},
+		{Kind: Request, From: "a", ListDigest: 7, WantIndexes: []int{maxDatabases}},
+		{Kind: Response, From: "a", ListDigest: 7, Entries: []Entry{{Index: maxDatabases, At: epoch}}},
 	} {
 		_, err := Parse(m.Append(nil))
 		assert.ErrorIs(t, err, errMalformed)
@@ -430,12 +430,12 @@
 	m.SetMembers([]Member{{Name: "n2"}})
 	m.SetDatabases([]string{"s1", "s2"})
 	m.Observe("s1", epoch)
-	for _, digest := range []uint64{msg.ListDigest, m.digest} {
+	for _, digest := range []uint64{msg.ListDigest, m.listDigest} {
 		msg.ListDigest = min(msg.ListDigest, digest)
 		out, news := m.Receive(epoch, msg)
 		for _, c := range news {
 			require.Contains(t, []string{"s1", "s2"}, c.Host)
-			require.LessOrEqual(t, c.At, epoch+ahead)
+			require.LessOrEqual(t, c.At, epoch+maxFuture)
 		}
 		require.LessOrEqual(t, len(out), 1)
 		for _, s := range out {
@@ -443,7 +443,7 @@
 			require.NoError(t, err)
 		}
 	}
-	require.Len(t, m.list, 2)
+	require.Len(t, m.databases, 2)
 	for _, s := range m.Tick(epoch + time.Minute) {
 		_, err := Parse(s.Body)
 		require.NoError(t, err)
@@ -455,13 +455,13 @@
 	rapid.Check(t, func(r *rapid.T) {
 		set := rapid.SliceOfNDistinct(rapid.IntRange(0, 900), 0, 200, rapid.ID).Draw(r, "want")
 		slices.Sort(set)
-		at := rapid.SliceOfN(rapid.Int64Range(0, int64(epoch/grain)), len(set), len(set)).Draw(r, "at")
+		at := rapid.SliceOfN(rapid.Int64Range(0, int64(epoch/timeResolution)), len(set), len(set)).Draw(r, "at")
 		msg := Message{Kind: Request, From: "n2", ListDigest: 7, Floor: epoch, WantIndexes: set}
 		if len(set) == 0 {
 			msg.WantIndexes = nil
 		}
 		for k, i := range set {
-			msg.Entries = append(msg.Entries, Entry{Index: i, At: time.Duration(at[k]) * grain})
+			msg.Entries = append(msg.Entries, Entry{Index: i, At: time.Duration(at[k]) * timeResolution})
 		}
 		b := msg.Append(nil)
 		got, err := Parse(b)
--- a/internal/fleet/antientropy/message.go
+++ b/internal/fleet/antientropy/message.go
@@ -7,62 +7,62 @@
 	"time"
 )
 
-// Kind is what a message is for.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds.
+// Kinds of messages.
 const (
-	Request      Kind = iota + 1 // a digest: of which databases what is newer than a floor is wanted; it tells news as well
-	Response                     // what is newer
-	Busy                         // an ask had come, and the budget for answers is spent
-	ListMismatch                 // an ask by index had come, and the list here is another
+	Request      Kind = iota + 1 // a digest that asks for newer times; it pushes entries as well
+	Response                     // the newer times
+	Busy                         // the reply to a request when the budget for responses is spent
+	ListMismatch                 // the reply to a request by index when the lists differ
 )
 
-// Entry is a floor: all commits up to At are applied, or the database answered then.
+// Entry is a lower bound: all commits up to At are applied, or the database answered then.
 type Entry struct {
 	Index int           // in the list that the message names
-	Host  string        // where it names none
+	Host  string        // where the message names no list
 	At    time.Duration // 0: nothing is known
 }
 
-// Message is what one gateway sends another. Databases are told as indices of a sorted list where List names one by its
-// digest, and by name where it is 0.
+// Message is what one gateway sends another. Databases are identified by their index in a sorted list where ListDigest is
+// the digest of that list, and by name where it is 0.
 type Message struct {
 	Kind        Kind
-	Truncated   bool // an answer: there was more than the budget or a datagram carries
+	Truncated   bool // in a response: the budget or a datagram was too small for all
 	From        string
 	ListDigest  uint64
-	Floor       time.Duration // of an ask: of those in Want, or in Names, what is newer than this is wanted
+	Floor       time.Duration // in a request: wanted are times newer than this of WantIndexes or WantNames
 	WantIndexes []int
 	WantNames   []string
-	Entries     []Entry // sorted by index or by name; those of an ask are a digest, too: what is newer is wanted
+	Entries     []Entry // sorted by index or by name; in a request they are part of the digest: newer times are wanted
 }
 
 const (
-	grain     = 10 * time.Millisecond // of moments in messages; they are rounded down, for a floor may be low
-	nameMost  = 64
-	hostMost  = 256
-	indexMost = 1 << 16
-	claimMost = 1 << 12
+	timeResolution = 10 * time.Millisecond // of times in messages; they are rounded down, as an entry is a lower bound
+	maxNameBytes   = 64
+	maxHostBytes   = 256
+	maxDatabases   = 1 << 16
+	maxEntries     = 1 << 12
 )
 
-// The first byte: the kind, and what is there besides.
+// Flags of the first byte, above the kind.
 const (
-	flagCut byte = 1 << (iota + 4)
-	flagListed
+	flagTruncated byte = 1 << (iota + 4)
+	flagListDigest
 	flagBitmap
 )
 
-var errMalformed = errors.New("a malformed message of anti-entropy")
+var errMalformed = errors.New("malformed anti-entropy message")
 
-// Append adds the message to b. Moments are rounded down to the grain.
+// Append appends the encoded message to b. Times are rounded down to timeResolution.
 func (m *Message) Append(b []byte) []byte {
 	head := byte(m.Kind)
 	if m.Truncated {
-		head |= flagCut
+		head |= flagTruncated
 	}
 	if m.ListDigest != 0 {
-		head |= flagListed
+		head |= flagListDigest
 	}
 	start := len(b)
 	b = append(append(b, head, byte(len(m.From))), m.From...)
@@ -70,7 +70,7 @@
 		b = binary.BigEndian.AppendUint64(b, m.ListDigest)
 	}
 	if m.Kind == Request {
-		b = binary.AppendUvarint(b, uint64(m.Floor/grain))
+		b = binary.AppendUvarint(b, uint64(m.Floor/timeResolution))
 		if m.ListDigest != 0 {
 			var bitmap bool
 			if b, bitmap = appendSet(b, m.WantIndexes); bitmap {
@@ -78,8 +78,8 @@
 			}
 		} else {
 			b = binary.AppendUvarint(b, uint64(len(m.WantNames)))
-			for _, n := range m.WantNames {
-				b = append(binary.AppendUvarint(b, uint64(len(n))), n...)
+			for _, name := range m.WantNames {
+				b = append(binary.AppendUvarint(b, uint64(len(name))), name...)
 			}
 		}
 	}
@@ -87,72 +87,75 @@
 		return b
 	}
 	base := time.Duration(0)
-	for _, c := range m.Entries {
-		base = max(base, c.At/grain)
+	for _, entry := range m.Entries {
+		base = max(base, entry.At/timeResolution)
 	}
 	b = binary.AppendUvarint(b, uint64(len(m.Entries)))
 	if len(m.Entries) == 0 {
 		return b
 	}
 	b = binary.AppendUvarint(b, uint64(base))
-	next := 0
-	for _, c := range m.Entries {
+	nextIndex := 0
+	for _, entry := range m.Entries {
 		if m.ListDigest != 0 {
-			b = binary.AppendUvarint(b, uint64(c.Index-next))
-			next = c.Index + 1
+			b = binary.AppendUvarint(b, uint64(entry.Index-nextIndex))
+			nextIndex = entry.Index + 1
 		} else {
-			b = append(binary.AppendUvarint(b, uint64(len(c.Host))), c.Host...)
+			b = append(binary.AppendUvarint(b, uint64(len(entry.Host))), entry.Host...)
 		}
-		if c.At < grain {
+		if entry.At < timeResolution {
 			b = append(b, 0)
 		} else {
-			b = binary.AppendUvarint(b, uint64(1+base-c.At/grain))
+			b = binary.AppendUvarint(b, uint64(1+base-entry.At/timeResolution))
 		}
 	}
 	return b
 }
 
-// appendSet adds a sorted set of indices, as distances or as bits, whichever is shorter.
+// appendSet appends a sorted set of indexes, as distances or as a bitmap, whichever is shorter, and reports whether it is a
+// bitmap.
 func appendSet(b []byte, set []int) ([]byte, bool) {
 	start := len(b)
 	b = binary.AppendUvarint(b, uint64(len(set)))
-	next := 0
-	for _, i := range set {
-		b = binary.AppendUvarint(b, uint64(i-next))
-		next = i + 1
+	nextIndex := 0
+	for _, index := range set {
+		b = binary.AppendUvarint(b, uint64(index-nextIndex))
+		nextIndex = index + 1
 	}
-	size := (next + 7) / 8
+	size := (nextIndex + 7) / 8
 	if len(b)-start <= size+2 {
 		return b, false
 	}
 	b = binary.AppendUvarint(b[:start], uint64(size))
-	at := len(b)
+	offset := len(b)
 	b = append(b, make([]byte, size)...)
 	for _, i := range set {
-		b[at+i/8] |= 1 << (i % 8)
+		b[offset+i/8] |= 1 << (i % 8)
 	}
 	return b, true
 }
 
-// reader takes a message apart; the first thing that is wrong ends it.
+// reader decodes a message; after the first error it returns zero values.
 type reader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	malformed bool
 }
 
-func (r *reader) number(most uint64) uint64 {
+// number reads a number of at most limit.
+func (r *reader) number(limit uint64) uint64 {
 	n, size := binary.Uvarint(r.b)
-	if size <= 0 || n > most {
-		r.bad, r.b = true, nil
+	if size <= 0 || n > limit {
+		r.malformed, r.b = true, nil
 		return 0
 	}
 	r.b = r.b[size:]
 	return n
 }
 
+// bytes reads n bytes.
 func (r *reader) bytes(n uint64) []byte {
 	if n > uint64(len(r.b)) {
-		r.bad, r.b = true, nil
+		r.malformed, r.b = true, nil
 		return nil
 	}
 	got := r.b[:n]
@@ -160,103 +163,106 @@
 	return got
 }
 
-// Parse reads a message.
+// Parse decodes a message.
 func Parse(b []byte) (m Message, err error) {
 	r := &reader{b: b}
 	head := r.bytes(2)
-	if r.bad {
+	if r.malformed {
 		return m, errMalformed
 	}
-	m.Kind, m.Truncated = Kind(head[0]&0x0f), head[0]&flagCut != 0
+	m.Kind, m.Truncated = Kind(head[0]&0x0f), head[0]&flagTruncated != 0
 	m.From = string(r.bytes(uint64(head[1])))
-	if head[0]&0x80 != 0 || m.Kind < Request || m.Kind > ListMismatch || m.From == "" || len(m.From) > nameMost {
+	if head[0]&0x80 != 0 || m.Kind < Request || m.Kind > ListMismatch || m.From == "" || len(m.From) > maxNameBytes {
 		return m, errMalformed
 	}
-	if head[0]&flagListed != 0 {
-		if d := r.bytes(8); d != nil {
-			m.ListDigest = binary.BigEndian.Uint64(d)
+	if head[0]&flagListDigest != 0 {
+		if digest := r.bytes(8); digest != nil {
+			m.ListDigest = binary.BigEndian.Uint64(digest)
 		}
 		if m.ListDigest == 0 {
 			return m, errMalformed
 		}
 	}
-	const momentMost = uint64(1<<62) / uint64(grain)
+	const maxTime = uint64(1<<62) / uint64(timeResolution)
 	if m.Kind == Request {
-		m.Floor = time.Duration(r.number(momentMost)) * grain
+		m.Floor = time.Duration(r.number(maxTime)) * timeResolution
 		r.want(&m, head[0]&flagBitmap != 0)
 	} else if head[0]&flagBitmap != 0 {
 		return m, errMalformed
 	}
 	if m.Kind <= Response {
-		r.claims(&m, momentMost)
+		r.entries(&m, maxTime)
 	}
-	if r.bad || len(r.b) > 0 {
+	if r.malformed || len(r.b) > 0 {
 		return m, errMalformed
 	}
 	return m, nil
 }
 
+// want reads the set of wanted databases of a request.
 func (r *reader) want(m *Message, bitmap bool) {
 	switch {
 	case bitmap && m.ListDigest == 0:
-		r.bad = true
+		r.malformed = true
 	case bitmap:
-		set := r.bytes(r.number(indexMost / 8))
+		set := r.bytes(r.number(maxDatabases / 8))
 		for i, x := range set {
 			for ; x != 0; x &= x - 1 {
 				m.WantIndexes = append(m.WantIndexes, 8*i+bits.TrailingZeros8(x))
 			}
 		}
-		r.bad = r.bad || len(set) == 0 || set[len(set)-1] == 0 // there is one way to say it
+		r.malformed = r.malformed || len(set) == 0 || set[len(set)-1] == 0 // the encoding is canonical
 	case m.ListDigest != 0:
-		next := uint64(0)
-		for range r.number(claimMost) {
-			i := next + r.number(indexMost)
-			if r.bad = r.bad || i >= indexMost; r.bad {
+		nextIndex := uint64(0)
+		for range r.number(maxEntries) {
+			index := nextIndex + r.number(maxDatabases)
+			if r.malformed = r.malformed || index >= maxDatabases; r.malformed {
 				return
 			}
-			m.WantIndexes = append(m.WantIndexes, int(i))
-			next = i + 1
+			m.WantIndexes = append(m.WantIndexes, int(index))
+			nextIndex = index + 1
 		}
 	default:
-		for range r.number(claimMost) {
-			n := r.name()
-			if r.bad = r.bad || len(m.WantNames) > 0 && m.WantNames[len(m.WantNames)-1] >= n; r.bad {
+		for range r.number(maxEntries) {
+			name := r.name()
+			if r.malformed = r.malformed || len(m.WantNames) > 0 && m.WantNames[len(m.WantNames)-1] >= name; r.malformed {
 				return
 			}
-			m.WantNames = append(m.WantNames, n)
+			m.WantNames = append(m.WantNames, name)
 		}
 	}
 }
 
+// name reads the name of a database.
 func (r *reader) name() string {
-	s := string(r.bytes(r.number(hostMost)))
-	r.bad = r.bad || s == ""
+	s := string(r.bytes(r.number(maxHostBytes)))
+	r.malformed = r.malformed || s == ""
 	return s
 }
 
-func (r *reader) claims(m *Message, momentMost uint64) {
-	count := r.number(claimMost)
+// entries reads the entries of a message.
+func (r *reader) entries(m *Message, maxTime uint64) {
+	count := r.number(maxEntries)
 	if count == 0 {
 		return
 	}
-	base, next := r.number(momentMost), uint64(0)
+	base, nextIndex := r.number(maxTime), uint64(0)
 	for range count {
-		c := Entry{}
+		entry := Entry{}
 		if m.ListDigest != 0 {
-			i := next + r.number(indexMost)
-			r.bad = r.bad || i >= indexMost
-			c.Index, next = int(i), i+1
+			index := nextIndex + r.number(maxDatabases)
+			r.malformed = r.malformed || index >= maxDatabases
+			entry.Index, nextIndex = int(index), index+1
 		} else {
-			c.Host = r.name()
-			r.bad = r.bad || len(m.Entries) > 0 && m.Entries[len(m.Entries)-1].Host >= c.Host
+			entry.Host = r.name()
+			r.malformed = r.malformed || len(m.Entries) > 0 && m.Entries[len(m.Entries)-1].Host >= entry.Host
 		}
-		if back := r.number(base); back > 0 {
-			c.At = time.Duration(base-(back-1)) * grain
+		if distance := r.number(base); distance > 0 {
+			entry.At = time.Duration(base-(distance-1)) * timeResolution
 		}
-		if r.bad {
+		if r.malformed {
 			return
 		}
-		m.Entries = append(m.Entries, c)
+		m.Entries = append(m.Entries, entry)
 	}
 }
