--- a/internal/fleet/audit/fence.go
+++ b/internal/fleet/audit/fence.go
@@ -6,96 +6,98 @@
 )
 
 const (
-	fenceParts = 3                       // two of three have to be ahead before the third is shut out
-	backAfter  = time.Second             // it has what the others have for so long before it takes writes again
-	freshFor   = 5 * time.Second         // a telling that is older says nothing of what its gateway has now
-	wakeMost   = 2 * time.Second         // who stood still and hears of nobody goes on after that
-	wakeLeast  = 1500 * time.Millisecond // who stood still for less was not away
+	quorumParts     = 3                       // a gateway is fenced only if two of three are ahead of it
+	unfenceDelay    = time.Second             // how long it has had the current list before it accepts writes again
+	maxReportAge    = 5 * time.Second         // older reports say nothing about the list that a gateway has now
+	pauseFenceLimit = 2 * time.Second         // a gateway that receives nothing after a pause goes on after that
+	minPause        = 1500 * time.Millisecond // shorter pauses are ignored
 )
 
-// Fence decides whether this process shuts itself out: it takes no writes, and no new clients, while it acts on knowledge
-// that it knows to be old and cannot bring up. It is a lease of sorts, which the process takes from itself: nobody else can.
-// Use NewFence.
+// Fence decides whether this process fences itself: it accepts no writes and no new clients while it acts on information
+// that it knows to be outdated and cannot update. It resembles a lease that the process grants itself: no other process can
+// revoke it. Use NewFence.
 type Fence struct {
-	bound   time.Duration
-	since   time.Duration // behind two thirds since then; 0: it is not
-	backAt  time.Duration // it has caught up and is let back then
-	on      bool
-	wokeAt  time.Duration // it stood still until then and has heard nothing since; 0: it has
-	lost    time.Duration
-	word    *bool // operators' word
-	wordFor int64 // the list for which the word to go on holds
+	maxLag       time.Duration
+	laggingSince time.Duration // since when two thirds have had a newer list; 0: they have not
+	unfenceAt    time.Duration // when the fence opens after the list has caught up
+	fenced       bool
+	pauseEnd     time.Duration // end of the last pause if nothing has been received since; 0: something has
+	totalPause   time.Duration
+	override     *bool // of an operator
+	overrideList int64 // the list for which an override that lifts the fence holds
 }
 
-// NewFence is one that shuts out after being behind for longer than bound.
-func NewFence(bound time.Duration) *Fence { return &Fence{bound: bound} }
+// NewFence returns a fence that closes after the list has lagged for longer than maxLag.
+func NewFence(maxLag time.Duration) *Fence { return &Fence{maxLag: maxLag} }
 
-// Override takes an operator's word. To go on is for the list that this process has: the next one is judged anew.
-func (f *Fence) Override(out bool, list int64) { f.word, f.wordFor = &out, list }
+// Override sets an operator override. One that lifts the fence holds only for the given list: with the next one the fence
+// decides again.
+func (f *Fence) Override(fenced bool, list int64) { f.override, f.overrideList = &fenced, list }
 
-// NotePause notes how long the process has stood still, all in all. It is to be called before anything is sent; true: this
-// process was away for so long that it cannot know what has changed.
-func (f *Fence) NotePause(now, lost time.Duration) bool {
-	away := lost - f.lost
-	if f.lost = lost; away >= wakeLeast {
-		f.wokeAt = now
+// NotePause takes the total time for which the process has been paused. It must be called before anything is sent. It
+// reports whether this process was paused for so long that it cannot know what has changed.
+func (f *Fence) NotePause(now, totalPause time.Duration) bool {
+	pause := totalPause - f.totalPause
+	if f.totalPause = totalPause; pause >= minPause {
+		f.pauseEnd = now
 	}
-	return f.wokeAt > 0
+	return f.pauseEnd > 0
 }
 
-// PauseEnd is until when this process stood still, where it has heard nothing since; 0: it has.
-func (f *Fence) PauseEnd() time.Duration { return f.wokeAt }
+// PauseEnd returns when the last pause ended if nothing has been received since; 0: something has.
+func (f *Fence) PauseEnd() time.Duration { return f.pauseEnd }
 
-// Tick judges. own is the list that this process acts on, others what the rest tell; members are those of the view.
-func (f *Fence) Tick(now time.Duration, own int64, others []KnownVersion, members []string) {
-	lists := []int64{own}
-	heard := false
-	for _, o := range others {
-		if slices.Contains(members, o.Name) && now-o.ReceivedAt < freshFor {
-			lists = append(lists, o.ListVersion)
-			heard = heard || o.ReceivedAt > f.wokeAt
+// Tick updates the fence. ownList is the list version that this process acts on, others are the reports of the other
+// gateways, and members are those of the view.
+func (f *Fence) Tick(now time.Duration, ownList int64, others []KnownVersion, members []string) {
+	lists := []int64{ownList}
+	received := false
+	for _, other := range others {
+		if slices.Contains(members, other.Name) && now-other.ReceivedAt < maxReportAge {
+			lists = append(lists, other.ListVersion)
+			received = received || other.ReceivedAt > f.pauseEnd
 		}
 	}
-	if heard || now-f.wokeAt >= wakeMost || len(members) < 2 {
-		f.wokeAt = 0
+	if received || now-f.pauseEnd >= pauseFenceLimit || len(members) < 2 {
+		f.pauseEnd = 0
 	}
-	// The greatest list that two thirds have, of all members: who is silent has nothing. So no more than a third can be
-	// behind it, and two processes cannot shut each other out, for lists are in one order.
+	// The greatest list that two thirds of all members have; silent members count as having none. So no more than a third
+	// can lag behind it, and two processes cannot fence each other, because list versions are totally ordered.
 	slices.Sort(lists)
 	slices.Reverse(lists)
-	most := max(len(members), len(lists))
-	need := (most*(fenceParts-1) + fenceParts - 1) / fenceParts
-	behind := len(lists) >= need && lists[need-1] > own
+	memberCount := max(len(members), len(lists))
+	quorum := (memberCount*(quorumParts-1) + quorumParts - 1) / quorumParts
+	lagging := len(lists) >= quorum && lists[quorum-1] > ownList
 	switch {
-	case !behind:
-		f.since = 0
-		if f.on && f.backAt == 0 {
-			f.backAt = now + backAfter
+	case !lagging:
+		f.laggingSince = 0
+		if f.fenced && f.unfenceAt == 0 {
+			f.unfenceAt = now + unfenceDelay
 		}
-		if f.backAt > 0 && now >= f.backAt {
-			f.on, f.backAt = false, 0
+		if f.unfenceAt > 0 && now >= f.unfenceAt {
+			f.fenced, f.unfenceAt = false, 0
 		}
-	case f.since == 0:
-		f.since, f.backAt = now, 0
-	case now-f.since >= f.bound:
-		f.on, f.backAt = true, 0
+	case f.laggingSince == 0:
+		f.laggingSince, f.unfenceAt = now, 0
+	case now-f.laggingSince >= f.maxLag:
+		f.fenced, f.unfenceAt = true, 0
 	}
-	if f.word != nil && !*f.word && f.wordFor != own {
-		f.word = nil
+	if f.override != nil && !*f.override && f.overrideList != ownList {
+		f.override = nil
 	}
 }
 
-// Fenced tells whether this process is shut out, and why.
-func (f *Fence) Fenced() (out bool, why string) {
+// Fenced reports whether this process is fenced, and why.
+func (f *Fence) Fenced() (fenced bool, reason string) {
 	switch {
-	case f.word != nil && *f.word:
-		return true, "an operator shut it out"
-	case f.word != nil:
+	case f.override != nil && *f.override:
+		return true, "fenced by an operator"
+	case f.override != nil:
 		return false, ""
-	case f.on:
-		return true, "its list is older than that of two thirds of the fleet, and cannot be brought up"
-	case f.wokeAt > 0:
-		return true, "it stood still and has not heard since"
+	case f.fenced:
+		return true, "its list is older than that of two thirds of the fleet and cannot be updated"
+	case f.pauseEnd > 0:
+		return true, "it was paused and has received nothing since"
 	}
 	return false, ""
 }
--- a/internal/fleet/audit/records_test.go
+++ b/internal/fleet/audit/records_test.go
@@ -286,11 +286,11 @@
 // Memory is bounded, and what found no room is told.
 func TestRecorderIsBounded(t *testing.T) {
 	p := newProcess("n0", 7)
-	for i := range hostsMost + 10 {
+	for i := range maxDatabases + 10 {
 		p.Sent(day, fmt.Sprint(i), 1)
 	}
 	p.until(0, 10*time.Minute*3)
-	assert.LessOrEqual(t, len(p.Recent()), keptMost)
+	assert.LessOrEqual(t, len(p.Recent()), maxRecent)
 	assert.Contains(t, kinds(Analyze(opened(t, p), DefaultTolerances())), Incomplete)
 
 	// What drained and left the list is not told of for ever.
@@ -299,10 +299,10 @@
 	p.SetDraining(day, "leaves", 1, true)
 	listed := func(database string) bool { return database == "stays" }
 	p.DropUnlisted(day+time.Second, listed)
-	assert.Len(t, p.drained, 2, "not while work might still go there")
-	p.DropUnlisted(day+2*leftAfter, listed)
-	assert.Len(t, p.drained, 1)
-	p.until(0, 2*leftAfter+10*time.Second)
+	assert.Len(t, p.draining, 2, "not while work might still go there")
+	p.DropUnlisted(day+2*drainRetention, listed)
+	assert.Len(t, p.draining, 1)
+	p.until(0, 2*drainRetention+10*time.Second)
 	last, err := ParseRecord(p.Recent()[len(p.Recent())-1])
 	require.NoError(t, err)
 	require.Len(t, last.Databases, 1)
--- a/internal/fleet/audit/versions_test.go
+++ b/internal/fleet/audit/versions_test.go
@@ -91,7 +91,7 @@
 	c := newTroop(3)
 	c.list[2].Set(Version{Session: 1, ListVersion: 1 << 40})
 	c.run(5*time.Minute, func(int) {})
-	assert.Len(t, c.asked, 2*asksMost)
+	assert.Len(t, c.asked, 2*maxRequests)
 }
 
 func TestWhoSaysNothingIsForgotten(t *testing.T) {
@@ -100,7 +100,7 @@
 	assert.Len(t, v.All(), 2)
 	v.Receive(start, VersionsMessage{Versions: []Version{{Name: "b", Session: 1, ListVersion: 2}}})
 	assert.EqualValues(t, 3, v.All()[1].ListVersion, "an old telling changes nothing")
-	v.Tick(start + 2*keepAfter)
+	v.Tick(start + 2*minRetention)
 	assert.Len(t, v.All(), 1)
 }
 
@@ -124,7 +124,7 @@
 			assert.EqualValues(t, 2, v.others[returns].Session, "as %s knows it", v.cfg.Name)
 		}
 	}
-	c.run(3*keepAfter, func(int) {})
+	c.run(3*minRetention, func(int) {})
 	for _, v := range c.list {
 		if v.cfg.Name != gone {
 			assert.NotContains(t, v.others, gone, "as %s knows it", v.cfg.Name)
