--- a/internal/fleet/antientropy/machine.go
+++ b/internal/fleet/antientropy/machine.go
@@ -115,7 +115,10 @@
 
 // New makes an empty copy.
 func New(cfg Config, now time.Duration) *Machine {
-	m := &Machine{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x616e7469)), index: map[string]int{}, mismatchedUntil: map[string]time.Duration{}, refilledAt: now, window: initialWindow}
+	m := &Machine{
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 0x616e7469)), index: map[string]int{}, mismatchedUntil: map[string]time.Duration{},
+		refilledAt: now, window: initialWindow,
+	}
 	m.requestTokens, m.responseTokens = m.capacity(), m.capacity()
 	m.interval = time.Duration(bytesPerRequest / m.capacity() * float64(time.Second))
 	m.interval = min(max(m.interval, minInterval), maxInterval)
--- a/internal/fleet/antientropy/machine_test.go
+++ b/internal/fleet/antientropy/machine_test.go
@@ -19,28 +19,30 @@
 	stride   = 50 * time.Millisecond
 )
 
-// fleet is some machines with links between them that lose, double, reorder and cut.
+// fleet is a set of machines connected by links that can lose, duplicate, delay and partition messages.
 type fleet struct {
-	rnd    *rand.Rand
-	now    time.Duration
-	names  []string
-	nodes  []*Machine
-	wire   []letter
-	loss   float64
-	double float64
-	late   time.Duration
-	cut    func(from, to int) bool
-	sent   [][]sending // by machine
-	heard  func(to int, news []Entry)
+	rnd         *rand.Rand
+	now         time.Duration
+	names       []string
+	nodes       []*Machine
+	network     []delivery
+	loss        float64
+	duplicate   float64
+	maxDelay    time.Duration
+	partitioned func(from, to int) bool
+	sent        [][]sentMessage // by machine
+	onReceive   func(to int, news []Entry)
 }
 
-type letter struct {
+// delivery is a message in flight.
+type delivery struct {
 	at   time.Duration
 	to   int
 	body []byte
 }
 
-type sending struct {
+// sentMessage is the time and size of a message that was sent.
+type sentMessage struct {
 	at   time.Duration
 	size int
 }
@@ -53,7 +55,7 @@
 }
 
 func newFleet(seed uint64, n, bytes int, list []string) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 5)), now: epoch, sent: make([][]sending, n)}
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 5)), now: epoch, sent: make([][]sentMessage, n)}
 	var members []Member
 	for i := range n {
 		members = append(members, Member{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%3)})
@@ -70,42 +72,42 @@
 
 func (f *fleet) send(from int, out []Send) {
 	for _, s := range out {
-		f.sent[from] = append(f.sent[from], sending{f.now, len(s.Body) + overhead})
+		f.sent[from] = append(f.sent[from], sentMessage{f.now, len(s.Body) + overhead})
 		to := slices.Index(f.names, s.To)
-		if to < 0 || f.cut != nil && f.cut(from, to) {
+		if to < 0 || f.partitioned != nil && f.partitioned(from, to) {
 			continue
 		}
 		for range 2 {
 			if f.rnd.Float64() >= f.loss {
-				f.wire = append(f.wire, letter{f.now + time.Duration(f.rnd.Int64N(int64(f.late)+1)), to, s.Body})
+				f.network = append(f.network, delivery{f.now + time.Duration(f.rnd.Int64N(int64(f.maxDelay)+1)), to, s.Body})
 			}
-			if f.rnd.Float64() >= f.double {
+			if f.rnd.Float64() >= f.duplicate {
 				break
 			}
 		}
 	}
 }
 
-// run lets time go by; feed is called before each stride.
+// run advances the clock; feed is called before each stride.
 func (f *fleet) run(t require.TestingT, d time.Duration, feed func()) {
 	for end := f.now + d; f.now < end; f.now += stride {
 		if feed != nil {
 			feed()
 		}
-		due := f.wire
-		f.wire = nil
-		for _, l := range due {
-			if l.at > f.now {
-				f.wire = append(f.wire, l)
+		pending := f.network
+		f.network = nil
+		for _, d := range pending {
+			if d.at > f.now {
+				f.network = append(f.network, d)
 				continue
 			}
-			msg, err := Parse(l.body)
+			msg, err := Parse(d.body)
 			require.NoError(t, err)
-			out, news := f.nodes[l.to].Receive(f.now, msg)
-			if f.heard != nil {
-				f.heard(l.to, news)
+			out, newer := f.nodes[d.to].Receive(f.now, msg)
+			if f.onReceive != nil {
+				f.onReceive(d.to, newer)
 			}
-			f.send(l.to, out)
+			f.send(d.to, out)
 		}
 		for i, m := range f.nodes {
 			f.send(i, m.Tick(f.now))
@@ -113,37 +115,37 @@
 	}
 }
 
-// within checks that no window of any length holds more than the budget and what a second of it brings.
-func (f *fleet) within(t require.TestingT, bytes int) {
-	for i, list := range f.sent {
-		// The budget is never passed if what was sent less what was earned never rises by more than a burst.
-		low, sum := 0.0, 0.0
-		for _, s := range list {
+// checkBudget checks that in no interval of any length a machine sends more than the budget for it and for one more second.
+func (f *fleet) checkBudget(t require.TestingT, bytes int) {
+	for i, messages := range f.sent {
+		// The budget holds if sent minus earned bytes never rise by more than a burst.
+		lowest, total := 0.0, 0.0
+		for _, s := range messages {
 			earned := float64(bytes) * (s.at - epoch).Seconds()
-			low = min(low, sum-earned)
-			sum += float64(s.size)
+			lowest = min(lowest, total-earned)
+			total += float64(s.size)
 			require.LessOrEqual(t, s.size, maxDatagramBytes)
-			require.LessOrEqual(t, sum-earned-low, float64(bytes)+0.001, "machine %d at %v", i, s.at-epoch)
+			require.LessOrEqual(t, total-earned-lowest, float64(bytes)+0.001, "machine %d at %v", i, s.at-epoch)
 		}
 	}
 }
 
-// Whatever is learned, lost, asked and asked by many: no window holds more than the budget and its burst.
+// Whatever is learned, lost and requested, also by a flood: no interval has more bytes than the budget and its burst.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		bytes := rapid.IntRange(MinBytesPerSecond, 6000).Draw(r, "bytes")
 		list := hosts(rapid.IntRange(1, 300).Draw(r, "databases"))
 		f := newFleet(rapid.Uint64().Draw(r, "seed"), rapid.IntRange(2, 8).Draw(r, "n"), bytes, list)
 		f.loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
-		f.double = rapid.Float64Range(0, 0.5).Draw(r, "double")
+		f.duplicate = rapid.Float64Range(0, 0.5).Draw(r, "double")
 		rate := rapid.IntRange(0, 50).Draw(r, "rate")
 		flood := rapid.Bool().Draw(r, "flood")
-		asked := Message{Kind: Request, From: "n1"}
+		request := Message{Kind: Request, From: "n1"}
 		for _, h := range list {
-			asked.Entries = append(asked.Entries, Entry{Host: h})
+			request.Entries = append(request.Entries, Entry{Host: h})
 		}
 		idle := time.Duration(rapid.IntRange(0, 5).Draw(r, "idle")) * time.Second
-		f.now += idle // the buckets are full at most
+		f.now += idle // fills the buckets, which cannot hold more than their capacity
 		f.run(r, 6*time.Second, func() {
 			for _, m := range f.nodes {
 				for range f.rnd.IntN(rate + 1) {
@@ -151,30 +153,30 @@
 				}
 			}
 			if flood {
-				out, _ := f.nodes[0].Receive(f.now, asked)
+				out, _ := f.nodes[0].Receive(f.now, request)
 				f.send(0, out)
 			}
 		})
-		f.within(r, bytes)
+		f.checkBudget(r, bytes)
 	})
 }
 
-// Whatever is lost, doubled, late or cut: nothing is known that no database told, and once nothing new comes and links are
-// well, each has the greatest.
-func TestConvergesToTheGreatest(t *testing.T) {
+// Whatever is lost, duplicated, delayed or partitioned: no machine knows a time that no database reported, and once nothing
+// new arrives and links work, each has the greatest.
+func TestConvergesToGreatest(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n, list := rapid.IntRange(2, 9).Draw(r, "n"), hosts(rapid.IntRange(1, 60).Draw(r, "databases"))
 		f := newFleet(rapid.Uint64().Draw(r, "seed"), n, rapid.IntRange(MinBytesPerSecond, 3000).Draw(r, "bytes"), list)
 		f.loss = rapid.Float64Range(0, 0.6).Draw(r, "loss")
-		f.double = rapid.Float64Range(0, 0.6).Draw(r, "double")
-		f.late = time.Duration(rapid.IntRange(0, 900).Draw(r, "late")) * time.Millisecond
+		f.duplicate = rapid.Float64Range(0, 0.6).Draw(r, "double")
+		f.maxDelay = time.Duration(rapid.IntRange(0, 900).Draw(r, "late")) * time.Millisecond
 		parts := rapid.IntRange(1, 3).Draw(r, "parts")
-		f.cut = func(from, to int) bool { return from%parts != to%parts }
-		truth := map[string]time.Duration{}
+		f.partitioned = func(from, to int) bool { return from%parts != to%parts }
+		reported := map[string]time.Duration{}
 		check := func() {
 			for _, m := range f.nodes {
 				for _, d := range m.databases {
-					require.LessOrEqual(r, d.known, truth[d.host])
+					require.LessOrEqual(r, d.known, reported[d.host])
 				}
 			}
 		}
@@ -182,59 +184,59 @@
 			check()
 			i := f.rnd.IntN(len(list))
 			if i%5 == 4 && f.now > epoch+time.Second {
-				return // told at the beginning alone
+				return // reported only at the beginning
 			}
 			at := f.now - time.Duration(f.rnd.Int64N(int64(time.Second)))
-			truth[list[i]] = max(truth[list[i]], at)
+			reported[list[i]] = max(reported[list[i]], at)
 			f.nodes[f.rnd.IntN(n)].Observe(list[i], at)
 		}
 		f.run(r, 10*time.Second, feed)
-		f.cut = nil
+		f.partitioned = nil
 		f.run(r, 5*time.Second, feed)
-		f.loss, f.double = 0, 0
+		f.loss, f.duplicate = 0, 0
 		f.run(r, 90*time.Second, nil)
 		check()
 		for _, m := range f.nodes {
-			for h, at := range truth {
+			for h, at := range reported {
 				require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(timeResolution), "%s at %s", h, m.cfg.Name)
 			}
 		}
 	})
 }
 
-// Lists differ while a change goes round: nothing is kept of a database that the own list does not have, no index of
-// another's list is taken for one's own, and what both lists have is told all the same.
-func TestListsThatDiffer(t *testing.T) {
+// Lists differ while a change spreads: nothing is kept of a database that the own list does not have, no index of another
+// list is mistaken for one of the own, and databases in both lists still converge.
+func TestDifferingLists(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n, list := rapid.IntRange(2, 6).Draw(r, "n"), hosts(rapid.IntRange(3, 40).Draw(r, "databases"))
 		f := newFleet(rapid.Uint64().Draw(r, "seed"), n, 2000, list)
-		truth, has := map[string]time.Duration{}, make([][]string, n)
+		reported, listed := map[string]time.Duration{}, make([][]string, n)
 		for i, m := range f.nodes {
 			for k, h := range list {
 				if k%n != i || k == 0 { // all have the first
-					has[i] = append(has[i], h)
+					listed[i] = append(listed[i], h)
 				}
 			}
-			m.SetDatabases(has[i])
+			m.SetDatabases(listed[i])
 		}
-		f.heard = func(to int, news []Entry) {
+		f.onReceive = func(to int, news []Entry) {
 			for _, c := range news {
-				require.Contains(r, has[to], c.Host)
-				require.LessOrEqual(r, c.At, truth[c.Host])
+				require.Contains(r, listed[to], c.Host)
+				require.LessOrEqual(r, c.At, reported[c.Host])
 			}
 		}
 		f.run(r, 8*time.Second, func() {
 			i := f.rnd.IntN(n)
-			h := has[i][f.rnd.IntN(len(has[i]))]
+			h := listed[i][f.rnd.IntN(len(listed[i]))]
 			at := f.now - time.Duration(f.rnd.Int64N(int64(time.Minute)))
-			truth[h] = max(truth[h], at)
+			reported[h] = max(reported[h], at)
 			f.nodes[i].Observe(h, at)
 			f.nodes[i].Observe("s-999", at)
 		})
 		f.run(r, 120*time.Second, nil)
 		for i, m := range f.nodes {
-			for h, at := range truth {
-				if slices.Contains(has[i], h) {
+			for h, at := range reported {
+				if slices.Contains(listed[i], h) {
 					require.GreaterOrEqual(r, m.TimeOf(h), at.Truncate(timeResolution), "%s at %d", h, i)
 					require.LessOrEqual(r, m.TimeOf(h), at)
 				} else {
@@ -242,13 +244,13 @@
 				}
 			}
 			require.Zero(r, m.TimeOf("s-999"))
-			require.Len(r, m.databases, len(has[i]))
+			require.Len(r, m.databases, len(listed[i]))
 		}
 	})
 }
 
-// What a gateway sends does not depend on how many others there are.
-func TestCostDoesNotGrowWithTheFleet(t *testing.T) {
+// How much a gateway sends does not depend on the number of others.
+func TestCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(n int) float64 {
 		list := hosts(200)
 		f := newFleet(7, n, 1500, list)
@@ -265,7 +267,7 @@
 				sum += x.size
 			}
 		}
-		f.within(t, 1500)
+		f.checkBudget(t, 1500)
 		return float64(sum) / float64(n) / 10
 	}
 	few := cost(8)
@@ -275,99 +277,100 @@
 	}
 }
 
-// One that is asked by many answers as far as its budget goes, and says when it does not; the askers halve what they ask,
-// and ask for more again when they are answered.
+// A gateway that receives many requests responds within its budget and answers busy when it is spent; requesters halve
+// their window then, and widen it again after complete responses.
 func TestFlowControl(t *testing.T) {
 	f := newFleet(1, 2, 1500, hosts(300))
 	a, b := f.nodes[0], f.nodes[1]
 	for _, h := range hosts(300) {
 		a.Observe(h, f.now)
 	}
-	ask := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
+	request := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
 	for i := range 300 {
-		ask.Entries = append(ask.Entries, Entry{Index: i})
+		request.Entries = append(request.Entries, Entry{Index: i})
 	}
 	kinds := map[Kind]int{}
 	for range 20 {
-		out, _ := a.Receive(f.now, ask)
+		out, _ := a.Receive(f.now, request)
 		for _, s := range out {
 			msg, err := Parse(s.Body)
 			require.NoError(t, err)
 			kinds[msg.Kind]++
 			assert.Equal(t, "n1", s.To)
-			was := b.Window()
+			before := b.Window()
 			b.Receive(f.now, msg)
 			switch {
 			case msg.Kind == Busy:
-				assert.Equal(t, max(minWindow, was/2), b.Window())
+				assert.Equal(t, max(minWindow, before/2), b.Window())
 			case !msg.Truncated:
-				assert.Equal(t, was+windowIncrement, b.Window())
+				assert.Equal(t, before+windowIncrement, b.Window())
 			default:
-				assert.Equal(t, was, b.Window())
+				assert.Equal(t, before, b.Window())
 			}
 		}
 	}
 	assert.Positive(t, kinds[Response])
 	assert.Positive(t, kinds[Busy])
-	assert.Less(t, kinds[Response]+kinds[Busy], 20, "then nothing")
+	assert.Less(t, kinds[Response]+kinds[Busy], 20, "no messages after the busy one")
 	assert.Positive(t, a.Counts().Refused)
 }
 
-// The answer to too small a room has the largest gains.
-func TestTheLargestGainGoesFirst(t *testing.T) {
+// A response that cannot carry everything has the largest gains.
+func TestLargestGainGoesFirst(t *testing.T) {
 	f := newFleet(1, 2, 1500, hosts(600))
 	a := f.nodes[0]
-	ask := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
+	request := Message{Kind: Request, From: "n1", ListDigest: a.listDigest}
 	for i, h := range hosts(600) {
 		a.Observe(h, f.now+time.Duration(i%10)*100*time.Millisecond)
-		ask.Entries = append(ask.Entries, Entry{Index: i, At: f.now - time.Minute})
+		request.Entries = append(request.Entries, Entry{Index: i, At: f.now - time.Minute})
 	}
-	out, _ := a.Receive(f.now, ask)
+	out, _ := a.Receive(f.now, request)
 	require.Len(t, out, 1)
 	msg, err := Parse(out[0].Body)
 	require.NoError(t, err)
 	assert.True(t, msg.Truncated)
 	require.NotEmpty(t, msg.Entries)
-	least := msg.Entries[0].At
+	oldest := msg.Entries[0].At
 	for _, c := range msg.Entries {
-		least = min(least, c.At)
+		oldest = min(oldest, c.At)
 	}
-	told := 0
+	sent := 0
 	for _, c := range msg.Entries {
-		if c.At > least {
-			told++
+		if c.At > oldest {
+			sent++
 		}
 	}
-	more := 0
+	newer := 0
 	for i := range 600 {
-		if a.databases[i].known > least {
-			more++
+		if a.databases[i].known > oldest {
+			newer++
 		}
 	}
-	assert.Equal(t, more, told, "nothing that is newer was left out")
+	assert.Equal(t, newer, sent, "no newer entry was left out")
 }
 
-func TestWhatIsNotBelieved(t *testing.T) {
+// Older entries, entries ahead of the clock, unlisted databases, indexes of other lists and own messages are rejected.
+func TestReceiveRejectsInvalidEntries(t *testing.T) {
 	f := newFleet(1, 2, 1500, []string{"s1", "s2"})
 	a := f.nodes[0]
-	_, news := a.Receive(f.now, Message{Kind: Response, From: "n1", Entries: []Entry{
+	_, newer := a.Receive(f.now, Message{Kind: Response, From: "n1", Entries: []Entry{
 		{Host: "s1", At: f.now - time.Second}, {Host: "s1", At: f.now - 2*time.Second}, {Host: "s1", At: f.now + time.Hour}, {Host: "s9", At: f.now},
 	}})
-	assert.Equal(t, []Entry{{Index: 0, Host: "s1", At: f.now - time.Second}}, news)
-	k := a.Counts()
-	assert.Equal(t, [4]uint64{1, 1, 1, 1}, [4]uint64{k.Received, k.Outdated, k.Future, k.Unknown})
-	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest + 1, Entries: []Entry{{Index: 1, At: f.now}}})
-	assert.Empty(t, news, "an index of another list")
-	_, news = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest, Entries: []Entry{{Index: 2, At: f.now}}})
-	assert.Empty(t, news, "an index past the list")
-	out, news := a.Receive(f.now, Message{Kind: Request, From: "n0", Entries: []Entry{{Host: "s1", At: f.now}}})
-	assert.Empty(t, append(news, make([]Entry, len(out))...), "from itself")
+	assert.Equal(t, []Entry{{Index: 0, Host: "s1", At: f.now - time.Second}}, newer)
+	counts := a.Counts()
+	assert.Equal(t, [4]uint64{1, 1, 1, 1}, [4]uint64{counts.Received, counts.Outdated, counts.Future, counts.Unknown})
+	_, newer = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest + 1, Entries: []Entry{{Index: 1, At: f.now}}})
+	assert.Empty(t, newer, "an index of another list")
+	_, newer = a.Receive(f.now, Message{Kind: Response, From: "n1", ListDigest: a.listDigest, Entries: []Entry{{Index: 2, At: f.now}}})
+	assert.Empty(t, newer, "an index past the list")
+	out, newer := a.Receive(f.now, Message{Kind: Request, From: "n0", Entries: []Entry{{Host: "s1", At: f.now}}})
+	assert.Empty(t, append(newer, make([]Entry, len(out))...), "from itself")
 	a.SetDatabases([]string{"s2"})
 	assert.Zero(t, a.TimeOf("s1"))
 }
 
-// A replica of which one gateway alone has heard is known to most within seconds, though each asks few.
-func TestNewsOfOneGoRound(t *testing.T) {
+// A position known to one gateway only reaches most gateways within seconds, though each asks only few others.
+func TestEntryOfOneGatewaySpreads(t *testing.T) {
 	const n = 200
 	list := hosts(400)
 	f := newFleet(3, n, 1500, list)
@@ -381,7 +384,7 @@
 	f.run(t, 20*time.Second, feed)
 	at := f.now
 	f.nodes[17].Observe(list[len(list)-1], at)
-	know := func() (k int) {
+	upToDate := func() (k int) {
 		for _, m := range f.nodes {
 			if m.TimeOf(list[len(list)-1]) >= at.Truncate(timeResolution) {
 				k++
@@ -390,12 +393,13 @@
 		return k
 	}
 	f.run(t, 5*time.Second, feed)
-	assert.Greater(t, know(), n/2, "after 5 s")
+	assert.Greater(t, upToDate(), n/2, "after 5 s")
 	f.run(t, 10*time.Second, feed)
-	assert.Equal(t, n, know(), "after 15 s")
+	assert.Equal(t, n, upToDate(), "after 15 s")
 }
 
-func TestNoIndexPastAnyList(t *testing.T) {
+// An index that no list can have is malformed.
+func TestParseRejectsIndexBeyondMaxDatabases(t *testing.T) {
 	for _, m := range []Message{
 		{Kind: Request, From: "a", ListDigest: 7, WantIndexes: []int{maxDatabases}},
 		{Kind: Response, From: "a", ListDigest: 7, Entries: []Entry{{Index: maxDatabases, At: epoch}}},
@@ -414,26 +418,27 @@
 	} {
 		f.Add(m.Append(nil))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) { sound(t, b) })
+	f.Fuzz(func(t *testing.T, b []byte) { checkArbitraryInput(t, b) })
 }
 
-// sound checks what must hold of any bytes: they are refused, or taken in as floors that the own list and clock allow.
-func sound(t require.TestingT, b []byte) {
+// checkArbitraryInput checks the invariants for arbitrary bytes: they are rejected, or applied as times that the own list
+// and clock allow.
+func checkArbitraryInput(t require.TestingT, b []byte) {
 	msg, err := Parse(b)
 	if err != nil {
 		return
 	}
-	again, err := Parse(msg.Append(nil))
+	reparsed, err := Parse(msg.Append(nil))
 	require.NoError(t, err)
-	require.Equal(t, msg, again)
+	require.Equal(t, msg, reparsed)
 	m := New(Config{Name: "n1", BytesPerSecond: MinBytesPerSecond, MessageOverhead: overhead, Step: step, Seed: 1}, epoch)
 	m.SetMembers([]Member{{Name: "n2"}})
 	m.SetDatabases([]string{"s1", "s2"})
 	m.Observe("s1", epoch)
 	for _, digest := range []uint64{msg.ListDigest, m.listDigest} {
 		msg.ListDigest = min(msg.ListDigest, digest)
-		out, news := m.Receive(epoch, msg)
-		for _, c := range news {
+		out, newer := m.Receive(epoch, msg)
+		for _, c := range newer {
 			require.Contains(t, []string{"s1", "s2"}, c.Host)
 			require.LessOrEqual(t, c.At, epoch+maxFuture)
 		}
@@ -450,8 +455,8 @@
 	}
 }
 
-// Damaged messages and garbage never panic and never permit.
-func TestAnyBytes(t *testing.T) {
+// Damaged messages and arbitrary bytes never cause a panic or an invalid entry.
+func TestArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := rapid.SliceOfNDistinct(rapid.IntRange(0, 900), 0, 200, rapid.ID).Draw(r, "want")
 		slices.Sort(set)
@@ -472,14 +477,14 @@
 			for range rapid.IntRange(1, 4).Draw(r, "flips") {
 				d[rapid.IntRange(0, len(d)-1).Draw(r, "place")] = rapid.Byte().Draw(r, "byte")
 			}
-			sound(r, d[:rapid.IntRange(0, len(d)).Draw(r, "length")])
-			sound(r, d)
+			checkArbitraryInput(r, d[:rapid.IntRange(0, len(d)).Draw(r, "length")])
+			checkArbitraryInput(r, d)
 		}
-		sound(r, rapid.SliceOf(rapid.Byte()).Draw(r, "garbage"))
+		checkArbitraryInput(r, rapid.SliceOf(rapid.Byte()).Draw(r, "garbage"))
 	})
 }
 
-// BenchmarkSecond is a second of two gateways' work at 810 databases, 2,041 answers and 1,500 bytes.
+// BenchmarkSecond is one second of two gateways' work with 810 databases, 2,041 answers and 1,500 bytes.
 func BenchmarkSecond(b *testing.B) {
 	list := hosts(810)
 	f := newFleet(1, 2, 1500, list)
@@ -491,6 +496,6 @@
 			}
 			f.run(b, stride, nil)
 		}
-		f.sent = make([][]sending, 2)
+		f.sent = make([][]sentMessage, 2)
 	}
 }
--- a/internal/fleet/state/positions_test.go
+++ b/internal/fleet/state/positions_test.go
@@ -13,103 +13,104 @@
 	"pgregory.net/rapid"
 )
 
-const now = 1_800_000_000 * time.Second
+const startTime = 1_800_000_000 * time.Second
 
 const step = 200 * time.Millisecond
 
-func all(string) bool { return true }
+func listAll(string) bool { return true }
 
-// Whatever order news come in, how often, and whatever is lost of them: copies never exceed what a database said,
-// and what one told all is known to all when links are well.
+// Whatever the order, duplication and loss of messages: copies never exceed what a database reported, and once links work a
+// new position reaches most gateways.
 func TestCopiesConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(r, "n")
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
 		loss := rapid.Float64Range(0, 0.5).Draw(r, "loss")
-		names, truth := []string{}, map[string]time.Duration{}
+		names, reported := []string{}, map[string]time.Duration{}
 		for i := range n {
 			names = append(names, fmt.Sprint("n", i))
 		}
-		var list []*Positions
+		var copies []*Positions
 		for i := range n {
-			p := NewPositions(names[i], uint64(i), step, all)
+			p := NewPositions(names[i], uint64(i), step, listAll)
 			p.SetMembers(names)
-			list = append(list, p)
+			copies = append(copies, p)
 		}
-		var wire []PositionsSend
+		var network []PositionsSend
 		round := func(loss float64) {
-			for _, p := range list {
-				wire = append(wire, p.Tick()...)
+			for _, p := range copies {
+				network = append(network, p.Tick()...)
 			}
-			rnd.Shuffle(len(wire), func(i, j int) { wire[i], wire[j] = wire[j], wire[i] })
-			for range len(wire) {
-				s := wire[0]
-				wire = wire[1:]
+			rnd.Shuffle(len(network), func(i, j int) { network[i], network[j] = network[j], network[i] })
+			for range len(network) {
+				s := network[0]
+				network = network[1:]
 				if rnd.Float64() < loss/2 {
-					wire = append(wire, s) // it comes again later
+					network = append(network, s) // a duplicate
 				}
 				if rnd.Float64() < loss {
 					continue
 				}
 				var i int
 				_, _ = fmt.Sscanf(s.To, "n%d", &i)
-				list[i].Receive(now+time.Hour, s.Message)
+				copies[i].Receive(startTime+time.Hour, s.Message)
 			}
 		}
 		for k := range 40 {
 			host := fmt.Sprint("s", rnd.IntN(5))
-			truth[host] = max(truth[host], now+time.Duration(k)*300*time.Millisecond)
-			list[rnd.IntN(n)].Observe(host, truth[host])
+			reported[host] = max(reported[host], startTime+time.Duration(k)*300*time.Millisecond)
+			copies[rnd.IntN(n)].Observe(host, reported[host])
 			round(loss)
-			for _, p := range list {
+			for _, p := range copies {
 				for h, at := range p.known {
-					require.LessOrEqual(r, at, truth[h])
+					require.LessOrEqual(r, at, reported[h])
 				}
 			}
 		}
-		// The links are well, and each database is heard of once more.
-		for h := range truth {
-			truth[h] += time.Second
-			list[rnd.IntN(n)].Observe(h, truth[h])
+		// The links work, and each database reports once more.
+		for h := range reported {
+			reported[h] += time.Second
+			copies[rnd.IntN(n)].Observe(h, reported[h])
 		}
 		for range 30 {
 			round(0)
 		}
-		know := 0
-		for _, p := range list {
-			for h, at := range truth {
+		upToDate := 0
+		for _, p := range copies {
+			for h, at := range reported {
 				if p.known[h] == at {
-					know++
+					upToDate++
 				}
 			}
 		}
-		require.Greater(r, float64(know), 0.75*float64(n*len(truth)), "gossip reaches most at once; the next position is told anew")
+		require.Greater(r, float64(upToDate), 0.75*float64(n*len(reported)), "gossip reaches most gateways at once; the next position is gossiped again")
 	})
 }
 
-func TestWhatIsNotBelieved(t *testing.T) {
+// Older positions, positions ahead of the clock and positions of unlisted databases are rejected and counted.
+func TestReceiveRejectsInvalidPositions(t *testing.T) {
 	p := NewPositions("a", 1, step, func(h string) bool { return h == "s1" })
-	news := p.Receive(now, PositionsMessage{Positions: []Position{
-		{"s1", now - time.Second}, {"s1", now - 2*time.Second}, {"s1", now + time.Hour}, {"s9", now},
+	newer := p.Receive(startTime, PositionsMessage{Positions: []Position{
+		{"s1", startTime - time.Second}, {"s1", startTime - 2*time.Second}, {"s1", startTime + time.Hour}, {"s9", startTime},
 	}})
-	assert.Equal(t, []Position{{"s1", now - time.Second}}, news)
+	assert.Equal(t, []Position{{"s1", startTime - time.Second}}, newer)
 	assert.Equal(t, Counts{Received: 1, Outdated: 1, Future: 1, Unknown: 1}, p.Counts())
 }
 
-// A position that has hardly risen is no news, and messages are bounded.
-func TestLittleIsSent(t *testing.T) {
-	p := NewPositions("a", 1, step, all)
+// A position that has risen by less than a step is not gossiped, and messages are bounded.
+func TestGossipIsBounded(t *testing.T) {
+	p := NewPositions("a", 1, step, listAll)
 	p.SetMembers([]string{"a", "b", "c", "d", "e"})
 	sent := 0
-	for k := range 100 { // ten seconds of answers every 10 ms
+	for k := range 100 { // ten seconds with a position every 10 ms
 		for j := range 10 {
-			p.Observe("s1", now+time.Duration(k*100+j*10)*time.Millisecond)
+			p.Observe("s1", startTime+time.Duration(k*100+j*10)*time.Millisecond)
 		}
 		sent += len(p.Tick())
 	}
 	assert.LessOrEqual(t, sent, 51*fanout)
 	for i := range 100 {
-		p.Observe(fmt.Sprint("x", i), now)
+		p.Observe(fmt.Sprint("x", i), startTime)
 	}
 	for _, s := range p.Tick() {
 		assert.Len(t, s.Message.Positions, perSend)
@@ -120,22 +121,22 @@
 	assert.Len(t, p.known, 1)
 }
 
-// Databases may have names of up to 256 bytes: news of many still fit into datagrams of 1200 bytes with their envelopes, and
-// all arrive.
-func TestPositionsOfLongNamesFitTheirMessages(t *testing.T) {
+// Names of databases may have up to 256 bytes: messages with many of them must still fit into datagrams of 1200 bytes with
+// their envelopes, and all positions must arrive.
+func TestLongNamesFitDatagrams(t *testing.T) {
 	const hosts = 40
-	for _, long := range []int{0, 40, 100, maxNameBytes - 2} {
-		a, b := NewPositions("a", 1, step, all), NewPositions("b", 2, step, all)
+	for _, length := range []int{0, 40, 100, maxNameBytes - 2} {
+		a, b := NewPositions("a", 1, step, listAll), NewPositions("b", 2, step, listAll)
 		a.SetMembers([]string{"b"})
 		for i := range hosts {
-			a.Observe(fmt.Sprintf("%02d%s", i, strings.Repeat("x", long)), now)
+			a.Observe(fmt.Sprintf("%02d%s", i, strings.Repeat("x", length)), startTime)
 		}
 		for range hosts {
 			for _, s := range a.Tick() {
 				text, err := cbor.Marshal(s.Message)
 				require.NoError(t, err)
-				require.LessOrEqual(t, len(text), 1200-100, "names of %d bytes", long+2)
-				b.Receive(now, s.Message)
+				require.LessOrEqual(t, len(text), 1200-100, "names of %d bytes", length+2)
+				b.Receive(startTime, s.Message)
 			}
 		}
 		assert.EqualValues(t, hosts, b.Counts().Received)
