--- a/internal/fleet/antientropy/trial_test.go
+++ b/internal/fleet/antientropy/trial_test.go
@@ -84,29 +84,29 @@
 
 // simulation is a fleet in simulated time.
 type simulation struct {
-	rnd              *rand.Rand
-	now              time.Duration
-	n, d             int
-	interRegionDelay time.Duration
-	loss             float64
-	sameZone         bool
-	answerRate       float64
-	nodes            []node
-	known            [][]time.Duration // by gateway and database
-	pending          map[time.Duration][]arrival
-	out, in          []int
-	bytesThisSecond  []int // sent in the current second
-	worstSecond      int
-	messages         int
-	entries          int
-	newer            int
-	newerByStep      int
-	partitioned      func(from, to int) bool
-	unreachable      func(gateway, db int) bool // the database does not answer
-	down             func(gateway int) bool
-	step             time.Duration
-	part             string
-	index            map[string]int
+	rnd               *rand.Rand
+	now               time.Duration
+	n, d              int // gateways and databases
+	interRegionDelay  time.Duration
+	loss              float64
+	ownZone           bool // nine of ten answers come from databases of the own zone
+	answerRate        float64
+	nodes             []node
+	known             [][]time.Duration // by gateway and database
+	pending           map[time.Duration][]arrival
+	bytesOut, bytesIn []int
+	bytesThisSecond   []int // sent in the current second
+	worstSecond       int
+	messages          int
+	entries           int
+	newer             int
+	newerByStep       int
+	partitioned       func(from, to int) bool
+	unreachable       func(gateway, db int) bool // the database does not answer
+	down              func(gateway int) bool
+	step              time.Duration
+	part              string
+	index             map[string]int
 }
 
 func name(i int) string { return fmt.Sprintf("gateway-%03d", i) }
@@ -116,106 +116,107 @@
 
 func dbName(i int) string { return fmt.Sprintf("s-%04d", i) }
 
-func newSimulation(seed uint64, n, d int, interRegionDelay time.Duration, loss float64, sameZone bool) *simulation {
-	w := &simulation{
-		rnd: rand.New(rand.NewPCG(seed, 3)), now: simStart, n: n, d: d, interRegionDelay: interRegionDelay, loss: loss, sameZone: sameZone, answerRate: answersPerSecond, step: simStep, part: "positions",
-		pending: map[time.Duration][]arrival{}, out: make([]int, n), in: make([]int, n), bytesThisSecond: make([]int, n),
+func newSimulation(seed uint64, n, d int, interRegionDelay time.Duration, loss float64, ownZone bool) *simulation {
+	sim := &simulation{
+		rnd: rand.New(rand.NewPCG(seed, 3)), now: simStart, n: n, d: d, interRegionDelay: interRegionDelay, loss: loss, ownZone: ownZone,
+		answerRate: answersPerSecond, step: simStep, part: "positions",
+		pending: map[time.Duration][]arrival{}, bytesOut: make([]int, n), bytesIn: make([]int, n), bytesThisSecond: make([]int, n),
 	}
 	for range n {
-		w.known = append(w.known, make([]time.Duration, d))
+		sim.known = append(sim.known, make([]time.Duration, d))
 	}
-	return w
+	return sim
 }
 
 // advance keeps the greater time of a database as a gateway knows it.
-func (w *simulation) advance(g, db int, at time.Duration) bool {
-	if at <= w.known[g][db] {
+func (sim *simulation) advance(gateway, db int, at time.Duration) bool {
+	if at <= sim.known[gateway][db] {
 		return false
 	}
-	w.known[g][db] = at
+	sim.known[gateway][db] = at
 	return true
 }
 
 // countEntry counts a received entry.
-func (w *simulation) countEntry(g, db int, at time.Duration) {
-	w.entries++
-	if at >= w.known[g][db]+w.step {
-		w.newerByStep++
+func (sim *simulation) countEntry(gateway, db int, at time.Duration) {
+	sim.entries++
+	if at >= sim.known[gateway][db]+sim.step {
+		sim.newerByStep++
 	}
-	if w.advance(g, db, at) {
-		w.newer++
+	if sim.advance(gateway, db, at) {
+		sim.newer++
 	}
 }
 
-func (w *simulation) send(from int, list []packet) {
+func (sim *simulation) send(from int, list []packet) {
 	for _, p := range list {
-		w.out[from] += p.size
-		w.bytesThisSecond[from] += p.size
-		w.messages++
-		if w.rnd.Float64() < w.loss || w.partitioned != nil && w.partitioned(from, p.to) {
+		sim.bytesOut[from] += p.size
+		sim.bytesThisSecond[from] += p.size
+		sim.messages++
+		if sim.rnd.Float64() < sim.loss || sim.partitioned != nil && sim.partitioned(from, p.to) {
 			continue
 		}
 		delay := sameRegionDelay
 		if region(from) != region(p.to) {
-			delay = w.interRegionDelay
+			delay = sim.interRegionDelay
 		}
-		at := (w.now + delay + simTick - 1).Truncate(simTick)
-		w.pending[at] = append(w.pending[at], arrival{p, at})
+		at := (sim.now + delay + simTick - 1).Truncate(simTick)
+		sim.pending[at] = append(sim.pending[at], arrival{p, at})
 	}
 }
 
 // run advances the clock; in each tick answers of databases come before messages.
-func (w *simulation) run(d time.Duration, sample func()) {
-	answersPerTick := w.answerRate * simTick.Seconds()
+func (sim *simulation) run(d time.Duration, sample func()) {
+	answersPerTick := sim.answerRate * simTick.Seconds()
 	pendingAnswers := 0.0
-	for end := w.now + d; w.now < end; {
-		w.now += simTick
+	for end := sim.now + d; sim.now < end; {
+		sim.now += simTick
 		pendingAnswers += answersPerTick
 		count := int(pendingAnswers)
 		pendingAnswers -= float64(count)
-		for g := range w.n {
-			if w.down != nil && w.down(g) {
+		for gateway := range sim.n {
+			if sim.down != nil && sim.down(gateway) {
 				continue
 			}
 			for range count {
-				db := w.rnd.IntN(w.d)
-				if w.sameZone && w.d > zones && w.rnd.Float64() < 0.9 {
-					db = db/zones*zones + g%zones
-					if db >= w.d {
+				db := sim.rnd.IntN(sim.d)
+				if sim.ownZone && sim.d > zones && sim.rnd.Float64() < 0.9 {
+					db = db/zones*zones + gateway%zones
+					if db >= sim.d {
 						continue
 					}
 				}
-				if w.unreachable != nil && w.unreachable(g, db) {
+				if sim.unreachable != nil && sim.unreachable(gateway, db) {
 					continue
 				}
-				at := w.now.Truncate(time.Millisecond)
-				if w.advance(g, db, at) && w.nodes != nil {
-					w.nodes[g].observe(w.now, db, at)
+				at := sim.now.Truncate(time.Millisecond)
+				if sim.advance(gateway, db, at) && sim.nodes != nil {
+					sim.nodes[gateway].observe(sim.now, db, at)
 				}
 			}
 		}
-		arrived := w.pending[w.now]
-		delete(w.pending, w.now)
-		for _, a := range arrived {
-			if w.down != nil && w.down(a.to) {
+		arrived := sim.pending[sim.now]
+		delete(sim.pending, sim.now)
+		for _, arrival := range arrived {
+			if sim.down != nil && sim.down(arrival.to) {
 				continue
 			}
-			w.in[a.to] += a.size
-			w.send(a.to, w.nodes[a.to].receive(w.now, a.body))
+			sim.bytesIn[arrival.to] += arrival.size
+			sim.send(arrival.to, sim.nodes[arrival.to].receive(sim.now, arrival.body))
 		}
-		for g, node := range w.nodes {
-			if w.down != nil && w.down(g) {
+		for gateway, node := range sim.nodes {
+			if sim.down != nil && sim.down(gateway) {
 				continue
 			}
-			w.send(g, node.tick(w.now))
+			sim.send(gateway, node.tick(sim.now))
 		}
-		if w.now%time.Second == 0 {
-			for g := range w.bytesThisSecond {
-				w.worstSecond = max(w.worstSecond, w.bytesThisSecond[g])
-				w.bytesThisSecond[g] = 0
+		if sim.now%time.Second == 0 {
+			for gateway := range sim.bytesThisSecond {
+				sim.worstSecond = max(sim.worstSecond, sim.bytesThisSecond[gateway])
+				sim.bytesThisSecond[gateway] = 0
 			}
 		}
-		if sample != nil && w.now%(500*time.Millisecond) == 0 {
+		if sample != nil && sim.now%(500*time.Millisecond) == 0 {
 			sample()
 		}
 	}
@@ -229,16 +230,16 @@
 	overSecond int
 }
 
-func (a *ageHistogram) add(w *simulation) {
-	for g := range w.n {
-		for _, at := range w.known[g] {
+func (a *ageHistogram) add(sim *simulation) {
+	for gateway := range sim.n {
+		for _, at := range sim.known[gateway] {
 			a.total++
 			if at == 0 {
 				a.unknown++
 				a.overSecond++
 				continue
 			}
-			age := w.now - at
+			age := sim.now - at
 			if age > time.Second {
 				a.overSecond++
 			}
@@ -258,45 +259,47 @@
 }
 
 // measure runs a simulation and returns its results.
-func (w *simulation) measure(mode string, before, window time.Duration) trial {
-	w.run(before, nil)
-	clear(w.out)
-	clear(w.in)
-	w.worstSecond, w.messages, w.entries, w.newer, w.newerByStep = 0, 0, 0, 0, 0
-	a := &ageHistogram{}
-	w.run(window, func() { a.add(w) })
+func (sim *simulation) measure(mode string, before, window time.Duration) trial {
+	sim.run(before, nil)
+	clear(sim.bytesOut)
+	clear(sim.bytesIn)
+	sim.worstSecond, sim.messages, sim.entries, sim.newer, sim.newerByStep = 0, 0, 0, 0, 0
+	histogram := &ageHistogram{}
+	sim.run(window, func() { histogram.add(sim) })
 	r := trial{
-		Part: w.part, Mode: mode, Gateways: w.n, Databases: w.d, OneWayMS: float64(w.interRegionDelay) / 1e6, Loss: w.loss, Answers: "even", AnswersPS: w.answerRate,
-		Seconds: window.Seconds(), Window: float64(w.worstSecond), AgeP50: a.quantile(0.5), AgeP99: a.quantile(0.99), AgeP999: a.quantile(0.999),
-		OverASecond: float64(a.overSecond) / float64(a.total), Unknown: float64(a.unknown) / float64(a.total),
+		Part: sim.part, Mode: mode, Gateways: sim.n, Databases: sim.d, OneWayMS: float64(sim.interRegionDelay) / 1e6, Loss: sim.loss,
+		Answers: "even", AnswersPS: sim.answerRate,
+		Seconds: window.Seconds(), Window: float64(sim.worstSecond),
+		AgeP50: histogram.quantile(0.5), AgeP99: histogram.quantile(0.99), AgeP999: histogram.quantile(0.999),
+		OverASecond: float64(histogram.overSecond) / float64(histogram.total), Unknown: float64(histogram.unknown) / float64(histogram.total),
 	}
-	if w.sameZone {
+	if sim.ownZone {
 		r.Answers = "home"
 	}
-	each := float64(w.n) * window.Seconds()
-	for g := range w.n {
-		r.BytesOut += float64(w.out[g]) / each
-		r.BytesIn += float64(w.in[g]) / each
-		r.BytesOutMax = max(r.BytesOutMax, float64(w.out[g])/window.Seconds())
-		r.BytesInMax = max(r.BytesInMax, float64(w.in[g])/window.Seconds())
+	each := float64(sim.n) * window.Seconds()
+	for gateway := range sim.n {
+		r.BytesOut += float64(sim.bytesOut[gateway]) / each
+		r.BytesIn += float64(sim.bytesIn[gateway]) / each
+		r.BytesOutMax = max(r.BytesOutMax, float64(sim.bytesOut[gateway])/window.Seconds())
+		r.BytesInMax = max(r.BytesInMax, float64(sim.bytesIn[gateway])/window.Seconds())
 	}
-	r.Messages, r.Entries = float64(w.messages)/each, float64(w.entries)/each
-	if w.entries > 0 {
-		news, step := float64(w.newer)/float64(w.entries), float64(w.newerByStep)/float64(w.entries)
+	r.Messages, r.Entries = float64(sim.messages)/each, float64(sim.entries)/each
+	if sim.entries > 0 {
+		news, step := float64(sim.newer)/float64(sim.entries), float64(sim.newerByStep)/float64(sim.entries)
 		r.News, r.NewsStep = &news, &step
 	}
 	return r
 }
 
 // meanAge returns the mean age of what the included gateways know of all databases; unknown ones count as a minute.
-func (w *simulation) meanAge(include func(g int) bool) float64 {
+func (sim *simulation) meanAge(include func(gateway int) bool) float64 {
 	sum, n := 0.0, 0
-	for g := range w.n {
+	for g := range sim.n {
 		if !include(g) {
 			continue
 		}
-		for _, at := range w.known[g] {
-			sum += min(w.now-at, time.Minute).Seconds()
+		for _, at := range sim.known[g] {
+			sum += min(sim.now-at, time.Minute).Seconds()
 			n++
 		}
 	}
@@ -304,62 +307,65 @@
 }
 
 // catchUp returns the time until the mean age of the included gateways is within a quarter of the target.
-func (w *simulation) catchUp(include func(g int) bool, target func() float64) *float64 {
-	from := w.now
-	for w.now < from+time.Minute {
-		w.run(simTick, nil)
-		if w.meanAge(include) <= 1.25*target() {
-			d := (w.now - from).Seconds()
-			return &d
+func (sim *simulation) catchUp(include func(g int) bool, target func() float64) *float64 {
+	from := sim.now
+	for sim.now < from+time.Minute {
+		sim.run(simTick, nil)
+		if sim.meanAge(include) <= 1.25*target() {
+			seconds := (sim.now - from).Seconds()
+			return &seconds
 		}
 	}
 	return nil
 }
 
 // restart replaces a gateway by one that knows nothing, and measures how long it takes to know as much as the others.
-func (w *simulation) restart(mode string, newNode func(g int) node) trial {
-	w.run(10*time.Second, nil)
-	for db := range w.known[0] {
-		w.known[0][db] = 0
+func (sim *simulation) restart(mode string, newNode func(g int) node) trial {
+	sim.run(10*time.Second, nil)
+	for db := range sim.known[0] {
+		sim.known[0][db] = 0
 	}
 	if newNode != nil {
-		w.nodes[0] = newNode(0)
+		sim.nodes[0] = newNode(0)
 	}
-	before := w.out[0]
-	from := w.now
-	d := w.catchUp(func(g int) bool { return g == 0 }, func() float64 { return w.meanAge(func(g int) bool { return g > 0 }) })
-	r := trial{Part: "positions", Mode: mode, Event: "a gateway starts", CatchUpS: d, Seconds: (w.now - from).Seconds()}
-	return w.complete(r, w.out[0]-before)
+	before := sim.bytesOut[0]
+	from := sim.now
+	d := sim.catchUp(func(g int) bool { return g == 0 }, func() float64 { return sim.meanAge(func(g int) bool { return g > 0 }) })
+	r := trial{Part: "positions", Mode: mode, Event: "a gateway starts", CatchUpS: d, Seconds: (sim.now - from).Seconds()}
+	return sim.complete(r, sim.bytesOut[0]-before)
 }
 
 // heal partitions one region with its databases from the others for 20 s, and measures how long it takes after the heal
 // until the mean age is what it was before.
-func (w *simulation) heal(mode string) trial {
-	w.run(10*time.Second, nil)
+func (sim *simulation) heal(mode string) trial {
+	sim.run(10*time.Second, nil)
 	all := func(int) bool { return true }
-	before := w.meanAge(all)
+	before := sim.meanAge(all)
 	inRegion := func(g int) bool { return region(g) == 0 }
-	w.partitioned = func(from, to int) bool { return inRegion(from) != inRegion(to) }
-	w.unreachable = func(g, db int) bool { return inRegion(g) != inRegion(db) } // a database is in the zone of its number
-	w.run(20*time.Second, nil)
-	w.partitioned, w.unreachable = nil, nil
-	clear(w.out)
-	w.worstSecond = 0
-	from := w.now
-	d := w.catchUp(all, func() float64 { return before })
-	r := trial{Part: "positions", Mode: mode, Event: "a region is cut off for 20 s and comes back", CatchUpS: d, Seconds: (w.now - from).Seconds(), Window: float64(w.worstSecond)}
+	sim.partitioned = func(from, to int) bool { return inRegion(from) != inRegion(to) }
+	sim.unreachable = func(g, db int) bool { return inRegion(g) != inRegion(db) } // a database is in the zone of its number
+	sim.run(20*time.Second, nil)
+	sim.partitioned, sim.unreachable = nil, nil
+	clear(sim.bytesOut)
+	sim.worstSecond = 0
+	from := sim.now
+	d := sim.catchUp(all, func() float64 { return before })
+	r := trial{
+		Part: "positions", Mode: mode, Event: "a region is cut off for 20 s and comes back", CatchUpS: d, Seconds: (sim.now - from).Seconds(),
+		Window: float64(sim.worstSecond),
+	}
 	sum := 0
-	for _, b := range w.out {
+	for _, b := range sim.bytesOut {
 		sum += b
 		r.BytesOutMax = max(r.BytesOutMax, float64(b)/r.Seconds)
 	}
-	return w.complete(r, sum/w.n)
+	return sim.complete(r, sum/sim.n)
 }
 
 // complete fills in the parameters of the simulation.
-func (w *simulation) complete(r trial, bytes int) trial {
-	r.Gateways, r.Databases, r.OneWayMS, r.Loss, r.AnswersPS, r.Answers = w.n, w.d, float64(w.interRegionDelay)/1e6, w.loss, w.answerRate, "even"
-	if w.sameZone {
+func (sim *simulation) complete(r trial, bytes int) trial {
+	r.Gateways, r.Databases, r.OneWayMS, r.Loss, r.AnswersPS, r.Answers = sim.n, sim.d, float64(sim.interRegionDelay)/1e6, sim.loss, sim.answerRate, "even"
+	if sim.ownZone {
 		r.Answers = "home"
 	}
 	r.BytesOut = float64(bytes) / r.Seconds
@@ -368,34 +374,40 @@
 
 // gossiper is a node that gossips positions to three others each tenth of a second, as with `positions: true`.
 type gossiper struct {
-	w       *simulation
-	g       int
-	p       *state.Positions
-	encoder cbor.EncMode
-	index   map[string]int
-	next    time.Duration
+	sim       *simulation
+	gateway   int
+	positions *state.Positions
+	encoder   cbor.EncMode
+	index     map[string]int
+	next      time.Duration
 }
 
-func (w *simulation) addGossipers(t require.TestingT) {
+func (sim *simulation) addGossipers(t require.TestingT) {
 	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	require.NoError(t, err)
 	names, index := []string{}, map[string]int{}
-	for i := range w.n {
+	for i := range sim.n {
 		names = append(names, name(i))
 		index[name(i)] = i
 	}
-	for i := range w.d {
+	for i := range sim.d {
 		index[dbName(i)] = i
 	}
-	for g := range w.n {
-		m := &gossiper{w: w, g: g, p: state.NewPositions(name(g), uint64(g), w.step, func(string) bool { return true }), encoder: encoder, index: index}
-		m.p.SetMembers(names)
-		m.next = w.now + time.Duration(g%2)*simTick
-		w.nodes = append(w.nodes, m)
+	for gateway := range sim.n {
+		m := &gossiper{
+			sim: sim, gateway: gateway,
+			positions: state.NewPositions(name(gateway), uint64(gateway), sim.step, func(string) bool { return true }),
+			encoder:   encoder, index: index,
+		}
+		m.positions.SetMembers(names)
+		m.next = sim.now + time.Duration(gateway%2)*simTick
+		sim.nodes = append(sim.nodes, m)
 	}
 }
 
-func (m *gossiper) observe(_ time.Duration, db int, at time.Duration) { m.p.Observe(dbNames[db], at) }
+func (m *gossiper) observe(_ time.Duration, db int, at time.Duration) {
+	m.positions.Observe(dbNames[db], at)
+}
 
 var dbNames = func() (list []string) {
 	for i := range 4096 {
@@ -410,7 +422,7 @@
 	}
 	m.next = now + state.GossipInterval
 	size := 0
-	for _, s := range m.p.Tick() {
+	for _, s := range m.positions.Tick() {
 		if size == 0 {
 			b, err := m.encoder.Marshal(s.Message)
 			if err != nil {
@@ -425,63 +437,68 @@
 
 func (m *gossiper) receive(now time.Duration, body any) []packet {
 	msg := body.(state.PositionsMessage)
-	for _, x := range msg.Positions {
-		m.w.countEntry(m.g, m.index[x.Host], x.At)
+	for _, position := range msg.Positions {
+		m.sim.countEntry(m.gateway, m.index[position.Host], position.At)
 	}
-	m.p.Receive(now, msg)
+	m.positions.Receive(now, msg)
 	return nil
 }
 
 // reconciler is a node with a machine of this package.
 type reconciler struct {
-	w *simulation
-	g int
-	m *Machine
+	sim     *simulation
+	gateway int
+	machine *Machine
 }
 
-func (w *simulation) addReconcilers(bytes int, ofZone bool) {
-	members := w.members(ofZone)
-	w.index = map[string]int{}
-	for i, o := range members {
-		w.index[o.Name] = i
+func (sim *simulation) addReconcilers(bytes int, zoned bool) {
+	members := sim.members(zoned)
+	sim.index = map[string]int{}
+	for i, member := range members {
+		sim.index[member.Name] = i
 	}
-	for g := range w.n {
-		w.nodes = append(w.nodes, w.newReconciler(g, bytes, members))
+	for gateway := range sim.n {
+		sim.nodes = append(sim.nodes, sim.newReconciler(gateway, bytes, members))
 	}
 }
 
-func (w *simulation) names() (names []string) {
-	for i := range w.n {
+func (sim *simulation) names() (names []string) {
+	for i := range sim.n {
 		names = append(names, name(i))
 	}
 	return names
 }
 
-func (w *simulation) members(ofZone bool) (members []Member) {
-	for i, n := range w.names() {
-		o := Member{Name: n}
-		if ofZone {
-			o.Zone = fmt.Sprint("z", i%zones)
+func (sim *simulation) members(zoned bool) (members []Member) {
+	for i, n := range sim.names() {
+		member := Member{Name: n}
+		if zoned {
+			member.Zone = fmt.Sprint("z", i%zones)
 		}
-		members = append(members, o)
+		members = append(members, member)
 	}
 	return members
 }
 
-func (w *simulation) newReconciler(g, bytes int, members []Member) *reconciler {
-	m := New(Config{Name: members[g].Name, Zone: members[g].Zone, Seed: w.rnd.Uint64(), BytesPerSecond: bytes, MessageOverhead: envelopeBytes + 3, Step: w.step}, w.now)
-	m.SetMembers(members)
-	m.SetDatabases(dbNames[:w.d])
-	return &reconciler{w, g, m}
+func (sim *simulation) newReconciler(gateway, bytes int, members []Member) *reconciler {
+	machine := New(Config{
+		Name: members[gateway].Name, Zone: members[gateway].Zone, Seed: sim.rnd.Uint64(), BytesPerSecond: bytes,
+		MessageOverhead: envelopeBytes + 3, Step: sim.step,
+	}, sim.now)
+	machine.SetMembers(members)
+	machine.SetDatabases(dbNames[:sim.d])
+	return &reconciler{sim, gateway, machine}
 }
 
-func (r *reconciler) observe(_ time.Duration, db int, at time.Duration) { r.m.Observe(dbNames[db], at) }
+func (r *reconciler) observe(_ time.Duration, db int, at time.Duration) {
+	r.machine.Observe(dbNames[db], at)
+}
 
-func (r *reconciler) tick(now time.Duration) []packet { return r.packets(r.m.Tick(now)) }
+func (r *reconciler) tick(now time.Duration) []packet { return r.packets(r.machine.Tick(now)) }
 
 func (r *reconciler) packets(list []Send) (out []packet) {
 	for _, s := range list {
-		out = append(out, packet{to: r.w.index[s.To], size: len(s.Body) + envelopeBytes + 3, body: s.Body})
+		out = append(out, packet{to: r.sim.index[s.To], size: len(s.Body) + envelopeBytes + 3, body: s.Body})
 	}
 	return out
 }
@@ -491,12 +508,12 @@
 	if err != nil {
 		panic(err)
 	}
-	for _, c := range msg.Entries {
-		if c.At > 0 && (msg.Kind == Response || c.At > r.w.known[r.g][c.Index]) {
-			r.w.countEntry(r.g, c.Index, c.At)
+	for _, entry := range msg.Entries {
+		if entry.At > 0 && (msg.Kind == Response || entry.At > r.sim.known[r.gateway][entry.Index]) {
+			r.sim.countEntry(r.gateway, entry.Index, entry.At)
 		}
 	}
-	out, _ := r.m.Receive(now, msg)
+	out, _ := r.machine.Receive(now, msg)
 	return r.packets(out)
 }
 
@@ -514,22 +531,22 @@
 				require.NoError(b, os.WriteFile(filepath.Join(*capacityDir, "sim-positions.json"), append(text, '\n'), 0o644))
 			}
 		}
-		start := func(mode string, n, d int, oneWay time.Duration, loss float64, home bool) *simulation {
-			w := newSimulation(27, n, d, oneWay, loss, home)
+		start := func(mode string, n, d int, interRegionDelay time.Duration, loss float64, ownZone bool) *simulation {
+			sim := newSimulation(27, n, d, interRegionDelay, loss, ownZone)
 			switch mode {
 			case "off":
 			case "rumours":
-				w.addGossipers(b)
+				sim.addGossipers(b)
 			default:
 				var bytes int
 				_, err := fmt.Sscanf(mode, "anti-entropy %d/s", &bytes)
 				require.NoError(b, err)
-				w.addReconcilers(bytes, true)
+				sim.addReconcilers(bytes, true)
 			}
-			return w
+			return sim
 		}
-		measure := func(mode string, n, d int, oneWay time.Duration, loss float64, home bool) {
-			add(start(mode, n, d, oneWay, loss, home).measure(mode, 10*time.Second, 10*time.Second))
+		measure := func(mode string, n, d int, interRegionDelay time.Duration, loss float64, ownZone bool) {
+			add(start(mode, n, d, interRegionDelay, loss, ownZone).measure(mode, 10*time.Second, 10*time.Second))
 		}
 		const budgeted = "anti-entropy 1500/s"
 		databaseCounts, gatewayCounts := []int{8, 16, 30, 60, 120, 240, 810}, []int{8, 48, 300, 490}
@@ -547,9 +564,9 @@
 				measure(budgeted, n, d, sameRegionDelay, 0, false)
 			}
 		}
-		for _, home := range []bool{false, true} {
+		for _, ownZone := range []bool{false, true} {
 			for _, mode := range []string{"off", "rumours", "anti-entropy 800/s", budgeted, "anti-entropy 3000/s"} {
-				measure(mode, 490, 810, 60*time.Millisecond, 0.02, home)
+				measure(mode, 490, 810, 60*time.Millisecond, 0.02, ownZone)
 			}
 		}
 		if *capacityShort {
@@ -558,31 +575,31 @@
 		// Answers as primary: one database of four, three answers in ten, with a step of one second.
 		for _, d := range []int{30, 60, 120, 203} {
 			for _, mode := range []string{"rumours", "anti-entropy 500/s"} {
-				w := newSimulation(27, 48, d, 60*time.Millisecond, 0.02, false)
-				w.part, w.step, w.answerRate = "primaries", time.Second, 0.3*answersPerSecond
+				sim := newSimulation(27, 48, d, 60*time.Millisecond, 0.02, false)
+				sim.part, sim.step, sim.answerRate = "primaries", time.Second, 0.3*answersPerSecond
 				if mode == "rumours" {
-					w.addGossipers(b)
+					sim.addGossipers(b)
 				} else {
-					w.addReconcilers(500, true)
+					sim.addReconcilers(500, true)
 				}
-				add(w.measure(mode, 10*time.Second, 10*time.Second))
+				add(sim.measure(mode, 10*time.Second, 10*time.Second))
 			}
 		}
 		for _, mode := range []string{"off", "rumours", budgeted} {
-			w := start(mode, 245, 810, 60*time.Millisecond, 0.02, true)
-			var restarted func(g int) node
-			switch o := w.nodes; {
+			sim := start(mode, 245, 810, 60*time.Millisecond, 0.02, true)
+			var newNode func(g int) node
+			switch nodes := sim.nodes; {
 			case mode == "rumours":
-				restarted = func(g int) node {
-					m := *o[g].(*gossiper)
-					m.p = state.NewPositions(name(g), 99, w.step, func(string) bool { return true })
-					m.p.SetMembers(w.names())
+				newNode = func(g int) node {
+					m := *nodes[g].(*gossiper)
+					m.positions = state.NewPositions(name(g), 99, sim.step, func(string) bool { return true })
+					m.positions.SetMembers(sim.names())
 					return &m
 				}
-			case o != nil:
-				restarted = func(g int) node { return w.newReconciler(g, 1500, w.members(true)) }
+			case nodes != nil:
+				newNode = func(g int) node { return sim.newReconciler(g, 1500, sim.members(true)) }
 			}
-			add(w.restart(mode, restarted))
+			add(sim.restart(mode, newNode))
 			add(start(mode, 245, 810, 60*time.Millisecond, 0.02, true).heal(mode))
 		}
 	}
--- a/internal/fleet/audit/recorder.go
+++ b/internal/fleet/audit/recorder.go
@@ -43,7 +43,8 @@
 // NewRecorder returns the recorder of a process.
 func NewRecorder(name string, session uint64) *Recorder {
 	return &Recorder{
-		name: name, session: strconv.FormatUint(session, 16), byDatabase: map[string]*DatabaseActivity{}, draining: map[string]condition{}, suspended: map[string]condition{},
+		name: name, session: strconv.FormatUint(session, 16),
+		byDatabase: map[string]*DatabaseActivity{}, draining: map[string]condition{}, suspended: map[string]condition{},
 	}
 }
 
--- a/internal/fleet/state/overrides_test.go
+++ b/internal/fleet/state/overrides_test.go
@@ -92,8 +92,8 @@
 	return len(text) <= maxMessageBytes
 }
 
-func (c *cluster) set(i int, host string, out bool) {
-	c.nodes[i].Set(c.now, host, out)
+func (c *cluster) set(i int, key string, active bool) {
+	c.nodes[i].Set(c.now, key, active)
 	c.send(i)
 }
 
@@ -139,8 +139,8 @@
 		c.set(0, name+"0", false)
 		c.round()
 		for _, s := range c.nodes {
-			out, conflict := s.Active(name + "0")
-			require.False(r, out || conflict, "an override made with knowledge of all others prevails")
+			active, conflict := s.Active(name + "0")
+			require.False(r, active || conflict, "an override made with knowledge of all others prevails")
 		}
 	})
 }
