--- a/internal/fleet/state/overrides_test.go
+++ b/internal/fleet/state/overrides_test.go
@@ -110,18 +110,18 @@
 // with knowledge of all others prevails. With long names version vectors are folded as soon as there are three writers.
 func TestOverridesConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		nodes := rapid.IntRange(2, 8).Draw(r, "n")
+		nodes := rapid.IntRange(2, 8).Draw(r, "nodes")
 		c := newCluster(nodes, rapid.Uint64().Draw(r, "seed"))
 		c.loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
-		name := "s" + strings.Repeat("x", rapid.SampledFrom([]int{0, 200}).Draw(r, "long"))
+		name := "s" + strings.Repeat("x", rapid.SampledFrom([]int{0, 200}).Draw(r, "length"))
 		for range rapid.IntRange(1, 25).Draw(r, "steps") {
-			i := rapid.IntRange(0, nodes-1).Draw(r, "who")
-			switch rapid.SampledFrom([]string{"say", "say", "round", "cut", "heal", "restart"}).Draw(r, "what") {
-			case "say":
-				c.set(i, fmt.Sprint(name, rapid.IntRange(0, 3).Draw(r, "host")), rapid.Bool().Draw(r, "out"))
+			i := rapid.IntRange(0, nodes-1).Draw(r, "node")
+			switch rapid.SampledFrom([]string{"set", "set", "round", "partition", "heal", "restart"}).Draw(r, "step") {
+			case "set":
+				c.set(i, fmt.Sprint(name, rapid.IntRange(0, 3).Draw(r, "host")), rapid.Bool().Draw(r, "active"))
 			case "round":
 				c.round()
-			case "cut":
+			case "partition":
 				k := rapid.IntRange(1, nodes-1).Draw(r, "side")
 				c.partitioned = func(a, b int) bool { return (a < k) != (b < k) }
 			case "heal":
