--- a/internal/fleet/antientropy/machine_test.go
+++ b/internal/fleet/antientropy/machine_test.go
@@ -31,7 +31,7 @@
 	maxDelay    time.Duration
 	partitioned func(from, to int) bool
 	sent        [][]sentMessage // by machine
-	onReceive   func(to int, news []Entry)
+	onReceive   func(to int, newer []Entry)
 }
 
 // delivery is a message in flight.
@@ -219,8 +219,8 @@
 			}
 			m.SetDatabases(listed[i])
 		}
-		f.onReceive = func(to int, news []Entry) {
-			for _, c := range news {
+		f.onReceive = func(to int, newer []Entry) {
+			for _, c := range newer {
 				require.Contains(r, listed[to], c.Host)
 				require.LessOrEqual(r, c.At, reported[c.Host])
 			}
--- a/internal/fleet/antientropy/trial_test.go
+++ b/internal/fleet/antientropy/trial_test.go
@@ -285,8 +285,8 @@
 	}
 	r.Messages, r.Entries = float64(sim.messages)/each, float64(sim.entries)/each
 	if sim.entries > 0 {
-		news, step := float64(sim.newer)/float64(sim.entries), float64(sim.newerByStep)/float64(sim.entries)
-		r.News, r.NewsStep = &news, &step
+		newer, step := float64(sim.newer)/float64(sim.entries), float64(sim.newerByStep)/float64(sim.entries)
+		r.News, r.NewsStep = &newer, &step
 	}
 	return r
 }
