--- a/internal/fleet/audit/versions.go
+++ b/internal/fleet/audit/versions.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	tellEvery    = time.Second
-	tellTo       = 2           // members that a report goes to
-	perSend      = 8           // versions in one report
-	minRetention = time.Minute // of the version of a gateway that no longer reports
+	reportInterval     = time.Second
+	reportFanout       = 2           // members that a report goes to
+	versionsPerMessage = 8           // versions in one report
+	minRetention       = time.Minute // of the version of a gateway that no longer reports
 	// Added to minRetention for each gateway of the fleet: two reports with nine versions arrive each second, so that with N
 	// gateways a version is renewed every N/18 s on average; this is about four times that.
 	retentionPerGateway = 200 * time.Millisecond
-	knownMost           = 4096
+	maxKnownVersions    = 4096
 	maxRequests         = 3 // without a newer list, after which the newer version is assumed to belong to another service
 )
 
@@ -111,7 +111,7 @@
 		known := v.others[version.Name]
 		switch {
 		case version.Name == v.cfg.Name || !version.Valid() || sentAt+v.retention() <= now:
-		case known == nil && len(v.others) < knownMost:
+		case known == nil && len(v.others) < maxKnownVersions:
 			v.others[version.Name] = &KnownVersion{Version: version, ReceivedAt: now, SentAt: sentAt}
 		case known != nil && known.olderThan(version, sentAt):
 			known.Version, known.ReceivedAt, known.SentAt = version, now, max(known.SentAt, sentAt)
@@ -173,17 +173,17 @@
 		request = true
 	}
 	if now >= v.nextReport && len(v.members) > 0 {
-		v.nextReport = now + tellEvery/2 + time.Duration(v.rnd.Int64N(int64(tellEvery)))
+		v.nextReport = now + reportInterval/2 + time.Duration(v.rnd.Int64N(int64(reportInterval)))
 		v.own.Count++
 		msg := VersionsMessage{Versions: []Version{v.own}}
 		list := v.All()
 		for _, i := range v.rnd.Perm(len(list)) {
-			if known := list[i]; known.Name != v.cfg.Name && len(msg.Versions) < perSend {
+			if known := list[i]; known.Name != v.cfg.Name && len(msg.Versions) < versionsPerMessage {
 				known.AgeMS = uint32(max(0, now-known.SentAt) / time.Millisecond)
 				msg.Versions = append(msg.Versions, known.Version)
 			}
 		}
-		for _, i := range v.rnd.Perm(len(v.members))[:min(tellTo, len(v.members))] {
+		for _, i := range v.rnd.Perm(len(v.members))[:min(reportFanout, len(v.members))] {
 			out = append(out, VersionsSend{To: v.members[i], Message: msg})
 		}
 	}
--- a/internal/fleet/state/positions.go
+++ b/internal/fleet/state/positions.go
@@ -13,11 +13,11 @@
 
 const (
 	// GossipInterval is the time between two rounds of gossip.
-	GossipInterval = 100 * time.Millisecond
-	fanout         = 3           // members that a message goes to
-	perSend        = 30          // positions in one message
-	maxFuture      = time.Second // positions further ahead of the own clock are rejected
-	maxNameBytes   = 256
+	GossipInterval      = 100 * time.Millisecond
+	fanout              = 3           // members that a message goes to
+	positionsPerMessage = 30          // positions in one message
+	maxFuture           = time.Second // positions further ahead of the own clock are rejected
+	maxNameBytes        = 256
 
 	positionOverhead = 16 // bytes of an encoded position besides its name, at most
 )
@@ -123,7 +123,7 @@
 
 // Tick sends queued positions to a few random members. What does not fit into the message waits for the next round.
 func (p *Positions) Tick() (out []PositionsSend) {
-	count := itemsThatFit(p.queue, perSend, func(host string) int { return positionOverhead + len(host) })
+	count := itemsThatFit(p.queue, positionsPerMessage, func(host string) int { return positionOverhead + len(host) })
 	if count == 0 || len(p.peers) == 0 {
 		return nil
 	}
--- a/internal/fleet/state/positions_test.go
+++ b/internal/fleet/state/positions_test.go
@@ -113,7 +113,7 @@
 		p.Observe(fmt.Sprint("x", i), startTime)
 	}
 	for _, s := range p.Tick() {
-		assert.Len(t, s.Message.Positions, perSend)
+		assert.Len(t, s.Message.Positions, positionsPerMessage)
 		assert.NotEqual(t, "a", s.To)
 	}
 	p.listed = func(h string) bool { return h == "s1" }
