--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -33,24 +33,24 @@
 	NameCount                     // how many there are
 )
 
-var texts = [NameCount]string{
+var nameTexts = [NameCount]string{
 	"repeat_forbidden", "behind_window", "behind_deadline", "behind_client", "behind_answer", "beside_another", "to_draining",
 	"to_suspended", "deadline_too_long", "answered_twice", "never_answered", "closed_unanswered", "word_not_kept", "ready_too_early",
 	"stale_read",
 }
 
 // String is the name in logs and metrics.
-func (n Name) String() string { return texts[n] }
+func (n Name) String() string { return nameTexts[n] }
 
 // AllNames are the names in logs and metrics, in order.
-func AllNames() []string { return texts[:] }
+func AllNames() []string { return nameTexts[:] }
 
 // What the protocol allows beyond the rules.
 const (
-	slack       = 50 * time.Millisecond  // of every time limit on sockets
-	clientGrace = 100 * time.Millisecond // from the end of a client to the last attempt for it
-	toldSlack   = 150 * time.Millisecond // of the time that a database is told
-	knownBehind = 100 * time.Millisecond // from an answer until what it tells counts as known
+	socketSlack          = 50 * time.Millisecond  // of every time limit on sockets
+	clientGrace          = 100 * time.Millisecond // from the end of a client to the last attempt for it
+	databaseTimeoutSlack = 150 * time.Millisecond // of the time that a database is told
+	answerDelay          = 100 * time.Millisecond // from an answer until what it tells counts as known
 )
 
 // Violation is one that was found.
@@ -65,36 +65,36 @@
 
 // Guard checks one gateway. A nil guard checks nothing. It is not safe for concurrent use.
 type Guard struct {
-	set    policy.Settings
-	report func(Violation)
-	counts *stats.Named
-	hosts  map[policy.HostID]*host
-	newest present
+	settings      policy.Settings
+	report        func(Violation)
+	counts        *stats.Named
+	hosts         map[policy.HostID]*host
+	newestPrimary primaryProgress
 }
 
 // What is known of roles and positions holds for a while, and no exacter than a spoilt position may be off.
 const (
-	roleHolds   = time.Second
-	spoiltAhead = time.Second
+	maxRoleAge       = time.Second
+	maxPositionError = time.Second
 )
 
-// present is how far the databases' clock had come at some moment: a primary stands at the present.
-type present struct{ position, at time.Duration }
+// primaryProgress is how far the databases' clock had come at some moment: a primary stands at the primaryProgress.
+type primaryProgress struct{ position, time time.Duration }
 
 // host is what was told of a database.
 type host struct {
 	replicaAt time.Duration // when it told last that it is a replica; 0: it has not since it was a primary
 	position  time.Duration // the newest that it told, or others have heard
 
-	leaving   bool // it drains or is gone
-	leavingAt time.Duration
-	out       bool // operators have left it out
-	outAt     time.Duration
+	removed     bool // it drains or is gone
+	removedAt   time.Duration
+	suspended   bool // operators have left it out
+	suspendedAt time.Duration
 }
 
 // New makes a guard by the settings of a gateway; each violation is reported.
-func New(set policy.Settings, report func(Violation)) *Guard {
-	return &Guard{set: set, report: report, counts: stats.NewNamed("violations", texts[:]), hosts: map[policy.HostID]*host{}}
+func New(settings policy.Settings, report func(Violation)) *Guard {
+	return &Guard{settings: settings, report: report, counts: stats.NewNamed("violations", nameTexts[:]), hosts: map[policy.HostID]*host{}}
 }
 
 // Count is how often something was violated.
@@ -108,8 +108,8 @@
 // Metrics adds the figures, a line each.
 func (g *Guard) Metrics(b []byte) []byte { return g.counts.Append(b) }
 
-// violated counts and reports.
-func (g *Guard) violated(v Violation) {
+// record counts and reports.
+func (g *Guard) record(v Violation) {
 	g.counts.Add(int(v.Name))
 	g.report(v)
 }
@@ -117,7 +117,7 @@
 // RecordViolation notes what was found elsewhere to be one.
 func (g *Guard) RecordViolation(v Violation) {
 	if g != nil {
-		g.violated(v)
+		g.record(v)
 	}
 }
 
@@ -135,28 +135,28 @@
 	if g == nil {
 		return
 	}
-	leaving := status == policy.Draining || status == policy.Gone && !g.set.GoneIsAdvisory
+	removed := status == policy.Draining || status == policy.Gone && !g.settings.GoneIsAdvisory
 	h := g.hosts[id]
 	switch {
-	case h == nil && !leaving:
-	case !leaving && status == policy.Healthy:
-		h.leaving = false
-	case leaving && (h == nil || !h.leaving):
+	case h == nil && !removed:
+	case !removed && status == policy.Healthy:
+		h.removed = false
+	case removed && (h == nil || !h.removed):
 		h = g.host(id)
-		h.leaving, h.leavingAt = true, now
+		h.removed, h.removedAt = true, now
 	}
 }
 
 // RecordSuspension notes an operator's word on a database.
-func (g *Guard) RecordSuspension(id policy.HostID, out bool, now time.Duration) {
+func (g *Guard) RecordSuspension(id policy.HostID, active bool, now time.Duration) {
 	if g == nil {
 		return
 	}
 	h := g.host(id)
-	if out && !h.out {
-		h.outAt = now
+	if active && !h.suspended {
+		h.suspendedAt = now
 	}
-	h.out = out
+	h.suspended = active
 }
 
 // RecordAnswer notes what a database's answer tells of it; 0: no position.
@@ -169,7 +169,7 @@
 	if h.replicaAt = now; role == policy.Primary {
 		h.replicaAt = 0
 		if position > 0 {
-			g.newest = present{position, now}
+			g.newestPrimary = primaryProgress{position, now}
 		}
 	}
 }
@@ -211,103 +211,103 @@
 }
 
 // CheckAttempt checks an attempt. It is on the path of every request.
-func (g *Guard) CheckAttempt(s *Attempt) {
+func (g *Guard) CheckAttempt(attempt *Attempt) {
 	if g == nil {
 		return
 	}
-	if s.MayRun {
-		g.repeating(s)
+	if attempt.MayRun {
+		g.checkRetry(attempt)
 	}
-	if by := s.Now - s.Deadline; by > 0 {
-		g.sent(s, AfterDeadline, by)
+	if excess := attempt.Now - attempt.Deadline; excess > 0 {
+		g.reportAttempt(attempt, AfterDeadline, excess)
 	}
-	if s.ClientGoneTime > 0 && s.Now > s.ClientGoneTime+clientGrace {
-		g.sent(s, AfterClientGone, s.Now-s.ClientGoneTime-clientGrace)
+	if attempt.ClientGoneTime > 0 && attempt.Now > attempt.ClientGoneTime+clientGrace {
+		g.reportAttempt(attempt, AfterClientGone, attempt.Now-attempt.ClientGoneTime-clientGrace)
 	}
-	if s.Answered {
-		g.sent(s, AfterAnswer, 0)
+	if attempt.Answered {
+		g.reportAttempt(attempt, AfterAnswer, 0)
 	}
-	if s.OtherAttempts > 0 {
-		g.sent(s, ConcurrentAttempt, 0)
+	if attempt.OtherAttempts > 0 {
+		g.reportAttempt(attempt, ConcurrentAttempt, 0)
 	}
-	if by := s.DatabaseTimeout - toldSlack - max(0, s.Deadline-s.Now); by > 0 {
-		g.sent(s, DeadlineTooLong, by)
+	if by := attempt.DatabaseTimeout - databaseTimeoutSlack - max(0, attempt.Deadline-attempt.Now); by > 0 {
+		g.reportAttempt(attempt, DeadlineTooLong, by)
 	}
-	if h := g.hosts[s.Database]; h != nil {
-		g.reaching(s, h)
-		g.reading(s, h)
+	if h := g.hosts[attempt.Database]; h != nil {
+		g.checkDatabaseStatus(attempt, h)
+		g.checkStaleness(attempt, h)
 	}
 }
 
-// repeating checks an attempt that follows one which may have run.
-func (g *Guard) repeating(s *Attempt) {
-	if s.Class < 0 || s.Class >= len(g.set.Classes) {
+// checkRetry checks an attempt that follows one which may have run.
+func (g *Guard) checkRetry(attempt *Attempt) {
+	if attempt.Class < 0 || attempt.Class >= len(g.settings.Classes) {
 		return
 	}
-	switch c := &g.set.Classes[s.Class]; {
-	case c.RetrySafety == policy.AtMostOnce:
-		g.sent(s, RetryForbidden, 0)
-	case c.RetrySafety != policy.Retryable && s.Now > s.MayRunSince+c.DedupWindow+slack:
-		g.sent(s, AfterDedupWindow, s.Now-s.MayRunSince-c.DedupWindow)
+	switch class := &g.settings.Classes[attempt.Class]; {
+	case class.RetrySafety == policy.AtMostOnce:
+		g.reportAttempt(attempt, RetryForbidden, 0)
+	case class.RetrySafety != policy.Retryable && attempt.Now > attempt.MayRunSince+class.DedupWindow+socketSlack:
+		g.reportAttempt(attempt, AfterDedupWindow, attempt.Now-attempt.MayRunSince-class.DedupWindow)
 	}
 }
 
-// reaching checks an attempt at a database that was to get nothing new.
-func (g *Guard) reaching(s *Attempt, h *host) {
-	limit := g.set.DrainGrace + slack
-	if h.leaving && s.Now > h.leavingAt+limit {
-		g.sent(s, ToDraining, s.Now-h.leavingAt-limit)
+// checkDatabaseStatus checks an attempt at a database that was to get nothing new.
+func (g *Guard) checkDatabaseStatus(attempt *Attempt, h *host) {
+	limit := g.settings.DrainGrace + socketSlack
+	if h.removed && attempt.Now > h.removedAt+limit {
+		g.reportAttempt(attempt, ToDraining, attempt.Now-h.removedAt-limit)
 	}
-	if h.out && s.Now > h.outAt+limit {
-		g.sent(s, ToSuspended, s.Now-h.outAt-limit)
+	if h.suspended && attempt.Now > h.suspendedAt+limit {
+		g.reportAttempt(attempt, ToSuspended, attempt.Now-h.suspendedAt-limit)
 	}
 }
 
-// reading checks a read of bounded age at a replica, by what that told itself and by the newest word of a primary. Databases
+// checkStaleness checks a read of bounded age at a replica, by what that told itself and by the newest word of a primary. Databases
 // that check reads themselves may be tried.
-func (g *Guard) reading(s *Attempt, h *host) {
-	if g.set.StaleReadMode != policy.StaleReadServe || s.Class < 0 || s.Class >= len(g.set.Classes) || g.newest.at == 0 {
+func (g *Guard) checkStaleness(attempt *Attempt, h *host) {
+	if g.settings.StaleReadMode != policy.StaleReadServe || attempt.Class < 0 || attempt.Class >= len(g.settings.Classes) || g.newestPrimary.time == 0 {
 		return
 	}
-	c := &g.set.Classes[s.Class]
-	known := h.replicaAt > 0 && s.Now >= h.replicaAt+knownBehind && s.Now <= h.replicaAt+roleHolds
-	if c.Level != policy.Recent || !known {
+	class := &g.settings.Classes[attempt.Class]
+	known := h.replicaAt > 0 && attempt.Now >= h.replicaAt+answerDelay && attempt.Now <= h.replicaAt+maxRoleAge
+	if class.Level != policy.Recent || !known {
 		return
 	}
-	age := g.newest.position + s.Now - g.newest.at - h.position
-	if by := age - c.Bound - slack - spoiltAhead; by > 0 {
-		g.sent(s, StaleRead, by)
+	age := g.newestPrimary.position + attempt.Now - g.newestPrimary.time - h.position
+	if excess := age - class.Bound - socketSlack - maxPositionError; excess > 0 {
+		g.reportAttempt(attempt, StaleRead, excess)
 	}
 }
 
-func (g *Guard) sent(s *Attempt, n Name, by time.Duration) {
-	g.violated(Violation{Name: n, Request: s.Request, Client: s.Client, Database: s.Database, Transition: "send", Excess: by})
+func (g *Guard) reportAttempt(attempt *Attempt, name Name, excess time.Duration) {
+	g.record(Violation{Name: name, Request: attempt.Request, Client: attempt.Client, Database: attempt.Database, Transition: "send", Excess: excess})
 }
 
 // CheckAnswer checks a final answer.
-func (g *Guard) CheckAnswer(request string, client uint64, already bool) {
-	if g != nil && already {
-		g.violated(Violation{Name: AnsweredTwice, Request: request, Client: client, Transition: "answer"})
+func (g *Guard) CheckAnswer(request string, client uint64, answered bool) {
+	if g != nil && answered {
+		g.record(Violation{Name: AnsweredTwice, Request: request, Client: client, Transition: "answer"})
 	}
 }
 
 // CheckClose checks that a connection which the gateway ends owes no answer.
-func (g *Guard) CheckClose(client uint64, request string, owed int) {
-	if g != nil && owed > 0 {
-		g.violated(Violation{Name: ClosedUnanswered, Client: client, Request: request, Transition: "close"})
+func (g *Guard) CheckClose(client uint64, request string, pending int) {
+	if g != nil && pending > 0 {
+		g.record(Violation{Name: ClosedUnanswered, Client: client, Request: request, Transition: "close"})
 	}
 }
 
 // CheckReady checks a yes to whether requests can be served.
 func (g *Guard) CheckReady(servable bool) {
 	if g != nil && !servable {
-		g.violated(Violation{Name: ReadyTooEarly, Transition: "ready"})
+		g.record(Violation{Name: ReadyTooEarly, Transition: "ready"})
 	}
 }
 
 // CheckOverrideKept checks a yes to an operator's word.
 func (g *Guard) CheckOverrideKept(kept bool) {
 	if g != nil && !kept {
-		g.violated(Violation{Name: OverrideNotKept, Transition: "word"})
+		g.record(Violation{Name: OverrideNotKept, Transition: "word"})
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -31,7 +31,7 @@
 func stale(role policy.Role, by time.Duration) func(g *Guard, s *Attempt) {
 	return func(g *Guard, s *Attempt) {
 		const told = now - 200*ms
-		g.RecordAnswer("d", role, now-by-slack, told)
+		g.RecordAnswer("d", role, now-by-socketSlack, told)
 		g.RecordAnswer("p", policy.Primary, told, told)
 		s.Class = 3
 	}
@@ -66,7 +66,7 @@
 		}},
 		"gone": {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Gone, now-time.Second) }, want: []Name{ToDraining}},
 		"gone, which is advice": {change: func(g *Guard, _ *Attempt) {
-			g.set.GoneIsAdvisory = true
+			g.settings.GoneIsAdvisory = true
 			g.RecordStatus("d", policy.Gone, now-time.Second)
 		}},
 		"left out": {change: func(g *Guard, _ *Attempt) {
@@ -98,7 +98,7 @@
 			s.Deadline += time.Second
 		}},
 		"stale, where databases check": {change: func(g *Guard, s *Attempt) {
-			g.set.StaleReadMode = policy.StaleReadReject
+			g.settings.StaleReadMode = policy.StaleReadReject
 			stale(policy.Replica, time.Minute)(g, s)
 		}},
 		"two at once":                  {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,4 +1,4 @@
-// Admission: how many attempts a host is given, and which requests are shed.
+// Admission control: how many concurrent attempts a host is given, and which requests are shed.
 
 package policy
 
@@ -7,67 +7,71 @@
 	"math"
 )
 
-// room tells whether h may have one more attempt. The limit follows answer times (see judge) and goes below
-// one, as a pause between attempts. Classes worth less for their time leave room to others.
-func (r *Router) room(h *host, q *request) bool {
-	limit, primary := h.limit, h == h.group.primary
-	if h.bounded && len(h.out) >= h.most {
+// hasCapacity reports whether h may get one more attempt. The limit follows answer times (see recordOutcome).
+// Below one it is a pause between attempts. Classes worth less for the time they take get a smaller part of
+// it.
+func (r *Router) hasCapacity(h *host, req *request) bool {
+	limit, isPrimary := h.limit, h == h.group.primary
+	if h.hasMaxAttempts && len(h.outstanding) >= h.maxAttempts {
 		return false
 	}
-	if h.gap <= seldom || primary && r.set.Routers > fewRouters { // else the throttle sheds by rank
-		limit /= r.rank(q.Class, primary)
-	} else if primary && q.class.Level != Write {
+	if h.resultInterval <= rareResultInterval || isPrimary && r.settings.Routers > smallFleetSize {
+		limit /= r.rank(req.Class, isPrimary)
+	} else if isPrimary && req.class.Level != Write { // admitted sheds by rank here
 		limit *= 0.7
 	}
 	if limit >= 1 {
-		return float64(len(h.out)) < limit
+		return float64(len(h.outstanding)) < limit
 	}
-	if primary && h.limit < 0.9 && q.class.Level <= Recent && r.set.Routers > fewRouters {
-		return false // a crowded primary is left to what needs it
+	if isPrimary && h.limit < 0.9 && req.class.Level <= Recent && r.settings.Routers > smallFleetSize {
+		return false // the rest of an overloaded primary's capacity is for what needs it
 	}
-	pause := (1/limit - 1) * r.latency[q.Class] * min(h.slow, 4)
-	return len(h.out) == 0 && (r.now-h.sentAt).Seconds() >= pause
+	pause := (1/limit - 1) * r.meanLatency[req.Class] * min(h.latencyRatio, 4)
+	return len(h.outstanding) == 0 && (r.now-h.sentAt).Seconds() >= pause
 }
 
-// throttle keeps queues short where hosts are heard of too rarely to learn limits: by all replicas' answers.
-func (r *Router) throttle(h *host, factor float64) {
-	if primary := h == h.group.primary; h.gap > seldom {
-		if primary && factor < 1 && r.set.Routers > fewRouters { // a queue that all of them fill, reads first
-			factor *= factor
+// adjustAdmission changes the admitted share of requests after an answer. It keeps queues short where results
+// of a single host are too rare to learn its limit, by the answers of all primaries or all replicas together.
+func (r *Router) adjustAdmission(h *host, factor float64) {
+	if isPrimary := h == h.group.primary; h.resultInterval > rareResultInterval {
+		if isPrimary && factor < 1 && r.settings.Routers > smallFleetSize {
+			factor *= factor // all routers fill the same queue; reads are shed first, see admitted
 		}
-		r.admit[primary] = min(1, max(admitLeast, factor*r.admit[primary]))
+		r.admitShare[isPrimary] = min(1, max(minAdmitShare, factor*r.admitShare[isPrimary]))
 	}
 }
 
-// rank is 1 for the class worth most for its time at such a host, and higher for others, which get less.
+// rank returns 1 for the class that is worth most for the time it takes at a primary or a replica, and more
+// for the others, which get less capacity.
 func (r *Router) rank(class int, primary bool) float64 {
-	value := func(i int) float64 { return cmp.Or(r.set.Classes[i].Worth, 1) / r.latency[i] }
-	most := 0.0
-	for i, c := range r.set.Classes {
+	value := func(i int) float64 { return cmp.Or(r.settings.Classes[i].Worth, 1) / r.meanLatency[i] }
+	highest := 0.0
+	for i, c := range r.settings.Classes {
 		if primary || c.Level != Write {
-			most = max(most, value(i))
+			highest = max(highest, value(i))
 		}
 	}
-	return math.Sqrt(most / value(class))
+	return math.Sqrt(highest / value(class))
 }
 
-// admits draws whether q may be sent to h.
-func (r *Router) admits(q *request, h *host) bool {
-	share := r.admit[h == q.g.primary]
-	r.throttle(h, 1+admitDrift/share)
-	rank := r.rank(q.Class, true)
-	if r.set.Routers > fewRouters { // the throttle is all that sheds there
+// admitted decides at random whether req may be sent to h.
+func (r *Router) admitted(req *request, h *host) bool {
+	share := r.admitShare[h == req.group.primary]
+	r.adjustAdmission(h, 1+admitDrift/share)
+	rank := r.rank(req.Class, true)
+	if r.settings.Routers > smallFleetSize { // nothing else sheds load there
 		rank *= rank
 	}
-	return h.gap <= seldom || r.rnd.Float64() < math.Pow(share, rank)
+	return h.resultInterval <= rareResultInterval || r.random.Float64() < math.Pow(share, rank)
 }
 
-// cutLimit cuts by time: an answer tells the more, the fewer there are. Many routers need a lower floor.
-func (r *Router) cutLimit(h *host) {
-	h.limit = max(min(0.2, 2/float64(max(r.set.Routers, 1))), h.limit*(1-0.025*h.weight(24)))
+// reduceLimit shrinks the limit of h, the more the rarer its answers are. The minimum is lower in a large
+// fleet.
+func (r *Router) reduceLimit(h *host) {
+	h.limit = max(min(0.2, 2/float64(max(r.settings.Routers, 1))), h.limit*(1-0.025*h.weight(24)))
 }
 
-// weight is that of an answer of h, from 1 up to most, against those of a host heard of often.
-func (h *host) weight(most float64) float64 {
-	return min(most, max(1, h.gap.Seconds()/often.Seconds()))
+// weight returns the weight of an answer of h, from 1 to maxWeight, relative to a host with frequent answers.
+func (h *host) weight(maxWeight float64) float64 {
+	return min(maxWeight, max(1, h.resultInterval.Seconds()/frequentResultInterval.Seconds()))
 }
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,106 +1,111 @@
-// The clock of the databases, as it stands to this router's own.
+// The offset of the databases' clock from this router's own.
 //
-// Positions, commits and starts are times of the databases, which share one clock. A process lives with
-// the wall clock of its start, and that may have been stepped before. What is held against those times
-// goes by databaseTime.
+// Positions, commits and start times are given on the clock that the databases share. A process keeps the
+// wall clock that it read at its start, which may have been wrong. So whatever is compared with those times
+// is databaseTime.
 
 package policy
 
 import "time"
 
 const (
-	ahead          = time.Second            // that a position may be past the databases' clock as it is known
-	clockTolerance = 100 * time.Millisecond // so long after it was written an answer counts as told
-	clockWitnesses = 3                      // answers that agree on a step of the clock,
-	clockSpan      = time.Second            // from first to last: a log that stands still agrees no longer
-	clockPatience  = 2 * time.Second        // without a word, until this router's clock is taken for theirs
+	maxPositionLead    = time.Second            // of a plausible position over databaseTime
+	clockTolerance     = 100 * time.Millisecond // from the writing of an answer until it counts as received
+	minClockSamples    = 3                      // answers that have to agree on a clock step,
+	minClockSampleSpan = time.Second            // and the time they span, too long for a stopped log
+	clockTimeout       = 2 * time.Second        // until this router's clock is used, if no primary answers
 )
 
-// offsetRange holds the offsets of the databases' clock that an answer allows.
-type offsetRange struct{ least, most time.Duration }
+// offsetRange is the range of offsets of the databases' clock that fit an answer.
+type offsetRange struct{ low, high time.Duration }
 
-// with is the part of both ranges; its least may exceed its most by as much as they are apart.
-func (o offsetRange) with(other offsetRange) offsetRange {
-	return offsetRange{max(o.least, other.least), min(o.most, other.most)}
+// intersect returns the intersection of two ranges. If they are disjoint, low exceeds high by the gap between
+// them.
+func (o offsetRange) intersect(other offsetRange) offsetRange {
+	return offsetRange{max(o.low, other.low), min(o.high, other.high)}
 }
 
-// allows tells whether an offset is in the range, but for the tolerance.
-func (o offsetRange) allows(offset time.Duration) bool {
-	return o.least-clockTolerance <= offset && offset <= o.most+clockTolerance
+// contains reports whether an offset is in the range, give or take the tolerance.
+func (o offsetRange) contains(offset time.Duration) bool {
+	return o.low-clockTolerance <= offset && offset <= o.high+clockTolerance
 }
 
-// empty tells that what the range was made of disagrees, whatever the tolerance.
-func (o offsetRange) empty() bool { return o.least > o.most+clockTolerance }
+// empty reports whether the intersected ranges disagree by more than the tolerance.
+func (o offsetRange) empty() bool { return o.low > o.high+clockTolerance }
 
-// databaseClock is what is known of the databases' clock. Only primaries stand at the present, so they
-// alone set it; replicas that are next to the present, as they mostly are, can confirm it. One answer may
-// be spoilt, so that it takes two.
+// databaseClock is what is known of the databases' clock. Only a primary's position is the current time, so
+// only primaries set the clock; replicas, which mostly lag little, can confirm it. A single answer may be
+// invalid, so two are needed.
 type databaseClock struct {
-	offset    time.Duration // of theirs over this router's
-	confirmed bool          // two answers have told a time that fits
-	fitted    HostID        // whose answer was the first to do so
+	offset     time.Duration // their clock minus this router's
+	confirmed  bool          // two answers matched it
+	firstMatch HostID        // the host whose answer matched first
 
-	agreed    offsetRange // what the last answers, which do not fit, agree on
-	witnesses int
-	since     time.Duration
+	candidate        offsetRange // on which the last answers agree, none of which matched
+	candidateSamples int
+	candidateSince   time.Duration
 }
 
-// observe takes what an answer tells. A single one that does not fit may be spoilt: several have to agree
-// over a while.
-func (c *databaseClock) observe(h HostID, now time.Duration, seen offsetRange) (stepped bool) {
-	if seen.allows(c.offset) {
-		c.confirmed, c.witnesses = c.confirmed || c.fitted != "", 0
-		c.fitted = h
+// observe applies an answer of a primary. A single one that does not match may be invalid: several have to
+// agree over some time before the clock is stepped.
+func (c *databaseClock) observe(h HostID, now time.Duration, observed offsetRange) (stepped bool) {
+	if observed.contains(c.offset) {
+		c.confirmed, c.candidateSamples = c.confirmed || c.firstMatch != "", 0
+		c.firstMatch = h
 		return false
 	}
-	if common := c.agreed.with(seen); c.witnesses > 0 && !common.empty() {
-		c.agreed = common
-		c.witnesses++
+	if overlap := c.candidate.intersect(observed); c.candidateSamples > 0 && !overlap.empty() {
+		c.candidate = overlap
+		c.candidateSamples++
 	} else {
-		c.agreed, c.witnesses, c.since = seen, 1, now
+		c.candidate, c.candidateSamples, c.candidateSince = observed, 1, now
 	}
-	if c.witnesses < clockWitnesses || now-c.since < clockSpan {
+	if c.candidateSamples < minClockSamples || now-c.candidateSince < minClockSampleSpan {
 		return false
 	}
-	c.offset, c.confirmed, c.witnesses = c.agreed.most, true, 0
+	c.offset, c.confirmed, c.candidateSamples = c.candidate.high, true, 0
 	return true
 }
 
-// observeReplica takes what a replica's answer tells. One that lags says nothing; two that lag by just the
-// step of a clock would confirm a wrong one, until a primary speaks.
-func (c *databaseClock) observeReplica(h HostID, seen offsetRange) {
-	if c.confirmed || c.witnesses > 0 || !seen.allows(c.offset) {
+// observeReplica applies an answer of a replica. One from a lagging replica shows nothing. Two that lag by
+// exactly the step of a clock would confirm a wrong one, until a primary answers.
+func (c *databaseClock) observeReplica(h HostID, observed offsetRange) {
+	if c.confirmed || c.candidateSamples > 0 || !observed.contains(c.offset) {
 		return
 	}
-	c.confirmed = c.fitted != "" && c.fitted != h
-	c.fitted = h
+	c.confirmed = c.firstMatch != "" && c.firstMatch != h
+	c.firstMatch = h
 }
 
-// databaseTime is the databases' time now.
+// databaseTime returns the current time on the databases' clock.
 func (r *Router) databaseTime() time.Duration { return r.now + r.clock.offset }
 
-// Plausible tells whether a position can have been reached: one that is believed can never be taken back.
-func (r *Router) Plausible(position time.Duration) bool { return position <= r.databaseTime()+ahead }
+// Plausible reports whether a position can have been reached. An accepted position can never be taken back.
+func (r *Router) Plausible(position time.Duration) bool {
+	return position <= r.databaseTime()+maxPositionLead
+}
 
-// knowsTime tells whether the age of data can be told. Where nothing was heard of a primary since the
-// start, the pages hold: every machine reads one clock.
-func (r *Router) knowsTime() bool {
-	return !r.set.IndependentClock || r.clock.confirmed || r.clock.witnesses == 0 && r.now >= r.begunAt+clockPatience
+// knowsDatabaseTime reports whether the age of data can be computed. If no primary has answered since the
+// start, this router's clock is used, as all machines are documented to share one clock.
+func (r *Router) knowsDatabaseTime() bool {
+	return !r.settings.IndependentClock || r.clock.confirmed ||
+		r.clock.candidateSamples == 0 && r.now >= r.startedAt+clockTimeout
 }
 
-// hearTime learns of the databases' clock by an answer, which was given between an attempt's sending and
-// now. A position is rounded, by a grain at most: that of a read down, a commit up.
-func (r *Router) hearTime(a *attempt, role Role, position time.Duration) {
-	if !r.set.IndependentClock {
+// observeDatabaseTime updates the databases' clock by an answer, which was given between the sending of an
+// attempt and now. A position is rounded by at most PositionGranularity: that of a read down, that of a
+// commit up.
+func (r *Router) observeDatabaseTime(a *attempt, role Role, position time.Duration) {
+	if !r.settings.IndependentClock {
 		return
 	}
-	grain := r.set.PositionGranularity
-	seen := offsetRange{least: position - grain - r.now, most: position + grain - a.sentAt}
+	granularity := r.settings.PositionGranularity
+	observed := offsetRange{low: position - granularity - r.now, high: position + granularity - a.sentAt}
 	if role != Primary {
-		r.clock.observeReplica(a.h.id, seen)
+		r.clock.observeReplica(a.host.id, observed)
 		return
 	}
-	if r.clock.observe(a.h.id, r.now, seen) {
+	if r.clock.observe(a.host.id, r.now, observed) {
 		r.emit(Log{Text: "the databases' clock is " + r.clock.offset.String() + " ahead of this process's"})
 		r.retryAll()
 	}
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -89,10 +89,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newClockRig(t, c.step).r
-			for _, h := range c.hosts {
-				r.hearTime(&attempt{h: r.hosts[h], sentAt: r.now - 5*ms}, Replica, r.now+c.step-c.lag)
+			for _, host := range c.hosts {
+				r.observeDatabaseTime(&attempt{host: r.hosts[host], sentAt: r.now - 5*ms}, Replica, r.now+c.step-c.lag)
 			}
-			assert.Equal(t, c.want, r.knowsTime())
+			assert.Equal(t, c.want, r.knowsDatabaseTime())
 		})
 	}
 }
@@ -123,7 +123,7 @@
 	c.ask(own, 5*ms, lagging(10*ms))
 	_, sent := c.ask(recent, 5*ms, lagging(10*ms))
 	assert.False(t, sent, "its age cannot be told yet")
-	c.at(clockPatience)
+	c.at(clockTimeout)
 	c.ask(own, 5*ms, lagging(10*ms))
 	host, sent := c.ask(recent, 5*ms, lagging(10*ms))
 	assert.True(t, sent, "%s", host)
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -1,4 +1,4 @@
-// What other routers and operators tell the whole fleet.
+// Events from other routers and operators that concern the whole fleet.
 
 package policy
 
@@ -8,19 +8,20 @@
 	"lilaccove/internal/repeats"
 )
 
-// onFleet takes what the fleet tells. It bounds, orders or dates what this router may do by itself anyway.
-func (r *Router) onFleet(e Event) {
+// onFleetEvent applies an event from the fleet. Such events only limit, order or time what this router could
+// also decide alone.
+func (r *Router) onFleetEvent(e Event) {
 	switch e := e.(type) {
 	case ConcurrencyLimit:
 		if h := r.hosts[e.Host]; h != nil {
-			h.bounded, h.most = true, e.Max
+			h.hasMaxAttempts, h.maxAttempts = true, e.Max
 			r.retryWaiting(h.group)
 		}
 	case PrimaryReported:
 		h := r.hosts[e.Host]
 		switch {
-		case h == nil || !r.mayTake(h, true) || e.At < h.roleAt:
-		case !h.group.open:
+		case h == nil || !r.acceptsWork(h, true) || e.At < h.roleAt:
+		case !h.group.breakerOpen:
 			r.learnRole(h, Primary, min(e.At, r.now))
 		case h.group.primary == nil || e.At > h.group.primary.roleAt:
 			h.group.primary = h // only its own answer closes the breaker
@@ -29,18 +30,18 @@
 	case FenceChanged:
 		r.fenced = e.Active
 	case OverridesPending:
-		r.held = e.Active
+		r.overridesPending = e.Active
 		r.retryAll()
 	case RetryBudget:
-		r.repeats = repeats.New(e.Share)
+		r.retryBudget = repeats.New(e.Share)
 	case ProcessPaused:
-		r.away, r.missed = e.Total, e.Total-r.away
+		r.pausedTotal, r.recentPause = e.Total, e.Total-r.pausedTotal
 	case PreferredHosts:
-		for _, h := range r.order {
-			h.first = slices.Contains(e.Hosts, h.id) || len(e.Hosts) == 0 && h.zone == r.set.Zone
+		for _, h := range r.hostOrder {
+			h.preferred = slices.Contains(e.Hosts, h.id) || len(e.Hosts) == 0 && h.zone == r.settings.Zone
 		}
 	case PositionReported:
-		if h := r.hosts[e.Host]; h != nil && e.Position > h.pos {
+		if h := r.hosts[e.Host]; h != nil && e.Position > h.position {
 			r.learnPosition(h, min(e.Position, r.databaseTime()))
 		}
 	}
--- a/policy/herd_test.go
+++ b/policy/herd_test.go
@@ -235,7 +235,7 @@
 	g.wantSend("p")
 	g.ask("z", fragile)
 	g.wantSend("p")
-	g.at(5*seldom).ask("z2", fragile)
+	g.at(5*rareResultInterval).ask("z2", fragile)
 	assert.NotEqual(t, []HostID{"p"}, g.sends())
 }
 
@@ -274,7 +274,7 @@
 	g := newRig(t, set)
 	h := g.r.hosts["p"]
 	for i := range 12 {
-		h.gap, h.fails, h.group.fails = time.Second, 0, 0 // no breaker: that is another test's
+		h.resultInterval, h.failures, h.group.failures = time.Second, 0, 0 // no breaker: that is another test's
 		id := RequestID(fmt.Sprint("w", i))
 		g.at(time.Second).ask(id, fragile)
 		if len(g.sends()) > 0 {
@@ -283,7 +283,7 @@
 	}
 	assert.Less(t, h.limit, 0.3)
 	h.limit = 0.025
-	g.r.cutLimit(h)
+	g.r.reduceLimit(h)
 	assert.InDelta(t, 0.025, h.limit, 1e-9, "the floor of eighty")
 }
 
@@ -295,7 +295,7 @@
 		g.report(0, h, Replica, 0)
 	}
 	g.at(0, ProbeResult{Host: "p"}).failWrites(breakerThreshold, Error)
-	require.True(t, g.r.groups[0].open)
+	require.True(t, g.r.groups[0].breakerOpen)
 	g.at(3*time.Second).ask("r", recent)
 	g.wantSend()
 	g.ask("w", fragile)
@@ -389,14 +389,14 @@
 	g := newRig(t, base())
 	at := func(o Outcome, latency time.Duration) float64 {
 		g.at(time.Second, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: g.now}}})
-		q := &request{class: &g.r.set.Classes[loose], Request: Request{Class: loose}}
-		g.r.judge(&attempt{q: q, h: g.r.hosts["a"], sentAt: g.now}, o, latency, false)
-		return g.r.ease
+		req := &request{class: &g.r.settings.Classes[loose], Request: Request{Class: loose}}
+		g.r.recordOutcome(&attempt{req: req, host: g.r.hosts["a"], sentAt: g.now}, o, latency, false)
+		return g.r.coldHealth
 	}
 	for range 8 {
 		at(OK, ms)
 	}
-	assert.InDelta(t, 1, g.r.ease, 0.01)
+	assert.InDelta(t, 1, g.r.coldHealth, 0.01)
 	assert.Less(t, at(OK, 400*ms), 0.2)
 	assert.Zero(t, at(Timeout, 500*ms))
 	assert.InDelta(t, 0.125, at(OK, ms), 0.01)
@@ -427,11 +427,11 @@
 func TestFailedReplicaIsCalledAtAgain(t *testing.T) {
 	g := crowd(t)
 	for _, h := range []HostID{"a", "b"} {
-		g.r.hosts[h].fails, g.r.hosts[h].judgedAt = 1, g.now
+		g.r.hosts[h].failures, g.r.hosts[h].resultAt = 1, g.now
 	}
 	g.ask("w", fragile)
 	g.wantSend("p")
-	g.result("w", 0, "p", OK, Primary).at(2*seldom).ask("x", fragile)
+	g.result("w", 0, "p", OK, Primary).at(2*rareResultInterval).ask("x", fragile)
 	require.Len(t, g.sends(), 1)
 	assert.NotEqual(t, HostID("p"), g.sends()[0])
 }
@@ -511,24 +511,24 @@
 		set.Classes[loose].Worth, set.Classes[fragile].Worth = 1, 4
 		g := newRig(t, set, Member{Host: "p", Primary: true}, Member{Host: "a"})
 		p := g.r.hosts["p"]
-		g.r.throttle(p, admitLate)
-		cut = g.r.admit[true]
+		g.r.adjustAdmission(p, admitLateFactor)
+		cut = g.r.admitShare[true]
 		sent = map[int]int{}
 		for i := range 4000 {
-			g.r.admit[true] = 0.5
+			g.r.admitShare[true] = 0.5
 			c := []int{loose, fragile}[i%2]
-			if g.r.admits(&request{Request: Request{Class: c}, class: &g.r.set.Classes[c], g: p.group}, p) {
+			if g.r.admitted(&request{Request: Request{Class: c}, class: &g.r.settings.Classes[c], group: p.group}, p) {
 				sent[c]++
 			}
 		}
 		return cut, sent
 	}
-	cut, few := share(fewRouters)
-	assert.Equal(t, admitLate, cut)
+	cut, few := share(smallFleetSize)
+	assert.Equal(t, admitLateFactor, cut)
 	assert.InDelta(t, 0.5*2000, few[fragile], 120)
 	assert.InDelta(t, 0.25*2000, few[loose], 100)
-	cut, many := share(fewRouters + 1)
-	assert.InDelta(t, admitLate*admitLate, cut, 1e-9)
+	cut, many := share(smallFleetSize + 1)
+	assert.InDelta(t, admitLateFactor*admitLateFactor, cut, 1e-9)
 	assert.InDelta(t, 0.5*2000, many[fragile], 120)
 	assert.InDelta(t, 0.0625*2000, many[loose], 60)
 }
--- a/policy/list.go
+++ b/policy/list.go
@@ -1,119 +1,130 @@
-// The list of hosts: what its entries mean for a host, and when it is asked for.
+// The host list: how its entries are applied to hosts, and when it is requested.
 
 package policy
 
 import "time"
 
-func (r *Router) onMembers(m ListUpdate) {
-	if r.crowded++; m.Kind != ListQueueTimeout {
-		r.crowded = 0
+// onListUpdate applies a list or its changes, or requests the list again after a failure.
+func (r *Router) onListUpdate(update ListUpdate) {
+	if r.queueTimeouts++; update.Kind != ListQueueTimeout {
+		r.queueTimeouts = 0
 	}
-	if m.Kind == ListFailed || m.Kind == ListQueueTimeout {
-		r.askForList(max(r.set.Routers, fewRouters))
+	if update.Kind == ListFailed || update.Kind == ListQueueTimeout {
+		r.requestList(max(r.settings.Routers, smallFleetSize))
 		return
 	}
-	if m.Kind != ListCached && !r.compared {
-		r.compared = true
+	if update.Kind != ListCached && !r.listReceived {
+		r.listReceived = true
 		r.retryAll()
 	}
 	listed := map[HostID]bool{}
-	for _, e := range m.Entries {
-		r.onMember(e)
-		listed[e.Host] = true
+	for _, entry := range update.Entries {
+		r.updateMember(entry)
+		listed[entry.Host] = true
 	}
-	for _, h := range r.order {
-		if m.Kind != ListDelta && !listed[h.id] {
+	for _, h := range r.hostOrder {
+		if update.Kind != ListDelta && !listed[h.id] {
 			r.setStatus(h, Gone)
 		}
 	}
 }
 
-// askForList asks after a pause, which depends on whom it asks. routers is how many may be asking just then.
-func (r *Router) askForList(routers int) {
-	switch r.set.ListSource {
+// requestList requests the list after a delay that depends on its source. routers is how many may be calling
+// at the same time.
+func (r *Router) requestList(routers int) {
+	switch r.settings.ListSource {
 	case ListFromService:
-		r.subscribe(r.servicePause(routers), callMost)
+		r.subscribe(r.serviceDelay(routers), maxListCallTime)
 	case ListFromAgent:
-		r.subscribe(r.agentPause(), r.agentTime())
+		r.subscribe(r.agentDelay(), r.agentTimeout())
 	}
 }
 
+// subscribe requests the list after a pause; the call fails after a time of within.
 func (r *Router) subscribe(pause, within time.Duration) {
 	r.wakeAt(r.now+pause, func() { r.emit(Subscribe{Timeout: within}) })
 }
 
-// servicePause ends at a random moment, lest all routers ask at once; later where a crowd has long kept this
-// one out.
-func (r *Router) servicePause(routers int) time.Duration {
-	most := min(askMost<<min(max(0, r.crowded-crowdMost), 8), max(askMost, 2*r.set.MaxListAge))
-	span := min(askPace*time.Duration(max(0, routers)), most)
-	return time.Duration(r.rnd.Int64N(int64(span) + 1))
+// serviceDelay returns a random delay, so that routers do not all call at once. It grows after repeated
+// timeouts in discovery's queue.
+func (r *Router) serviceDelay(routers int) time.Duration {
+	maxDelay := min(maxListCallDelay<<min(max(0, r.queueTimeouts-maxQueueTimeouts), 8),
+		max(maxListCallDelay, 2*r.settings.MaxListAge))
+	window := min(listCallInterval*time.Duration(max(0, routers)), maxDelay)
+	return time.Duration(r.random.Int64N(int64(window) + 1))
 }
 
-// agentTime is by when an agent has to go on with an answer. What it has counts as told whether it was heard
-// or not, and a drain binds after its grace: a call that hangs, a pause and the next call have to fit into
-// that, and a hold-up besides.
-func (r *Router) agentTime() time.Duration {
-	return min(max(r.set.DrainGrace/agentPart, agentLeast), callMost)
+// agentTimeout returns how long a call to the agent may bring nothing. A list that the agent holds binds
+// whether it was received or not, and a drain binds after its grace. So a call that hangs, the delay after
+// it, the next call and a process pause have to fit into that grace.
+func (r *Router) agentTimeout() time.Duration {
+	return min(max(r.settings.DrainGrace/agentTimeoutDivisor, minAgentTimeout), maxListCallTime)
 }
 
-// agentPause keeps calls that fail at once apart. The first of all does not wait.
-func (r *Router) agentPause() time.Duration {
-	if r.now == r.begunAt {
+// agentDelay returns the delay before a call to the agent, which spaces out calls that fail at once. The
+// first call has none.
+func (r *Router) agentDelay() time.Duration {
+	if r.now == r.startedAt {
 		return 0
 	}
-	return r.agentTime() / 2
+	return r.agentTimeout() / 2
 }
 
-// mayAct tells whether requests may be sent by what is known of hosts. What an agent has counts as told
-// from the first moment on, so the list of the start is compared with it before; and what operators said
-// before holds.
-func (r *Router) mayAct() bool {
-	compared := r.set.ListSource != ListFromAgent || r.compared
-	return compared && !r.held || r.now >= r.begunAt+StartupTimeout
+// readyToSend reports whether enough is known of hosts to send requests. A list that the agent holds binds
+// from the start, so the list of the start is first brought up to date with it. Earlier operator overrides
+// bind as well.
+func (r *Router) readyToSend() bool {
+	listReady := r.settings.ListSource != ListFromAgent || r.listReceived
+	return listReady && !r.overridesPending || r.now >= r.startedAt+StartupTimeout
 }
 
-func (r *Router) onMember(e Member) {
-	h := r.hosts[e.Host]
+// updateMember applies one entry of the list.
+func (r *Router) updateMember(entry Member) {
+	h := r.hosts[entry.Host]
 	if h == nil {
-		g := r.groups[e.Group]
+		g := r.groups[entry.Group]
 		if g == nil {
-			g = &group{lostAt: r.now}
-			r.groups[e.Group] = g
+			g = &group{primaryLostAt: r.now}
+			r.groups[entry.Group] = g
 		}
-		h = &host{id: e.Host, group: g, roleAt: -1, judgedAt: r.now, gap: 2 * seldom, status: e.Status,
-			first: e.Zone == r.set.Zone, sentAt: -time.Duration(r.rnd.Int64N(1 << 20)),
-			toldAt: -r.set.DrainGrace} // one that drains may have done so for long
-		r.resetHost(h, e.StartedAt)
-		r.hosts[e.Host] = h
-		r.order = append(r.order, h)
+		h = &host{
+			id: entry.Host, group: g, roleAt: -1, resultAt: r.now, resultInterval: 2 * rareResultInterval,
+			status: entry.Status, preferred: entry.Zone == r.settings.Zone,
+			sentAt:      -time.Duration(r.random.Int64N(1 << 20)),
+			unhealthyAt: -r.settings.DrainGrace, // it may have been draining for a long time
+		}
+		r.resetHost(h, entry.StartedAt)
+		r.hosts[entry.Host] = h
+		r.hostOrder = append(r.hostOrder, h)
 		g.hosts = append(g.hosts, h)
 	}
-	h.zone = e.Zone
-	if e.StartedAt > h.startedAt {
-		r.resetHost(h, e.StartedAt)
-		r.learnRole(h, Replica, e.StartedAt-r.clock.offset)
+	h.zone = entry.Zone
+	if entry.StartedAt > h.startedAt {
+		r.resetHost(h, entry.StartedAt)
+		r.learnRole(h, Replica, entry.StartedAt-r.clock.offset)
 	}
-	r.setStatus(h, e.Status)
-	// Whom the late list names has been primary. That counts while no other that may take work is known.
-	if old := h.group.primary; e.Primary && r.set.ListRole != ListRoleNone &&
-		(old == nil || !r.mayTake(old, true)) && h.roleAt < max(0, r.now-r.set.MaxListAge) {
+	r.setStatus(h, entry.Status)
+	// The list is late: a host that it names has been primary. That counts while no usable primary is known.
+	if current := h.group.primary; entry.Primary && r.settings.ListRole != ListRoleNone &&
+		(current == nil || !r.acceptsWork(current, true)) && h.roleAt < max(0, r.now-r.settings.MaxListAge) {
 		h.group.primary = nil
 		r.learnRole(h, Primary, max(0, h.roleAt))
 	}
 	r.retryWaiting(h.group)
 }
 
-// resetHost begins to learn of a process of h: its log position stands; in a large fleet it begins as
-// average.
+// resetHost forgets what was learned of the previous process of h. Its position stays. In a large fleet its
+// answer times start out as average.
 func (r *Router) resetHost(h *host, startedAt time.Duration) {
-	h.startedAt, h.strain, h.fails, h.budget, h.budgetAt = startedAt, 0, 0, 0, r.now
-	h.limit, h.slow = 1+8/float64(max(r.set.Routers, 1)), float64(min(1, r.set.Routers/(fewRouters+1)))
+	h.startedAt, h.strain, h.failures, h.coldBudget, h.coldBudgetAt = startedAt, 0, 0, 0, r.now
+	h.limit, h.latencyRatio = 1+8/float64(max(r.settings.Routers, 1)),
+		float64(min(1, r.settings.Routers/(smallFleetSize+1)))
 }
 
-// onSuspended keeps the operators' word, which the list does not change. Who is back is cold, in any role.
-func (r *Router) onSuspended(e SuspensionChanged) {
-	r.out[e.Host] = e.Active
+// onSuspensionChanged applies an operator override, which the list does not change. A resumed host is cold,
+// and its role is unknown.
+func (r *Router) onSuspensionChanged(e SuspensionChanged) {
+	r.suspended[e.Host] = e.Active
 	if e.Active {
 		r.emit(StopUsingHost{Host: e.Host})
 	}
@@ -126,29 +137,33 @@
 	}
 }
 
-// ExcludedHosts is how many listed hosts get nothing: left out by hand, draining, or primaries of open breakers.
-func (r *Router) ExcludedHosts() (n int) {
-	for _, h := range r.order {
-		if h.status != Gone && (!r.mayTake(h, false) || h.group.open && h.group.primary == h) {
-			n++
+// ExcludedHosts returns how many listed hosts get no requests: suspended, draining, or primaries of open
+// breakers.
+func (r *Router) ExcludedHosts() (count int) {
+	for _, h := range r.hostOrder {
+		if h.status != Gone && (!r.acceptsWork(h, false) || h.group.breakerOpen && h.group.primary == h) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
+// setStatus sets the status of h by the list.
 func (r *Router) setStatus(h *host, s Status) {
 	if h.status == Healthy {
-		h.toldAt = r.now - r.missed // it may have come while this process was away
+		h.unhealthyAt = r.now - r.recentPause // it may have arrived during a process pause
 	}
-	h.drained = s == Draining || h.drained && s != Healthy
+	h.wasDraining = s == Draining || h.wasDraining && s != Healthy
 	h.status = s
 }
 
-// mayTake tells whether h may have new work. A primary that drains takes writes while it hands over.
-func (r *Router) mayTake(h *host, write bool) bool {
-	return !r.out[h.id] && (h.status == Healthy || h.status == Gone && r.set.GoneIsAdvisory && !h.drained ||
-		write && h.status == Draining && r.now-h.toldAt < r.set.DrainGrace/2)
+// acceptsWork reports whether h may be sent new requests. A draining primary accepts writes while it hands
+// over.
+func (r *Router) acceptsWork(h *host, write bool) bool {
+	return !r.suspended[h.id] && (h.status == Healthy ||
+		h.status == Gone && r.settings.GoneIsAdvisory && !h.wasDraining ||
+		write && h.status == Draining && r.now-h.unhealthyAt < r.settings.DrainGrace/2)
 }
 
-// left tells that h is off the list for good: machines that replace others have new ids.
-func (r *Router) left(h *host) bool { return h.status == Gone && !r.set.GoneIsAdvisory }
+// hasLeft reports whether h is off the list for good: a replacement machine has a new ID.
+func (r *Router) hasLeft(h *host) bool { return h.status == Gone && !r.settings.GoneIsAdvisory }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -73,7 +73,7 @@
 }
 
 func (g *rig) ask(id RequestID, class int) *rig {
-	return g.at(0, Request{ID: id, Class: class, Timeout: g.r.set.Classes[class].Deadline})
+	return g.at(0, Request{ID: id, Class: class, Timeout: g.r.settings.Classes[class].Deadline})
 }
 
 // report moves the clock on and gives a probe result: the position lies lag back.
@@ -174,7 +174,7 @@
 	g.failWrites(breakerThreshold, Reset).at(10*ms, ProbeResult{Host: "p"})
 	g.ask("v", fragile)
 	g.wantFinal("v", 1, 0)
-	g.at(10*probeSoon).ask("w", fragile)
+	g.at(10*suspectProbeInterval).ask("w", fragile)
 	g.wantSend("p")
 	g.ask("x", fragile)
 	g.wantFinal("x", 1, 0)
@@ -189,9 +189,9 @@
 	g.wantSend("p")
 	g.at(125*ms, Result{Request: "r", Host: "p", Outcome: Timeout, Latency: 125 * ms})
 	g.at(10*ms, Result{Host: "p", Attempt: -1, Outcome: NotSent, Finished: true, Role: Replica})
-	g.at(5*probeSoon, ProbeResult{Host: "p"}).ask("s", recent)
+	g.at(5*suspectProbeInterval, ProbeResult{Host: "p"}).ask("s", recent)
 	g.wantSend()
-	g.at(10*probeSoon, ProbeResult{Host: "p"}).ask("t", latest)
+	g.at(10*suspectProbeInterval, ProbeResult{Host: "p"}).ask("t", latest)
 	g.wantSend()
 }
 
@@ -419,9 +419,9 @@
 				after = 490 * ms
 			}
 			g.at(after, Result{Request: "x", Host: "p", Outcome: tt.outcome, Finished: true, Latency: after, Role: Primary})
-			g.r.admit[true] = 1 // the throttle is another test's
+			g.r.admitShare[true] = 1 // the throttle is another test's
 			g.ask("w", fragile).at(10*ms, Result{Request: "w", Host: "p", Outcome: Miss, Role: Replica})
-			g.r.admit[false], g.r.admit[true] = 1, 1
+			g.r.admitShare[false], g.r.admitShare[true] = 1, 1
 			g.at(10*ms).ask("r", recent)
 			g.wantSend(tt.want...)
 		})
@@ -874,19 +874,19 @@
 	g.ask("w", fragile).wantSend("p")
 	g.at(100 * ms)
 	g.at(600*ms, ProcessPaused{Total: 590 * ms})
-	if h := g.r.hosts["p"]; h.fails != 0 || h.strain > 0 {
-		t.Errorf("%d failures, strain %.2f, by own absence", h.fails, h.strain)
+	if h := g.r.hosts["p"]; h.failures != 0 || h.strain > 0 {
+		t.Errorf("%d failures, strain %.2f, by own absence", h.failures, h.strain)
 	}
 	g.at(380 * ms)
-	if h := g.r.hosts["p"]; h.fails != 0 {
+	if h := g.r.hosts["p"]; h.failures != 0 {
 		t.Error("a failure before its time")
 	}
 	g.at(20 * ms)
-	if h := g.r.hosts["p"]; h.fails != 1 {
-		t.Errorf("%d failures, though the aim has passed", h.fails)
+	if h := g.r.hosts["p"]; h.failures != 1 {
+		t.Errorf("%d failures, though the aim has passed", h.failures)
 	}
 	g.at(0, ProbeResult{Host: "p", Outcome: NotSent})
-	if g.r.lost != 0 {
+	if g.r.probeLoss != 0 {
 		t.Error("a probe that this process could not see to counts as lost")
 	}
 }
@@ -894,7 +894,7 @@
 // Where the primary is strained and has no room, a request is refused at once, not held.
 func TestNoRoomRefusesAtOnce(t *testing.T) {
 	g := newRig(t, base())
-	g.r.hosts["p"].strain = 2 * easy
+	g.r.hosts["p"].strain = 2 * lowStrain
 	if sent, refused := g.crowdOf(20); sent == 0 || refused == 0 || sent+refused != 20 {
 		t.Errorf("%d sent, %d refused of 20", sent, refused)
 	}
@@ -932,13 +932,13 @@
 	g := newRig(t, base())
 	for i := range 400 {
 		id := RequestID(rune(i + 256))
-		g.r.admit[true] = 1 // the throttle of quiet routers is another test's
+		g.r.admitShare[true] = 1 // the throttle of quiet routers is another test's
 		g.at(450*ms).ask(id, fragile)
 		if len(g.sends()) == 1 {
 			g.at(450*ms, Result{Request: id, Host: "p", Outcome: OK, Finished: true, Latency: 450 * ms, Role: Primary})
 		}
 	}
-	g.r.admit[true] = 1
+	g.r.admitShare[true] = 1
 	g.ask("x", fragile).at(450*ms, Result{Request: "x", Host: "p", Outcome: OK, Finished: true, Latency: 450 * ms})
 	if h := g.r.hosts["p"]; h.limit >= 1 {
 		t.Errorf("limit %v after slow answers", h.limit)
@@ -986,7 +986,7 @@
 	set.CanProbe = false
 	g := newRig(t, set).failWrites(breakerThreshold, Error).ask("w", fragile)
 	g.wantFinal("w", 1, 0)
-	g.at(5*probeSoon).ask("w2", fragile)
+	g.at(5*suspectProbeInterval).ask("w2", fragile)
 	g.wantSend("p")
 
 	set.ListRole = ListRoleNone
@@ -1014,8 +1014,8 @@
 		}
 		g.at(600*ms).at(1400*ms, Result{Request: id, Host: "p", Outcome: Timeout, Finished: true, Latency: 2 * time.Second})
 	}
-	if h := g.r.hosts["p"]; h.group.open || h.limit >= before/2 {
-		t.Errorf("open %v, limit %v, was %v", h.group.open, h.limit, before)
+	if h := g.r.hosts["p"]; h.group.breakerOpen || h.limit >= before/2 {
+		t.Errorf("open %v, limit %v, was %v", h.group.breakerOpen, h.limit, before)
 	}
 }
 
@@ -1042,7 +1042,7 @@
 	second := g.sends()[0]
 	g.at(5*ms, Result{Request: "r", Attempt: 1, Host: second, Outcome: Error, Latency: 5 * ms})
 	g.wantFinal("r", 1, 0)
-	if f, s := g.r.hosts[first].fails, g.r.hosts[second].fails; first == second || f != 1 || s != 0 {
+	if f, s := g.r.hosts[first].failures, g.r.hosts[second].failures; first == second || f != 1 || s != 0 {
 		t.Errorf("%d failures counted at %s, %d at %s", f, first, s, second)
 	}
 }
@@ -1114,7 +1114,7 @@
 			g.at(0, ProbeResult{Host: "p", Outcome: ConnectFailed})
 		}
 	}
-	if !g.r.groups[0].open {
+	if !g.r.groups[0].breakerOpen {
 		t.Fatal("closed after 2 s")
 	}
 	g.ask("w", fragile)
@@ -1325,12 +1325,12 @@
 		t.Errorf("%d refused while all answers are in time", refused)
 	}
 	play(AtCapacity, ms)
-	if p := g.r.admit[false]; p > 0.2 {
+	if p := g.r.admitShare[false]; p > 0.2 {
 		t.Errorf("share %v after rejections", p)
 	}
 	play(OK, 50*ms)
 	play(OK, 50*ms)
-	if p := g.r.admit[false]; p < 0.9 {
+	if p := g.r.admitShare[false]; p < 0.9 {
 		t.Errorf("share %v after answers in time again", p)
 	}
 }
@@ -1365,11 +1365,11 @@
 	set := base()
 	set.Classes[loose].Worth, set.Classes[recent].Worth = 6, 1
 	g := newRig(t, set)
-	g.r.admit[false], g.r.admit[true] = 0.5, 0.5
+	g.r.admitShare[false], g.r.admitShare[true] = 0.5, 0.5
 	n := map[int]int{}
 	for i := range 400 {
 		id, c := RequestID(rune(i+256)), i%2 // loose or recent
-		g.r.admit[false], g.r.admit[true] = 0.5, 0.5
+		g.r.admitShare[false], g.r.admitShare[true] = 0.5, 0.5
 		g.report(5*time.Second, "a", Replica, 0).ask(id, c)
 		for _, h := range g.sends() {
 			n[c]++
@@ -1389,10 +1389,10 @@
 	set.Classes[latest].Worth, set.Classes[keyed].Worth = 4, 16
 	room := func(class int) (n int) {
 		g := newRig(t, set, Member{Host: "p", Primary: true}, Member{Host: "a"})
-		for _, h := range g.r.order {
-			h.limit, h.gap = 8, time.Millisecond
+		for _, h := range g.r.hostOrder {
+			h.limit, h.resultInterval = 8, time.Millisecond
 		}
-		g.r.admit[true] = 0.99 // nothing spills
+		g.r.admitShare[true] = 0.99 // nothing spills
 		for i := range 20 {
 			n += len(g.ask(RequestID(rune(i+256)), class).sends())
 		}
@@ -1417,7 +1417,7 @@
 		refused := 0
 		for i := range 40 {
 			id := RequestID(rune(i + 256))
-			g.r.admit[false], g.r.admit[true] = admitLeast, tt.primaries
+			g.r.admitShare[false], g.r.admitShare[true] = minAdmitShare, tt.primaries
 			g.at(5*time.Second).ask(id, loose)
 			n, _ := g.final(id)
 			refused += n
@@ -1448,7 +1448,7 @@
 	g.wantSend("p")
 	g.failWrites(breakerThreshold-1, Error).ask("w2", fragile)
 	g.wantSend()
-	g.at(5*probeSoon).ask("w3", fragile)
+	g.at(5*suspectProbeInterval).ask("w3", fragile)
 	g.wantSend("p")
 }
 
@@ -1460,7 +1460,7 @@
 	refused := 0
 	for i := range 40 {
 		id := RequestID(rune(i + 256))
-		g.r.admit[false] = admitLeast
+		g.r.admitShare[false] = minAdmitShare
 		g.at(5*time.Second).ask(id, loose)
 		n, _ := g.final(id)
 		refused += n
@@ -1489,9 +1489,9 @@
 			g.r.groups[id] = nil
 		}
 	}
-	for i, h := range g.r.order {
+	for i, h := range g.r.hostOrder {
 		if h.group != g.r.groups[0] {
-			g.r.order[i], g.r.hosts[h.id] = nil, nil
+			g.r.hostOrder[i], g.r.hosts[h.id] = nil, nil
 		}
 	}
 	answered := 0
@@ -1533,7 +1533,7 @@
 		for _, a := range g.got {
 			if a, ok := a.(Refuse); ok {
 				waits[a.RetryAfter] = true
-				if a.RetryAfter <= 0 || a.RetryAfter > g.r.set.MaxRetryAfter {
+				if a.RetryAfter <= 0 || a.RetryAfter > g.r.settings.MaxRetryAfter {
 					t.Errorf("retry-after %v", a.RetryAfter)
 				}
 			}
@@ -1568,8 +1568,8 @@
 			t.Fatalf("%s was probed %d times beside %d hosts that left", next, seen, i)
 		}
 	}
-	g.at(markAge, TimerFired{}).at(markAge, TimerFired{})
-	if len(g.r.hosts) > 3 || len(g.r.order) > 3 || len(g.r.groups[0].hosts) > 3 {
+	g.at(stateExpiryInterval, TimerFired{}).at(stateExpiryInterval, TimerFired{})
+	if len(g.r.hosts) > 3 || len(g.r.hostOrder) > 3 || len(g.r.groups[0].hosts) > 3 {
 		t.Errorf("%d hosts are kept", len(g.r.hosts))
 	}
 }
--- a/policy/primary.go
+++ b/policy/primary.go
@@ -1,4 +1,4 @@
-// Primaries: evidence of roles, and the breaker on the primary of each group.
+// Primaries: which host has which role, the primary search, and the breaker on the primary of each group.
 
 package policy
 
@@ -7,127 +7,137 @@
 	"time"
 )
 
-// learnRole orders evidence by when it was true: what is told late does not unseat what is known to be newer.
-func (r *Router) learnRole(h *host, role Role, at time.Duration) {
-	if role == RoleUnknown || at < h.roleAt {
+// learnRole records a host's role as of a time. A report that arrives late does not replace a newer one.
+func (r *Router) learnRole(h *host, role Role, asOf time.Duration) {
+	if role == RoleUnknown || asOf < h.roleAt {
 		return
 	}
 	g := h.group
-	switch h.roleAt = at; {
+	switch h.roleAt = asOf; {
 	case role == Replica && g.primary == h:
-		g.primary, g.lostAt = nil, r.now
-		r.doubt(g)
-	case role == Replica, g.primary != nil && g.primary != h && g.primary.roleAt > at:
+		g.primary, g.primaryLostAt = nil, r.now
+		r.startPrimarySearch(g)
+	case role == Replica, g.primary != nil && g.primary != h && g.primary.roleAt > asOf:
 		return
 	case g.primary != h:
-		g.primary, g.fails, g.trips = h, 0, 0
+		g.primary, g.failures, g.breakerTrips = h, 0, 0
 		r.retryWaiting(g)
 	}
-	held := r.now-g.openedAt < probeSoon<<min(g.trips, 5)-probeSoon
-	if role == Primary && g.open && at > g.openedAt && !held {
-		g.open, g.fails = false, 0
+	holding := r.now-g.breakerOpenedAt < suspectProbeInterval<<min(g.breakerTrips, 5)-suspectProbeInterval
+	if role == Primary && g.breakerOpen && asOf > g.breakerOpenedAt && !holding {
+		g.breakerOpen, g.failures = false, 0
 		r.retryWaiting(g)
 	}
 }
 
-// countFailure counts a failure of the primary; a success resets the count. When a breaker opens again with
-// no success between, probes, which a primary that loses answers passes, close it after a doubling hold.
-func (r *Router) countFailure(h *host) {
-	if g := h.group; g.primary == h && !g.open {
-		if g.fails++; g.fails >= breakerThreshold {
-			g.open, g.openedAt, g.trips = true, r.now, g.trips+1
+// countPrimaryFailure counts a failure of the primary; a success resets the count. A primary whose answers
+// are lost still passes probes. So if the breaker opens again without a success in between, probes cannot
+// close it for a time that doubles with each opening.
+func (r *Router) countPrimaryFailure(h *host) {
+	if g := h.group; g.primary == h && !g.breakerOpen {
+		if g.failures++; g.failures >= breakerThreshold {
+			g.breakerOpen, g.breakerOpenedAt, g.breakerTrips = true, r.now, g.breakerTrips+1
 			r.emit(Log{Text: "breaker opens on " + string(h.id)})
 			r.retryWaiting(g)
 		}
-		r.doubt(g)
+		r.startPrimarySearch(g)
 	}
 }
 
-// mayTry: one request at a time goes to the primary of an open breaker that passed a probe since then.
-func (r *Router) mayTry(q *request) bool {
-	p, pause := q.g.primary, probeSoon<<min(max(q.g.trips, 1)-1, 5)
-	if q.onlyPrimary() {
+// allowsHalfOpenTrial reports whether req is sent to the primary although the breaker is open. One request at
+// a time is, if the primary has passed a probe since the opening.
+func (r *Router) allowsHalfOpenTrial(req *request) bool {
+	primary, pause := req.group.primary, suspectProbeInterval<<min(max(req.group.breakerTrips, 1)-1, 5)
+	if req.needsPrimary() {
 		pause *= 10
 	}
-	return q.g.open && p != nil && p.upAt > q.g.openedAt && r.now-p.sentAt >= pause &&
-		r.mayTake(p, q.class.Level == Write) && !q.tried(p) && r.coldRoom(p, q)
+	return req.group.breakerOpen && primary != nil && primary.aliveAt > req.group.breakerOpenedAt &&
+		r.now-primary.sentAt >= pause && r.acceptsWork(primary, req.class.Level == Write) &&
+		!req.hasTried(primary) && r.takeColdBudget(primary, req)
 }
 
-// onTheWay is a replica that a write calls at before it goes to the primary, or is refused: turned away it
-// brings position and role, where probes tell neither. Few routers need that for want of a fresh one only.
-func (r *Router) onTheWay(q *request) (best *host) {
-	if q.class.Level != Write || len(q.attempts) > 0 || !r.mute || r.bound == long {
+// pickReplicaForWrite returns a replica to which a write is sent before it is sent to the primary or refused.
+// The replica rejects it, and the rejection reports position and role where probes report neither. A small
+// fleet does so only if a read has found no fresh replica.
+func (r *Router) pickReplicaForWrite(req *request) (best *host) {
+	if req.class.Level != Write || len(req.attempts) > 0 || !r.probesLackRole ||
+		r.tightestBound == maxDuration {
 		return nil
 	}
-	fresh, few := false, r.set.Routers <= fewRouters
-	for _, h := range q.g.hosts {
+	fresh, smallFleet := false, r.settings.Routers <= smallFleetSize
+	for _, h := range req.group.hosts {
 		switch {
-		case few && (!q.g.noFreshReplica || r.now-h.sentAt < 5*seldom):
-		case h == q.g.primary || !r.mayTake(h, false) || h.fails > 0 && r.now-h.judgedAt < 2*seldom:
-		case h.pos > r.databaseTime()-r.bound/2:
+		case smallFleet && (!req.group.noFreshReplica || r.now-h.sentAt < 5*rareResultInterval):
+		case h == req.group.primary || !r.acceptsWork(h, false) ||
+			h.failures > 0 && r.now-h.resultAt < 2*rareResultInterval:
+		case h.position > r.databaseTime()-r.tightestBound/2:
 			fresh = true
 		case best == nil || h.sentAt < best.sentAt:
 			best = h
 		}
 	}
-	if best == nil || fresh && best.pos > 0 || !r.coldRoom(best, q) {
+	if best == nil || fresh && best.position > 0 || !r.takeColdBudget(best, req) {
 		return nil
 	}
 	return best
 }
 
-// leastKnown is the member whose role was heard of longest ago, where only a write, turned away, can tell it.
-func (r *Router) leastKnown(q *request) (oldest *host) {
-	if r.set.CanProbe && !r.mute || q.class.Level != Write {
+// memberWithOldestRole returns the member whose role was reported longest ago, if only the rejection of a
+// write can report it.
+func (r *Router) memberWithOldestRole(req *request) (oldest *host) {
+	if r.settings.CanProbe && !r.probesLackRole || req.class.Level != Write {
 		return nil
 	}
-	for _, h := range q.g.hosts {
+	for _, h := range req.group.hosts {
 		older := oldest == nil || h.roleAt < oldest.roleAt
-		if older && r.mayTake(h, true) && !q.tried(h) && r.coldRoom(h, q) {
+		if older && r.acceptsWork(h, true) && !req.hasTried(h) && r.takeColdBudget(h, req) {
 			oldest = h
 		}
 	}
 	return oldest
 }
 
-func (r *Router) failed(h *host, late bool) {
-	h.slow = cmp.Or(h.slow, 1)
-	if h.fails++; late && h.fails < 3 { // a host that only fails is not short of room
-		r.throttle(h, admitLate)
+// recordFailure counts a failed attempt at h; late: it timed out.
+func (r *Router) recordFailure(h *host, late bool) {
+	h.latencyRatio = cmp.Or(h.latencyRatio, 1)
+	if h.failures++; late && h.failures < 3 { // a host that only fails does not lack capacity
+		r.adjustAdmission(h, admitLateFactor)
 	}
-	r.countFailure(h)
+	r.countPrimaryFailure(h)
 }
 
-// doubt begins to look for the primary of g, or whether it still answers.
-func (r *Router) doubt(g *group) {
-	if !g.seeking && r.set.CanProbe {
-		g.doubtAt = r.now
-		r.seek(g)
+// startPrimarySearch starts to look for the primary of g, or to check whether it still answers.
+func (r *Router) startPrimarySearch(g *group) {
+	if !g.searching && r.settings.CanProbe {
+		g.searchStartedAt = r.now
+		r.searchPrimary(g)
 	}
 }
 
-// seek probes the primary, or every member while the breaker is open or the primary unknown, ever slower,
-// until a primary has answered. Where probes tell no role only the primary is, at all routers' shared cost.
-func (r *Router) seek(g *group) {
-	g.seeking = false
-	all := g.open || g.primary == nil
-	if !all && (g.fails == 0 || g.primary.roleAt > g.doubtAt) {
+// searchPrimary probes the primary, or every member while the breaker is open or the primary is unknown, at
+// growing intervals, until a primary has answered. If probes report no role, only the primary is probed, and
+// the whole fleet shares one rate of probes.
+func (r *Router) searchPrimary(g *group) {
+	g.searching = false
+	searchAll := g.breakerOpen || g.primary == nil
+	if !searchAll && (g.failures == 0 || g.primary.roleAt > g.searchStartedAt) {
 		return
 	}
-	pause := max(probeSoon, (r.now-g.doubtAt)/4)
-	if r.mute {
-		pause = max(pause, probePace*time.Duration(r.set.Routers))
+	pause := max(suspectProbeInterval, (r.now-g.searchStartedAt)/4)
+	if r.probesLackRole {
+		pause = max(pause, fleetProbeInterval*time.Duration(r.settings.Routers))
 	}
 	for _, h := range g.hosts {
-		if all && !r.mute || h == g.primary {
+		if searchAll && !r.probesLackRole || h == g.primary {
 			r.probe(h)
 		}
 	}
-	if r.now-g.doubtAt < 50*probeSoon {
-		g.seeking = true
-		r.wakeAt(r.now+r.jitter(pause), func() { r.seek(g) })
+	if r.now-g.searchStartedAt < 50*suspectProbeInterval {
+		g.searching = true
+		r.wakeAt(r.now+r.jitter(pause), func() { r.searchPrimary(g) })
 	}
 }
 
-// blind: probes tell little or may not be sent, so only a request can close a breaker.
-func (r *Router) blind() bool { return !r.set.CanProbe || r.lost > lostProbes }
+// probesUnreliable reports that too many probes are lost or that none may be sent, so that only a request can
+// close a breaker.
+func (r *Router) probesUnreliable() bool { return !r.settings.CanProbe || r.probeLoss > maxProbeLoss }
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -1,4 +1,4 @@
-// Replicas: how far each has come, and which one serves a read.
+// Replicas: the replication position of each, and which one serves a read.
 
 package policy
 
@@ -7,79 +7,91 @@
 	"time"
 )
 
-// learnPosition keeps positions rising: an old report stays a floor.
-func (r *Router) learnPosition(h *host, pos time.Duration) {
-	h.lag = r.databaseTime() - pos
-	if pos > h.pos {
-		h.pos = pos
+// learnPosition records a host's position. Positions only rise: an old report stays a lower bound.
+func (r *Router) learnPosition(h *host, position time.Duration) {
+	h.lag = r.databaseTime() - position
+	if position > h.position {
+		h.position = position
 		r.retryWaiting(h.group)
 	}
 }
 
-func (r *Router) onReport(h *host, rep Report) {
-	if rep.HasPosition && r.Plausible(rep.Position) {
-		r.learnPosition(h, rep.Position)
-		// A primary stands at the present, which dates its report; a replica's is as new as its position.
-		r.learnRole(h, rep.Role, rep.Position-r.clock.offset)
+// onReport applies what a host reports of itself.
+func (r *Router) onReport(h *host, report Report) {
+	if report.HasPosition && r.Plausible(report.Position) {
+		r.learnPosition(h, report.Position)
+		// A primary's position is the time of its report; a replica's report is at least as new as its
+		// position.
+		r.learnRole(h, report.Role, report.Position-r.clock.offset)
 	}
 }
 
-// required is the position a member must have to serve q if sent now.
-func (r *Router) required(q *request) time.Duration {
+// requiredPosition returns the position that a member must have reached to serve req now.
+func (r *Router) requiredPosition(req *request) time.Duration {
 	switch {
-	case q.class.Level == Recent && r.set.StaleReadMode == StaleReadServe && !r.knowsTime():
-		return long
-	case q.class.Level == Recent:
-		return max(1, r.databaseTime()-q.class.Bound)
-	case q.class.Level == Latest:
-		return q.arrived + r.clock.offset
-	case q.class.Level == OwnWrites && r.set.TracksSessions:
-		return max(r.base, r.marks[q.Session])
-	case q.class.Level == OwnWrites && q.LastCommitAge != 0:
-		return q.arrived - q.LastCommitAge // a commit as it was told, whatever the clocks say
+	case req.class.Level == Recent && r.settings.StaleReadMode == StaleReadServe && !r.knowsDatabaseTime():
+		return maxDuration
+	case req.class.Level == Recent:
+		return max(1, r.databaseTime()-req.class.Bound)
+	case req.class.Level == Latest:
+		return req.arrivedAt + r.clock.offset
+	case req.class.Level == OwnWrites && r.settings.TracksSessions:
+		return max(r.forgottenCommit, r.sessionCommits[req.Session])
+	case req.class.Level == OwnWrites && req.LastCommitAge != 0:
+		return req.arrivedAt - req.LastCommitAge // already on the databases' clock
 	}
 	return 0
 }
 
-// pickReplica finds a member for a read: one that fits, of the own zone unless far busier, in turn.
-func (r *Router) pickReplica(q *request) *host {
-	fit, least := []*host(nil), math.Inf(1)
-	for _, h := range q.g.hosts {
+// pickReplica returns a member for a read: among suitable ones of about the lowest cost, the preferred ones
+// first, in turn.
+func (r *Router) pickReplica(req *request) *host {
+	candidates, lowestCost := []*host(nil), math.Inf(1)
+	for _, h := range req.group.hosts {
 		switch {
-		case h == q.g.primary || q.tried(h) || !r.mayTake(h, false) || !r.room(h, q):
-		case h.pos < r.required(q) && (r.set.StaleReadMode == StaleReadServe || !r.shouldFit(q, h)):
-			// Where hosts check reads it is enough that one should fit, or all would crowd on one.
-		case r.warmth(h) >= 1:
-			fit, least = append(fit, h), min(least, r.cost(h))
-		case r.coldRoom(h, q):
+		case h == req.group.primary || req.hasTried(h) || !r.acceptsWork(h, false) || !r.hasCapacity(h, req):
+		case h.position < r.requiredPosition(req) &&
+			(r.settings.StaleReadMode == StaleReadServe || !r.likelyFresh(req, h)):
+			// If hosts check reads themselves, a host is used that is likely fresh, or all reads would go to
+			// one.
+		case r.capacityShare(h) >= 1:
+			candidates, lowestCost = append(candidates, h), min(lowestCost, r.cost(h))
+		case r.takeColdBudget(h, req):
 			return h
 		}
 	}
 	var best *host
-	for _, h := range fit {
+	for _, h := range candidates {
 		switch {
-		case r.heavy(q) && best != nil && h.id > best.id, !r.heavy(q) && r.cost(h) > least*equalCost:
-		case best == nil, r.heavy(q), h.first && !best.first, h.first == best.first && h.sentAt < best.sentAt:
+		case r.isLongRead(req) && best != nil && h.id > best.id,
+			!r.isLongRead(req) && r.cost(h) > lowestCost*equalCostFactor:
+		case best == nil, r.isLongRead(req), h.preferred && !best.preferred,
+			h.preferred == best.preferred && h.sentAt < best.sentAt:
 			best = h
 		}
 	}
 	return best
 }
 
-// heavy reads run long enough to hold up a replica's log past the tightest bound. All routers put them on the
-// same member of a group, the first by id that has room: the others stay fresh.
-func (r *Router) heavy(q *request) bool {
-	return q.class.Level == Loose && r.latency[q.Class] > r.bound.Seconds()/2
+// isLongRead reports whether req runs long enough to delay a replica's log beyond the tightest staleness
+// bound. All routers send such reads to the same member of a group, the first by ID that has capacity; the
+// others stay fresh.
+func (r *Router) isLongRead(req *request) bool {
+	return req.class.Level == Loose && r.meanLatency[req.Class] > r.tightestBound.Seconds()/2
 }
 
-// shouldFit goes by how far behind h was when last heard of.
-func (r *Router) shouldFit(q *request, h *host) bool { return r.databaseTime()-h.lag >= r.required(q) }
+// likelyFresh reports whether h is fresh enough for req if its lag is still the last reported one.
+func (r *Router) likelyFresh(req *request, h *host) bool {
+	return r.databaseTime()-h.lag >= r.requiredPosition(req)
+}
 
+// cost estimates the relative time that a further attempt at h takes.
 func (r *Router) cost(h *host) float64 {
-	slow := h.slow
-	if len(h.out) > 0 {
-		// A host that sits on its oldest attempt is as slow as that shows.
-		slow = max(slow, (r.now-h.out[0].sentAt).Seconds()/r.latency[h.out[0].q.Class])
+	latencyRatio := h.latencyRatio
+	if len(h.outstanding) > 0 {
+		// The host is at least as slow as its oldest unanswered attempt.
+		latencyRatio = max(latencyRatio,
+			(r.now-h.outstanding[0].sentAt).Seconds()/r.meanLatency[h.outstanding[0].req.Class])
 	}
-	return slow * float64(len(h.out)+1) * float64(h.fails+1)
+	return latencyRatio * float64(len(h.outstanding)+1) * float64(h.failures+1)
 }
--- a/policy/result.go
+++ b/policy/result.go
@@ -1,4 +1,4 @@
-// Results of attempts, and what they tell of a host's health.
+// Results of attempts, and what they show about a host's health.
 
 package policy
 
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// onResult applies the end of an attempt, and sends its request again or ends it.
 func (r *Router) onResult(e Result) {
 	h := r.hosts[e.Host]
 	if h == nil {
@@ -15,112 +16,118 @@
 	}
 	r.onReport(h, e.Report)
 	r.learnRole(h, e.Role, r.now)
-	q := r.requests[e.Request]
-	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) || q.attempts[e.Attempt].resolved {
+	req := r.requests[e.Request]
+	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].resolved {
 		return
 	}
-	a := q.attempts[e.Attempt]
+	a := req.attempts[e.Attempt]
 	a.resolved = true
-	q.out--
-	h.out = slices.DeleteFunc(h.out, func(o *attempt) bool { return o == a })
-	if len(h.out) == 0 && h.gap > seldom {
-		r.wakeAt(h.sentAt+seldom, func() {
-			if len(h.out) == 0 && r.now-h.sentAt >= seldom {
+	req.outstanding--
+	h.outstanding = slices.DeleteFunc(h.outstanding, func(o *attempt) bool { return o == a })
+	if len(h.outstanding) == 0 && h.resultInterval > rareResultInterval {
+		r.wakeAt(h.sentAt+rareResultInterval, func() {
+			if len(h.outstanding) == 0 && r.now-h.sentAt >= rareResultInterval {
 				r.emit(CloseIdleConnections{Host: h.id})
 			}
 		})
 	}
 	r.retryWaiting(h.group)
 	if e.Outcome == OK && e.HasPosition {
-		r.hearTime(a, e.Role, e.Position)
+		r.observeDatabaseTime(a, e.Role, e.Position)
 	}
 	if e.Outcome == OK && e.Role == Primary {
-		// It stood at the present then. A hung primary turns work away as primary: no word on its log.
+		// A serving primary had reached the time of sending. A hung one still rejects requests as primary,
+		// which says nothing about its position.
 		r.learnPosition(h, a.sentAt+r.clock.offset)
 	}
 	if e.HasPosition && r.Plausible(e.Position) {
-		pos := e.Position
-		if e.Outcome == OK && q.class.Level == Write {
-			pos -= r.set.PositionGranularity
-			if r.set.TracksSessions {
-				r.marks[q.Session] = max(r.marks[q.Session], e.Position)
+		position := e.Position
+		if e.Outcome == OK && req.class.Level == Write {
+			position -= r.settings.PositionGranularity
+			if r.settings.TracksSessions {
+				r.sessionCommits[req.Session] = max(r.sessionCommits[req.Session], e.Position)
 			}
 		}
-		r.learnPosition(h, pos)
+		r.learnPosition(h, position)
 	}
-	again := e.Outcome == Error && q.mayRun // an error of a request that may have run before
-	r.judge(a, e.Outcome, e.Latency, again)
-	q.mayRun = q.mayRun || e.Outcome.MayHaveRun()
-	if !q.mayRun && q.out == 0 {
-		q.mayRunAt = 0
+	ranBefore := e.Outcome == Error && req.mayHaveRun // an error of a request that may have run before
+	r.recordOutcome(a, e.Outcome, e.Latency, ranBefore)
+	req.mayHaveRun = req.mayHaveRun || e.Outcome.MayHaveRun()
+	if !req.mayHaveRun && req.outstanding == 0 {
+		req.mayHaveRunSince = 0
 	}
-	q.failed = q.failed || !slices.Contains([]Outcome{OK, Miss, NotSent}, e.Outcome)
-	q.missed = q.missed || e.Outcome == Miss && q.class.Level == Write
+	req.failed = req.failed || !slices.Contains([]Outcome{OK, Miss, NotSent}, e.Outcome)
+	req.missed = req.missed || e.Outcome == Miss && req.class.Level == Write
 	switch {
-	case e.Finished || e.Outcome == OK || q.done:
-		r.finish(q)
-	case q.out > 0:
-	case again, q.missed && q.g.primary != nil && q.tried(q.g.primary), e.Outcome == AtCapacity && h == q.g.primary:
-		// The request itself fails, most likely, or a retry would add load where there is no room.
-		r.giveUp(q, RetryPointless)
+	case e.Finished || e.Outcome == OK || req.done:
+		r.finish(req)
+	case req.outstanding > 0:
+	case ranBefore, req.missed && req.group.primary != nil && req.hasTried(req.group.primary),
+		e.Outcome == AtCapacity && h == req.group.primary:
+		// Most likely the request itself is at fault, or a retry would add load where no capacity is left.
+		r.giveUp(req, RetryPointless)
 	default:
-		r.route(q)
+		r.route(req)
 	}
 }
 
-// judge learns of the host's health.
-func (r *Router) judge(a *attempt, o Outcome, latency time.Duration, again bool) {
-	h, c := a.h, a.q.Class
-	h.gap += time.Duration(smooth * float64(r.now-h.judgedAt-h.gap))
-	h.judgedAt = r.now
-	if r.warmth(h) < 1 && (o == OK || o == AtCapacity || o == Timeout) {
-		past := min(1, (r.now - r.easeAt).Seconds()) // since the last answer of a cold host
-		r.easeAt = r.now
-		if r.ease = min(1, r.ease+past/8); o != OK || latency.Seconds() > strained*a.q.class.Aim.Seconds() {
-			r.ease = max(0, r.ease-past)
+// recordOutcome updates the health of the attempt's host. ranBefore: the outcome is an error, and an earlier
+// attempt may have run.
+func (r *Router) recordOutcome(a *attempt, outcome Outcome, latency time.Duration, ranBefore bool) {
+	h, class := a.host, a.req.Class
+	h.resultInterval += time.Duration(smoothingWeight * float64(r.now-h.resultAt-h.resultInterval))
+	h.resultAt = r.now
+	if r.capacityShare(h) < 1 && (outcome == OK || outcome == AtCapacity || outcome == Timeout) {
+		elapsed := min(1, (r.now - r.coldHealthAt).Seconds()) // since the last answer of a cold host
+		r.coldHealthAt = r.now
+		if r.coldHealth = min(1, r.coldHealth+elapsed/8); outcome != OK ||
+			latency.Seconds() > highStrain*a.req.class.Aim.Seconds() {
+			r.coldHealth = max(0, r.coldHealth-elapsed)
 		}
 	}
-	switch o {
+	switch outcome {
 	case OK:
-		warm := 0.0 // a cold host counts as what it can do: it is no measure of a warm one
-		for _, m := range h.group.hosts {
-			if m.status != Gone {
-				warm += r.warmth(m)
+		warmHosts := 0.0 // a cold host counts as the share of a warm one that it can do
+		for _, member := range h.group.hosts {
+			if member.status != Gone {
+				warmHosts += r.capacityShare(member)
 			}
 		}
-		r.served += r.work(c) / max(1, warm) / float64(max(1, len(r.used)))
-		slow := min(latency.Seconds()/r.latency[c], 20)
-		h.slow = cmp.Or(h.slow, slow)
-		h.slow += smooth * (slow - h.slow)
-		r.latency[c] += smooth / 5 * (latency.Seconds() - r.latency[c])
-		h.fails = 0
+		r.servedWork += r.workOf(class) / max(1, warmHosts) / float64(max(1, len(r.usedGroups)))
+		ratio := min(latency.Seconds()/r.meanLatency[class], 20)
+		h.latencyRatio = cmp.Or(h.latencyRatio, ratio)
+		h.latencyRatio += smoothingWeight * (ratio - h.latencyRatio)
+		r.meanLatency[class] += smoothingWeight / 5 * (latency.Seconds() - r.meanLatency[class])
+		h.failures = 0
 		if h.group.primary == h {
-			h.group.fails, h.group.trips = 0, 0
+			h.group.failures, h.group.breakerTrips = 0, 0
 		}
-		h.strain += smooth * h.weight(5) * (latency.Seconds()/a.q.class.Aim.Seconds() - h.strain)
-		if latency < a.q.class.Aim*2/3 {
-			r.throttle(h, admitMore)
+		h.strain += smoothingWeight * h.weight(5) * (latency.Seconds()/a.req.class.Aim.Seconds() - h.strain)
+		if latency < a.req.class.Aim*2/3 {
+			r.adjustAdmission(h, admitIncreaseFactor)
 		} else if !a.overdue {
-			r.throttle(h, admitLate)
+			r.adjustAdmission(h, admitLateFactor)
 		}
-		if h.strain > strained {
-			r.cutLimit(h)
-		} else if float64(len(h.out)+1) > 0.6*h.limit {
+		if h.strain > highStrain {
+			r.reduceLimit(h)
+		} else if float64(len(h.outstanding)+1) > 0.6*h.limit {
 			h.limit += min(h.limit, 1/h.limit) / 2
 		}
 	case AtCapacity:
-		r.throttle(h, admitFull)
-		r.cutLimit(h)
+		r.adjustAdmission(h, admitRejectedFactor)
+		r.reduceLimit(h)
 	case Error, Timeout, Reset, ConnectFailed:
-		// A read sent late in its aim tells nothing, nor does an error of one that met one before.
-		if !a.overdue && (o != Timeout || latency >= a.q.class.Aim/2) && !again {
-			r.failed(h, o == Timeout)
+		// The timeout of a read sent late in its aim shows nothing, nor does an error after one that may have
+		// run.
+		if !a.overdue && (outcome != Timeout || latency >= a.req.class.Aim/2) && !ranBefore {
+			r.recordFailure(h, outcome == Timeout)
 		}
 	case Miss:
-		if a.q.class.Level == Write {
-			r.countFailure(h)
+		if a.req.class.Level == Write {
+			r.countPrimaryFailure(h)
 		} else {
-			h.lag = max(h.lag, r.databaseTime()-r.required(a.q)+r.set.StaleReadHoldTime+r.set.Tick)
+			h.lag = max(h.lag,
+				r.databaseTime()-r.requiredPosition(a.req)+r.settings.StaleReadHoldTime+r.settings.Tick)
 		}
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,48 +1,54 @@
-// Retries and final answers.
+// Retries, and the final answer of each request.
 
 package policy
 
-// checkOverdue counts an attempt that outlived its aim while this process was there: its host has failed.
+// checkOverdue counts a failure of the host if the attempt got no answer within its aim. Pauses of this
+// process do not count.
 func (r *Router) checkOverdue(a *attempt) {
-	switch left := a.sentAt + r.away - a.away + a.q.class.Aim - r.now; {
+	switch remaining := a.sentAt + r.pausedTotal - a.pausedTotal + a.req.class.Aim - r.now; {
 	case a.resolved:
-	case left > 0:
-		r.wakeAt(r.now+left, func() { r.checkOverdue(a) })
+	case remaining > 0:
+		r.wakeAt(r.now+remaining, func() { r.checkOverdue(a) })
 	default:
 		a.overdue = true
-		a.h.strain += smooth * a.h.weight(5) * (1 - a.h.strain)
-		r.cutLimit(a.h)
-		r.failed(a.h, true)
+		a.host.strain += smoothingWeight * a.host.weight(5) * (1 - a.host.strain)
+		r.reduceLimit(a.host)
+		r.recordFailure(a.host, true)
 	}
 }
 
-// mayResend keeps the rule of repeats; a first attempt is always allowed.
-func (r *Router) mayResend(q *request) bool {
-	left := (r.set.MaxAttempts <= 0 || len(q.attempts) < r.set.MaxAttempts) && r.repeats.Allows(q.failed)
-	inWindow := q.class.RetrySafety != AtMostOnce && r.now+r.set.Tick < q.mayRunAt+q.class.DedupWindow
-	return left && (!q.mayRun && q.out == 0 || q.class.RetrySafety == Retryable || inWindow)
+// mayAttempt reports whether req may be sent by the rules for retries. A first attempt is always allowed.
+func (r *Router) mayAttempt(req *request) bool {
+	attemptsLeft := (r.settings.MaxAttempts <= 0 || len(req.attempts) < r.settings.MaxAttempts) &&
+		r.retryBudget.Allows(req.failed)
+	inWindow := req.class.RetrySafety != AtMostOnce &&
+		r.now+r.settings.Tick < req.mayHaveRunSince+req.class.DedupWindow
+	return attemptsLeft &&
+		(!req.mayHaveRun && req.outstanding == 0 || req.class.RetrySafety == Retryable || inWindow)
 }
 
-// giveUp gives the final answer at once: a refusal where trying again is harmless for certain, or a failure.
-func (r *Router) giveUp(q *request, why Reason) {
-	var a Action = Fail{Request: q.ID, Reason: why}
-	if q.class.RetrySafety == Retryable || q.class.RetrySafety == DedupAll || !q.mayRun && q.out == 0 {
-		after := r.jitter(min(r.set.MaxRetryAfter*4/5, q.class.Deadline/4))
-		a = Refuse{Request: q.ID, Reason: why, RetryAfter: after}
+// giveUp gives the final answer at once: a refusal if the client can certainly retry without harm, else a
+// failure.
+func (r *Router) giveUp(req *request, reason Reason) {
+	var answer Action = Fail{Request: req.ID, Reason: reason}
+	if req.class.RetrySafety == Retryable || req.class.RetrySafety == DedupAll ||
+		!req.mayHaveRun && req.outstanding == 0 {
+		retryAfter := r.jitter(min(r.settings.MaxRetryAfter*4/5, req.class.Deadline/4))
+		answer = Refuse{Request: req.ID, Reason: reason, RetryAfter: retryAfter}
 	}
-	r.emit(a)
-	r.finish(q)
+	r.emit(answer)
+	r.finish(req)
 }
 
-// finish ends q here; copies still out are called off.
-func (r *Router) finish(q *request) {
-	for i, a := range q.attempts {
-		if !q.done && !a.resolved && r.set.CanCancel {
-			r.emit(Cancel{Request: q.ID, Attempt: i})
+// finish ends req and cancels its outstanding attempts.
+func (r *Router) finish(req *request) {
+	for i, a := range req.attempts {
+		if !req.done && !a.resolved && r.settings.CanCancel {
+			r.emit(Cancel{Request: req.ID, Attempt: i})
 		}
 	}
-	q.done, q.waiting = true, false
-	if q.out == 0 {
-		delete(r.requests, q.ID)
+	req.done, req.waiting = true, false
+	if req.outstanding == 0 {
+		delete(r.requests, req.ID)
 	}
 }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -1,4 +1,4 @@
-// Routing: each request is sent, kept waiting or answered.
+// Routing: each request is sent, held or answered.
 
 package policy
 
@@ -9,162 +9,165 @@
 )
 
 func (r *Router) onRequest(e Request) {
-	if r.requests[e.ID] != nil || e.Class < 0 || e.Class >= len(r.set.Classes) {
+	if r.requests[e.ID] != nil || e.Class < 0 || e.Class >= len(r.settings.Classes) {
 		return
 	}
-	c := &r.set.Classes[e.Class]
-	q := &request{Request: e, class: c, g: r.groups[e.Group], arrived: r.now, deadline: r.now + e.Timeout}
-	q.useful = q.deadline
+	c := &r.settings.Classes[e.Class]
+	req := &request{
+		Request: e, class: c, group: r.groups[e.Group], arrivedAt: r.now, deadline: r.now + e.Timeout,
+	}
+	req.usefulUntil = req.deadline
 	if c.LateWorth <= 0 {
-		q.useful = min(q.deadline, r.now+c.Aim)
+		req.usefulUntil = min(req.deadline, r.now+c.Aim)
 	}
-	r.requests[e.ID] = q
-	if q.g == nil {
-		r.giveUp(q, UnknownGroup)
+	r.requests[e.ID] = req
+	if req.group == nil {
+		r.giveUp(req, UnknownGroup)
 		return
 	}
-	r.used[q.g] = true
-	r.asked += r.work(q.Class) / float64(max(1, len(q.g.hosts))*len(r.used))
-	r.wakeAt(q.deadline-r.set.Tick, func() { r.onWake(q) })
-	r.probeInTurn(q.g)
-	r.route(q)
+	r.usedGroups[req.group] = true
+	r.offeredWork += r.workOf(req.Class) / float64(max(1, len(req.group.hosts))*len(r.usedGroups))
+	r.wakeAt(req.deadline-r.settings.Tick, func() { r.onWake(req) })
+	r.probeInTurn(req.group)
+	r.route(req)
 }
 
-// route takes q one step on: a send, a final answer, or a wait.
-func (r *Router) route(q *request) {
+// route decides what happens to req next: it is sent, held or answered.
+func (r *Router) route(req *request) {
 	switch {
-	case q.done || q.out > 0:
+	case req.done || req.outstanding > 0:
 		return
-	case !r.mayResend(q):
-		r.giveUp(q, RetryForbidden)
+	case !r.mayAttempt(req):
+		r.giveUp(req, RetryForbidden)
 		return
-	case r.now >= q.useful:
-		r.giveUp(q, NoTimeLeft)
+	case r.now >= req.usefulUntil:
+		r.giveUp(req, NoTimeLeft)
 		return
-	case r.fenced && q.class.Level == Write:
-		r.giveUp(q, FencedOff)
+	case r.fenced && req.class.Level == Write:
+		r.giveUp(req, FencedOff)
 		return
-	case !r.mayAct():
-		r.wait(q, r.begunAt+StartupTimeout)
+	case !r.readyToSend():
+		r.wait(req, r.startedAt+StartupTimeout)
 		return
-	case r.mayTry(q):
-		r.send(q, q.g.primary)
+	case r.allowsHalfOpenTrial(req):
+		r.send(req, req.group.primary)
 		return
-	case q.onlyPrimary():
-		r.routePrimary(q)
+	case req.needsPrimary():
+		r.routePrimary(req)
 		return
 	}
-	if h := r.pickReplica(q); h != nil {
+	if h := r.pickReplica(req); h != nil {
 		switch {
-		case r.admits(q, h):
-			r.send(q, h)
-		case q.g.open || r.admit[true] < 1 || r.heavy(q):
-			r.giveUp(q, Shed)
-		default: // replicas are crowded, by long reads perhaps, while primaries admit all
-			r.routePrimary(q)
+		case r.admitted(req, h):
+			r.send(req, h)
+		case req.group.breakerOpen || r.admitShare[true] < 1 || r.isLongRead(req):
+			r.giveUp(req, Shed)
+		default: // replicas shed load, perhaps because of long reads, while primaries admit all
+			r.routePrimary(req)
 		}
 		return
 	}
-	q.g.noFreshReplica = q.g.noFreshReplica || q.class.Level == Recent
-	if r.set.StaleReadMode == StaleReadServe && q.positionsUntil == 0 && r.probeForPositions(q) {
-		// Positions age faster than probes come: they are asked for before the primary is burdened.
-		q.positionsUntil = r.now + q.class.Aim/8
+	req.group.noFreshReplica = req.group.noFreshReplica || req.class.Level == Recent
+	if r.settings.StaleReadMode == StaleReadServe && req.positionsUntil == 0 && r.probeForPositions(req) {
+		// Positions age between probes in turn: new ones are requested before the primary gets the load.
+		req.positionsUntil = r.now + req.class.Aim/8
 	}
-	if r.now < q.positionsUntil && !q.g.open {
-		r.wait(q, q.positionsUntil)
+	if r.now < req.positionsUntil && !req.group.breakerOpen {
+		r.wait(req, req.positionsUntil)
 		return
 	}
-	r.routePrimary(q)
+	r.routePrimary(req)
 }
 
-// routePrimary sends q to the primary while the breaker is closed. While it is open writes and latest reads
-// are refused at once; other reads wait for a fitting replica until the aim.
-func (r *Router) routePrimary(q *request) {
-	g, p := q.g, q.g.primary
-	if g.open && r.blind() && r.now-g.openedAt >= 5*probeSoon {
-		g.open, g.fails = false, breakerThreshold-1
-	}
-	switch first := r.onTheWay(q); {
+// routePrimary sends req to the primary while the breaker is closed. While it is open, writes and latest
+// reads are refused at once, and other reads wait for a suitable replica until the aim.
+func (r *Router) routePrimary(req *request) {
+	g, primary := req.group, req.group.primary
+	if g.breakerOpen && r.probesUnreliable() && r.now-g.breakerOpenedAt >= 5*suspectProbeInterval {
+		g.breakerOpen, g.failures = false, breakerThreshold-1
+	}
+	switch first := r.pickReplicaForWrite(req); {
 	case first != nil:
-		r.send(q, first)
-	case g.open && q.onlyPrimary():
-		r.doubt(g)
-		r.giveUp(q, BreakerOpen)
-	case g.open:
-		r.wait(q, q.arrived+q.class.Aim)
-	case p == nil || !r.mayTake(p, q.class.Level == Write):
-		if h := r.leastKnown(q); h != nil {
-			r.send(q, h)
-		} else if q.missed || q.onlyPrimary() && r.now-g.lostAt > q.class.Aim {
-			r.giveUp(q, NoPrimary)
+		r.send(req, first)
+	case g.breakerOpen && req.needsPrimary():
+		r.startPrimarySearch(g)
+		r.giveUp(req, BreakerOpen)
+	case g.breakerOpen:
+		r.wait(req, req.arrivedAt+req.class.Aim)
+	case primary == nil || !r.acceptsWork(primary, req.class.Level == Write):
+		if h := r.memberWithOldestRole(req); h != nil {
+			r.send(req, h)
+		} else if req.missed || req.needsPrimary() && r.now-g.primaryLostAt > req.class.Aim {
+			r.giveUp(req, NoPrimary)
 		} else {
-			r.doubt(g)
-			r.wait(q, q.arrived+q.class.Aim/2)
+			r.startPrimarySearch(g)
+			r.wait(req, req.arrivedAt+req.class.Aim/2)
 		}
-	case p.strain < easy && r.now < q.arrived+q.class.Aim/8 && !r.room(p, q):
-		r.wait(q, q.arrived+q.class.Aim/8) // a burst: p is short of nothing
-	case !r.room(p, q) || !r.coldRoom(p, q) || !r.admits(q, p):
-		r.giveUp(q, Shed) // held, it would take the room of newer ones and end late
+	case primary.strain < lowStrain && r.now < req.arrivedAt+req.class.Aim/8 && !r.hasCapacity(primary, req):
+		r.wait(req, req.arrivedAt+req.class.Aim/8) // a burst: the primary's answers are fast
+	case !r.hasCapacity(primary, req) || !r.takeColdBudget(primary, req) || !r.admitted(req, primary):
+		r.giveUp(req, Shed) // if held, it would take capacity from newer requests and be answered late
 	default:
-		r.send(q, p)
+		r.send(req, primary)
 	}
 }
 
-// wait holds q until the group changes, or at until goes on or is given up.
-func (r *Router) wait(q *request, until time.Duration) {
-	until = min(until, q.useful, q.deadline-r.set.Tick)
-	if len(q.attempts) == 0 { // a refusal that took half its time has cost the client more than it tells
-		until = min(until, q.arrived+q.Timeout/2-r.set.Tick)
+// wait holds req until its group changes, and routes it again at the given time at the latest.
+func (r *Router) wait(req *request, until time.Duration) {
+	until = min(until, req.usefulUntil, req.deadline-r.settings.Tick)
+	if len(req.attempts) == 0 { // a refusal helps the client only while it has time to try elsewhere
+		until = min(until, req.arrivedAt+req.Timeout/2-r.settings.Tick)
 	}
 	if until <= r.now {
-		r.giveUp(q, WaitTimedOut)
+		r.giveUp(req, WaitTimedOut)
 		return
 	}
-	if !q.waiting {
-		q.waiting = true
-		q.g.waiting = append(q.g.waiting, q)
+	if !req.waiting {
+		req.waiting = true
+		req.group.waiting = append(req.group.waiting, req)
 	}
-	if until != q.waitUntil {
-		q.waitUntil = until
-		r.wakeAt(until, func() { r.onWake(q) })
+	if until != req.waitUntil {
+		req.waitUntil = until
+		r.wakeAt(until, func() { r.onWake(req) })
 	}
 }
 
-func (r *Router) onWake(q *request) {
+func (r *Router) onWake(req *request) {
 	switch {
-	case q.done:
-	case r.now >= q.deadline-r.set.Tick:
-		r.giveUp(q, NoTimeLeft)
-	case q.waiting:
-		q.waiting = false
-		r.route(q)
+	case req.done:
+	case r.now >= req.deadline-r.settings.Tick:
+		r.giveUp(req, NoTimeLeft)
+	case req.waiting:
+		req.waiting = false
+		r.route(req)
 	}
 }
 
-func (q *request) onlyPrimary() bool { return q.class.Level == Write || q.class.Level == Latest }
+// needsPrimary reports whether only the primary can serve req.
+func (req *request) needsPrimary() bool { return req.class.Level == Write || req.class.Level == Latest }
 
-func (q *request) tried(h *host) bool {
-	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.h == h })
+func (req *request) hasTried(h *host) bool {
+	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.host == h })
 }
 
-func (r *Router) send(q *request, h *host) {
-	timeout := q.deadline - r.now
-	if q.class.Level != Write {
-		timeout = q.useful - r.now
-	}
-	if q.g.open && h == q.g.primary && !q.onlyPrimary() { // the rest of the time is for a replica
-		timeout = min(timeout, q.class.Aim/4)
-	}
-	begin := time.Duration(0)
-	if q.mayRun && q.class.RetrySafety != Retryable {
-		begin = q.mayRunAt + q.class.DedupWindow - r.set.Tick - r.now
-	}
-	r.emit(Send{Request: q.ID, Host: h.id, Timeout: timeout, BeginWithin: begin})
-	a := &attempt{q: q, h: h, sentAt: r.now, away: r.away}
-	q.attempts = append(q.attempts, a)
-	h.out = append(h.out, a)
-	q.out, q.waiting, h.sentAt = q.out+1, false, r.now
-	r.repeats.Record(q.failed)
-	q.mayRunAt = cmp.Or(q.mayRunAt, r.now)
-	r.wakeAt(r.now+q.class.Aim, func() { r.checkOverdue(a) })
+func (r *Router) send(req *request, host *host) {
+	timeout := req.deadline - r.now
+	if req.class.Level != Write {
+		timeout = req.usefulUntil - r.now
+	}
+	if req.group.breakerOpen && host == req.group.primary && !req.needsPrimary() {
+		timeout = min(timeout, req.class.Aim/4) // leaves time for a replica
+	}
+	beginWithin := time.Duration(0)
+	if req.mayHaveRun && req.class.RetrySafety != Retryable {
+		beginWithin = req.mayHaveRunSince + req.class.DedupWindow - r.settings.Tick - r.now
+	}
+	r.emit(Send{Request: req.ID, Host: host.id, Timeout: timeout, BeginWithin: beginWithin})
+	a := &attempt{req: req, host: host, sentAt: r.now, pausedTotal: r.pausedTotal}
+	req.attempts = append(req.attempts, a)
+	host.outstanding = append(host.outstanding, a)
+	req.outstanding, req.waiting, host.sentAt = req.outstanding+1, false, r.now
+	r.retryBudget.Record(req.failed)
+	req.mayHaveRunSince = cmp.Or(req.mayHaveRunSince, r.now)
+	r.wakeAt(r.now+req.class.Aim, func() { r.checkOverdue(a) })
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,34 +1,41 @@
-// Slow start: what a host that has just started may be sent.
+// Slow start: how much work a host that has just started may be sent.
 
 package policy
 
 import "slices"
 
-// warmth is the share of its capacity that h can be counted on to have.
-func (r *Router) warmth(h *host) float64 {
-	if h.startedAt <= 0 || min(r.set.SlowStartTime, r.set.OverloadWindow) <= 0 || r.set.OverloadFactor <= 0 {
+// capacityShare returns the share of its full capacity that h surely has. It is below 1 while h is cold.
+func (r *Router) capacityShare(h *host) float64 {
+	if h.startedAt <= 0 || min(r.settings.SlowStartTime, r.settings.OverloadWindow) <= 0 ||
+		r.settings.OverloadFactor <= 0 {
 		return 1
 	}
-	age := float64(r.databaseTime()-h.startedAt) / float64(r.set.SlowStartTime)
-	return min(1, r.set.StartCapacity+(1-r.set.StartCapacity)*max(0, age))
+	age := float64(r.databaseTime()-h.startedAt) / float64(r.settings.SlowStartTime)
+	return min(1, r.settings.StartCapacity+(1-r.settings.StartCapacity)*max(0, age))
 }
 
-// work is that of a request of class, in answers of the shortest: a jam of all classes makes none dearer.
-func (r *Router) work(class int) float64 { return r.latency[class] / slices.Min(r.latency) }
+// workOf returns the work of a request of a class, in answers of the shortest class. So it does not change
+// when the answers of all classes slow down together.
+func (r *Router) workOf(class int) float64 { return r.meanLatency[class] / slices.Min(r.meanLatency) }
 
-// coldRoom keeps a cold host h from being pushed over: in any FallTime all routers together send it less than
-// FallMultiple times what it can do, as bounded by served and asked. A request draws, and pays won or lost.
-func (r *Router) coldRoom(h *host, q *request) bool {
-	w := r.warmth(h)
-	if w >= 1 || r.heavy(q) {
-		return w >= 1
+// takeColdBudget decides whether req may be sent to h. A cold host that is sent too much fails, so in any
+// OverloadWindow all routers together send it less than OverloadFactor times what it can do, as estimated
+// from servedWork and offeredWork. Where the budget does not cover req the decision is random; req uses it up
+// either way.
+func (r *Router) takeColdBudget(h *host, req *request) bool {
+	capacity := r.capacityShare(h)
+	if capacity >= 1 || r.isLongRead(req) {
+		return capacity >= 1
 	}
-	part := coldPart + coldMore*r.ease*(w-r.set.StartCapacity)/(1-r.set.StartCapacity)
-	rate := max(r.served, r.asked/4) / (r.now - r.since + r.set.OverloadWindow).Seconds()
-	grow := part * r.set.OverloadFactor * w * rate
-	most := grow * r.set.OverloadWindow.Seconds() * max(0.25, float64(r.set.Routers)/coldRouters) // for a burst
-	budget := min(most, h.budget+grow*(r.now-h.budgetAt).Seconds())
-	pay := min(budget, r.work(q.Class))
-	h.budget, h.budgetAt = budget-pay, r.now
-	return r.rnd.Float64()*r.work(q.Class) < pay
+	growthShare := coldGrowthShare +
+		coldGrowthBonus*r.coldHealth*(capacity-r.settings.StartCapacity)/(1-r.settings.StartCapacity)
+	hostRate := max(r.servedWork, r.offeredWork/4) /
+		(r.now - r.workSince + r.settings.OverloadWindow).Seconds()
+	refillRate := growthShare * r.settings.OverloadFactor * capacity * hostRate
+	burst := refillRate * r.settings.OverloadWindow.Seconds() *
+		max(0.25, float64(r.settings.Routers)/coldBurstRouters)
+	budget := min(burst, h.coldBudget+refillRate*(r.now-h.coldBudgetAt).Seconds())
+	payment := min(budget, r.workOf(req.Class))
+	h.coldBudget, h.coldBudgetAt = budget-payment, r.now
+	return r.random.Float64()*r.workOf(req.Class) < payment
 }
--- a/policy/suspend_test.go
+++ b/policy/suspend_test.go
@@ -78,10 +78,10 @@
 func TestResumedHostServesAgain(t *testing.T) {
 	g := suspendedRig(t)
 	h := g.r.hosts["a"]
-	h.slow, h.strain, h.limit, h.fails = 9, 1, 0.1, 7
+	h.latencyRatio, h.strain, h.limit, h.failures = 9, 1, 0.1, 7
 	g.at(ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "a", Active: true})
 	g.at(3*time.Second, SuspensionChanged{Host: "a"})
-	if w := g.r.warmth(h); w > g.r.set.StartCapacity+0.01 {
+	if w := g.r.capacityShare(h); w > g.r.settings.StartCapacity+0.01 {
 		t.Errorf("it counts as warm to %.2f", w)
 	}
 	used := false
