--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,7 @@
-// Package invariant checks at run time what a gateway must never do. It has one guard for sending, repeating, closing and
-// starting, through which every path goes, and knows only what it is told: it shares no state with the decisions that it
-// checks. A violation is counted and reported and stops nothing. There is no I/O and no clock here.
+// Package invariant checks at run time that a gateway keeps its invariants. Sending, retrying, answering, closing and
+// becoming ready each go through one check on every path. The checks rely only on what is recorded here and share no
+// state with the decisions that they check. A violation is counted and reported, and stops nothing. The package does no
+// I/O and reads no clock.
 package invariant
 
 import (
@@ -10,27 +11,27 @@
 	"lilaccove/policy"
 )
 
-// Name is what was violated.
+// Name identifies an invariant.
 type Name uint8
 
 // The invariants.
 const (
 	RetryForbidden    Name = iota // an attempt after one that may have run, of a class that must not run twice
-	AfterDedupWindow              // likewise, of a class that may be repeated within a window, behind that
-	AfterDeadline                 // an attempt begun behind the deadline of its request
-	AfterClientGone               // an attempt begun more than clientGrace behind the end of its client
-	AfterAnswer                   // an attempt begun though its request has its final answer
-	ConcurrentAttempt             // an attempt begun beside another one of its request
-	ToDraining                    // an attempt at a database that drains or is gone, behind the grace
-	ToSuspended                   // likewise, at one that operators have left out
-	DeadlineTooLong               // the database was told more time than the request has left
+	AfterDedupWindow              // the same, of a class that may run again within a window, after that window
+	AfterDeadline                 // an attempt begun after the deadline of its request
+	AfterClientGone               // an attempt begun more than clientGrace after its client left
+	AfterAnswer                   // an attempt begun after the final answer of its request
+	ConcurrentAttempt             // an attempt begun while another one of its request is outstanding
+	ToDraining                    // an attempt at a database that drains or is gone, after the drain grace
+	ToSuspended                   // the same, at a database that operators have suspended
+	DeadlineTooLong               // an attempt whose database gets a longer timeout than the request has left
 	AnsweredTwice                 // a second final answer
-	NeverAnswered                 // the decisions left a request without an answer until its deadline
-	ClosedUnanswered              // a connection closed over a request that was read
-	OverrideNotKept               // an operator was told yes for a word that a successor would not know
-	ReadyTooEarly                 // ready was told before requests could be served
-	StaleRead                     // a read at a replica that has itself told that its data is too old for the class
-	NameCount                     // how many there are
+	NeverAnswered                 // a request left without an answer until its deadline
+	ClosedUnanswered              // a connection closed while a request read from it was unanswered
+	OverrideNotKept               // an operator override acknowledged before a successor process would know it
+	ReadyTooEarly                 // readiness reported before requests could be served
+	StaleRead                     // a read at a replica whose own reports show that its data is too old for the class
+	NameCount                     // the number of invariants
 )
 
 var nameTexts = [NameCount]string{
@@ -39,31 +40,31 @@
 	"stale_read",
 }
 
-// String is the name in logs and metrics.
+// String returns the name in logs and metrics.
 func (n Name) String() string { return nameTexts[n] }
 
-// AllNames are the names in logs and metrics, in order.
+// AllNames returns the names in logs and metrics, in order.
 func AllNames() []string { return nameTexts[:] }
 
-// What the protocol allows beyond the rules.
+// Tolerances that the protocol allows.
 const (
 	socketSlack          = 50 * time.Millisecond  // of every time limit on sockets
-	clientGrace          = 100 * time.Millisecond // from the end of a client to the last attempt for it
-	databaseTimeoutSlack = 150 * time.Millisecond // of the time that a database is told
-	answerDelay          = 100 * time.Millisecond // from an answer until what it tells counts as known
+	clientGrace          = 100 * time.Millisecond // from a client's leaving to the last attempt for it
+	databaseTimeoutSlack = 150 * time.Millisecond // of the timeout given to a database
+	answerDelay          = 100 * time.Millisecond // from an answer until its content counts as known
 )
 
-// Violation is one that was found.
+// Violation describes one violation of an invariant.
 type Violation struct {
 	Name       Name
-	Request    string // as its client named it
+	Request    string // the client's name for it
 	Client     uint64 // the number of its connection
 	Database   policy.HostID
-	Transition string        // what was done
-	Excess     time.Duration // past the limit; 0: there is none
+	Transition string        // the checked step: send, answer, close, ...
+	Excess     time.Duration // over the limit; 0: the invariant has no limit
 }
 
-// Guard checks one gateway. A nil guard checks nothing. It is not safe for concurrent use.
+// Guard checks the invariants of one gateway. A nil Guard checks nothing. It is not safe for concurrent use.
 type Guard struct {
 	settings      policy.Settings
 	report        func(Violation)
@@ -72,32 +73,33 @@
 	newestPrimary primaryProgress
 }
 
-// What is known of roles and positions holds for a while, and no exacter than a spoilt position may be off.
 const (
-	maxRoleAge       = time.Second
-	maxPositionError = time.Second
+	maxRoleAge       = time.Second // since a host reported its role, until that role is no longer relied on
+	maxPositionError = time.Second // by which an invalid position may be wrong
 )
 
-// primaryProgress is how far the databases' clock had come at some moment: a primary stands at the primaryProgress.
-type primaryProgress struct{ position, time time.Duration }
+// primaryProgress is the position of a primary, which is the time on the databases' clock, as of a local time.
+type primaryProgress struct{ position, asOf time.Duration }
 
-// host is what was told of a database.
+// host is what has been recorded of a database.
 type host struct {
-	replicaAt time.Duration // when it told last that it is a replica; 0: it has not since it was a primary
-	position  time.Duration // the newest that it told, or others have heard
+	replicaAt time.Duration // when it last reported to be a replica; 0: not since it was a primary
+	position  time.Duration // the newest reported by it or by other gateways
 
-	removed     bool // it drains or is gone
-	removedAt   time.Duration
-	suspended   bool // operators have left it out
+	leaving     bool // it drains or is gone
+	leavingAt   time.Duration
+	suspended   bool // by an operator override
 	suspendedAt time.Duration
 }
 
-// New makes a guard by the settings of a gateway; each violation is reported.
+// New returns a guard for a gateway with these settings. It calls report for each violation.
 func New(settings policy.Settings, report func(Violation)) *Guard {
-	return &Guard{settings: settings, report: report, counts: stats.NewNamed("violations", nameTexts[:]), hosts: map[policy.HostID]*host{}}
+	return &Guard{
+		settings: settings, report: report, counts: stats.NewNamed("violations", nameTexts[:]), hosts: map[policy.HostID]*host{},
+	}
 }
 
-// Count is how often something was violated.
+// Count returns how often an invariant was violated.
 func (g *Guard) Count(n Name) uint64 {
 	if g == nil {
 		return 0
@@ -105,22 +107,23 @@
 	return g.counts.Count(int(n))
 }
 
-// Metrics adds the figures, a line each.
+// Metrics appends the counts, one per line.
 func (g *Guard) Metrics(b []byte) []byte { return g.counts.Append(b) }
 
-// record counts and reports.
+// record counts and reports a violation.
 func (g *Guard) record(v Violation) {
 	g.counts.Add(int(v.Name))
 	g.report(v)
 }
 
-// RecordViolation notes what was found elsewhere to be one.
+// RecordViolation counts and reports a violation that was found elsewhere.
 func (g *Guard) RecordViolation(v Violation) {
 	if g != nil {
 		g.record(v)
 	}
 }
 
+// host returns the record of a database, which it creates if there is none.
 func (g *Guard) host(id policy.HostID) *host {
 	h := g.hosts[id]
 	if h == nil {
@@ -130,24 +133,24 @@
 	return h
 }
 
-// RecordStatus notes what the list tells of a database since a moment: one that was told earlier stays.
+// RecordStatus records a database's status in the list. The time at which it first was draining or gone stays.
 func (g *Guard) RecordStatus(id policy.HostID, status policy.Status, now time.Duration) {
 	if g == nil {
 		return
 	}
-	removed := status == policy.Draining || status == policy.Gone && !g.settings.GoneIsAdvisory
+	leaving := status == policy.Draining || status == policy.Gone && !g.settings.GoneIsAdvisory
 	h := g.hosts[id]
 	switch {
-	case h == nil && !removed:
-	case !removed && status == policy.Healthy:
-		h.removed = false
-	case removed && (h == nil || !h.removed):
+	case h == nil && !leaving:
+	case !leaving && status == policy.Healthy:
+		h.leaving = false
+	case leaving && (h == nil || !h.leaving):
 		h = g.host(id)
-		h.removed, h.removedAt = true, now
+		h.leaving, h.leavingAt = true, now
 	}
 }
 
-// RecordSuspension notes an operator's word on a database.
+// RecordSuspension records whether operators have suspended a database.
 func (g *Guard) RecordSuspension(id policy.HostID, active bool, now time.Duration) {
 	if g == nil {
 		return
@@ -159,7 +162,7 @@
 	h.suspended = active
 }
 
-// RecordAnswer notes what a database's answer tells of it; 0: no position.
+// RecordAnswer records the role and position in a database's answer; position 0: the answer has none.
 func (g *Guard) RecordAnswer(id policy.HostID, role policy.Role, position, now time.Duration) {
 	if g == nil || role == policy.RoleUnknown {
 		return
@@ -174,7 +177,7 @@
 	}
 }
 
-// RecordPosition notes how far another gateway knows a database to have come.
+// RecordPosition records a database's position as reported by another gateway.
 func (g *Guard) RecordPosition(id policy.HostID, position time.Duration) {
 	if g == nil {
 		return
@@ -184,7 +187,7 @@
 	}
 }
 
-// RecordPrimary notes that another gateway has had an answer of a database as primary.
+// RecordPrimary records that another gateway got an answer from a database as primary.
 func (g *Guard) RecordPrimary(id policy.HostID) {
 	if g == nil {
 		return
@@ -194,23 +197,23 @@
 	}
 }
 
-// Attempt is an attempt that is about to be written.
+// Attempt is an attempt that is about to be sent.
 type Attempt struct {
 	Now             time.Duration
 	Request         string
 	Client          uint64
 	Database        policy.HostID
 	Class           int
-	Deadline        time.Duration // of the request, as its client counts it
-	DatabaseTimeout time.Duration // that the database is told to have
+	Deadline        time.Duration // of the request, by its client's timeout
+	DatabaseTimeout time.Duration // the timeout given to the database
 	ClientGoneTime  time.Duration // when its client left; 0: it has not
 	MayRun          bool          // an earlier attempt may have had its effect
-	MayRunSince     time.Duration // when the first such was begun
-	Answered        bool
-	OtherAttempts   int // attempts of the request that are out besides
+	MayRunSince     time.Duration // when the first of these was begun
+	Answered        bool          // the request has its final answer
+	OtherAttempts   int           // other outstanding attempts of the request
 }
 
-// CheckAttempt checks an attempt. It is on the path of every request.
+// CheckAttempt checks an attempt. Every request passes through it.
 func (g *Guard) CheckAttempt(attempt *Attempt) {
 	if g == nil {
 		return
@@ -230,8 +233,8 @@
 	if attempt.OtherAttempts > 0 {
 		g.reportAttempt(attempt, ConcurrentAttempt, 0)
 	}
-	if by := attempt.DatabaseTimeout - databaseTimeoutSlack - max(0, attempt.Deadline-attempt.Now); by > 0 {
-		g.reportAttempt(attempt, DeadlineTooLong, by)
+	if excess := attempt.DatabaseTimeout - databaseTimeoutSlack - max(0, attempt.Deadline-attempt.Now); excess > 0 {
+		g.reportAttempt(attempt, DeadlineTooLong, excess)
 	}
 	if h := g.hosts[attempt.Database]; h != nil {
 		g.checkDatabaseStatus(attempt, h)
@@ -239,7 +242,7 @@
 	}
 }
 
-// checkRetry checks an attempt that follows one which may have run.
+// checkRetry checks an attempt after an earlier one that may have run.
 func (g *Guard) checkRetry(attempt *Attempt) {
 	if attempt.Class < 0 || attempt.Class >= len(g.settings.Classes) {
 		return
@@ -252,21 +255,22 @@
 	}
 }
 
-// checkDatabaseStatus checks an attempt at a database that was to get nothing new.
+// checkDatabaseStatus checks that a draining, gone or suspended database gets no new attempt.
 func (g *Guard) checkDatabaseStatus(attempt *Attempt, h *host) {
 	limit := g.settings.DrainGrace + socketSlack
-	if h.removed && attempt.Now > h.removedAt+limit {
-		g.reportAttempt(attempt, ToDraining, attempt.Now-h.removedAt-limit)
+	if h.leaving && attempt.Now > h.leavingAt+limit {
+		g.reportAttempt(attempt, ToDraining, attempt.Now-h.leavingAt-limit)
 	}
 	if h.suspended && attempt.Now > h.suspendedAt+limit {
 		g.reportAttempt(attempt, ToSuspended, attempt.Now-h.suspendedAt-limit)
 	}
 }
 
-// checkStaleness checks a read of bounded age at a replica, by what that told itself and by the newest word of a primary. Databases
-// that check reads themselves may be tried.
+// checkStaleness checks a read with a staleness bound at a replica, by the replica's own reports and the newest position
+// of a primary. It does not apply where databases check reads themselves.
 func (g *Guard) checkStaleness(attempt *Attempt, h *host) {
-	if g.settings.StaleReadMode != policy.StaleReadServe || attempt.Class < 0 || attempt.Class >= len(g.settings.Classes) || g.newestPrimary.time == 0 {
+	if g.settings.StaleReadMode != policy.StaleReadServe || attempt.Class < 0 || attempt.Class >= len(g.settings.Classes) ||
+		g.newestPrimary.asOf == 0 {
 		return
 	}
 	class := &g.settings.Classes[attempt.Class]
@@ -274,14 +278,16 @@
 	if class.Level != policy.Recent || !known {
 		return
 	}
-	age := g.newestPrimary.position + attempt.Now - g.newestPrimary.time - h.position
+	age := g.newestPrimary.position + attempt.Now - g.newestPrimary.asOf - h.position
 	if excess := age - class.Bound - socketSlack - maxPositionError; excess > 0 {
 		g.reportAttempt(attempt, StaleRead, excess)
 	}
 }
 
 func (g *Guard) reportAttempt(attempt *Attempt, name Name, excess time.Duration) {
-	g.record(Violation{Name: name, Request: attempt.Request, Client: attempt.Client, Database: attempt.Database, Transition: "send", Excess: excess})
+	g.record(Violation{
+		Name: name, Request: attempt.Request, Client: attempt.Client, Database: attempt.Database, Transition: "send", Excess: excess,
+	})
 }
 
 // CheckAnswer checks a final answer.
@@ -291,21 +297,21 @@
 	}
 }
 
-// CheckClose checks that a connection which the gateway ends owes no answer.
+// CheckClose checks that a connection which the gateway closes has no unanswered request.
 func (g *Guard) CheckClose(client uint64, request string, pending int) {
 	if g != nil && pending > 0 {
 		g.record(Violation{Name: ClosedUnanswered, Client: client, Request: request, Transition: "close"})
 	}
 }
 
-// CheckReady checks a yes to whether requests can be served.
+// CheckReady checks a report of readiness: requests must be servable.
 func (g *Guard) CheckReady(servable bool) {
 	if g != nil && !servable {
 		g.record(Violation{Name: ReadyTooEarly, Transition: "ready"})
 	}
 }
 
-// CheckOverrideKept checks a yes to an operator's word.
+// CheckOverrideKept checks the acknowledgement of an operator override: it must be kept.
 func (g *Guard) CheckOverrideKept(kept bool) {
 	if g != nil && !kept {
 		g.record(Violation{Name: OverrideNotKept, Transition: "word"})
