--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -14,7 +14,7 @@
 	now = 100 * time.Second
 )
 
-var set = policy.Settings{
+var testSettings = policy.Settings{
 	DrainGrace: 250 * ms,
 	Classes: []policy.Class{
 		{RetrySafety: policy.Retryable}, {RetrySafety: policy.DedupGroup, DedupWindow: time.Second}, {RetrySafety: policy.AtMostOnce},
@@ -22,22 +22,22 @@
 	},
 }
 
-// sound is an attempt that violates nothing.
-func sound() Attempt {
+// validAttempt is an attempt that violates nothing.
+func validAttempt() Attempt {
 	return Attempt{Now: now, Request: "r", Client: 7, Database: "d", Deadline: now + time.Second, DatabaseTimeout: time.Second}
 }
 
-// stale has a database tell so long ago that it is behind a primary by some time over a second, and be sent a bounded read.
-func stale(role policy.Role, by time.Duration) func(g *Guard, s *Attempt) {
+// staleReplica has a database tell so long ago that it is behind a primary by some time over a second, and be sent a bounded read.
+func staleReplica(role policy.Role, age time.Duration) func(g *Guard, s *Attempt) {
 	return func(g *Guard, s *Attempt) {
 		const told = now - 200*ms
-		g.RecordAnswer("d", role, now-by-socketSlack, told)
+		g.RecordAnswer("d", role, now-age-socketSlack, told)
 		g.RecordAnswer("p", policy.Primary, told, told)
 		s.Class = 3
 	}
 }
 
-func TestSending(t *testing.T) {
+func TestCheckAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(g *Guard, s *Attempt)
 		want   []Name
@@ -77,52 +77,52 @@
 			g.RecordSuspension("d", true, now-time.Second)
 			g.RecordSuspension("d", false, now)
 		}},
-		"stale, as it told":    {change: stale(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
-		"not quite stale":      {change: stale(policy.Replica, 2*time.Second-ms)},
-		"stale, but a primary": {change: stale(policy.Primary, time.Minute)},
+		"stale, as it told":    {change: staleReplica(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
+		"not quite stale":      {change: staleReplica(policy.Replica, 2*time.Second-ms)},
+		"stale, but a primary": {change: staleReplica(policy.Primary, time.Minute)},
 		"stale, and promoted since": {change: func(g *Guard, s *Attempt) {
-			stale(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPrimary("d")
 		}},
 		"stale, and further by now, as others know": {change: func(g *Guard, s *Attempt) {
-			stale(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPosition("d", now-time.Second)
 		}},
 		"stale, and little further": {change: func(g *Guard, s *Attempt) {
-			stale(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPosition("d", now-3*time.Second)
 		}, want: []Name{StaleRead}},
 		"stale, as it told long ago": {change: func(g *Guard, s *Attempt) {
-			stale(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, s)
 			s.Now += 900 * ms
 			s.Deadline += time.Second
 		}},
 		"stale, where databases check": {change: func(g *Guard, s *Attempt) {
 			g.settings.StaleReadMode = policy.StaleReadReject
-			stale(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, s)
 		}},
 		"two at once":                  {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
 		"a class that nobody has told": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 9 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []Name
-			g := New(set, func(v Violation) {
+			g := New(testSettings, func(v Violation) {
 				assert.Equal(t, "r", v.Request)
 				assert.Equal(t, policy.HostID("d"), v.Database)
 				got = append(got, v.Name)
 			})
-			s := sound()
+			s := validAttempt()
 			c.change(g, &s)
 			g.CheckAttempt(&s)
 			assert.Equal(t, c.want, got)
 			for n := range NameCount {
-				assert.Equal(t, count(c.want, n), g.Count(n), n)
+				assert.Equal(t, countOf(c.want, n), g.Count(n), n)
 			}
 		})
 	}
 }
 
-func count(list []Name, n Name) (times uint64) {
+func countOf(list []Name, n Name) (times uint64) {
 	for _, x := range list {
 		if x == n {
 			times++
@@ -131,9 +131,9 @@
 	return times
 }
 
-func TestOtherGuards(t *testing.T) {
+func TestOtherChecks(t *testing.T) {
 	var got []Name
-	g := New(set, func(v Violation) { got = append(got, v.Name) })
+	g := New(testSettings, func(v Violation) { got = append(got, v.Name) })
 	g.CheckAnswer("r", 1, false)
 	g.CheckClose(1, "r", 0)
 	g.CheckReady(true)
@@ -151,9 +151,9 @@
 }
 
 // A gateway without a guard checks nothing.
-func TestNoGuard(t *testing.T) {
+func TestNilGuardChecksNothing(t *testing.T) {
 	var g *Guard
-	s := sound()
+	s := validAttempt()
 	g.CheckAttempt(&s)
 	g.RecordStatus("d", policy.Draining, now)
 	g.RecordSuspension("d", true, now)
@@ -165,10 +165,10 @@
 	assert.Zero(t, g.Count(AnsweredTwice))
 }
 
-func BenchmarkSending(b *testing.B) {
-	g := New(set, func(Violation) {})
+func BenchmarkCheckAttempt(b *testing.B) {
+	g := New(testSettings, func(Violation) {})
 	g.RecordStatus("d", policy.Draining, now)
-	s := sound()
+	s := validAttempt()
 	for b.Loop() {
 		g.CheckAttempt(&s)
 	}
--- a/internal/invariant/promises_test.go
+++ b/internal/invariant/promises_test.go
@@ -18,8 +18,8 @@
 
 const root = "../.."
 
-// declared are the functions of the program, as package.function or package.Type.method, and the tests by their names.
-func declared(t *testing.T) (functions, tests map[string]bool) {
+// declaredNames are the functions of the program, as package.function or package.Type.method, and the tests by their names.
+func declaredNames(t *testing.T) (functions, tests map[string]bool) {
 	t.Helper()
 	functions, tests = map[string]bool{}, map[string]bool{}
 	for _, dir := range []string{"policy", "internal", "cmd", "deploy"} {
@@ -38,7 +38,7 @@
 				case strings.HasSuffix(path, "_test.go"):
 					tests[f.Name.Name] = true
 				default:
-					functions[filepath.Base(filepath.Dir(path))+"."+receiver(f)+f.Name.Name] = true
+					functions[filepath.Base(filepath.Dir(path))+"."+receiverPrefix(f)+f.Name.Name] = true
 				}
 			}
 			return nil
@@ -47,8 +47,8 @@
 	return functions, tests
 }
 
-// receiver is the name of a method's type and a dot.
-func receiver(f *ast.FuncDecl) string {
+// receiverPrefix is the name of a method's type and a dot.
+func receiverPrefix(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
 	}
@@ -66,7 +66,7 @@
 func TestPromisesNameWhatExists(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "promises.md"))
 	require.NoError(t, err)
-	functions, tests := declared(t)
+	functions, tests := declaredNames(t)
 	quoted := regexp.MustCompile("`([^`]+)`")
 	rows := 0
 	for line := range strings.Lines(string(text)) {
@@ -82,11 +82,11 @@
 		for _, m := range quoted.FindAllStringSubmatch(cells[4], -1) {
 			assert.True(t, slices.Contains(AllNames(), m[1]), "%s: there is no invariant %s", promise, m[1])
 		}
-		named := quoted.FindAllStringSubmatch(cells[5], -1)
-		for _, m := range named {
+		namedTests := quoted.FindAllStringSubmatch(cells[5], -1)
+		for _, m := range namedTests {
 			assert.True(t, tests[m[1]], "%s: there is no test %s", promise, m[1])
 		}
-		assert.True(t, len(named) > 0 || strings.Contains(cells[5], "not covered"), "%s: it has no test and does not say so", promise)
+		assert.True(t, len(namedTests) > 0 || strings.Contains(cells[5], "not covered"), "%s: it has no test and does not say so", promise)
 	}
 	assert.Greater(t, rows, 25)
 	for _, name := range AllNames() {
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -10,14 +10,14 @@
 
 // agentSettings are those of one of many routers that each have an agent of their own, with a short grace for drains.
 func agentSettings() Settings {
-	set := base()
+	set := baseSettings()
 	set.Routers, set.ListSource, set.DrainGrace = 300, ListFromAgent, 250*ms
 	return set
 }
 
-// asks returns the calls for the list among the last actions.
-func (g *rig) asks() (list []Subscribe) {
-	for _, a := range g.got {
+// subscriptions returns the calls for the list among the last actions.
+func (g *rig) subscriptions() (list []Subscribe) {
+	for _, a := range g.actions {
 		if s, ok := a.(Subscribe); ok {
 			list = append(list, s)
 		}
@@ -27,55 +27,55 @@
 
 // A call that hangs, the pause behind it and the next call fit into the grace of a drain, however large the fleet is and
 // however often calls failed; what fails at once is not asked again without end.
-func TestAgentIsAskedWithinTheGraceOfADrain(t *testing.T) {
-	g := newRig(t, agentSettings())
-	calls := g.asks()
+func TestAgentIsCalledWithinDrainGrace(t *testing.T) {
+	rig := newRig(t, agentSettings())
+	calls := rig.subscriptions()
 	require.Len(t, calls, 1, "at the start it is asked at once")
 	for range 50 {
-		within := calls[0].Timeout
-		g.at(within, ListUpdate{Kind: ListFailed})
-		waited := within
-		for calls = g.asks(); len(calls) == 0; calls = g.asks() {
-			g.at(ms)
+		timeout := calls[0].Timeout
+		rig.advance(timeout, ListUpdate{Kind: ListFailed})
+		waited := timeout
+		for calls = rig.subscriptions(); len(calls) == 0; calls = rig.subscriptions() {
+			rig.advance(ms)
 			waited += ms
 		}
 		require.Len(t, calls, 1)
-		require.Greater(t, waited-within, 10*ms)
+		require.Greater(t, waited-timeout, 10*ms)
 		require.LessOrEqual(t, waited, 100*ms, "a process may be held up for 0.15 s besides")
 	}
 }
 
 // Requests wait until the list of the start was compared with the agent's, and not longer than the agent can be waited for.
-func TestRequestsWaitForTheAgent(t *testing.T) {
-	g := newRig(t, agentSettings())
-	g.at(0, ListUpdate{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}, {Host: "a"}}})
-	g.ask("r", loose)
-	assert.Empty(t, g.sends())
-	g.at(20*ms, ListUpdate{Kind: ListFailed})
-	assert.Empty(t, g.sends(), "a failure tells nothing")
-	g.at(20*ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}})
-	g.wantSend("p")
+func TestRequestsWaitForAgentList(t *testing.T) {
+	rig := newRig(t, agentSettings())
+	rig.advance(0, ListUpdate{Kind: ListCached, Entries: []Member{{Host: "p", Primary: true}, {Host: "a"}}})
+	rig.request("r", loose)
+	assert.Empty(t, rig.sends())
+	rig.advance(20*ms, ListUpdate{Kind: ListFailed})
+	assert.Empty(t, rig.sends(), "a failure tells nothing")
+	rig.advance(20*ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", Status: Draining}}})
+	rig.wantSend("p")
 
-	silent := newRig(t, agentSettings())
-	silent.at(StartupTimeout, ListUpdate{Kind: ListFailed})
-	silent.ask("r", loose)
-	assert.Len(t, silent.sends(), 1, "an agent that stays silent has nothing newer that could be learned")
+	silentAgent := newRig(t, agentSettings())
+	silentAgent.advance(StartupTimeout, ListUpdate{Kind: ListFailed})
+	silentAgent.request("r", loose)
+	assert.Len(t, silentAgent.sends(), 1, "an agent that stays silent has nothing newer that could be learned")
 	assert.Less(t, StartupTimeout, 10*time.Second, "a restarted process is ready by then")
 }
 
 // Requests wait for what operators said before this process began, and not longer than for the list.
-func TestRequestsWaitForWhatOperatorsSaid(t *testing.T) {
-	g := newRig(t, base())
-	g.at(0, OverridesPending{Active: true})
-	g.ask("r", loose)
-	assert.Empty(t, g.sends())
-	g.at(20*ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "b", Active: true})
-	assert.Empty(t, g.sends())
-	g.at(20*ms, OverridesPending{Active: false})
-	g.wantSend("p")
+func TestRequestsWaitForOperatorOverrides(t *testing.T) {
+	rig := newRig(t, baseSettings())
+	rig.advance(0, OverridesPending{Active: true})
+	rig.request("r", loose)
+	assert.Empty(t, rig.sends())
+	rig.advance(20*ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "b", Active: true})
+	assert.Empty(t, rig.sends())
+	rig.advance(20*ms, OverridesPending{Active: false})
+	rig.wantSend("p")
 
-	never := newRig(t, base())
-	never.at(StartupTimeout, OverridesPending{Active: true})
-	never.ask("r", loose)
-	assert.Len(t, never.sends(), 1, "a folder that cannot be read for so long has a process serve by what it knows")
+	unreadable := newRig(t, baseSettings())
+	unreadable.advance(StartupTimeout, OverridesPending{Active: true})
+	unreadable.request("r", loose)
+	assert.Len(t, unreadable.sends(), 1, "a folder that cannot be read for so long has a process serve by what it knows")
 }
