--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -27,7 +27,8 @@
 	return Attempt{Now: now, Request: "r", Client: 7, Database: "d", Deadline: now + time.Second, DatabaseTimeout: time.Second}
 }
 
-// staleReplica has a database tell so long ago that it is behind a primary by some time over a second, and be sent a bounded read.
+// staleReplica returns a change that records a database whose position lags a primary's by age, and makes the attempt a
+// read with a staleness bound of a second.
 func staleReplica(role policy.Role, age time.Duration) func(g *Guard, s *Attempt) {
 	return func(g *Guard, s *Attempt) {
 		const told = now - 200*ms
@@ -42,67 +43,67 @@
 		change func(g *Guard, s *Attempt)
 		want   []Name
 	}{
-		"a first attempt":            {change: func(*Guard, *Attempt) {}},
-		"a repeat that is harmless":  {change: func(_ *Guard, s *Attempt) { s.MayRun = true }},
-		"a repeat within its window": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second }},
-		"a repeat behind its window": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second-51*ms }, want: []Name{AfterDedupWindow}},
-		"a repeat that must not be":  {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 2 }, want: []Name{RetryForbidden}},
-		"behind the deadline":        {change: func(_ *Guard, s *Attempt) { s.Deadline, s.DatabaseTimeout = now-ms, 0 }, want: []Name{AfterDeadline}},
-		"a little behind the client": {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 100*ms }},
-		"behind the client":          {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 101*ms }, want: []Name{AfterClientGone}},
-		"behind the answer":          {change: func(_ *Guard, s *Attempt) { s.Answered = true }, want: []Name{AfterAnswer}},
-		"beside another":             {change: func(_ *Guard, s *Attempt) { s.OtherAttempts = 1 }, want: []Name{ConcurrentAttempt}},
-		"told a little much":         {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 150 * ms }},
-		"told too much":              {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 151 * ms }, want: []Name{DeadlineTooLong}},
-		"draining, within the grace": {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-300*ms) }},
-		"draining":                   {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-301*ms) }, want: []Name{ToDraining}},
-		"draining, told again": {change: func(g *Guard, _ *Attempt) {
+		"a first attempt":              {change: func(*Guard, *Attempt) {}},
+		"a harmless retry":             {change: func(_ *Guard, s *Attempt) { s.MayRun = true }},
+		"a retry within its window":    {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second }},
+		"a retry after its window":     {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second-51*ms }, want: []Name{AfterDedupWindow}},
+		"a forbidden retry":            {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 2 }, want: []Name{RetryForbidden}},
+		"after the deadline":           {change: func(_ *Guard, s *Attempt) { s.Deadline, s.DatabaseTimeout = now-ms, 0 }, want: []Name{AfterDeadline}},
+		"within the client grace":      {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 100*ms }},
+		"after the client left":        {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 101*ms }, want: []Name{AfterClientGone}},
+		"after the answer":             {change: func(_ *Guard, s *Attempt) { s.Answered = true }, want: []Name{AfterAnswer}},
+		"with another outstanding":     {change: func(_ *Guard, s *Attempt) { s.OtherAttempts = 1 }, want: []Name{ConcurrentAttempt}},
+		"timeout within the tolerance": {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 150 * ms }},
+		"timeout too long":             {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 151 * ms }, want: []Name{DeadlineTooLong}},
+		"draining, within the grace":   {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-300*ms) }},
+		"draining":                     {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-301*ms) }, want: []Name{ToDraining}},
+		"draining, listed again": {change: func(g *Guard, _ *Attempt) {
 			g.RecordStatus("d", policy.Draining, now-time.Second)
 			g.RecordStatus("d", policy.Gone, now)
 		}, want: []Name{ToDraining}},
-		"draining, and back": {change: func(g *Guard, _ *Attempt) {
+		"draining, then healthy": {change: func(g *Guard, _ *Attempt) {
 			g.RecordStatus("d", policy.Draining, now-time.Second)
 			g.RecordStatus("d", policy.Healthy, now)
 		}},
 		"gone": {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Gone, now-time.Second) }, want: []Name{ToDraining}},
-		"gone, which is advice": {change: func(g *Guard, _ *Attempt) {
+		"gone, if that is advisory": {change: func(g *Guard, _ *Attempt) {
 			g.settings.GoneIsAdvisory = true
 			g.RecordStatus("d", policy.Gone, now-time.Second)
 		}},
-		"left out": {change: func(g *Guard, _ *Attempt) {
+		"suspended": {change: func(g *Guard, _ *Attempt) {
 			g.RecordSuspension("d", true, now-time.Second)
 			g.RecordSuspension("d", true, now)
 		}, want: []Name{ToSuspended}},
-		"left out, and back": {change: func(g *Guard, _ *Attempt) {
+		"suspended, then resumed": {change: func(g *Guard, _ *Attempt) {
 			g.RecordSuspension("d", true, now-time.Second)
 			g.RecordSuspension("d", false, now)
 		}},
-		"stale, as it told":    {change: staleReplica(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
-		"not quite stale":      {change: staleReplica(policy.Replica, 2*time.Second-ms)},
-		"stale, but a primary": {change: staleReplica(policy.Primary, time.Minute)},
+		"stale by its own report": {change: staleReplica(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
+		"not quite stale":         {change: staleReplica(policy.Replica, 2*time.Second-ms)},
+		"stale, but a primary":    {change: staleReplica(policy.Primary, time.Minute)},
 		"stale, and promoted since": {change: func(g *Guard, s *Attempt) {
 			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPrimary("d")
 		}},
-		"stale, and further by now, as others know": {change: func(g *Guard, s *Attempt) {
+		"stale, but fresh by a later report of others": {change: func(g *Guard, s *Attempt) {
 			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPosition("d", now-time.Second)
 		}},
-		"stale, and little further": {change: func(g *Guard, s *Attempt) {
+		"stale, also by a later report of others": {change: func(g *Guard, s *Attempt) {
 			staleReplica(policy.Replica, time.Minute)(g, s)
 			g.RecordPosition("d", now-3*time.Second)
 		}, want: []Name{StaleRead}},
-		"stale, as it told long ago": {change: func(g *Guard, s *Attempt) {
+		"stale by an old report": {change: func(g *Guard, s *Attempt) {
 			staleReplica(policy.Replica, time.Minute)(g, s)
 			s.Now += 900 * ms
 			s.Deadline += time.Second
 		}},
-		"stale, where databases check": {change: func(g *Guard, s *Attempt) {
+		"stale, if databases check reads": {change: func(g *Guard, s *Attempt) {
 			g.settings.StaleReadMode = policy.StaleReadReject
 			staleReplica(policy.Replica, time.Minute)(g, s)
 		}},
-		"two at once":                  {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
-		"a class that nobody has told": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 9 }},
+		"two violations":   {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
+		"an unknown class": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 9 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []Name
@@ -150,7 +151,7 @@
 	}
 }
 
-// A gateway without a guard checks nothing.
+// A nil guard, of a gateway without checks, does nothing.
 func TestNilGuardChecksNothing(t *testing.T) {
 	var g *Guard
 	s := validAttempt()
--- a/internal/invariant/promises_test.go
+++ b/internal/invariant/promises_test.go
@@ -18,7 +18,7 @@
 
 const root = "../.."
 
-// declaredNames are the functions of the program, as package.function or package.Type.method, and the tests by their names.
+// declaredNames returns the functions of the program, as package.function or package.Type.method, and the names of tests.
 func declaredNames(t *testing.T) (functions, tests map[string]bool) {
 	t.Helper()
 	functions, tests = map[string]bool{}, map[string]bool{}
@@ -47,7 +47,7 @@
 	return functions, tests
 }
 
-// receiverPrefix is the name of a method's type and a dot.
+// receiverPrefix returns the name of a method's receiver type and a dot, and nothing for a function.
 func receiverPrefix(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// All that the page of promises names exists, and each promise has a test or says that it has none.
+// Everything that the page of promises names exists, and each promise has a test or says that it has none.
 func TestPromisesNameWhatExists(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "promises.md"))
 	require.NoError(t, err)
@@ -86,10 +86,10 @@
 		for _, m := range namedTests {
 			assert.True(t, tests[m[1]], "%s: there is no test %s", promise, m[1])
 		}
-		assert.True(t, len(namedTests) > 0 || strings.Contains(cells[5], "not covered"), "%s: it has no test and does not say so", promise)
+		assert.True(t, len(namedTests) > 0 || strings.Contains(cells[5], "not covered"), "%s: has no test and does not say so", promise)
 	}
 	assert.Greater(t, rows, 25)
 	for _, name := range AllNames() {
-		assert.Contains(t, string(text), "`"+name+"`", "an invariant that no promise names")
+		assert.Contains(t, string(text), "`"+name+"`", "no promise names this invariant")
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// clockRig is a router whose clock is off by a step from that of its databases.
+// clockRig is a rig whose router's clock differs by a step from that of its databases.
 type clockRig struct {
 	*rig
-	step         time.Duration // of the databases' clock over the router's
+	step         time.Duration // the databases' clock minus the router's
 	requestCount int
 }
 
@@ -22,8 +22,8 @@
 	return &clockRig{rig: newRig(t, settings), step: step}
 }
 
-// request has a request of a class answered by whomever the router sends it to, after a while: with the position of its host,
-// which a host is behind by some lag; it returns the host.
+// request makes a request of a class. The host to which the router sends it answers after a time, with a position, and
+// is returned.
 func (c *clockRig) request(class int, took time.Duration, position func(h HostID, now time.Duration) time.Duration) (HostID, bool) {
 	c.requestCount++
 	id := RequestID(fmt.Sprint(c.requestCount))
@@ -43,7 +43,7 @@
 	return "", false
 }
 
-// replicasLagging are positions of replicas so far behind.
+// replicasLagging returns the position of a host by time, where replicas lag and the primary does not.
 func replicasLagging(lag time.Duration) func(HostID, time.Duration) time.Duration {
 	return func(h HostID, now time.Duration) time.Duration {
 		if h == "p" {
@@ -53,10 +53,10 @@
 	}
 }
 
-// clockStepCases are some; the router of the rig begins at 100 s, so that databases cannot be an hour behind it.
+// clockStepCases are clock steps. The rig's router starts at 100 s, so the databases cannot be an hour behind it.
 var clockStepCases = []time.Duration{0, 50 * ms, -50 * ms, 900 * ms, 3 * time.Second, -3 * time.Second, time.Hour, -time.Minute}
 
-// Whichever way the clock is off, replicas that are fresh serve bounded reads soon, and those that are not never do.
+// Whatever the clock step, fresh replicas soon serve reads with a staleness bound, and stale ones never do.
 func TestReplicaAgeUsesDatabaseClock(t *testing.T) {
 	for _, step := range clockStepCases {
 		t.Run(step.String(), func(t *testing.T) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Two replicas that are next to the present confirm the clock where no primary answers; one does not, nor do two that lag.
+// If no primary answers, two replicas without lag confirm the clock. One does not, nor do two that lag.
 func TestReplicasConfirmClock(t *testing.T) {
 	for name, c := range map[string]struct {
 		step, lag time.Duration
@@ -97,7 +97,7 @@
 	}
 }
 
-// One answer that tells another time, or a log that stands still, moves no clock.
+// A single answer with another time does not step the clock, nor does a stopped log.
 func TestSingleAnswerDoesNotStepClock(t *testing.T) {
 	rig := newClockRig(t, 0)
 	stopped := rig.now - 5*time.Second
@@ -115,23 +115,23 @@
 	}
 }
 
-// Without a word of any primary the pages hold, by which every machine reads one clock.
+// If no primary has answered, the router relies on the documented rule that all machines share one clock.
 func TestClockIsTrustedIfNoPrimaryAnswers(t *testing.T) {
 	set := baseSettings()
 	set.IndependentClock = true
 	c := &clockRig{rig: newRig(t, set, Member{Host: "a"}, Member{Host: "b"})}
 	c.request(own, 5*ms, replicasLagging(10*ms))
 	_, sent := c.request(recent, 5*ms, replicasLagging(10*ms))
-	assert.False(t, sent, "its age cannot be told yet")
+	assert.False(t, sent, "its age is not known yet")
 	c.advance(clockTimeout)
 	c.request(own, 5*ms, replicasLagging(10*ms))
 	host, sent := c.request(recent, 5*ms, replicasLagging(10*ms))
 	assert.True(t, sent, "%s", host)
 }
 
-// Whatever the step, the load, the lags and one spoilt answer in ten: no bounded read goes to a replica that is older than
-// allowed by what it has told, but for the tolerance, twice (when a step is set, and when it is kept), and for what an answer
-// leaves open: how long it took, and a grain each way.
+// Whatever the clock step, the load and the lags, and with one invalid answer in ten, no read goes to a replica whose own
+// reports show that its data exceeds the staleness bound. Allowed beyond the bound are twice the clock tolerance (when a
+// step is applied and when it is kept), the duration of an answer, and the position granularity in both directions.
 func TestBoundedReadsKeepStalenessBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		step := time.Duration(rapid.Int64Range(-int64(time.Minute), int64(time.Minute)).Draw(rt, "step"))
@@ -153,7 +153,7 @@
 			})
 			if sent && class == recent && host != "p" {
 				if age := begun - reported[host]; age > 500*ms+tolerance {
-					rt.Fatalf("a read went to %s, which has told a position %v old", host, age)
+					rt.Fatalf("a read went to %s, which has reported a position %v old", host, age)
 				}
 			}
 			if sent && host != "p" {
--- a/policy/herd_test.go
+++ b/policy/herd_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discoveryService is a discovery that takes the calls of many routers one by one, each for a while, and fails
-// those that are not answered in time, whether it has begun on them or not.
+// discoveryService simulates discovery: it answers the calls of many routers one at a time, and fails those that are
+// not answered in time, whether it has started on them or not.
 type discoveryService struct {
 	t         *testing.T
 	now       time.Duration
 	routers   []*Router
 	calls     []call // waiting, oldest first
 	freeAt    time.Duration
-	downUntil time.Duration // until then nothing is answered
+	downUntil time.Duration // no call is answered before
 	served    map[int]bool
 	callTimes []time.Duration
 }
@@ -59,7 +59,7 @@
 	s.recordCalls(i, s.routers[i].Step(s.now, []Event{ListUpdate{Kind: kind}}))
 }
 
-// run goes on for a time in steps of 5 ms.
+// run advances the simulation by d in steps of 5 ms.
 func (s *discoveryService) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += 5 * ms {
 		for len(s.calls) > 0 && s.now-s.calls[0].at >= callTimeout {
@@ -79,10 +79,10 @@
 	}
 }
 
-// After a mass restart, after a common loss of the watch, and behind an outage all routers ask one service
-// that answers a dozen calls a second. Asked again each second by each, its queue stays as long as callers
-// wait, and hardly any call is ever served. Forty it can answer in the 6 s after which a change binds; of more
-// than that each has to be heard in the end, with few calls in vain.
+// After a mass restart, a loss of all watches or an outage, all routers call one service that answers about twelve calls
+// a second. If each repeated its call every second, the queue would stay as long as the callers' timeout, and hardly any
+// call would be answered. The service can answer forty within the 6 s after which a change binds. In a larger fleet each
+// router has to get its answer eventually, with few failed calls.
 func TestManyRoutersShareDiscovery(t *testing.T) {
 	for name, c := range map[string]struct {
 		down       time.Duration
@@ -91,7 +91,7 @@
 	}{
 		"all start at once":    {timeLimits: map[int]time.Duration{40: 6 * time.Second, 80: 14 * time.Second, 300: 90 * time.Second}},
 		"all lose their watch": {before: (*discoveryService).loseWatches, timeLimits: map[int]time.Duration{40: 6 * time.Second, 80: 14 * time.Second, 300: 90 * time.Second}},
-		"it has no time for a while": {
+		"it is down for a while": {
 			down: 12 * time.Second, before: (*discoveryService).loseWatches,
 			timeLimits: map[int]time.Duration{40: 18 * time.Second, 80: 45 * time.Second, 300: 110 * time.Second},
 		},
@@ -119,17 +119,17 @@
 	}
 }
 
-// A few routers need no such care: they ask at once.
+// A small fleet requests the list without a delay.
 func TestSmallFleetRequestsListAtOnce(t *testing.T) {
 	assert.Len(t, newDiscoveryService(t, 3).callTimes, 3)
 }
 
-// Where a probe tells no role, members are not probed in turn, and a primary in doubt by all routers
-// together about as often as by a few.
+// If probes report no role, members are not probed in turn, and a suspected primary is probed by a large fleet about as
+// often in all as by a small one.
 func TestProbesWithoutRoleAreSharedByFleet(t *testing.T) {
 	for _, routers := range []int{2, 80} {
 		set := baseSettings()
-		set.Routers, set.Classes[atMostOnce].Worth = routers, 1000 // room is another test's
+		set.Routers, set.Classes[atMostOnce].Worth = routers, 1000 // capacity is not under test
 		rig := newRig(t, set)
 		rig.advance(0, ProbeResult{Host: "p"})
 		probes := map[HostID]int{}
@@ -147,8 +147,8 @@
 				rig.advance(0, Result{Request: id, Host: h, Outcome: OK, Finished: true, Latency: ms, Role: Replica})
 			}
 		}
-		assert.Empty(t, probes, "%d routers, nothing in doubt", routers)
-		for _, h := range []HostID{"a", "b"} { // heard of: no write calls there
+		assert.Empty(t, probes, "%d routers, no primary search", routers)
+		for _, h := range []HostID{"a", "b"} { // with known positions, no write is sent there first
 			rig.probeReport(0, h, Replica, 0)
 		}
 		rig.advance(0, ProbeResult{Host: "p"}).failWrites(breakerThreshold, Error).advance(0, ProbeResult{Host: "p"})
@@ -156,7 +156,7 @@
 			step()
 			rig.advance(100 * ms)
 		}
-		assert.Zero(t, probes["a"]+probes["b"], "%d routers: replicas' probes tell nothing", routers)
+		assert.Zero(t, probes["a"]+probes["b"], "%d routers: probes of replicas report nothing", routers)
 		if routers == 2 {
 			assert.Greater(t, probes["p"], 4)
 		} else {
@@ -165,14 +165,14 @@
 	}
 }
 
-// Where probes tell no role, a write finds the new primary: a member that is none turns it away untouched.
+// If probes report no role, a write finds the primary: another member rejects it without running it.
 func TestWriteFindsPrimaryWhenProbesReportNoRole(t *testing.T) {
 	rig := newRig(t, baseSettings(), Member{Host: "a"})
 	rig.advance(0, ProbeResult{Host: "a"}).request("w", atMostOnce)
 	rig.wantSend("a")
 }
 
-// newLargeFleetRig is a rig of one of many routers, on a site whose probes tell no role.
+// newLargeFleetRig returns a rig of one of many routers, at a site whose probes report no role.
 func newLargeFleetRig(t *testing.T) *rig {
 	set := baseSettings()
 	set.Routers = 80
@@ -186,8 +186,9 @@
 	})
 }
 
-// One of many routers hears of a replica too seldom to know its position, and only answers tell any. Bounded
-// reads would all fall to the primary; a write that calls at a replica, and is turned away, brings one.
+// In a large fleet each router gets results of a replica too rarely to know its position, and only answers report
+// positions. All reads with a staleness bound would go to the primary. So a write is sent to a replica first, whose
+// rejection reports its position.
 func TestWriteLearnsReplicaPosition(t *testing.T) {
 	rig := newLargeFleetRig(t).request("r0", recent)
 	rig.wantSend("p")
@@ -199,20 +200,21 @@
 	rig.wantSend(first)
 	rig.result("r1", 0, first, OK, Replica).request("w2", atMostOnce)
 	second := rig.sends()[0]
-	assert.NotEqual(t, first, second, "the one not heard of yet")
+	assert.NotEqual(t, first, second, "the one without a known position")
 	rig.result("w2", 0, second, Miss, Replica).wantSend("p")
 	rig.result("w2", 1, "p", OK, Primary).request("w3", atMostOnce)
 	rig.wantSend("p") // both are fresh
 }
 
-// Few routers hear of each host often: their writes go straight to the primary.
+// In a small fleet each router gets results of each host often, and writes go directly to the primary.
 func TestSmallFleetSendsWritesToPrimary(t *testing.T) {
 	rig := newRig(t, baseSettings()).advance(0, ProbeResult{Host: "p"}).request("w", atMostOnce)
 	rig.wantSend("p")
 }
 
-// But where probes tell no position and no read does, bounded reads would stay on the primary for good. So one that found
-// no fresh replica has the next writes call at those that were not heard of for a while, each once in that time.
+// If neither probes nor reads report positions, reads with a staleness bound would always go to the primary, even in a
+// small fleet. So after a read that found no fresh replica, the next writes go first to replicas without recent attempts,
+// once to each in that time.
 func TestSmallFleetLearnsPositionsFromWrites(t *testing.T) {
 	rig := newRig(t, baseSettings()).advance(0, ProbeResult{Host: "p"}).request("r", recent)
 	rig.wantSend("p")
@@ -230,7 +232,7 @@
 	rig.request("s", recent)
 	assert.NotEqual(t, []HostID{"p"}, rig.sends(), "replicas are known to be fresh")
 
-	// Replicas that lag are not called at by every write.
+	// Writes do not keep going to replicas that lag.
 	rig.advance(time.Second).request("t", recent)
 	rig.wantSend("p")
 	rig.request("z", atMostOnce)
@@ -239,7 +241,7 @@
 	assert.NotEqual(t, []HostID{"p"}, rig.sends())
 }
 
-// A write on its way to the primary keeps the rules of repeats: what may have run is not sent on.
+// A write that was sent to a replica first is only sent on to the primary if it never ran.
 func TestWriteLeavesReplicaOnlyIfItNeverRan(t *testing.T) {
 	for outcome, sentOn := range map[Outcome]bool{Miss: true, AtCapacity: true, ConnectFailed: true, Timeout: false, Reset: false, Error: false} {
 		rig := newLargeFleetRig(t).request("w", atMostOnce)
@@ -252,29 +254,29 @@
 		rig.wantSend()
 		rig.wantFinal("w", 0, 1)
 		rig.request("w2", atMostOnce)
-		assert.NotEqual(t, []HostID{first}, rig.sends(), "one that failed is not called at again")
+		assert.NotEqual(t, []HostID{first}, rig.sends(), "a replica that failed is not tried again")
 	}
 }
 
-// A cold member is called at within its budget only.
+// A write is sent first to a cold replica only within that replica's budget.
 func TestWriteAvoidsColdReplicas(t *testing.T) {
 	rig := newLargeFleetRig(t)
 	rig.advance(ms, ListUpdate{Kind: ListDelta, Entries: []Member{
 		{Host: "a", StartedAt: rig.now}, {Host: "b", StartedAt: rig.now},
 	}})
 	rig.request("w", atMostOnce)
-	rig.wantSend("p") // nothing has been served: there is no budget
+	rig.wantSend("p") // no work has been served yet, so the budget is empty
 }
 
-// One of many routers has few answers of a host. Ten seconds of late ones must cut what it sends to it, and to
-// less than a part that is too much times eighty.
+// In a large fleet each router gets few answers of a host. Ten seconds of late ones must reduce its limit, and so far
+// that eighty routers together do not overload the host.
 func TestRareLateAnswersReduceLimit(t *testing.T) {
 	set := baseSettings()
 	set.Routers = 80
 	rig := newRig(t, set)
 	h := rig.router.hosts["p"]
 	for i := range 12 {
-		h.resultInterval, h.failures, h.group.failures = time.Second, 0, 0 // no breaker: that is another test's
+		h.resultInterval, h.failures, h.group.failures = time.Second, 0, 0 // the breaker is not under test
 		id := RequestID(fmt.Sprint("w", i))
 		rig.advance(time.Second).request(id, atMostOnce)
 		if len(rig.sends()) > 0 {
@@ -284,11 +286,11 @@
 	assert.Less(t, h.limit, 0.3)
 	h.limit = 0.025
 	rig.router.reduceLimit(h)
-	assert.InDelta(t, 0.025, h.limit, 1e-9, "the floor of eighty")
+	assert.InDelta(t, 0.025, h.limit, 1e-9, "the minimum for eighty routers")
 }
 
-// While the breaker is open writes are refused. Where only answers tell positions, one that calls at a replica
-// first frees the reads that wait for a fresh one.
+// While the breaker is open, writes are refused. If only answers report positions, a write that is sent to a replica
+// first releases the reads that wait for a fresh replica.
 func TestRefusedWriteReleasesWaitingReads(t *testing.T) {
 	rig := newLargeFleetRig(t)
 	for _, h := range []HostID{"a", "b"} {
@@ -310,8 +312,8 @@
 	rig.wantFinal("w2", 1, 0)
 }
 
-// A group whose primary is not known has writes ask its members, each once a write: a miss is untouched and costs a
-// member nothing, a refusal costs the client its write. Who was asked last comes last in the next one.
+// If a group's primary is unknown, a write is sent to each member once. A miss costs the member nothing, while a refusal
+// costs the client its write. The next write tries the member whose role was reported longest ago first.
 func TestWritesSearchForPrimary(t *testing.T) {
 	rig := newRig(t, baseSettings(), Member{Host: "a"}, Member{Host: "b"}).advance(0, ProbeResult{Host: "a"})
 	for i := range 3 {
@@ -327,8 +329,8 @@
 	rig.wantSend("b")
 }
 
-// The list names a new primary late, often after the old one began to drain. That one can take nothing any more, so the
-// list's word holds, other than of a host that lately answered as a replica; a primary that still serves stays.
+// The list names a new primary late, often after the old one began to drain. As that accepts no more work, the list is
+// followed, unless the named host has recently answered as a replica. A primary that still serves stays primary.
 func TestListNamesNewPrimary(t *testing.T) {
 	named := func(h HostID) ListUpdate {
 		return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Primary: true}}}
@@ -341,9 +343,9 @@
 		events []Event
 		want   HostID
 	}{
-		{"behind the drain", []Event{draining, named("b")}, "b"},
-		{"a primary that serves", []Event{named("b")}, "p"},
-		{"a replica just now", []Event{draining, Result{Host: "b", Report: Report{HasPosition: true, Position: 104 * time.Second, Role: Replica}}, named("b")}, ""},
+		{"after the drain", []Event{draining, named("b")}, "b"},
+		{"the old primary still serves", []Event{named("b")}, "p"},
+		{"recently a replica", []Event{draining, Result{Host: "b", Report: Report{HasPosition: true, Position: 104 * time.Second, Role: Replica}}, named("b")}, ""},
 	} {
 		rig := newRig(t, set)
 		for _, e := range tt.events {
@@ -358,8 +360,8 @@
 	}
 }
 
-// A router that starts when all members are cold has nothing served to measure them by: it must not refuse all
-// until they are warm.
+// A router that starts when all members are cold has no served work to estimate their capacity from. It must not refuse
+// all requests until they are warm.
 func TestNewRouterServesFromColdGroups(t *testing.T) {
 	start := 100 * time.Second
 	rig := newRig(t, baseSettings(), Member{Host: "p", Primary: true, StartedAt: start},
@@ -379,12 +381,12 @@
 			rig.advance(0, ends...)
 		}
 	}
-	// 50 a second are asked for; the members can do no more than is asked, so 50/3 each at least when warm.
+	// 50 a second are requested, so each member can do at least 50/3 when warm.
 	assert.Greater(t, sent, 5)
 	assert.Less(t, sent, 125)
 }
 
-// Cold hosts get more as they answer in good time, and less at once when they do not.
+// Cold hosts get more work while they answer in time, and less at once when they do not.
 func TestColdHealthFollowsAnswers(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	healthAfter := func(outcome Outcome, latency time.Duration) float64 {
@@ -402,8 +404,8 @@
 	assert.InDelta(t, 0.125, healthAfter(OK, ms), 0.01)
 }
 
-// A crowded primary of a large fleet is left to what only it can serve: bounded reads are refused there, as a
-// late answer costs it as much as a write in time. A small fleet shares by rank as before.
+// In a large fleet an overloaded primary is reserved for requests that only it can serve. Reads with a staleness bound
+// are refused there, as a late answer costs it as much as a write in time. A small fleet divides capacity by rank.
 func TestOverloadedPrimaryIsReservedForWrites(t *testing.T) {
 	for routers, sendsRead := range map[int]bool{2: true, 80: false} {
 		set := baseSettings()
@@ -415,7 +417,7 @@
 		assert.Equal(t, sendsRead, slices.Equal(rig.sends(), []HostID{"p"}), "%d routers", routers)
 		rig.result("r", 0, "p", OK, Primary).advance(time.Minute)
 		for _, h := range []HostID{"a", "b"} {
-			rig.probeReport(0, h, Replica, 0) // heard of: no write calls there
+			rig.probeReport(0, h, Replica, 0) // with known positions, no write is sent there first
 		}
 		p.limit = 0.4
 		rig.request("w", atMostOnce)
@@ -423,7 +425,7 @@
 	}
 }
 
-// One error is no reason never to call at a replica again: nothing else may ever be sent to it.
+// After one error a replica is tried again by a later write. Otherwise it might never get another request.
 func TestFailedReplicaIsTriedAgain(t *testing.T) {
 	rig := newLargeFleetRig(t)
 	for _, h := range []HostID{"a", "b"} {
@@ -436,15 +438,15 @@
 	assert.NotEqual(t, HostID("p"), rig.sends()[0])
 }
 
-// Where databases answer far sooner than the aims let guess, those that were used first must not pass for faster than those
-// that nobody has asked yet: each replica is used, other than one that fails.
+// If databases answer much faster than their aims suggest, the first ones used must not count as faster than those without
+// any answer yet. Every replica is used, except one that fails.
 func TestFastDatabasesAreAllUsed(t *testing.T) {
 	rig := newRig(t, baseSettings(), Member{Host: "p", Primary: true}, Member{Host: "a"}, Member{Host: "b"}, Member{Host: "c"})
 	rig.probeReport(0, "a", Replica, 0)
 	used := map[HostID]int{}
 	for i := range 100 {
 		id, class := RequestID(fmt.Sprint("r", i)), own
-		if i < 20 { // for these a alone is known to be fresh
+		if i < 20 { // for these only a is known to be fresh
 			class = recent
 		}
 		rig.probeReport(20*ms, "a", Replica, 0).request(id, class)
@@ -460,7 +462,8 @@
 	assert.Less(t, used["c"], 10)
 }
 
-// Shut out, a router refuses writes at once and unsent, those of the same step and those that wait with them; reads go on.
+// A fenced router refuses writes without sending them, including those of the same step and waiting ones. It still
+// sends reads.
 func TestFencedRouterRefusesWrites(t *testing.T) {
 	rig := newRig(t, baseSettings(), Member{Host: "a"}, Member{Host: "b"}).request("waits", atMostOnce) // no primary is known
 	rig.wantSend()
@@ -473,8 +476,8 @@
 	rig.wantSend("a")
 }
 
-// What another router had answered points this one at a primary, as far as it is newer than what it knows. It closes no
-// breaker, and sends nothing to whom the list or the operators forbid.
+// A primary reported by another router is used if the report is newer than what this one knows. It does not close a
+// breaker, and nothing is sent to a host that the list or the operators exclude.
 func TestPrimaryReportedByAnotherRouter(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(ms, PrimaryReported{Host: "a", At: rig.now}).request("w", atMostOnce)
@@ -483,10 +486,10 @@
 	rig.advance(ms, PrimaryReported{Host: "p", At: rig.now - 100*ms}).request("x", atMostOnce)
 	rig.wantSend("a") // older than its own answer
 	rig.advance(ms, PrimaryReported{Host: "b", At: rig.now + time.Hour}, PrimaryReported{Host: "nobody", At: rig.now}).request("y", atMostOnce)
-	rig.wantSend("b") // as of now at most
+	rig.wantSend("b") // a future time counts as now
 	rig.advance(ms, Result{Request: "y", Host: "b", Outcome: Miss, Role: Replica})
 	rig.advance(ms, PrimaryReported{Host: "b", At: rig.now - 2*ms}).request("z", atMostOnce)
-	assert.NotEqual(t, []HostID{"b"}, rig.sends(), "it has said itself that it is none, later")
+	assert.NotEqual(t, []HostID{"b"}, rig.sends(), "it has reported later that it is a replica")
 
 	rig = newRig(t, baseSettings()).advance(0, SuspensionChanged{Host: "a", Active: true})
 	rig.advance(ms, PrimaryReported{Host: "a", At: rig.now}).request("w", atMostOnce)
@@ -494,16 +497,16 @@
 
 	rig = newRig(t, baseSettings()).failWrites(breakerThreshold, Reset)
 	rig.advance(300*ms, PrimaryReported{Host: "a", At: rig.now + 200*ms})
-	assert.Contains(t, rig.actions, Action(Probe{Host: "a"}), "it is asked at once")
+	assert.Contains(t, rig.actions, Action(Probe{Host: "a"}), "it is probed at once")
 	rig.request("w", atMostOnce)
 	rig.wantFinal("w", 1, 0)
 	rig.probeReport(10*ms, "a", Primary, 0).request("x", atMostOnce)
 	rig.wantSend("a")
 }
 
-// In a large fleet each router hears of a primary so rarely that the throttle is all that keeps its queue short. There a
-// late answer cuts what is sent to primaries twice as hard, and what is worth a quarter for its time is shed four times
-// as hard, not twice: reads that no replica may serve must not crowd out the writes.
+// In a large fleet each router gets results of a primary so rarely that only the admitted share keeps its queue short.
+// There a late answer reduces the share for primaries twice, and a class worth a quarter for its time gets a quarter of
+// the other's share, not half: reads that no replica may serve must not displace writes.
 func TestLargeFleetsKeepPrimariesForWrites(t *testing.T) {
 	measure := func(routers int) (admitShare float64, sent map[int]int) {
 		set := baseSettings()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,8 +14,7 @@
 
 const ms = time.Millisecond
 
-// baseSettings is a deployment for tests: two members besides the primary, one class
-// of each kind.
+// baseSettings returns the settings of most tests: a small fleet and one class of each kind.
 func baseSettings() Settings {
 	return Settings{
 		Routers: 2, Tick: 5 * ms, ListRole: ListRoleInitial, PositionGranularity: ms,
@@ -43,7 +42,7 @@
 	atMostOnce
 )
 
-// rig drives one router and keeps what it did last.
+// rig drives one router and keeps the actions of its last step.
 type rig struct {
 	t       *testing.T
 	router  *Router
@@ -65,7 +64,7 @@
 	return g
 }
 
-// advance moves the clock on and gives the router events.
+// advance moves the clock forward and passes events to the router.
 func (g *rig) advance(after time.Duration, events ...Event) *rig {
 	g.now += after
 	g.actions = append([]Action(nil), g.router.Step(g.now, events)...)
@@ -76,7 +75,7 @@
 	return g.advance(0, Request{ID: id, Class: class, Timeout: g.router.settings.Classes[class].Deadline})
 }
 
-// probeReport moves the clock on and gives a probe result: the position lies lag back.
+// probeReport moves the clock forward and passes a probe result, with a position that lags by lag.
 func (g *rig) probeReport(after time.Duration, h HostID, role Role, lag time.Duration) *rig {
 	at := g.now + after - lag
 	return g.advance(after, ProbeResult{Host: h, Report: Report{HasPosition: true, Position: at, Role: role}})
@@ -98,7 +97,7 @@
 	}
 }
 
-// finalAnswers counts the refusals and failures given for id just now.
+// finalAnswers counts the refusals and failures of a request in the last step.
 func (g *rig) finalAnswers(id RequestID) (refused, failed int) {
 	for _, a := range g.actions {
 		switch a := a.(type) {
@@ -122,7 +121,7 @@
 	}
 }
 
-// failWrites sends n writes to the primary and lets each end with o.
+// failWrites sends n writes to the primary, each of which ends with the outcome.
 func (g *rig) failWrites(n int, outcome Outcome) *rig {
 	g.t.Helper()
 	for i := range n {
@@ -145,14 +144,14 @@
 	rig.probeReport(10*ms, "a", Replica, 10*ms).request("r", recent)
 	rig.wantSend("a")
 	rig.probeReport(10*ms, "p", Primary, 100*ms).request("w2", atMostOnce)
-	rig.wantFinal("w2", 1, 0) // the report is older than the opening
+	rig.wantFinal("w2", 1, 0) // the report is older than the opening of the breaker
 	rig.probeReport(100*ms, "b", Primary, 5*ms).request("w3", atMostOnce)
 	rig.wantSend("b")
 }
 
-// Where probes bring no role, none of them could close a breaker whose primary was only
-// out of reach for a while: its writes were refused to the end of the day. A read may
-// ask it once a probe has passed, and what is left of its time is for a replica.
+// Probes that report no role cannot close a breaker. After a short network failure of the primary, its writes were
+// refused until the end of the run. So once a probe has passed, a read is sent to the primary as a half-open trial, and
+// leaves time for a replica.
 func TestReadClosesBreakerWhenProbesReportNoRole(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.failWrites(breakerThreshold, Reset)
@@ -169,7 +168,7 @@
 	rig.advance(20*ms, Result{Request: "u", Host: "p", Outcome: OK, Finished: true, Role: Primary}).request("w", atMostOnce)
 	rig.wantSend("p")
 
-	// Where no reads come a write asks, once the primary was left alone for a while.
+	// Without reads, a write is the trial, after a longer pause.
 	rig = newRig(t, baseSettings())
 	rig.failWrites(breakerThreshold, Reset).advance(10*ms, ProbeResult{Host: "p"})
 	rig.request("v", atMostOnce)
@@ -180,8 +179,8 @@
 	rig.wantFinal("x", 1, 0)
 }
 
-// What a database answered to an attempt that was given up meanwhile counts as told: that it is no primary any more holds
-// for the reads behind it, of which the first such answer excused one at most.
+// A database's answer to an attempt that had already ended still updates its role: reads after one that says the
+// database is no longer primary are not sent there. Only one read may go there before such an answer.
 func TestLateAnswerUpdatesRole(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.failWrites(breakerThreshold, ConnectFailed)
@@ -195,8 +194,8 @@
 	rig.wantSend()
 }
 
-// A read held for a fresher replica is refused before half of its time is gone, so that
-// its client can still turn elsewhere.
+// A read held for a fresher replica is refused before half of its time is over, so that its client can still try
+// elsewhere.
 func TestHeldReadIsRefusedWithinHalfItsTimeout(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.failWrites(breakerThreshold, Reset)
@@ -216,8 +215,8 @@
 	rig.wantSend("p")
 }
 
-// A primary that loses answers passes its probes: the breaker closes and opens
-// again, held open for longer each time.
+// A primary whose answers are lost still passes probes. The breaker closes and opens again, and stays open longer each
+// time.
 func TestBreakerStaysOpenWhenPrimaryLosesAnswers(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	var lost []int
@@ -238,7 +237,7 @@
 		lost = append(lost, sends)
 	}
 	if lost[0] < breakerThreshold || lost[5] > 20 {
-		t.Errorf("writes lost of 40 in each stretch: %v", lost)
+		t.Errorf("writes lost of 40 in each round: %v", lost)
 	}
 }
 
@@ -248,14 +247,14 @@
 	rig.probeReport(10*ms, "a", Primary, time.Second).request("w2", atMostOnce)
 	rig.wantSend("p")
 
-	// Nor does it seat again a primary that has told since that it is none.
+	// Nor does it bring back a primary that has since reported to be a replica.
 	rig = newRig(t, baseSettings())
 	rig.request("x", atMostOnce).advance(10*ms, Result{Request: "x", Host: "p", Outcome: Miss, Role: Replica})
 	rig.probeReport(10*ms, "p", Primary, time.Second).request("y", atMostOnce)
 	rig.wantSend()
 }
 
-// Rule: every request gets exactly one final answer in time.
+// Every request gets exactly one final answer within its timeout.
 func TestFinalAnswerWithinTimeout(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(0, Request{ID: "w", Class: atMostOnce, Timeout: 300 * ms})
@@ -266,7 +265,7 @@
 	rig.wantFinal("w", 0, 0)
 }
 
-// Rule: no effect happens twice.
+// No request has its effect twice.
 func TestRetrySafety(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -276,11 +275,11 @@
 		retried bool
 		refused bool
 	}{
-		{"fragile error", atMostOnce, Error, 10 * ms, false, false},
-		{"fragile never ran", atMostOnce, ConnectFailed, 10 * ms, true, false},
-		{"keyed error", deduplicated, Error, 10 * ms, true, false},
-		{"keyed after its window", deduplicated, Reset, 1100 * ms, false, false},
-		{"keyed never ran", deduplicated, ConnectFailed, 10 * ms, true, false},
+		{"at most once, error", atMostOnce, Error, 10 * ms, false, false},
+		{"at most once, never ran", atMostOnce, ConnectFailed, 10 * ms, true, false},
+		{"deduplicated, error", deduplicated, Error, 10 * ms, true, false},
+		{"deduplicated, after its window", deduplicated, Reset, 1100 * ms, false, false},
+		{"deduplicated, never ran", deduplicated, ConnectFailed, 10 * ms, true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -309,7 +308,7 @@
 	rig.wantFinal("w", 1, 0)
 }
 
-// Rule: drains are kept, for a primary within the grace.
+// Draining hosts get no requests. A draining primary gets writes for half of the grace.
 func TestDrainingHosts(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(0, ListUpdate{Kind: ListDelta, Entries: []Member{
@@ -322,7 +321,7 @@
 	rig.wantSend()
 }
 
-// A database that drains when it is first heard of has done so for nobody knows how long: it takes no writes either.
+// A database that is draining when it is first listed may have been so for long, so it gets no writes either.
 func TestDrainingHostAtStartup(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(0, ListUpdate{Kind: ListCached, Entries: []Member{{Host: "x", Group: 9, Status: Draining, Primary: true}}})
@@ -330,7 +329,7 @@
 	rig.wantSend()
 }
 
-// What is told to a process that stood still may be as old as its absence: nothing of the grace is left.
+// An update received after a process pause may have arrived at its beginning, so nothing of the drain grace is left.
 func TestDrainReceivedAfterProcessPause(t *testing.T) {
 	for _, pause := range []time.Duration{0, 3 * time.Second} {
 		rig := newRig(t, baseSettings())
@@ -352,7 +351,7 @@
 	}
 }
 
-// Rule: a cold host is not pushed over.
+// A cold host gets less than its equal share.
 func TestColdHostGetsReducedShare(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(0, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "b", StartedAt: rig.now}}})
@@ -379,7 +378,7 @@
 	}
 }
 
-// Rule: no stale read, at each send.
+// Reads with a staleness bound are sent only to members that are fresh enough at the time of sending.
 func TestStalenessBound(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -389,8 +388,8 @@
 		want  HostID
 	}{
 		{"fresh", 100 * ms, 0, recent, "a"},
-		{"aged since it was told", 100 * ms, 450 * ms, recent, "p"},
-		{"loose takes any", time.Hour, 0, loose, "a"},
+		{"aged since its report", 100 * ms, 450 * ms, recent, "p"},
+		{"loose accepts any age", time.Hour, 0, loose, "a"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -404,8 +403,8 @@
 	}
 }
 
-// A primary that hangs still turns work away, in the name of a primary, while its log
-// stands; and an answer of the primary is only known to be as new as its question.
+// A hung primary still rejects requests as primary while its log has stopped, so only successful answers update its
+// position. Such an answer shows the position at the time of sending, not of receiving.
 func TestOnlySuccessfulAnswersUpdatePrimaryPosition(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -419,7 +418,7 @@
 				after = 490 * ms
 			}
 			rig.advance(after, Result{Request: "x", Host: "p", Outcome: tt.outcome, Finished: true, Latency: after, Role: Primary})
-			rig.router.admitShare[true] = 1 // the throttle is another test's
+			rig.router.admitShare[true] = 1 // admission is not under test
 			rig.request("w", atMostOnce).advance(10*ms, Result{Request: "w", Host: "p", Outcome: Miss, Role: Replica})
 			rig.router.admitShare[false], rig.router.admitShare[true] = 1, 1
 			rig.advance(10*ms).request("r", recent)
@@ -445,7 +444,7 @@
 	rig.wantSend("a")
 }
 
-// Repeats of failed attempts are bounded where the fleet says so.
+// With a retry budget, attempts after failed ones are bounded to a share of first attempts.
 func TestRetryBudget(t *testing.T) {
 	for _, share := range []float64{0, 0.1} {
 		rig := newRig(t, baseSettings())
@@ -484,13 +483,13 @@
 	}
 }
 
-// What discovery tells binds within 6 s, heard or not: after any loss a router asks again within less than half of that,
-// however large its fleet is. Only a crowd that has turned it away several times makes it ask more rarely.
+// A change in discovery binds after 6 s, whether received or not. So after a failure a router calls again within less
+// than half of that, however large the fleet. Only several timeouts in discovery's queue make it back off.
 func TestListIsRequestedInTimeInAnyFleet(t *testing.T) {
 	for _, routers := range []int{1, 8, 25, 300, 3000} {
 		set := baseSettings()
 		set.ListSource, set.Routers, set.MaxListAge = ListFromService, routers, 10*time.Second
-		// retryDelay is how long the router takes to ask again after the last of some failures.
+		// retryDelay returns how long the router takes to call again after the last of some failures.
 		retryDelay := func(seed int64, kinds ...ListKind) (delay time.Duration) {
 			r, err := New(set, seed)
 			require.NoError(t, err)
@@ -498,7 +497,7 @@
 			requested := func(events ...Event) bool {
 				return slices.ContainsFunc(r.Step(now, events), func(a Action) bool { _, ok := a.(Subscribe); return ok })
 			}
-			for !requested() { // the first call of all
+			for !requested() { // the first call
 				now += 20 * ms
 			}
 			for _, kind := range kinds {
@@ -521,7 +520,7 @@
 			}
 		}
 		if routers <= 25 {
-			assert.Zero(t, slow, "%d routers are no crowd", routers)
+			assert.Zero(t, slow, "%d routers do not back off", routers)
 		} else {
 			assert.Greater(t, slow, 20, "%d routers", routers)
 		}
@@ -554,7 +553,7 @@
 	}
 }
 
-// Long loose reads sit on one replica.
+// Long loose reads all go to the same replica.
 func TestLongReadsUseOneReplica(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Aim, set.Classes[loose].Deadline = 4*time.Second, 8*time.Second
@@ -585,8 +584,8 @@
 	}
 }
 
-// All routers choose the same member for heavy reads: one from each at once is
-// more than a host that has just started can take.
+// All routers choose the same member for long reads, and one from each at the same time overloads a host that has just
+// started.
 func TestLongReadsAvoidColdHosts(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Aim, set.Classes[loose].Deadline = 4*time.Second, 8*time.Second
@@ -595,7 +594,7 @@
 	rig.wantSend("b")
 }
 
-// A read sent late in its aim times out early; that is no failure of the primary.
+// A read sent late in its aim times out early, which is not counted as a failure of the primary.
 func TestShortTimeoutsDoNotOpenBreaker(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for i := range breakerThreshold {
@@ -606,9 +605,8 @@
 	rig.wantSend("p")
 }
 
-// simulation plays random legal events to one router and checks the rules on every
-// action: late, repeated and out of order results, list changes, restarts of
-// hosts, failed calls.
+// simulation passes random valid events to one router and checks the invariants on every action. The events are late,
+// repeated and reordered results, list changes, restarts of hosts and failed calls.
 type simulation struct {
 	t              *testing.T
 	random         *rand.Rand
@@ -653,7 +651,7 @@
 	return list
 }
 
-// randomEvent makes one random randomEvent; ok is false if this draw has none to offer.
+// randomEvent returns a random event, and false if the draw gave none.
 func (w *simulation) randomEvent(i int) (Event, bool) {
 	h := w.hosts[w.random.IntN(len(w.hosts))]
 	switch kind := w.random.IntN(20); {
@@ -707,7 +705,7 @@
 	return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Group: groupOf(h), Status: w.status[h], StartedAt: w.started[h]}}}, true
 }
 
-// randomResult ends attempt n of a request; now and then it is one that ended before.
+// randomResult ends attempt n of a request, which may have ended before.
 func (w *simulation) randomResult(id RequestID, a *trackedRequest, n int) Event {
 	e := Result{Request: id, Attempt: n, Host: a.hosts[n], Latency: w.now - a.sentAt[n], Finished: a.finished}
 	if !a.outstanding[n] {
@@ -740,13 +738,13 @@
 		a, h := w.requests[action.Request], action.Host
 		class := w.settings.Classes[a.class]
 		if a.finished || a.finalAnswers > 0 {
-			w.t.Fatalf("%v: sent after the end", action)
+			w.t.Fatalf("%v: sent after the final answer", action)
 		}
 		if !w.listed[h] || groupOf(h) != a.group {
 			w.t.Fatalf("%v: unlisted host or another group", action)
 		}
 		if since, ok := w.unhealthySince[h]; ok && w.now-since > w.settings.DrainGrace {
-			w.t.Fatalf("%v: told of its end %v ago", action, w.now-since)
+			w.t.Fatalf("%v: the host was draining or gone %v ago", action, w.now-since)
 		}
 		mayHaveRun := a.mayHaveRun || slices.Contains(a.outstanding, true)
 		if mayHaveRun && (class.RetrySafety == AtMostOnce || class.RetrySafety == DedupGroup && w.now > a.firstSentAt+class.DedupWindow) {
@@ -757,7 +755,7 @@
 			required = w.now - class.Bound
 		}
 		if w.settings.StaleReadMode == StaleReadServe && class.Level != Write && required > 0 && w.positions[h] < required && w.isReplica[h] {
-			w.t.Fatalf("%v: data at %v, needed %v", action, w.positions[h], required)
+			w.t.Fatalf("%v: position %v, required %v", action, w.positions[h], required)
 		}
 		if a.firstSentAt == 0 {
 			a.firstSentAt = w.now
@@ -783,7 +781,7 @@
 	}
 }
 
-// hostsOf gives two groups of three, or ten where hundreds of routers share them.
+// hostsOf returns the hosts of two groups of three, or of ten groups for hundreds of routers.
 func hostsOf(settings Settings) (hosts []HostID) {
 	groups := 2
 	if settings.Routers > 100 {
@@ -808,7 +806,7 @@
 		t.Fatal(err)
 	}
 	sim.router = router
-	// A replica that no list calls primary holds nothing for sure.
+	// A member that no list calls primary has no known position.
 	for i, h := range sim.hosts {
 		sim.isReplica[h] = i%3 != 0
 	}
@@ -823,7 +821,7 @@
 	for i := range 4000 {
 		sim.now += time.Duration(sim.random.IntN(3)) * 5 * ms
 		if e, ok := sim.randomEvent(i); ok {
-			// What an event of this step tells of roles binds from the next one.
+			// A role reported by an event of this step is binding from the next step.
 			step(e)
 		}
 		step()
@@ -852,12 +850,12 @@
 			set.Routers, set.MaxRetryAfter = 400, 0
 		}
 		if first, again := simulate(t, seed, set), simulate(t, seed, set); !reflect.DeepEqual(first, again) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: the same events gave different actions", seed)
 		}
 	}
 }
 
-// sendWrites asks for n writes at once and tells how many were sent and refused.
+// sendWrites makes n concurrent write requests and returns how many were sent and refused.
 func (g *rig) sendWrites(n int) (sent, refused int) {
 	for i := range n {
 		id := RequestID(rune('A' + i))
@@ -868,18 +866,18 @@
 	return sent, refused
 }
 
-// A process that stood still did not see to what it had sent: the host has its aim of the time that the process was there.
+// A paused process cannot read answers, so its pauses do not count towards the aim of an outstanding attempt.
 func TestProcessPauseIsNotAHostFailure(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.request("w", atMostOnce).wantSend("p")
 	rig.advance(100 * ms)
 	rig.advance(600*ms, ProcessPaused{Total: 590 * ms})
 	if p := rig.router.hosts["p"]; p.failures != 0 || p.strain > 0 {
-		t.Errorf("%d failures, strain %.2f, by own absence", p.failures, p.strain)
+		t.Errorf("%d failures, strain %.2f, after a process pause", p.failures, p.strain)
 	}
 	rig.advance(380 * ms)
 	if h := rig.router.hosts["p"]; h.failures != 0 {
-		t.Error("a failure before its time")
+		t.Error("counted as a failure before the aim has passed")
 	}
 	rig.advance(20 * ms)
 	if h := rig.router.hosts["p"]; h.failures != 1 {
@@ -887,11 +885,11 @@
 	}
 	rig.advance(0, ProbeResult{Host: "p", Outcome: NotSent})
 	if rig.router.probeLoss != 0 {
-		t.Error("a probe that this process could not see to counts as lost")
+		t.Error("a probe that was not sent counts as lost")
 	}
 }
 
-// Where the primary is strained and has no room, a request is refused at once, not held.
+// A request for a strained primary without capacity is refused at once, not held.
 func TestStrainedPrimaryShedsAtOnce(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.router.hosts["p"].strain = 2 * lowStrain
@@ -900,8 +898,8 @@
 	}
 }
 
-// A burst, or a process that read late what had come meanwhile, finds no room at a primary that answers in no time. It
-// waits for its turn, but no longer than an eighth of the aim.
+// A burst, or requests read late after a process pause, exceed the limit of a primary that answers fast. They are held,
+// but for no longer than an eighth of the aim.
 func TestBurstIsHeldAtFastPrimary(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	sent, refused := rig.sendWrites(20)
@@ -910,13 +908,13 @@
 	}
 	rig.advance(2*ms, Result{Request: "A", Host: "p", Outcome: OK, Finished: true, Latency: 2 * ms, Role: Primary})
 	if len(rig.sends()) == 0 {
-		t.Error("none goes in the place of the first")
+		t.Error("no held request is sent after the first answer")
 	}
 	left := 20 - sent - len(rig.sends())
 	rig.advance(500*ms/8 - ms)
 	for _, a := range rig.actions {
 		if a, ok := a.(Refuse); ok && a.RetryAfter <= 0 {
-			t.Error("a refusal that does not tell when to come back")
+			t.Error("a refusal without retry-after")
 		} else if refused++; !ok {
 			refused--
 		}
@@ -926,13 +924,13 @@
 	}
 }
 
-// Answers that take a large share of the aim shrink what a host is given, to
-// less than one attempt at a time: many routers together crowd it.
+// Answers that take a large share of the aim reduce a host's limit, even to less than one attempt at a time, since many
+// routers together overload it.
 func TestSlowAnswersShrinkTheLimit(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for i := range 400 {
 		id := RequestID(rune(i + 256))
-		rig.router.admitShare[true] = 1 // the throttle of quiet routers is another test's
+		rig.router.admitShare[true] = 1 // admission is not under test
 		rig.advance(450*ms).request(id, atMostOnce)
 		if len(rig.sends()) == 1 {
 			rig.advance(450*ms, Result{Request: id, Host: "p", Outcome: OK, Finished: true, Latency: 450 * ms, Role: Primary})
@@ -945,15 +943,14 @@
 	}
 }
 
-// A primary that is full is not asked again at once: that adds load where there
-// is no capacity left.
+// A request rejected by a primary at capacity is not retried at once, which would only add load.
 func TestPrimaryAtCapacityIsNotRetried(t *testing.T) {
 	rig := newRig(t, baseSettings()).request("w", atMostOnce).advance(ms, Result{Request: "w", Host: "p", Outcome: AtCapacity, Role: Primary})
 	rig.wantSend()
 	rig.wantFinal("w", 1, 0)
 }
 
-// Where only draining binds, a host that fell out of the list may still be used.
+// If only Draining is binding, a host that left the list may still be used.
 func TestGoneIsAdvisory(t *testing.T) {
 	set := baseSettings()
 	set.GoneIsAdvisory = true
@@ -968,7 +965,7 @@
 	rig.wantSend("p")
 }
 
-// Without roles in the list a router probes first and holds writes meanwhile.
+// If the list names no primaries, a router holds writes until probes have found the primary.
 func TestUnknownPrimaryIsProbedFirst(t *testing.T) {
 	set := baseSettings()
 	set.ListRole = ListRoleNone
@@ -979,8 +976,8 @@
 	rig.wantSend("b")
 }
 
-// Without probes only requests can tell a role: an open breaker lets one through
-// after a while, and a write looks for the primary itself.
+// Without probes only requests report roles: an open breaker lets one through after a pause, and a write searches for
+// the primary itself.
 func TestWorksWithoutProbes(t *testing.T) {
 	set := baseSettings()
 	set.CanProbe = false
@@ -996,8 +993,8 @@
 	rig.wantSend("a")
 }
 
-// An ageing primary: scattered successes reset the count while most writes time
-// out. The breaker stays closed, but the primary is given fewer writes at once.
+// If occasional successes reset the failure count while most writes time out, the breaker stays closed, but the
+// primary's limit shrinks.
 func TestScatteredSuccessesShrinkTheLimit(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	before := rig.router.hosts["p"].limit
@@ -1019,8 +1016,8 @@
 	}
 }
 
-// Some requests fail wherever they run. Each gets two tries and counts once: it
-// neither opens the breaker nor takes its members out of use.
+// Some requests fail on every host. Each gets two attempts and counts as one failure, so it neither opens the breaker
+// nor excludes members.
 func TestFailingRequestIsNotAHostFailure(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for i := range breakerThreshold - 1 {
@@ -1029,7 +1026,7 @@
 			rig.advance(5*ms, Result{Request: id, Attempt: n, Host: "p", Outcome: Error, Latency: 5 * ms, Role: Primary})
 		}
 		if n != 2 {
-			t.Fatalf("%d tries", n)
+			t.Fatalf("%d attempts", n)
 		}
 		rig.wantFinal(id, 0, 1)
 	}
@@ -1058,8 +1055,8 @@
 	return n
 }
 
-// Hundreds of idle routers that probe by the clock load every host. Probes
-// follow the router's own requests, yet reach every member in the end.
+// Hundreds of idle routers that probe at fixed intervals would load every host. The probe rate follows the router's own
+// requests, but every member is probed in time.
 func TestProbeRateFollowsRequests(t *testing.T) {
 	var list []Member
 	for i := range 30 {
@@ -1093,7 +1090,7 @@
 	}
 }
 
-// Hosts may serve while probes fail: failed probes alone open no breaker.
+// Hosts may serve requests while probes fail, so failed probes alone do not open a breaker.
 func TestFailedProbesAloneDoNotOpenBreaker(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for range 3 * breakerThreshold {
@@ -1103,8 +1100,8 @@
 	rig.wantSend("p")
 }
 
-// A quiet router sees few failures in a row: the first brings quick probes that
-// reach the count before its next write.
+// A router with few requests gets few consecutive failures. So the first one starts fast probes, whose failures open the
+// breaker before the next write.
 func TestFirstFailureStartsProbes(t *testing.T) {
 	rig := newRig(t, baseSettings()).failWrites(1, ConnectFailed)
 	for range 100 {
@@ -1121,15 +1118,15 @@
 	rig.wantFinal("w", 1, 0)
 }
 
-// fleet is many routers over one group; each host answers in the warm time all it
-// is sent. Clients leave soon and ask again at once, as often as they are let down.
+// fleet is many routers with one group. Each host answers every attempt in the time of a warm host. Clients abandon
+// unanswered requests early and send new ones at once.
 type fleet struct {
 	t                *testing.T
 	random           *rand.Rand
 	settings         Settings
 	now              time.Duration
 	routers          []*Router
-	cumulativeWeight []float64 // of a router's traffic, added up
+	cumulativeWeight []float64 // cumulative share of traffic, by router
 	lastID           int
 	writeTime        time.Duration // the answer time of a write
 	sent             map[HostID][]time.Duration
@@ -1160,8 +1157,8 @@
 	}
 }
 
-// request brings one request to a router by its weight and ends it within this call:
-// answered at once if ok, else left alone by the client a while later.
+// request passes one request to a random router, by weight, and ends it within this call: it is answered if ok, and
+// else abandoned by the client.
 func (f *fleet) request(class int, ok bool) {
 	i, _ := slices.BinarySearch(f.cumulativeWeight, f.random.Float64()*f.cumulativeWeight[len(f.cumulativeWeight)-1])
 	f.lastID++
@@ -1188,7 +1185,7 @@
 		}
 	}
 	apply(r.Step(now, []Event{Request{ID: id, Class: class, Timeout: time.Second}}))
-	for range 20 { // news of another member has what is held tried again
+	for range 20 { // a report of another member has held requests routed again
 		if waiting {
 			apply(r.Step(now, []Event{ProbeResult{Host: "b"}}))
 		}
@@ -1196,10 +1193,9 @@
 	r.Step(now, []Event{RequestAbandoned{Request: id}})
 }
 
-// Rule: in no FallTime is a cold host sent more than FallMultiple times what it can
-// do, here by what the fleet saw a warm one answer: in a surge to twenty times a
-// host's capacity with no other member to serve it, by any number of routers, even
-// or not, with clients that leave and come back, and requests that are held.
+// In no OverloadWindow is a cold host sent more than OverloadFactor times what it can do, judged by the answers of a
+// warm one. The load is twenty times a host's capacity with no other usable member, from any number of routers with
+// equal or unequal traffic, with clients that abandon and repeat requests, and with held requests.
 func TestColdHostIsNotOverloaded(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -1213,12 +1209,12 @@
 		{"reads, few", 5, false, loose, "a", 60 * ms},
 		{"reads, many", 80, false, loose, "a", 60 * ms},
 		{"reads, hundreds", 400, false, loose, "a", 60 * ms},
-		{"reads, hundreds, uneven", 400, true, loose, "a", 60 * ms},
+		{"reads, hundreds, unequal", 400, true, loose, "a", 60 * ms},
 		{"reads on the primary", 80, false, recent, "p", 60 * ms},
 		{"writes, few", 5, true, atMostOnce, "p", 60 * ms},
 		{"writes, many", 80, true, atMostOnce, "p", 60 * ms},
 		{"writes, hundreds", 400, false, atMostOnce, "p", 60 * ms},
-		{"reads, few, writes jammed", 5, false, loose, "a", 450 * ms},
+		{"reads, few, writes slow", 5, false, loose, "a", 450 * ms},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			set := baseSettings()
@@ -1227,7 +1223,7 @@
 			f.writeTime = tt.write
 			list := []Member{{Host: "p", Primary: true}, {Host: "a"}, {Host: "b"}}
 			f.deliverList(list...)
-			const capacity = 100 // of a warm host, a second; all three are full
+			const capacity = 100 // requests per second of a warm host; all three are fully loaded
 			for i := range 20 * 3 * capacity {
 				f.now += time.Second / 3 / capacity
 				f.request([]int{loose, loose, atMostOnce}[i%3], true)
@@ -1239,7 +1235,7 @@
 				}
 			}
 			f.deliverList(list...)
-			if tt.cold == "p" { // back as what it was
+			if tt.cold == "p" { // it returns as primary
 				f.now += ms
 				for _, r := range f.routers {
 					r.Step(f.now, []Event{ProbeResult{Host: "p", Report: Report{HasPosition: true, Position: f.now, Role: Primary}}})
@@ -1266,8 +1262,7 @@
 	}
 }
 
-// A router just started has seen nothing answered: it sends a cold host nothing
-// before it has, whoever may be the primary and though no probe is allowed.
+// A new router without any answers sends nothing to cold hosts, even if the primary is unknown and no probe is allowed.
 func TestNewRouterAvoidsColdHosts(t *testing.T) {
 	for _, class := range []int{loose, recent, latest, deduplicated} {
 		set := baseSettings()
@@ -1278,8 +1273,8 @@
 	}
 }
 
-// Hundreds of routers that look for a primary probe a cold member too: that is
-// work, so each asks it once in a FallTime.
+// During a primary search hundreds of routers probe cold members as well. Probes are work, so each router probes a cold
+// member once per OverloadWindow.
 func TestPrimarySearchAvoidsColdHosts(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "a", StartedAt: rig.now}}})
@@ -1297,9 +1292,8 @@
 	}
 }
 
-// Hundreds of quiet routers share a shortage that none of them can learn host by
-// host: rejections and late answers of all hosts cut what is sent at all, refusals
-// come at once, and answers in time bring it back.
+// Hundreds of routers with few requests each cannot learn the limit of a single overloaded host. Rejections and late
+// answers of all hosts reduce the admitted share, the rest is refused at once, and answers in time raise it again.
 func TestIdleRouterLearnsAdmissionFromAllAnswers(t *testing.T) {
 	var list []Member
 	for i := range 30 {
@@ -1335,8 +1329,8 @@
 	}
 }
 
-// Idle connections of hundreds of quiet routers fill the hosts' tables, until
-// others find no room: a router hangs up where it is heard of rarely, and only there.
+// Idle connections of hundreds of routers fill the hosts' connection tables until others get none. So a router closes
+// them where its results are rare, and only there.
 func TestIdleRouterClosesConnections(t *testing.T) {
 	for _, tt := range []struct {
 		interval time.Duration
@@ -1351,16 +1345,16 @@
 			rig.request(id, loose).wantSend("a")
 			rig.advance(10*ms, Result{Request: id, Host: "a", Outcome: OK, Finished: true, Latency: 10 * ms})
 			if slices.Contains(rig.actions, Action(CloseIdleConnections{Host: "a"})) {
-				t.Fatal("hung up at once: the next request pays for a new connection")
+				t.Fatal("closed at once: the next request has to open a new connection")
 			}
 		}
 		if closed != tt.want {
-			t.Errorf("a request each %v: hung up %v, want %v", tt.interval, closed, tt.want)
+			t.Errorf("a request every %v: closed %v, want %v", tt.interval, closed, tt.want)
 		}
 	}
 }
 
-// In a shortage what is worth least for its time is shed first.
+// Under overload, the class that is worth least for its time is shed first.
 func TestLeastWorthIsShedFirst(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Worth, set.Classes[recent].Worth = 6, 1
@@ -1381,8 +1375,7 @@
 	}
 }
 
-// Where a host's limit is short, what is worth more for its time gets more of it, and
-// writes count only where writes go.
+// Classes that are worth more for their time get a larger part of a host's limit. Writes count only at primaries.
 func TestLimitIsSharedByWorth(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Worth, set.Classes[own].Worth = 1, 4
@@ -1392,7 +1385,7 @@
 		for _, h := range rig.router.hostOrder {
 			h.limit, h.resultInterval = 8, time.Millisecond
 		}
-		rig.router.admitShare[true] = 0.99 // nothing spills
+		rig.router.admitShare[true] = 0.99 // so no read spills to the primary
 		for i := range 20 {
 			n += len(rig.request(RequestID(rune(i+256)), class).sends())
 		}
@@ -1405,8 +1398,8 @@
 	}
 }
 
-// Long reads and lag can crowd the replicas while the primaries have room: what
-// the replicas do not admit goes there, but only as long as primaries admit all.
+// Long reads and lag can overload the replicas while primaries have capacity. Reads that the replicas do not admit go to
+// the primary, but only while primaries admit all requests.
 func TestOverloadedReplicasSpillToPrimary(t *testing.T) {
 	for _, tt := range []struct {
 		primaryShare float64
@@ -1432,9 +1425,8 @@
 	}
 }
 
-// Hosts serve while their probes fail: after one failed request the failed probes
-// do not open the breaker where those of healthy hosts fail as well, and an open
-// one lets a request through, as no probe can close it.
+// Hosts may serve requests while their probes fail. After one failed request, failed probes do not open the breaker if
+// those of healthy hosts fail as well. An open breaker lets a request through, as no probe can close it.
 func TestLostProbesDoNotOpenOrHoldBreaker(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for range 20 {
@@ -1452,7 +1444,7 @@
 	rig.wantSend("p")
 }
 
-// Long reads would delay the writes of a primary: they do not spill there.
+// Long reads do not spill to a primary, where they would delay writes.
 func TestLongReadsDoNotSpill(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Aim, set.Classes[loose].Deadline = 4*time.Second, 8*time.Second
@@ -1476,8 +1468,8 @@
 	}
 }
 
-// A step touches only the hosts and groups that its events concern: all others
-// are taken away from under the router, so that any look at one would panic.
+// A step touches only the hosts and groups that its events concern. The test removes all others, so that any access
+// would panic.
 func TestStepTouchesOnlyConcernedGroups(t *testing.T) {
 	var list []Member
 	for i := range 300 {
@@ -1495,7 +1487,7 @@
 		}
 	}
 	answered := 0
-	for i := range 15 { // the 20th request's probe goes around all members
+	for i := range 15 { // the probe after the 20th request would be of any member
 		id := RequestID(rune(i + 256))
 		rig.advance(100*ms, Request{ID: id, Class: i % 6, Timeout: time.Second})
 		for _, h := range rig.sends() {
@@ -1509,8 +1501,7 @@
 	}
 }
 
-// Bad input changes nothing: hosts never heard of, results of no request, tenants
-// and classes out of range, a report without fields.
+// Invalid input changes nothing: unknown hosts, results of no request, classes out of range, an empty report.
 func TestInvalidInputIsIgnored(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	rig.advance(ms, ProbeResult{Host: "nobody"}, Result{Request: "none", Host: "nobody"}, Result{Request: "none", Host: "p"},
@@ -1522,10 +1513,10 @@
 	rig.wantFinal("w", 0, 0)
 }
 
-// Clients refused together do not come back together.
+// Clients refused at the same time do not retry at the same time.
 func TestRetryAfterIsSpread(t *testing.T) {
 	set := baseSettings()
-	set.MaxRetryAfter = 200 * ms // a cap must not bring them back in step
+	set.MaxRetryAfter = 200 * ms // the maximum must not make them equal
 	rig := newRig(t, set).failWrites(breakerThreshold, Error)
 	waits := map[time.Duration]bool{}
 	for i := range 20 {
@@ -1544,8 +1535,8 @@
 	}
 }
 
-// A long day replaces every host: who has left is probed no more, is passed over for the
-// next in turn, and goes from memory once nothing of it is out.
+// Over a long run every host is replaced. A host that has left is not probed, is skipped when probing in turn, and is
+// dropped when it has no outstanding attempts.
 func TestHostsThatLeftAreDropped(t *testing.T) {
 	rig := newRig(t, baseSettings())
 	for i := range 50 {
@@ -1574,19 +1565,19 @@
 	}
 }
 
-// A read waits for fresher positions only where probes tell any.
+// A read waits for newer positions only if probes report them.
 func TestReadDoesNotWaitForProbesWithoutRole(t *testing.T) {
 	for _, noRole := range []bool{false, true} {
 		rig := newRig(t, baseSettings())
 		for _, h := range []HostID{"a", "b"} {
 			rig.probeReport(0, h, Replica, 0)
 			if noRole {
-				rig.advance(0, ProbeResult{Host: h}) // it runs: that is all
+				rig.advance(0, ProbeResult{Host: h}) // only shows that it runs
 			}
 		}
 		rig.advance(2*time.Second).request("q", recent)
 		if sent := len(rig.sends()) > 0; sent != noRole {
-			t.Errorf("probes tell nothing: %t, sent at once: %t", noRole, sent)
+			t.Errorf("probes report nothing: %t, sent at once: %t", noRole, sent)
 		}
 	}
 }
--- a/policy/suspend_test.go
+++ b/policy/suspend_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// suspended is a rig whose replicas are both fresh.
+// suspendedRig returns a rig whose replicas are both fresh, for tests of suspension.
 func suspendedRig(t *testing.T) *rig {
 	g := newRig(t, baseSettings())
 	for _, h := range []HostID{"a", "b"} {
@@ -27,13 +27,13 @@
 	return hosts
 }
 
-// From the operators' word on nothing new goes to the host, by whatever way: first attempts, repeats,
-// probes in turn; discovery's word in between changes nothing, nor does leaving the list and coming back.
+// After an operator override suspends a host, nothing new is sent to it: no first attempts, retries or probes. List
+// updates do not change that, even if the host leaves the list and returns.
 func TestSuspendedHostGetsNothing(t *testing.T) {
 	rig := suspendedRig(t)
 	rig.advance(ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "a", Active: true})
 	if !slices.Contains(rig.actions, Action(StopUsingHost{Host: "a"})) {
-		t.Errorf("what waits for it is not given back: %v", rig.actions)
+		t.Errorf("attempts waiting for a connection to it are not returned: %v", rig.actions)
 	}
 	updates := [][]Event{
 		nil,
@@ -49,7 +49,7 @@
 			requestID := RequestID(rune(id))
 			rig.request(requestID, []int{loose, recent, own, atMostOnce}[id%4])
 			if slices.Contains(rig.contacted(), "a") {
-				t.Fatalf("sent to a host that is left out: %v", rig.actions)
+				t.Fatalf("sent to a suspended host: %v", rig.actions)
 			}
 			if len(rig.actions) > 0 {
 				if s, ok := rig.actions[0].(Send); ok {
@@ -57,11 +57,11 @@
 				}
 			}
 			if slices.Contains(rig.contacted(), "a") {
-				t.Fatalf("a repeat goes to a host that is left out: %v", rig.actions)
+				t.Fatalf("a retry is sent to a suspended host: %v", rig.actions)
 			}
-			rig.advance(5 * time.Second) // breakers, waits and timers run out
+			rig.advance(5 * time.Second) // breakers, waits and timers expire
 			if slices.Contains(rig.contacted(), "a") {
-				t.Fatalf("a timer leads to a host that is left out: %v", rig.actions)
+				t.Fatalf("a timer sends to a suspended host: %v", rig.actions)
 			}
 			for _, h := range []HostID{"b", "p"} {
 				rig.probeReport(ms, h, map[HostID]Role{"b": Replica, "p": Primary}[h], 0)
@@ -69,12 +69,12 @@
 		}
 	}
 	if n := rig.router.ExcludedHosts(); n != 1 {
-		t.Errorf("%d hosts are skipped, not 1", n)
+		t.Errorf("%d hosts are excluded, not 1", n)
 	}
 }
 
-// One word back undoes two words out. The host is cold then, whatever the list says, and what was learned of
-// the process before does not keep it from being used within seconds.
+// One override that resumes a host undoes two that suspend it. The host is then cold, whatever the list says, and what
+// was learned of its previous process does not prevent its use within seconds.
 func TestResumedHostServesAgain(t *testing.T) {
 	rig := suspendedRig(t)
 	h := rig.router.hosts["a"]
@@ -82,7 +82,7 @@
 	rig.advance(ms, SuspensionChanged{Host: "a", Active: true}, SuspensionChanged{Host: "a", Active: true})
 	rig.advance(3*time.Second, SuspensionChanged{Host: "a"})
 	if share := rig.router.capacityShare(h); share > rig.router.settings.StartCapacity+0.01 {
-		t.Errorf("it counts as warm to %.2f", share)
+		t.Errorf("its capacity counts as %.2f of a warm host's", share)
 	}
 	used := false
 	for i := range 400 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// A suspended primary is none: members are asked until another answers as primary, and writes do not turn in a
-// loop between members.
+// A suspended primary no longer counts as primary: members are probed until another answers as primary, and writes do
+// not go round in circles between members.
 func TestSuspendedPrimary(t *testing.T) {
 	rig := suspendedRig(t)
 	rig.advance(ms, SuspensionChanged{Host: "p", Active: true})
@@ -114,11 +114,11 @@
 	rig.advance(ms, ListUpdate{Kind: ListDelta, Entries: []Member{{Host: "p", Primary: true}}})
 	rig.probeReport(50*ms, "b", Primary, 0)
 	if hosts := rig.contacted(); !slices.Contains(hosts, "b") {
-		t.Errorf("the write that waits goes to %v, not to the new primary", hosts)
+		t.Errorf("the waiting write goes to %v, not to the new primary", hosts)
 	}
 }
 
-// What was given back unsent is decided anew, and is no failure of the host.
+// An attempt returned unsent is routed again, and does not count as a failure of the host.
 func TestUnsentAttemptIsRoutedAgain(t *testing.T) {
 	rig := suspendedRig(t)
 	rig.request("q", atMostOnce)
@@ -126,7 +126,7 @@
 	rig.advance(ms, SuspensionChanged{Host: s.Host, Active: true}, Result{Request: "q", Host: s.Host, Outcome: NotSent})
 	for _, a := range rig.actions {
 		if _, failed := a.(Fail); failed {
-			t.Errorf("a write that never ran is failed: %v", rig.actions)
+			t.Errorf("a write that never ran got a failure: %v", rig.actions)
 		}
 	}
 	rig.probeReport(50*ms, "a", Primary, 0)
