--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -31,9 +31,9 @@
 // read with a staleness bound of a second.
 func staleReplica(role policy.Role, age time.Duration) func(g *Guard, s *Attempt) {
 	return func(g *Guard, s *Attempt) {
-		const told = now - 200*ms
-		g.RecordAnswer("d", role, now-age-socketSlack, told)
-		g.RecordAnswer("p", policy.Primary, told, told)
+		const reportedAt = now - 200*ms
+		g.RecordAnswer("d", role, now-age-socketSlack, reportedAt)
+		g.RecordAnswer("p", policy.Primary, reportedAt, reportedAt)
 		s.Class = 3
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -67,7 +67,7 @@
 				last, _ = fresh.request(recent, 20*ms, replicasLagging(20*ms))
 				stale.request(own, 20*ms, replicasLagging(900*ms))
 				host, sent := stale.request(recent, 20*ms, replicasLagging(900*ms))
-				assert.True(t, !sent || host == "p", "%s is 900 ms behind, 500 are allowed", host)
+				assert.True(t, !sent || host == "p", "%s lags 900 ms, 500 are allowed", host)
 			}
 			assert.Contains(t, []HostID{"a", "b"}, last)
 		})
@@ -81,11 +81,11 @@
 		hosts     []HostID
 		want      bool
 	}{
-		"two":                 {0, 20 * ms, []HostID{"a", "b"}, true},
-		"one, twice":          {0, 20 * ms, []HostID{"a", "a"}, false},
-		"two that lag":        {0, 400 * ms, []HostID{"a", "b"}, false},
-		"two behind a step":   {3 * time.Second, 20 * ms, []HostID{"a", "b"}, false},
-		"two ahead of a step": {-3 * time.Second, 20 * ms, []HostID{"a", "b"}, false},
+		"two":               {0, 20 * ms, []HostID{"a", "b"}, true},
+		"one, twice":        {0, 20 * ms, []HostID{"a", "a"}, false},
+		"two that lag":      {0, 400 * ms, []HostID{"a", "b"}, false},
+		"two, step forward": {3 * time.Second, 20 * ms, []HostID{"a", "b"}, false},
+		"two, step back":    {-3 * time.Second, 20 * ms, []HostID{"a", "b"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newClockRig(t, c.step).router
@@ -139,7 +139,7 @@
 		reported := map[HostID]time.Duration{}
 		const tolerance = 2*clockTolerance + 60*ms + 2*ms
 		for range 80 {
-			invalid := rapid.IntRange(0, 9).Draw(rt, "spoilt") == 0
+			invalid := rapid.IntRange(0, 9).Draw(rt, "invalid") == 0
 			lag := time.Duration(rapid.IntRange(0, 2000).Draw(rt, "lag")) * ms
 			took := time.Duration(rapid.IntRange(1, 60).Draw(rt, "took")) * ms
 			class := rapid.SampledFrom([]int{own, recent, recent, latest, deduplicated}).Draw(rt, "class")
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -56,12 +56,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, router: router, now: 100 * time.Second}
+	rig := &rig{t: t, router: router, now: 100 * time.Second}
 	if members == nil {
 		members = []Member{{Host: "p", Primary: true}, {Host: "a"}, {Host: "b"}}
 	}
-	g.advance(0, ListUpdate{Kind: ListCached, Entries: members})
-	return g
+	rig.advance(0, ListUpdate{Kind: ListCached, Entries: members})
+	return rig
 }
 
 // advance moves the clock forward and passes events to the router.
@@ -1556,7 +1556,7 @@
 			}
 		}
 		if seen == 0 {
-			t.Fatalf("%s was probed %d times beside %d hosts that left", next, seen, i)
+			t.Fatalf("%s was probed %d times, after %d hosts left", next, seen, i)
 		}
 	}
 	rig.advance(stateExpiryInterval, TimerFired{}).advance(stateExpiryInterval, TimerFired{})
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -86,9 +86,9 @@
 	if g.breakerOpen && r.probesUnreliable() && r.now-g.breakerOpenedAt >= 5*suspectProbeInterval {
 		g.breakerOpen, g.failures = false, breakerThreshold-1
 	}
-	switch first := r.pickReplicaForWrite(req); {
-	case first != nil:
-		r.send(req, first)
+	switch replica := r.pickReplicaForWrite(req); {
+	case replica != nil:
+		r.send(req, replica)
 	case g.breakerOpen && req.needsPrimary():
 		r.startPrimarySearch(g)
 		r.giveUp(req, BreakerOpen)
--- a/policy/suspend_test.go
+++ b/policy/suspend_test.go
@@ -8,11 +8,11 @@
 
 // suspendedRig returns a rig whose replicas are both fresh, for tests of suspension.
 func suspendedRig(t *testing.T) *rig {
-	g := newRig(t, baseSettings())
+	rig := newRig(t, baseSettings())
 	for _, h := range []HostID{"a", "b"} {
-		g.probeReport(10*ms, h, Replica, 0)
+		rig.probeReport(10*ms, h, Replica, 0)
 	}
-	return g.probeReport(10*ms, "p", Primary, 0)
+	return rig.probeReport(10*ms, "p", Primary, 0)
 }
 
 func (g *rig) contacted() (hosts []HostID) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -80,9 +80,9 @@
 type ListRole uint8
 
 const (
-	ListRoleNone    ListRole = iota // it names no primaries
-	ListRoleInitial                 // it names the primaries of the start
-	ListRoleDelayed                 // it names the current primaries, with a delay
+	ListRoleNone ListRole = iota
+	ListRoleInitial
+	ListRoleDelayed
 )
 
 // ListSource is where the host list comes from.
@@ -91,7 +91,7 @@
 const (
 	ListPushed      ListSource = iota // changes arrive without a request, as in the simulator
 	ListFromService                   // one service answers the calls of all routers, one after another
-	ListFromAgent                     // an agent beside this router holds the current list, and answers at once
+	ListFromAgent                     // an agent of this router holds the current list, and answers at once
 )
 
 // StartupTimeout is how long a starting router waits for its agent before it acts on the list that it was started with.
