--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -137,9 +137,9 @@
 // Constants that the formulas take from the program stand there as they do here.
 func TestInputsStandInTheCode(t *testing.T) {
 	for _, tt := range []struct{ file, line string }{
-		{"policy/policy.go", `seldom\s+= 2 \* time\.Second`},
-		{"policy/policy.go", `askPace\s+= 100 \* time\.Millisecond`},
-		{"policy/policy.go", `askMost\s+= 2500 \* time\.Millisecond`},
+		{"policy/policy.go", `rareResultInterval\s+= 2 \* time\.Second`},
+		{"policy/policy.go", `listCallInterval\s+= 100 \* time\.Millisecond`},
+		{"policy/policy.go", `maxListCallDelay\s+= 2500 \* time\.Millisecond`},
 		{"internal/peer/positions.go", `minPositionStep\s+= 200 \* time\.Millisecond`},
 		{"internal/peer/envelope.go", `headerSize\s+= 12\b`},
 		{"internal/peer/envelope.go", `trailerSize\s+= 8\b`},
