--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -105,7 +105,7 @@
 func (c *conn) start(j *job) {
 	left := time.Duration(0)
 	if j.attempt != nil {
-		if left = c.pool.core.Begun(j.attempt, j.until); left == 0 {
+		if left = c.pool.core.BeginAttempt(j.attempt, j.until); left == 0 {
 			c.pool.finish(j, policy.NotSent, gateway.Reply{})
 			c.pool.free(c)
 			return
@@ -217,7 +217,7 @@
 		return false
 	}
 	j := c.job
-	if !c.pool.core.Began(j.attempt) {
+	if !c.pool.core.BeginStream(j.attempt) {
 		c.pool.abandon(j, policy.Cancelled) // nobody waits for it any more
 		return false
 	}
@@ -255,7 +255,7 @@
 
 // hand gives bytes to the client, and reads no more while it has enough of them.
 func (c *conn) hand(b []byte) {
-	if !c.pool.core.Part(c.job.attempt, b) {
+	if !c.pool.core.StreamChunk(c.job.attempt, b) {
 		c.held = true
 		c.nc.Pause()
 	}
@@ -384,7 +384,7 @@
 func (c *conn) ready() {
 	j := c.job
 	if c.late {
-		c.pool.core.Late(c.host.id, c.answer.reply)
+		c.pool.core.LateAnswer(c.host.id, c.answer.reply)
 		c.drop()
 		return
 	}
@@ -441,7 +441,7 @@
 	switch j := c.job; {
 	case c.late:
 		if c.drop(); c.answer.whole() {
-			c.pool.core.Late(c.host.id, c.answer.reply)
+			c.pool.core.LateAnswer(c.host.id, c.answer.reply)
 		}
 	case !c.up:
 		o := policy.ConnectFailed
--- a/internal/backend/late_start_test.go
+++ b/internal/backend/late_start_test.go
@@ -17,11 +17,11 @@
 	asked int
 }
 
-func (o *overtaken) Begun(a *gateway.Attempt, until time.Duration) time.Duration {
+func (o *overtaken) BeginAttempt(a *gateway.Attempt, until time.Duration) time.Duration {
 	if o.asked++; o.asked == 1 {
 		return 0
 	}
-	return o.ends.Begun(a, until)
+	return o.ends.BeginAttempt(a, until)
 }
 
 // An attempt whose time is over in the very moment in which it would be written is not sent, and its connection serves the next.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -17,15 +17,15 @@
 // Core hears how attempts and probes end.
 type Core interface {
 	Resolved(a *gateway.Attempt, o policy.Outcome, r gateway.Reply)
-	Late(host policy.HostID, r gateway.Reply) // what was answered to an attempt that was given up meanwhile
+	LateAnswer(host policy.HostID, r gateway.Reply) // what was answered to an attempt that was given up meanwhile
 	Probed(host policy.HostID, o policy.Outcome, r gateway.Reply)
-	// Begun tells that the first byte of an attempt is written now, and returns how long its database is told to have; 0: its
+	// BeginAttempt tells that the first byte of an attempt is written now, and returns how long its database is told to have; 0: its
 	// time to begin is over.
-	Begun(a *gateway.Attempt, until time.Duration) (left time.Duration)
+	BeginAttempt(a *gateway.Attempt, until time.Duration) (left time.Duration)
 	Written(a *gateway.Attempt) // its last byte was taken by the kernel
-	Began(a *gateway.Attempt) bool
+	BeginStream(a *gateway.Attempt) bool
 	FleetEvent(e policy.Event)
-	Part(a *gateway.Attempt, b []byte) (more bool)
+	StreamChunk(a *gateway.Attempt, b []byte) (more bool)
 }
 
 // Options are what the pool is told once.
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -21,16 +21,16 @@
 	late     []policy.Role
 }
 
-func (e *ends) Begun(*gateway.Attempt, time.Duration) time.Duration { return time.Millisecond }
+func (e *ends) BeginAttempt(*gateway.Attempt, time.Duration) time.Duration { return time.Millisecond }
 func (e *ends) Resolved(_ *gateway.Attempt, o policy.Outcome, _ gateway.Reply) {
 	e.outcomes = append(e.outcomes, o)
 }
-func (e *ends) Late(_ policy.HostID, r gateway.Reply)             { e.late = append(e.late, r.Role) }
+func (e *ends) LateAnswer(_ policy.HostID, r gateway.Reply)       { e.late = append(e.late, r.Role) }
 func (*ends) Probed(policy.HostID, policy.Outcome, gateway.Reply) {}
 func (*ends) Written(*gateway.Attempt)                            {}
-func (*ends) Began(*gateway.Attempt) bool                         { return true }
+func (*ends) BeginStream(*gateway.Attempt) bool                   { return true }
 func (*ends) FleetEvent(policy.Event)                             {}
-func (*ends) Part(*gateway.Attempt, []byte) bool                  { return true }
+func (*ends) StreamChunk(*gateway.Attempt, []byte) bool           { return true }
 
 // row is an answer with a value.
 const row = "T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01" +
--- a/internal/backend/standstill_test.go
+++ b/internal/backend/standstill_test.go
@@ -25,7 +25,7 @@
 
 const stoodFor = 300 * time.Millisecond
 
-func (s *standstill) Begun(_ *gateway.Attempt, until time.Duration) time.Duration {
+func (s *standstill) BeginAttempt(_ *gateway.Attempt, until time.Duration) time.Duration {
 	time.Sleep(stoodFor)
 	s.left = until - s.loop.Clock()
 	return s.left
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -119,7 +119,7 @@
 	case c.calls[0].parts:
 		c.calls[0].BeginStream()
 		if c.nc.Pending() < mostPart { // else when it is flushed
-			c.front.core.More(c.calls[0].q)
+			c.front.core.ResumeStream(c.calls[0].q)
 		}
 	}
 	c.serve()
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -97,7 +97,7 @@
 // flushed goes on when the client has read all that was kept for it.
 func (c *conn) flushed() {
 	if len(c.calls) > 0 && c.calls[0].parts {
-		c.front.core.More(c.calls[0].q)
+		c.front.core.ResumeStream(c.calls[0].q)
 	} else {
 		c.serve()
 	}
@@ -121,7 +121,7 @@
 	for _, a := range calls {
 		if !a.done {
 			a.over()
-			c.front.core.Gone(a.q)
+			c.front.core.ClientGone(a.q)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	a := &call{conn: c, q: q, id: id, buffers: buffers, large: large}
 	q.Client, q.Statement = a, st
 	c.calls = append(c.calls, a)
-	c.front.core.Take(q)
+	c.front.core.Submit(q)
 }
 
 // arrived is when what is read now may have come at the earliest: it waited if this process stood still. A hold-up within the
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -20,9 +20,9 @@
 
 // Core takes requests.
 type Core interface {
-	Take(q *gateway.Request)
-	Gone(q *gateway.Request)
-	More(q *gateway.Request)
+	Submit(q *gateway.Request)
+	ClientGone(q *gateway.Request)
+	ResumeStream(q *gateway.Request)
 	Cancel(q *gateway.Request)
 }
 
--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -33,7 +33,7 @@
 			case len(open) == 0 || rnd.IntN(3) == 0:
 				q := &Request{Client: &world{}, Class: rnd.IntN(2), Deadline: loop.Now() + time.Hour}
 				taken++
-				g.Take(q)
+				g.Submit(q)
 				open = append(open, q)
 			default:
 				q := open[rnd.IntN(len(open))]
@@ -43,7 +43,7 @@
 				case 1:
 					r.next = []policy.Action{policy.Fail{Request: q.id}, policy.Refuse{Request: q.id}}
 				case 2:
-					g.Gone(q)
+					g.ClientGone(q)
 					for _, a := range w.cancelled { // as a backend does
 						g.Resolved(a, policy.Cancelled, Reply{})
 						w.sent = slices.DeleteFunc(w.sent, func(o *Attempt) bool { return o == a })
@@ -61,14 +61,14 @@
 				if rnd.IntN(2) == 0 {
 					a := w.sent[i]
 					if rnd.IntN(2) == 0 {
-						if !a.whole {
+						if !a.written {
 							written++
 						}
 						g.Written(a)
 						g.Written(a)
 					}
-					if rnd.IntN(3) == 0 && g.Began(a) {
-						g.Part(a, []byte("x"))
+					if rnd.IntN(3) == 0 && g.BeginStream(a) {
+						g.StreamChunk(a, []byte("x"))
 						if rnd.IntN(2) == 0 {
 							g.Step()
 							continue // its end comes later, or its client leaves first
@@ -134,23 +134,23 @@
 	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
 	a, b := w.sent[0], w.sent[1]
-	require.True(t, g.Began(a))
-	assert.False(t, g.Began(b), "one copy wins")
-	assert.False(t, g.Began(a))
+	require.True(t, g.BeginStream(a))
+	assert.False(t, g.BeginStream(b), "one copy wins")
+	assert.False(t, g.BeginStream(a))
 	g.Step()
 	require.Len(t, r.heard, 1)
 	e := r.heard[0].(policy.Result)
 	assert.Equal(t, policy.OK, e.Outcome)
 	assert.True(t, e.Finished)
 	assert.Equal(t, max(0, loop.Now()-a.sentAt), e.Latency)
-	assert.True(t, g.Part(a, []byte("x")))
-	assert.False(t, g.Part(a, []byte("xyz")), "the client has enough for now")
-	g.More(q)
+	assert.True(t, g.StreamChunk(a, []byte("x")))
+	assert.False(t, g.StreamChunk(a, []byte("xyz")), "the client has enough for now")
+	g.ResumeStream(q)
 	assert.Equal(t, []*Attempt{a}, w.resumed)
 	assert.Equal(t, 1, g.Gauges().InProgress)
 	g.Resolved(b, policy.OK, Reply{Value: []byte("second")})
 	g.Resolved(a, policy.OK, Reply{Role: policy.Replica, Position: 7, HasPosition: true})
-	g.More(q)
+	g.ResumeStream(q)
 	g.Step()
 	assert.Equal(t, []string{"begin", "part x", "part xyz", "complete", "released"}, w.said)
 	assert.Equal(t, policy.Result{Host: "a", Report: policy.Report{Position: 7, HasPosition: true, Role: policy.Replica}}, r.heard[len(r.heard)-1])
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,14 +19,14 @@
 	"lilaccove/policy"
 )
 
-// lateBy is how long after a request's deadline the gateway ends it itself. The module
+// deadlineGrace is how long after a request's deadline the gateway ends it itself. The module
 // does so a tick before; this guards the rule that each request gets its answer in time.
-const lateBy = 2 * time.Millisecond
+const deadlineGrace = 2 * time.Millisecond
 
 // Lines in the log in a second.
 const (
-	givenUpLines = 5
-	retryLines   = 5
+	givenUpLogsPerSecond = 5
+	retryLogsPerSecond   = 5
 )
 
 // Client is the front's side of one request. Exactly one of the first four is called,
@@ -89,16 +89,16 @@
 	Name         string // as its client named it, for logs
 	ConnectionID uint64 // the number of the client's connection, for logs
 
-	id       policy.RequestID
-	attempts []*Attempt
-	out      int
-	over     bool          // it has its answer, or the client is gone
-	unwanted bool          // its client has cancelled it: no further attempt
-	mayRun   bool          // some attempt may have had its effect
-	mayRunAt time.Duration // when the first such was begun
-	leftAt   time.Duration // when its client left; 0: it has not
-	stream   *Attempt      // whose value is being passed on
-	overdue  *netloop.Timer
+	id            policy.RequestID
+	attempts      []*Attempt
+	inFlight      int
+	finished      bool          // it has its answer, or the client is gone
+	cancelled     bool          // its client has cancelled it: no further attempt
+	mayHaveRun    bool          // some attempt may have had its effect
+	mayHaveRunAt  time.Duration // when the first such was begun
+	clientGoneAt  time.Duration // when its client left; 0: it has not
+	stream        *Attempt      // whose value is being passed on
+	deadlineTimer *netloop.Timer
 }
 
 // Attempt is one request on its way to one host.
@@ -109,13 +109,13 @@
 	BeginBy     time.Duration // the moment by which it has to begin, or not at all
 	BackendData any           // the backend's own
 
-	q      *Request
-	number int
-	sentAt time.Duration
-	done   bool
-	begun  bool // its first byte was to be written
-	whole  bool // its last byte was written
-	told   bool // the module has its result: its value began to be passed on
+	request  *Request
+	number   int
+	sentAt   time.Duration
+	done     bool
+	started  bool // its first byte was to be written
+	written  bool // its last byte was written
+	reported bool // the module has its result: its value began to be passed on
 }
 
 // Reply is what a backend learned with the end of an attempt or a probe.
@@ -135,208 +135,210 @@
 
 // Gateway is the life of all requests. Everything runs on the loop's goroutine.
 type Gateway struct {
-	loop      *netloop.Loop
-	router    Router
-	backends  Backends
-	discovery Discovery
-	requests  map[policy.RequestID]*Request
-	events    []policy.Event
-	spare     []policy.Event
-	late      []*Request // past their deadlines in this round
-	seq       uint64
-	owed      int // requests without an answer
-	most      int
-	probes    map[policy.HostID]time.Duration
-	counts    *stats.Counters
-	listed    map[policy.HostID]policy.Member
-	changed   func() // the list has
-	position  func(host policy.HostID, at time.Duration)
-	primary   func(host policy.HostID, at time.Duration)
-	acts      Observer // nil: nobody listens
-	suspended map[policy.HostID]bool
-	lost      time.Duration    // as the module was told
-	sending   time.Duration    // when what the last Step decided began to be carried out
-	decided   []func()         // called when the next Step is carried out
-	guard     *invariant.Guard // nil: nothing is checked
-	givenUp   *stats.Named
-	logGiven  netloop.Sparse
-	logRetry  netloop.Sparse
+	loop          *netloop.Loop
+	router        Router
+	backends      Backends
+	discovery     Discovery
+	requests      map[policy.RequestID]*Request
+	events        []policy.Event
+	spareEvents   []policy.Event
+	expired       []*Request // past their deadlines in this round
+	lastID        uint64
+	unanswered    int // requests without an answer
+	maxUnanswered int
+	probeTimes    map[policy.HostID]time.Duration
+	counts        *stats.Counters
+	members       map[policy.HostID]policy.Member
+	onListChange  func() // the list has
+	onPosition    func(host policy.HostID, at time.Duration)
+	onPrimary     func(host policy.HostID, at time.Duration)
+	observer      Observer // nil: nobody listens
+	suspended     map[policy.HostID]bool
+	reportedPause time.Duration    // as the module was told
+	actionTime    time.Duration    // when what the last Step decided began to be carried out
+	afterStep     []func()         // called when the next Step is carried out
+	guard         *invariant.Guard // nil: nothing is checked
+	givenUpCounts *stats.Named
+	givenUpLog    netloop.Sparse
+	retryLog      netloop.Sparse
 }
 
 // New makes a gateway that holds at most so many unanswered requests; 0: no limit.
-func New(loop *netloop.Loop, router Router, most int, counts *stats.Counters) *Gateway {
-	if most <= 0 {
-		most = math.MaxInt
+func New(loop *netloop.Loop, router Router, maxUnanswered int, counts *stats.Counters) *Gateway {
+	if maxUnanswered <= 0 {
+		maxUnanswered = math.MaxInt
 	}
 	return &Gateway{
-		loop: loop, router: router, most: most, counts: counts,
-		requests: map[policy.RequestID]*Request{}, probes: map[policy.HostID]time.Duration{},
-		listed: map[policy.HostID]policy.Member{}, suspended: map[policy.HostID]bool{}, givenUp: stats.NewNamed("given_up", reasons()),
-		logGiven: netloop.Sparse{Most: givenUpLines}, logRetry: netloop.Sparse{Most: retryLines},
+		loop: loop, router: router, maxUnanswered: maxUnanswered, counts: counts,
+		requests: map[policy.RequestID]*Request{}, probeTimes: map[policy.HostID]time.Duration{},
+		members: map[policy.HostID]policy.Member{}, suspended: map[policy.HostID]bool{}, givenUpCounts: stats.NewNamed("given_up", reasonNames()),
+		givenUpLog: netloop.Sparse{Most: givenUpLogsPerSecond}, retryLog: netloop.Sparse{Most: retryLogsPerSecond},
 	}
 }
 
-// reasons are the names of policy's.
-func reasons() (list []string) {
-	for r := range policy.ReasonCount {
-		list = append(list, r.String())
+// reasonNames are the names of policy's.
+func reasonNames() (names []string) {
+	for reason := range policy.ReasonCount {
+		names = append(names, reason.String())
 	}
-	return list
+	return names
 }
 
 // SetGuard has all that is done checked.
 func (g *Gateway) SetGuard(guard *invariant.Guard) { g.guard = guard }
 
 // Metrics adds the figures of requests that were given up, by reason.
-func (g *Gateway) Metrics(b []byte) []byte { return g.givenUp.Append(b) }
+func (g *Gateway) Metrics(b []byte) []byte { return g.givenUpCounts.Append(b) }
 
 // Connect sets what the gateway acts on.
-func (g *Gateway) Connect(b Backends, d Discovery) { g.backends, g.discovery = b, d }
+func (g *Gateway) Connect(backends Backends, discovery Discovery) {
+	g.backends, g.discovery = backends, discovery
+}
 
 // Unanswered is how many requests have no answer yet.
-func (g *Gateway) Unanswered() int { return g.owed }
+func (g *Gateway) Unanswered() int { return g.unanswered }
 
 // Gauges are what the operators read of the moment.
 func (g *Gateway) Gauges() stats.Gauges {
-	return stats.Gauges{InProgress: g.owed, Known: len(g.listed), Skipped: g.router.ExcludedHosts(), Lost: g.loop.Lost()}
+	return stats.Gauges{InProgress: g.unanswered, Known: len(g.members), Skipped: g.router.ExcludedHosts(), Lost: g.loop.Lost()}
 }
 
 // FleetEvent passes on what the fleet tells of hosts: policy.Bounded, Preferred or Heard.
-func (g *Gateway) FleetEvent(e policy.Event) {
-	switch e := e.(type) {
+func (g *Gateway) FleetEvent(event policy.Event) {
+	switch e := event.(type) {
 	case policy.PrimaryReported:
 		g.guard.RecordPrimary(e.Host)
 	case policy.PositionReported:
 		g.guard.RecordPosition(e.Host, e.Position)
 	}
-	g.events = append(g.events, e)
+	g.events = append(g.events, event)
 }
 
 // Fence has the decisions take no writes, or take them again. It goes before all that the round has brought.
-func (g *Gateway) Fence(out bool) {
-	g.events = slices.Insert(g.events, 0, policy.Event(policy.FenceChanged{Active: out}))
+func (g *Gateway) Fence(active bool) {
+	g.events = slices.Insert(g.events, 0, policy.Event(policy.FenceChanged{Active: active}))
 }
 
 // Take accepts a request. Its answer may come before Take returns.
-func (g *Gateway) Take(q *Request) {
+func (g *Gateway) Submit(req *Request) {
 	now := g.loop.Now()
-	if g.owed >= g.most {
-		q.over = true
-		g.counts.Of(q.Class).Dropped++
-		q.Client.Refused(0)
-		q.Client.Released()
+	if g.unanswered >= g.maxUnanswered {
+		req.finished = true
+		g.counts.Of(req.Class).Dropped++
+		req.Client.Refused(0)
+		req.Client.Released()
 		return
 	}
-	g.seq++
-	g.owed++
+	g.lastID++
+	g.unanswered++
 	// The client's own id would do, were it certain that none comes twice.
-	q.id = policy.RequestID(strconv.FormatUint(g.seq, 36))
-	g.requests[q.id] = q
+	req.id = policy.RequestID(strconv.FormatUint(g.lastID, 36))
+	g.requests[req.id] = req
 	// A round that comes late finds the module's own timer due with this one: the module goes first.
-	q.overdue = g.loop.At(q.Deadline+lateBy, func() { g.late = append(g.late, q) })
-	e := policy.Request{
-		ID: q.id, Class: q.Class, Group: q.Group, Session: q.Session, Timeout: q.Deadline - now,
+	req.deadlineTimer = g.loop.At(req.Deadline+deadlineGrace, func() { g.expired = append(g.expired, req) })
+	event := policy.Request{
+		ID: req.id, Class: req.Class, Group: req.Group, Session: req.Session, Timeout: req.Deadline - now,
 	}
-	if q.MinPosition > 0 {
-		e.LastCommitAge = cmp.Or(now-q.MinPosition, 1) // 0 would mean that there is no token
+	if req.MinPosition > 0 {
+		event.LastCommitAge = cmp.Or(now-req.MinPosition, 1) // 0 would mean that there is no token
 	}
-	g.events = append(g.events, e)
+	g.events = append(g.events, event)
 }
 
 // Gone tells that the client of q has left: nothing more is owed. What waits for a connection would begin when nobody
 // wants it any more; that is taken back even where attempts may not be called off.
-func (g *Gateway) Gone(q *Request) {
-	if a := q.stream; a != nil {
-		g.endStream(q, &g.counts.Of(q.Class).Abandoned)
-		g.backends.Cancel(a)
+func (g *Gateway) ClientGone(req *Request) {
+	if stream := req.stream; stream != nil {
+		g.endStream(req, &g.counts.Of(req.Class).Abandoned)
+		g.backends.Cancel(stream)
 		return
 	}
-	q.leftAt = g.loop.Now()
-	if g.end(q) {
-		g.counts.Of(q.Class).Abandoned++
-		g.recall(q)
-		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
-		g.release(q)
+	req.clientGoneAt = g.loop.Now()
+	if g.markFinished(req) {
+		g.counts.Of(req.Class).Abandoned++
+		g.cancelUnsent(req)
+		g.events = append(g.events, policy.RequestAbandoned{Request: req.id})
+		g.release(req)
 	}
 }
 
 // Cancel tells that the client of q wants no answer any more, and stays. What may run already goes on, and its outcome is
 // the answer; nothing else is begun.
-func (g *Gateway) Cancel(q *Request) {
-	if q.over {
+func (g *Gateway) Cancel(req *Request) {
+	if req.finished {
 		return
 	}
-	q.unwanted = true
-	g.recall(q)
-	g.settle(q)
-	if q.over {
-		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
-		g.release(q)
+	req.cancelled = true
+	g.cancelUnsent(req)
+	g.finishCancelled(req)
+	if req.finished {
+		g.events = append(g.events, policy.RequestAbandoned{Request: req.id})
+		g.release(req)
 	}
 }
 
-// recall takes back what of q is not written whole.
-func (g *Gateway) recall(q *Request) {
-	for _, a := range q.attempts {
-		if !a.done {
-			g.backends.CancelUnsent(a)
+// cancelUnsent takes back what of q is not written whole.
+func (g *Gateway) cancelUnsent(req *Request) {
+	for _, attempt := range req.attempts {
+		if !attempt.done {
+			g.backends.CancelUnsent(attempt)
 		}
 	}
 }
 
-// settle ends a cancelled request that has nothing out.
-func (g *Gateway) settle(q *Request) {
+// finishCancelled ends a cancelled request that has nothing out.
+func (g *Gateway) finishCancelled(req *Request) {
 	switch {
-	case !q.unwanted || q.out > 0 || !g.end(q):
-	case q.mayRun:
-		g.fail(q)
+	case !req.cancelled || req.inFlight > 0 || !g.markFinished(req):
+	case req.mayHaveRun:
+		g.fail(req)
 	default:
-		g.counts.Of(q.Class).Abandoned++
-		q.Client.Cancelled()
+		g.counts.Of(req.Class).Abandoned++
+		req.Client.Cancelled()
 	}
 }
 
-func (g *Gateway) expire(q *Request) {
-	if g.end(q) {
-		log.Printf("event=overdue request=%q attempts=%d out=%d", q.Name, len(q.attempts), q.out)
-		g.guard.RecordViolation(invariant.Violation{Name: invariant.NeverAnswered, Request: q.Name, Client: q.ConnectionID, Transition: "expire"})
-		g.fail(q)
-		g.events = append(g.events, policy.RequestAbandoned{Request: q.id})
-		g.release(q)
+func (g *Gateway) expire(req *Request) {
+	if g.markFinished(req) {
+		log.Printf("event=overdue request=%q attempts=%d out=%d", req.Name, len(req.attempts), req.inFlight)
+		g.guard.RecordViolation(invariant.Violation{Name: invariant.NeverAnswered, Request: req.Name, Client: req.ConnectionID, Transition: "expire"})
+		g.fail(req)
+		g.events = append(g.events, policy.RequestAbandoned{Request: req.id})
+		g.release(req)
 	}
 }
 
-func (g *Gateway) fail(q *Request) {
-	g.counts.Of(q.Class).BadGateway++
-	q.Client.Failed()
+func (g *Gateway) fail(req *Request) {
+	g.counts.Of(req.Class).BadGateway++
+	req.Client.Failed()
 }
 
-// end marks the final answer; false: there was one already.
-func (g *Gateway) end(q *Request) bool {
-	if q.over {
+// markFinished marks the final answer; false: there was one already.
+func (g *Gateway) markFinished(req *Request) bool {
+	if req.finished {
 		return false
 	}
-	q.over = true
-	q.overdue.Stop()
-	g.owed--
+	req.finished = true
+	req.deadlineTimer.Stop()
+	g.unanswered--
 	return true
 }
 
 // release forgets a request that is over and has nothing out.
-func (g *Gateway) release(q *Request) {
-	if q.over && q.out == 0 && q.Client != nil {
-		delete(g.requests, q.id)
-		q.Client.Released()
-		q.Client = nil
+func (g *Gateway) release(req *Request) {
+	if req.finished && req.inFlight == 0 && req.Client != nil {
+		delete(g.requests, req.id)
+		req.Client.Released()
+		req.Client = nil
 	}
 }
 
 // SetObserver has a hear what is done to databases.
-func (g *Gateway) SetObserver(a Observer) { g.acts = a }
+func (g *Gateway) SetObserver(observer Observer) { g.observer = observer }
 
-// accepted tells of a request that a database has served.
-func (g *Gateway) accepted(a *Attempt) {
-	if g.acts != nil {
-		g.acts.Accepted(a.Host, a.q.Group, a.q.Class)
+// notifyAccepted tells of a request that a database has served.
+func (g *Gateway) notifyAccepted(attempt *Attempt) {
+	if g.observer != nil {
+		g.observer.Accepted(attempt.Host, attempt.request.Group, attempt.request.Class)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -72,7 +72,7 @@
 
 func (g *Gateway) take(w *world, left time.Duration) *Request {
 	q := &Request{Client: w, Deadline: g.loop.Now() + left, MinPosition: g.loop.Now() + time.Hour}
-	g.Take(q)
+	g.Submit(q)
 	g.Step()
 	return q
 }
@@ -93,7 +93,7 @@
 
 	g.Resolved(w.sent[1], policy.OK, Reply{Value: []byte("v")})
 	g.Resolved(w.sent[1], policy.Reset, Reply{})
-	g.Gone(q)
+	g.ClientGone(q)
 	r.next = []policy.Action{
 		policy.Refuse{Request: e.ID}, policy.Fail{Request: e.ID}, policy.Cancel{Request: e.ID, Attempt: 0},
 		policy.Cancel{Request: e.ID, Attempt: 1}, policy.Cancel{Request: "none"}, policy.Send{Request: e.ID, Host: "c"},
@@ -124,8 +124,8 @@
 	assert.Equal(t, 2, g.Unanswered())
 
 	w.said = nil
-	g.Gone(gone)
-	g.Gone(gone)
+	g.ClientGone(gone)
+	g.ClientGone(gone)
 	assert.Equal(t, []string{"released"}, w.said)
 
 	// A request that the module leaves without an answer fails at its deadline.
@@ -146,7 +146,7 @@
 func TestModuleAnswersFirstInALateRound(t *testing.T) {
 	loop, g, r, w := newWorld(t)
 	q := g.take(w, time.Millisecond)
-	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*lateBy { // the round is late
+	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*deadlineGrace { // the round is late
 	}
 	loop.At(q.Deadline, func() { g.events = append(g.events, policy.TimerFired{}) })
 	assert.NoError(t, loop.Run(func() bool {
@@ -188,11 +188,11 @@
 // What was answered to an attempt that was given up unseats a primary; it seats none, for others may have told more since.
 func TestLateAnswers(t *testing.T) {
 	_, g, r, _ := newWorld(t)
-	g.Late("p", Reply{Role: policy.Primary})
-	g.Late("h", Reply{})
+	g.LateAnswer("p", Reply{Role: policy.Primary})
+	g.LateAnswer("h", Reply{})
 	g.Step()
 	assert.Empty(t, r.heard)
-	g.Late("p", Reply{Role: policy.Replica})
+	g.LateAnswer("p", Reply{Role: policy.Replica})
 	g.Step()
 	assert.Equal(t, []policy.Event{policy.Result{Host: "p", Attempt: -1, Outcome: policy.NotSent, Finished: true, Role: policy.Replica}}, r.heard)
 }
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -38,7 +38,7 @@
 	x.events = append(x.events, policy.TimerFired{})
 	x.Step()
 	a := x.w.sent[len(x.w.sent)-1]
-	x.Begun(a, x.loop.Clock()+told)
+	x.BeginAttempt(a, x.loop.Clock()+told)
 	return a
 }
 
@@ -78,21 +78,21 @@
 		"with too much time": {invariant.DeadlineTooLong, func(x *guarded, q *Request) { x.send(q, "a", 2*time.Second) }},
 		"behind the client's end": {invariant.AfterClientGone, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
-			x.Gone(q)
+			x.ClientGone(q)
 			time.Sleep(110 * time.Millisecond)
-			x.Begun(a, 0)
+			x.BeginAttempt(a, 0)
 		}},
 		"behind the answer": {invariant.AfterAnswer, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
 			x.r.next = []policy.Action{policy.Fail{Request: q.id}}
 			x.events = append(x.events, policy.TimerFired{})
 			x.Step()
-			x.Begun(a, 0)
+			x.BeginAttempt(a, 0)
 		}},
 		"behind the deadline": {invariant.AfterDeadline, func(x *guarded, q *Request) {
 			a := x.send(q, "a", 0)
 			q.Deadline = x.loop.Clock() - time.Millisecond
-			x.Begun(a, 0)
+			x.BeginAttempt(a, 0)
 		}},
 		"at a replica that has told that it is too old": {invariant.StaleRead, func(x *guarded, q *Request) {
 			now := x.loop.Now()
@@ -107,7 +107,7 @@
 			x.send(q, "a", 0)
 		}},
 		"left without an answer": {invariant.NeverAnswered, func(x *guarded, q *Request) {
-			x.late = append(x.late, q)
+			x.expired = append(x.expired, q)
 			x.Step()
 		}},
 	} {
@@ -129,8 +129,8 @@
 	x.Step()
 	a := x.w.sent[len(x.w.sent)-1]
 	time.Sleep(60 * time.Millisecond) // the stop
-	assert.Zero(t, x.Begun(a, a.Deadline))
-	assert.False(t, a.begun)
+	assert.Zero(t, x.BeginAttempt(a, a.Deadline))
+	assert.False(t, a.started)
 	assert.Empty(t, x.names)
 }
 
--- a/internal/gateway/step.go
+++ b/internal/gateway/step.go
@@ -12,93 +12,93 @@
 // Step lets the module decide on all that was gathered. It tells whether carrying the
 // actions out has led to new events.
 func (g *Gateway) Step() (again bool) {
-	if lost := g.loop.Lost(); lost != g.lost {
-		g.lost = lost
-		g.returned(policy.ProcessPaused{Total: lost})
+	if total := g.loop.Lost(); total != g.reportedPause {
+		g.reportedPause = total
+		g.orderAfterPause(policy.ProcessPaused{Total: total})
 	}
 	if len(g.events) > 0 {
 		g.decide()
 	}
-	for ; len(g.decided) > 0; g.decided = g.decided[1:] {
-		g.decided[0]()
+	for ; len(g.afterStep) > 0; g.afterStep = g.afterStep[1:] {
+		g.afterStep[0]()
 	}
-	for _, q := range g.late {
-		g.expire(q)
+	for _, req := range g.expired {
+		g.expire(req)
 	}
-	g.late = g.late[:0]
+	g.expired = g.expired[:0]
 	return len(g.events) > 0
 }
 
-// returned orders what a round brings after this process was away: first that it was, then what the list tells, which may
+// orderAfterPause orders what a round brings after this process was away: first that it was, then what the list tells, which may
 // have come before all else and binds what is done about it.
-func (g *Gateway) returned(away policy.ProcessPaused) {
-	events := append(g.spare[:0], away)
+func (g *Gateway) orderAfterPause(pause policy.ProcessPaused) {
+	events := append(g.spareEvents[:0], pause)
 	rest := slices.DeleteFunc(g.events, func(e policy.Event) bool {
-		_, list := e.(policy.ListUpdate)
-		if list {
+		_, isList := e.(policy.ListUpdate)
+		if isList {
 			events = append(events, e)
 		}
-		return list
+		return isList
 	})
-	g.spare, g.events = g.events[:0], append(events, rest...)
+	g.spareEvents, g.events = g.events[:0], append(events, rest...)
 }
 
 func (g *Gateway) decide() {
 	events := g.events
-	g.events = g.spare[:0]
+	g.events = g.spareEvents[:0]
 	actions := g.router.Step(g.loop.Now(), events)
-	g.sending = g.loop.Clock()
-	for _, a := range actions {
-		g.act(a)
+	g.actionTime = g.loop.Clock()
+	for _, action := range actions {
+		g.perform(action)
 	}
 	clear(events)
-	g.spare = events[:0]
+	g.spareEvents = events[:0]
 }
 
-func (g *Gateway) act(a policy.Action) {
+func (g *Gateway) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		g.send(a)
 	case policy.Refuse:
-		if q := g.requests[a.Request]; q != nil && g.end(q) {
-			g.gaveUp(q, a.Reason, true)
-			g.counts.Of(q.Class).Dropped++
-			q.Client.Refused(a.RetryAfter)
-			g.release(q)
+		if req := g.requests[a.Request]; req != nil && g.markFinished(req) {
+			g.recordGivenUp(req, a.Reason, true)
+			g.counts.Of(req.Class).Dropped++
+			req.Client.Refused(a.RetryAfter)
+			g.release(req)
 		}
 	case policy.Fail:
-		if q := g.requests[a.Request]; q != nil && g.end(q) {
-			g.gaveUp(q, a.Reason, false)
-			g.fail(q)
-			g.release(q)
+		if req := g.requests[a.Request]; req != nil && g.markFinished(req) {
+			g.recordGivenUp(req, a.Reason, false)
+			g.fail(req)
+			g.release(req)
 		}
 	case policy.Cancel:
-		if q := g.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) && !q.attempts[a.Attempt].done {
-			g.backends.Cancel(q.attempts[a.Attempt])
+		if req := g.requests[a.Request]; req != nil && a.Attempt < len(req.attempts) && !req.attempts[a.Attempt].done {
+			g.backends.Cancel(req.attempts[a.Attempt])
 		}
 	case policy.Probe:
-		g.probes[a.Host] = g.sending
+		g.probeTimes[a.Host] = g.actionTime
 		g.backends.Probe(a.Host)
 	case policy.CloseIdleConnections:
 		g.backends.CloseIdleConnections(a.Host)
 	case policy.StopUsingHost:
 		g.backends.StopUsingHost(a.Host)
 	case policy.SetTimer:
-		token := a.ID
-		g.loop.At(g.loop.Now()+a.After, func() { g.events = append(g.events, policy.TimerFired{ID: token}) })
+		id := a.ID
+		g.loop.At(g.loop.Now()+a.After, func() { g.events = append(g.events, policy.TimerFired{ID: id}) })
 	case policy.Subscribe:
 		g.discovery.Subscribe(a.Timeout)
 	case policy.Log:
 		log.Printf("event=policy text=%q", a.Text)
-		if g.acts != nil {
-			g.acts.PolicyLogged(a.Text)
+		if g.observer != nil {
+			g.observer.PolicyLogged(a.Text)
 		}
 	}
 }
 
-// gaveUp counts and logs a request that the decisions have given up.
-func (g *Gateway) gaveUp(q *Request, why policy.Reason, refused bool) {
-	g.givenUp.Add(int(why))
-	g.logGiven.Printf(g.loop.Now(), "event=given_up request=%q client=%d class=%d group=%d reason=%s refused=%t attempts=%d",
-		q.Name, q.ConnectionID, q.Class, q.Group, why, refused, len(q.attempts))
+// recordGivenUp counts and logs a request that the decisions have given up.
+func (g *Gateway) recordGivenUp(req *Request, reason policy.Reason, refused bool) {
+	g.givenUpCounts.Add(int(reason))
+	g.givenUpLog.Printf(g.loop.Now(), "event=given_up request=%q client=%d class=%d group=%d reason=%s refused=%t attempts=%d",
+		req.Name, req.ConnectionID, req.Class, req.Group, reason, refused, len(req.attempts))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -6,57 +6,57 @@
 	"lilaccove/policy"
 )
 
-// Began tells that a large value has begun to come for an attempt; false: nobody waits for it. The
+// BeginStream tells that a large value has begun to come for an attempt; false: nobody waits for it. The
 // request is served as far as the decisions go: other copies are called off, and how fast the client
 // reads the rest says nothing of the host.
-func (g *Gateway) Began(a *Attempt) bool {
-	q := a.q
-	if a.done || q.over {
+func (g *Gateway) BeginStream(attempt *Attempt) bool {
+	req := attempt.request
+	if attempt.done || req.finished {
 		return false
 	}
-	q.over, q.stream, a.told = true, a, true
-	q.overdue.Stop()
-	q.Client.BeginStream()
+	req.finished, req.stream, attempt.reported = true, attempt, true
+	req.deadlineTimer.Stop()
+	req.Client.BeginStream()
 	g.events = append(g.events, policy.Result{
-		Request: q.id, Attempt: a.number, Host: a.Host, Outcome: policy.OK, Latency: g.took(a.sentAt), Finished: true,
+		Request: req.id, Attempt: attempt.number, Host: attempt.Host, Outcome: policy.OK, Latency: g.latency(attempt.sentAt), Finished: true,
 	})
 	return true
 }
 
-// Part passes on what has come of a value; false: no more for now.
-func (g *Gateway) Part(a *Attempt, b []byte) (more bool) {
-	return a.q.stream == a && a.q.Client.StreamChunk(b)
+// StreamChunk passes on what has come of a value; false: no more for now.
+func (g *Gateway) StreamChunk(attempt *Attempt, chunk []byte) (more bool) {
+	return attempt.request.stream == attempt && attempt.request.Client.StreamChunk(chunk)
 }
 
 // More asks for what follows of q's value.
-func (g *Gateway) More(q *Request) {
-	if q.stream != nil {
-		g.backends.ResumeStream(q.stream)
+func (g *Gateway) ResumeStream(req *Request) {
+	if req.stream != nil {
+		g.backends.ResumeStream(req.stream)
 	}
 }
 
-// ended is Resolved for an attempt whose value was passed on. What it tells of the host is still news.
-func (g *Gateway) ended(a *Attempt, o policy.Outcome, r Reply) {
-	q, count := a.q, g.counts.Of(a.q.Class)
+// streamEnded is Resolved for an attempt whose value was passed on. What it tells of the host is still news.
+func (g *Gateway) streamEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
+	req, count := attempt.request, g.counts.Of(attempt.request.Class)
 	switch {
-	case q.stream != a: // the client left before
-	case o == policy.OK:
-		g.accepted(a)
-		g.endStream(q, &count.Passed)
-		q.Client.EndStream()
+	case req.stream != attempt: // the client left before
+	case outcome == policy.OK:
+		g.notifyAccepted(attempt)
+		g.endStream(req, &count.Passed)
+		req.Client.EndStream()
 	default:
-		g.endStream(q, &count.BadGateway)
-		q.Client.AbortStream()
+		g.endStream(req, &count.BadGateway)
+		req.Client.AbortStream()
 	}
-	if r.HasPosition {
-		told := policy.Report{Position: r.Position, HasPosition: true, Role: r.Role}
-		g.events = append(g.events, policy.Result{Host: a.Host, Report: told})
+	if reply.HasPosition {
+		report := policy.Report{Position: reply.Position, HasPosition: true, Role: reply.Role}
+		g.events = append(g.events, policy.Result{Host: attempt.Host, Report: report})
 	}
-	g.release(q)
+	g.release(req)
 }
 
-func (g *Gateway) endStream(q *Request, count *uint64) {
-	q.stream = nil
+func (g *Gateway) endStream(req *Request, count *uint64) {
+	req.stream = nil
 	*count++
-	g.owed--
+	g.unanswered--
 }
