--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -17,183 +17,183 @@
 
 // conn is one connection to a database. It carries one job at a time.
 type conn struct {
-	pool    *Pool
-	host    *host
-	addr    netip.AddrPort // where it was dialled: the host may have moved since
-	nc      *netloop.Conn
-	timer   *netloop.Timer // by which it must be up, or has rested
-	up      bool           // the database has greeted it
-	idleAt  time.Duration
-	left    int           // bytes to come of a row that is passed on
-	heard   time.Duration // when the last of them came
-	held    bool          // the client has to read first
-	dropped bool
-	body    [][]byte // of a large statement, what is still to be written
-	job     *job
-	late    bool // its attempt was given up; what is still read is the answer to that
-	answer  answer
+	pool         *Pool
+	host         *host
+	addr         netip.AddrPort // where it was dialled: the host may have moved since
+	nc           *netloop.Conn
+	timer        *netloop.Timer // by which it must be up, or has rested
+	established  bool           // the database has greeted it
+	idleSince    time.Duration
+	rowRemaining int           // bytes to come of a row that is passed on
+	lastRead     time.Duration // when the last of them came
+	paused       bool          // the client has to read first
+	closed       bool
+	unwritten    [][]byte // of a large statement, what is still to be written
+	job          *job
+	abandoned    bool // its attempt was given up; what is still read is the answer to that
+	answer       answer
 }
 
 // answer is what has come for the current job, or for the greeting.
 type answer struct {
-	value  []byte // RowDescription, DataRow and CommandComplete as they came
-	shape  []byte // the kinds of those messages
-	column []byte // of a probe's row
-	code   string // of an ErrorResponse
-	text   string
-	passed bool // its value is handed on as it comes, and is not kept
-	reply  gateway.Reply
-	digits [20]byte
-	kinds  [len(answered)]byte
+	value         []byte // RowDescription, DataRow and CommandComplete as they came
+	kinds         []byte // the kinds of those messages
+	probeColumn   []byte // of a probe's row
+	errorCode     string // of an ErrorResponse
+	errorText     string
+	streamed      bool // its value is handed on as it comes, and is not kept
+	reply         gateway.Reply
+	timeoutBuffer [20]byte
+	kindsBuffer   [len(answerKinds)]byte
 }
 
-var errOrder = errors.New("a message out of turn")
+var errUnexpectedMessage = errors.New("a message out of turn")
 
-const keepValue = 8 << 10 // an idle connection keeps no larger buffer
+const maxKeptValueBytes = 8 << 10 // an idle connection keeps no larger buffer
 
 func (a *answer) reset() {
 	value := a.value[:0]
-	if cap(value) > keepValue {
+	if cap(value) > maxKeptValueBytes {
 		value = nil
 	}
 	*a = answer{value: value}
-	a.shape = a.kinds[:0]
+	a.kinds = a.kindsBuffer[:0]
 }
 
 // Connected greets the database.
 func (c *conn) Connected() {
 	c.answer.reset()
-	c.nc.OnFlush(c.written)
+	c.nc.OnFlush(c.flushed)
 	c.nc.Write(c.pool.startup)
 }
 
-func (c *conn) lateUp() {
-	c.drop()
+func (c *conn) dialTimedOut() {
+	c.close()
 	c.pool.dialFailed(c.host, policy.ConnectFailed)
 }
 
-// drop closes the connection and takes it out of the books.
-func (c *conn) drop() {
+// close closes the connection and takes it out of the books.
+func (c *conn) close() {
 	c.timer.Stop()
-	c.host.dialing = without(c.host.dialing, c)
-	if c.nc.Close(); !c.dropped {
-		c.dropped = true
+	c.host.dialing = remove(c.host.dialing, c)
+	if c.nc.Close(); !c.closed {
+		c.closed = true
 		c.host.open--
-		if p := c.pool; p.opt.Budget != nil { // another may be opened now, when this call is over
-			p.loop.At(p.loop.Now(), func() { p.fill(c.host) })
+		if p := c.pool; p.options.Budget != nil { // another may be opened now, when this call is over
+			p.loop.At(p.loop.Now(), func() { p.dialIfNeeded(c.host) })
 		}
 	}
 }
 
-// crossing is how long what comes behind an attempt that was given up, or behind a whole answer, is read: so long after it was
+// lateAnswerWait is how long what comes behind an attempt that was given up, or behind a whole answer, is read: so long after it was
 // written an answer counts as told, by the protocol.
-const crossing = 100 * time.Millisecond
+const lateAnswerWait = 100 * time.Millisecond
 
-// hearOut ends the sending, which tells the database that an attempt was given up, and reads what is on its way. That
+// awaitLateAnswer ends the sending, which tells the database that an attempt was given up, and reads what is on its way. That
 // answer counts as told, and it may be the only one to tell that the host is no primary any more.
-func (c *conn) hearOut(j *job) {
-	if j.attempt == nil || c.answer.passed || c.pool.loop.Spare() <= c.pool.opt.Reserve {
-		c.drop()
+func (c *conn) awaitLateAnswer(job *job) {
+	if job.attempt == nil || c.answer.streamed || c.pool.loop.Spare() <= c.pool.options.Reserve {
+		c.close()
 		return
 	}
-	c.late = true
+	c.abandoned = true
 	c.nc.CloseWrite()
-	c.timer = c.pool.loop.At(c.pool.loop.Now()+crossing, c.drop)
+	c.timer = c.pool.loop.At(c.pool.loop.Now()+lateAnswerWait, c.close)
 }
 
 // start writes a job, unless an attempt's time to begin turns out to be over; then the connection serves another.
-func (c *conn) start(j *job) {
-	left := time.Duration(0)
-	if j.attempt != nil {
-		if left = c.pool.core.BeginAttempt(j.attempt, j.until); left == 0 {
-			c.pool.finish(j, policy.NotSent, gateway.Reply{})
-			c.pool.free(c)
+func (c *conn) start(job *job) {
+	remaining := time.Duration(0)
+	if job.attempt != nil {
+		if remaining = c.pool.core.BeginAttempt(job.attempt, job.deadline); remaining == 0 {
+			c.pool.finish(job, policy.NotSent, gateway.Reply{})
+			c.pool.release(c)
 			return
 		}
 	}
-	c.job, j.conn = j, c
+	c.job, job.conn = job, c
 	c.answer.reset()
-	j.timer.Stop()
-	j.timer = c.pool.loop.At(j.until, func() { c.pool.abandon(j, policy.Timeout) })
-	if j.attempt == nil {
-		c.probe()
+	job.timer.Stop()
+	job.timer = c.pool.loop.At(job.deadline, func() { c.pool.abandon(job, policy.Timeout) })
+	if job.attempt == nil {
+		c.writeProbe()
 		return
 	}
-	c.statement(j.attempt.Statement.(*pgwire.Statement), left)
+	c.writeStatement(job.attempt.Statement.(*pgwire.Statement), remaining)
 }
 
-// probe asks for what the settings say that probes tell.
-func (c *conn) probe() {
+// writeProbe asks for what the settings say that probes tell.
+func (c *conn) writeProbe() {
 	text := "SELECT 1"
-	if c.pool.opt.ProbeReport {
+	if c.pool.options.ProbeReport {
 		text = "SHOW load"
 	}
 	c.nc.Write(pgwire.AppendQuery(nil, text))
 }
 
-// statement writes one. Only the digits of d are new; the rest goes out from where it was read.
-func (c *conn) statement(st *pgwire.Statement, left time.Duration) {
-	digits := pgwire.AppendMillis(c.answer.digits[:0], left.Milliseconds())
-	before, behind := st.Head.Around(st.Text)
-	head := pgwire.QueryHead(st.Length() - len(st.Text) + len(before) + len(digits) + len(behind) + 1)
-	if len(st.More) == 0 {
-		c.nc.Write(head[:], before, digits, behind, zero)
+// writeStatement writes one. Only the digits of d are new; the rest goes out from where it was read.
+func (c *conn) writeStatement(statement *pgwire.Statement, remaining time.Duration) {
+	digits := pgwire.AppendMillis(c.answer.timeoutBuffer[:0], remaining.Milliseconds())
+	before, after := statement.Head.Around(statement.Text)
+	head := pgwire.QueryHead(statement.Length() - len(statement.Text) + len(before) + len(digits) + len(after) + 1)
+	if len(statement.More) == 0 {
+		c.nc.Write(head[:], before, digits, after, nulByte)
 	} else {
-		c.nc.Write(head[:], before, digits, behind)
-		c.body = append(slices.Clone(st.More), zero)
+		c.nc.Write(head[:], before, digits, after)
+		c.unwritten = append(slices.Clone(statement.More), nulByte)
 	}
-	c.written()
+	c.flushed()
 }
 
-// written goes on with a large statement as the kernel takes it, and tells of one whose last byte it has.
-func (c *conn) written() {
-	for len(c.body) > 0 && c.nc.Pending() == 0 {
-		c.nc.Write(c.body[0])
-		c.body = c.body[1:]
+// flushed goes on with a large statement as the kernel takes it, and tells of one whose last byte it has.
+func (c *conn) flushed() {
+	for len(c.unwritten) > 0 && c.nc.Pending() == 0 {
+		c.nc.Write(c.unwritten[0])
+		c.unwritten = c.unwritten[1:]
 	}
-	if c.job != nil && c.job.attempt != nil && !c.owes() {
+	if c.job != nil && c.job.attempt != nil && !c.hasUnsent() {
 		c.pool.core.Written(c.job.attempt)
 	}
 }
 
-// owes tells whether a part of the statement is not with the kernel: it cannot run.
-func (c *conn) owes() bool { return len(c.body) > 0 || c.nc.Pending() > 0 }
+// hasUnsent tells whether a part of the statement is not with the kernel: it cannot run.
+func (c *conn) hasUnsent() bool { return len(c.unwritten) > 0 || c.nc.Pending() > 0 }
 
-var zero = []byte{0}
+var nulByte = []byte{0}
 
 // Received takes in the database's messages.
 func (c *conn) Received() {
-	c.messages()
-	if !c.nc.Closed() && c.job != nil && c.answer.whole() && !c.answer.passed {
+	c.readMessages()
+	if !c.nc.Closed() && c.job != nil && c.answer.complete() && !c.answer.streamed {
 		c.awaitReady()
 	}
 }
 
-// messages takes in those that are whole.
-func (c *conn) messages() {
-	for !c.nc.Closed() && !c.held && len(c.nc.Input()) > 0 {
-		if c.left > 0 {
-			c.pass()
+// readMessages takes in those that are whole.
+func (c *conn) readMessages() {
+	for !c.nc.Closed() && !c.paused && len(c.nc.Input()) > 0 {
+		if c.rowRemaining > 0 {
+			c.streamInput()
 			continue
 		}
 		kind, body, n, err := pgwire.NextAnswer(c.nc.Input())
-		if err == nil && !c.fits(c.nc.Input()[0]) {
-			err = errOrder
+		if err == nil && !c.expects(c.nc.Input()[0]) {
+			err = errUnexpectedMessage
 		}
 		if err != nil {
-			c.spoil(err)
+			c.protocolError(err)
 			return
 		}
 		if n == 0 {
-			if !c.begin() {
+			if !c.beginStream() {
 				return
 			}
 			continue
 		}
-		c.message(kind, body, c.nc.Input()[:n])
+		c.handleMessage(kind, body, c.nc.Input()[:n])
 		c.nc.Consume(n)
 		if kind == pgwire.Ready {
-			c.ready()
+			c.handleReady()
 		}
 	}
 }
@@ -201,150 +201,150 @@
 // awaitReady gives ReadyForQuery, and what is told before it, a moment behind an answer that is whole. A database that hangs
 // there has answered all the same; its connection serves no other.
 func (c *conn) awaitReady() {
-	j := c.job
-	j.timer.Stop()
-	j.timer = c.pool.loop.At(min(j.until, c.pool.loop.Now()+crossing), func() {
+	job := c.job
+	job.timer.Stop()
+	job.timer = c.pool.loop.At(min(job.deadline, c.pool.loop.Now()+lateAnswerWait), func() {
 		c.job = nil
-		c.drop()
-		c.settle(j)
+		c.close()
+		c.resolve(job)
 	})
 }
 
-// begin starts to pass on a row that is too large to be collected; false: there is none.
-func (c *conn) begin() bool {
+// beginStream starts to pass on a row that is too large to be collected; false: there is none.
+func (c *conn) beginStream() bool {
 	n := pgwire.LargeRow(c.nc.Input())
 	if n == 0 || c.job == nil || c.job.attempt == nil {
 		return false
 	}
-	j := c.job
-	if !c.pool.core.BeginStream(j.attempt) {
-		c.pool.abandon(j, policy.Cancelled) // nobody waits for it any more
+	job := c.job
+	if !c.pool.core.BeginStream(job.attempt) {
+		c.pool.abandon(job, policy.Cancelled) // nobody waits for it any more
 		return false
 	}
-	j.timer.Stop()
-	c.left, c.heard = n, c.pool.loop.Now()
-	c.answer.shape, c.answer.passed = append(c.answer.shape, pgwire.DataRow), true
-	c.nc.Widen(streamRead)
-	c.watch()
-	c.hand(c.answer.value)
+	job.timer.Stop()
+	c.rowRemaining, c.lastRead = n, c.pool.loop.Now()
+	c.answer.kinds, c.answer.streamed = append(c.answer.kinds, pgwire.DataRow), true
+	c.nc.Widen(streamReadBytes)
+	c.watchStream()
+	c.forward(c.answer.value)
 	return true
 }
 
-// watch gives a row up that does not go on, other than for the client's sake.
-func (c *conn) watch() {
-	j, now := c.job, c.pool.loop.Now()
-	if c.held {
-		c.heard = now
+// watchStream gives a row up that does not go on, other than for the client's sake.
+func (c *conn) watchStream() {
+	job, now := c.job, c.pool.loop.Now()
+	if c.paused {
+		c.lastRead = now
 	}
-	if now-c.heard >= quietTime {
-		c.pool.abandon(j, policy.Timeout)
+	if now-c.lastRead >= streamSilenceTimeout {
+		c.pool.abandon(job, policy.Timeout)
 		return
 	}
-	j.timer = c.pool.loop.At(c.heard+quietTime, c.watch)
+	job.timer = c.pool.loop.At(c.lastRead+streamSilenceTimeout, c.watchStream)
 }
 
-// pass hands on what has come of a row.
-func (c *conn) pass() {
+// streamInput hands on what has come of a row.
+func (c *conn) streamInput() {
 	b := c.nc.Input()
-	b = b[:min(len(b), c.left)]
-	c.left -= len(b)
-	c.heard = c.pool.loop.Now()
-	c.hand(b)
+	b = b[:min(len(b), c.rowRemaining)]
+	c.rowRemaining -= len(b)
+	c.lastRead = c.pool.loop.Now()
+	c.forward(b)
 	c.nc.Consume(len(b))
 }
 
-// hand gives bytes to the client, and reads no more while it has enough of them.
-func (c *conn) hand(b []byte) {
+// forward gives bytes to the client, and reads no more while it has enough of them.
+func (c *conn) forward(b []byte) {
 	if !c.pool.core.StreamChunk(c.job.attempt, b) {
-		c.held = true
+		c.paused = true
 		c.nc.Pause()
 	}
 }
 
-// resume goes on when the client has read.
-func (c *conn) resume() {
-	if c.held {
-		c.held = false
-		c.heard = c.pool.loop.Now()
+// resumeStream goes on when the client has read.
+func (c *conn) resumeStream() {
+	if c.paused {
+		c.paused = false
+		c.lastRead = c.pool.loop.Now()
 		c.nc.Resume()
 		c.Received()
 	}
 }
 
-// fits tells whether a message of the kind may come now.
-func (c *conn) fits(kind byte) bool {
+// expects tells whether a message of the kind may come now.
+func (c *conn) expects(kind byte) bool {
 	a := &c.answer
 	switch {
-	case c.up && c.job == nil && !c.late:
+	case c.established && c.job == nil && !c.abandoned:
 		return false // nothing was asked
 	case kind == pgwire.ParameterStatus, kind == pgwire.Notice:
 		return true
-	case !c.up:
+	case !c.established:
 		return kind != pgwire.RowDescription && kind != pgwire.DataRow && kind != pgwire.CommandComplete
 	case kind == pgwire.Ready:
-		return a.whole()
-	case a.whole():
+		return a.complete()
+	case a.complete():
 		return false
 	case kind == pgwire.ErrorMsg:
 		return true
 	}
-	return kind == answered[len(a.shape)]
+	return kind == answerKinds[len(a.kinds)]
 }
 
-// answered is the shape of an answer with a value.
-const answered = "TDC"
+// answerKinds is the shape of an answer with a value.
+const answerKinds = "TDC"
 
-func (c *conn) message(kind byte, body, whole []byte) {
+func (c *conn) handleMessage(kind byte, body, raw []byte) {
 	a := &c.answer
 	switch kind {
 	case pgwire.ParameterStatus:
 		if name, value, err := pgwire.Pair(body); err == nil {
-			a.parameter(name, value)
+			a.setParameter(name, value)
 		}
 	case pgwire.RowDescription, pgwire.DataRow, pgwire.CommandComplete:
-		a.shape = append(a.shape, kind)
-		if a.passed {
-			c.hand(whole)
-		} else if c.late {
+		a.kinds = append(a.kinds, kind)
+		if a.streamed {
+			c.forward(raw)
+		} else if c.abandoned {
 			// nobody waits for the value
 		} else if c.job.attempt != nil {
-			a.value = append(a.value, whole...)
+			a.value = append(a.value, raw...)
 		} else if kind == pgwire.DataRow {
-			col, _ := pgwire.Column(body)
-			a.column = bytes.Clone(col)
+			column, _ := pgwire.Column(body)
+			a.probeColumn = bytes.Clone(column)
 		}
 	case pgwire.ErrorMsg:
-		a.code, a.text = string(pgwire.ErrorCode(body)), string(pgwire.ErrorText(body))
+		a.errorCode, a.errorText = string(pgwire.ErrorCode(body)), string(pgwire.ErrorText(body))
 	}
 }
 
-// spoil ends a connection on which something came that does not belong there: whatever
+// protocolError ends a connection on which something came that does not belong there: whatever
 // follows cannot be told from an answer. What it carried may have run; nothing that was
 // said of it is believed.
-func (c *conn) spoil(err error) {
-	c.pool.spoilt.Printf(c.pool.loop.Now(), "event=bad_answer host=%s busy=%t err=%q", c.host.id, c.job != nil, err)
+func (c *conn) protocolError(err error) {
+	c.pool.invalidAnswerLog.Printf(c.pool.loop.Now(), "event=bad_answer host=%s busy=%t err=%q", c.host.id, c.job != nil, err)
 	c.answer.reset()
 	c.Ended(err)
 }
 
-// parameter keeps what an answer tells of the database.
-func (a *answer) parameter(name, value []byte) {
+// setParameter keeps what an answer tells of the database.
+func (a *answer) setParameter(name, value []byte) {
 	switch string(name) {
 	case "role":
-		a.reply.Role = roleOf(string(value))
+		a.reply.Role = parseRole(string(value))
 	case "applied_ms":
-		if ms, err := strconv.ParseInt(string(value), 10, 64); err == nil && ms > 0 && ms <= latest.Milliseconds() {
+		if ms, err := strconv.ParseInt(string(value), 10, 64); err == nil && ms > 0 && ms <= maxTime.Milliseconds() {
 			a.reply.Position, a.reply.HasPosition = time.Duration(ms)*time.Millisecond, true
 		}
 	case "load":
-		a.report(value)
+		a.parseReport(value)
 	}
 }
 
-// latest is the last moment that can be reckoned with; whether a position is plausible is for the decisions.
-const latest = time.Duration(math.MaxInt64 / 2)
+// maxTime is the last moment that can be reckoned with; whether a position is plausible is for the decisions.
+const maxTime = time.Duration(math.MaxInt64 / 2)
 
-func roleOf(s string) policy.Role {
+func parseRole(s string) policy.Role {
 	switch s {
 	case "primary":
 		return policy.Primary
@@ -354,73 +354,73 @@
 	return policy.RoleUnknown
 }
 
-// report reads name=value pairs; names nobody here reads are skipped. One that cannot be
-// read is no report at all.
-func (a *answer) report(text []byte) {
-	var r policy.Report
+// parseReport reads name=value pairs; names nobody here reads are skipped. One that cannot be
+// read is no parseReport at all.
+func (a *answer) parseReport(text []byte) {
+	var report policy.Report
 	for pair := range bytes.SplitSeq(text, []byte{','}) {
 		name, value, _ := bytes.Cut(pair, []byte{'='})
-		x, err := strconv.ParseFloat(string(value), 64)
+		number, err := strconv.ParseFloat(string(value), 64)
 		if err != nil {
 			return
 		}
 		switch string(name) {
 		case "x0":
-			if !(x >= 0 && x <= latest.Seconds()) {
+			if !(number >= 0 && number <= maxTime.Seconds()) {
 				return
 			}
-			r.Position, r.HasPosition = time.Duration(x*float64(time.Second)), true
+			report.Position, report.HasPosition = time.Duration(number*float64(time.Second)), true
 		case "x1":
-			r.Role = policy.Replica
-			if x == 1 {
-				r.Role = policy.Primary
+			report.Role = policy.Replica
+			if number == 1 {
+				report.Role = policy.Primary
 			}
 		}
 	}
-	a.reply.Report = r
+	a.reply.Report = report
 }
 
-// ready handles ReadyForQuery: the end of the greeting or of an answer.
-func (c *conn) ready() {
-	j := c.job
-	if c.late {
+// handleReady handles ReadyForQuery: the end of the greeting or of an answer.
+func (c *conn) handleReady() {
+	job := c.job
+	if c.abandoned {
 		c.pool.core.LateAnswer(c.host.id, c.answer.reply)
-		c.drop()
+		c.close()
 		return
 	}
-	if !c.up {
-		c.up = true
+	if !c.established {
+		c.established = true
 		c.timer.Stop()
-		c.host.dialing = without(c.host.dialing, c)
+		c.host.dialing = remove(c.host.dialing, c)
 	} else {
 		c.job = nil
 		c.nc.Widen(0)
-		c.settle(j)
+		c.resolve(job)
 	}
 	switch {
 	case c.outdated() || len(c.nc.Input()) > 0: // more than the answer came with it
-		c.drop()
-		c.pool.fill(c.host)
-	case j != nil:
-		c.pool.rest(c)
+		c.close()
+		c.pool.dialIfNeeded(c.host)
+	case job != nil:
+		c.pool.quarantine(c)
 	default:
-		c.pool.free(c)
+		c.pool.release(c)
 	}
 }
 
-// settle ends a job with what was answered.
-func (c *conn) settle(j *job) {
+// resolve ends a job with what was answered.
+func (c *conn) resolve(job *job) {
 	a := &c.answer
-	if j.attempt == nil && a.column != nil && c.pool.opt.ProbeReport {
-		a.report(a.column)
+	if job.attempt == nil && a.probeColumn != nil && c.pool.options.ProbeReport {
+		a.parseReport(a.probeColumn)
 	}
 	a.reply.Value = a.value
-	c.pool.finish(j, c.pool.outcome(a, c.host.id), a.reply)
+	c.pool.finish(job, c.pool.outcome(a, c.host.id), a.reply)
 }
 
 // outcome is the protocol's table.
-func (p *Pool) outcome(a *answer, id policy.HostID) policy.Outcome {
-	switch a.code {
+func (p *Pool) outcome(a *answer, host policy.HostID) policy.Outcome {
+	switch a.errorCode {
 	case "":
 		return policy.OK
 	case pgwire.CodeReadOnly, pgwire.CodeTooFarBehind:
@@ -428,52 +428,52 @@
 	case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
 		return policy.AtCapacity
 	case pgwire.CodeProtocolViolation:
-		p.spoilt.Printf(p.loop.Now(), "event=bad_statement host=%s text=%q", id, a.text)
+		p.invalidAnswerLog.Printf(p.loop.Now(), "event=bad_statement host=%s text=%q", host, a.errorText)
 	}
 	return policy.Error
 }
 
-// whole tells whether the answer is complete though ReadyForQuery did not come.
-func (a *answer) whole() bool { return a.code != "" || string(a.shape) == answered }
+// complete tells whether the answer is complete though ReadyForQuery did not come.
+func (a *answer) complete() bool { return a.errorCode != "" || string(a.kinds) == answerKinds }
 
 // Ended settles what the connection carried.
 func (c *conn) Ended(error) {
-	switch j := c.job; {
-	case c.late:
-		if c.drop(); c.answer.whole() {
+	switch job := c.job; {
+	case c.abandoned:
+		if c.close(); c.answer.complete() {
 			c.pool.core.LateAnswer(c.host.id, c.answer.reply)
 		}
-	case !c.up:
-		o := policy.ConnectFailed
-		if a := &c.answer; a.code == pgwire.CodeTooManyConnections {
-			o = policy.AtCapacity
+	case !c.established:
+		outcome := policy.ConnectFailed
+		if a := &c.answer; a.errorCode == pgwire.CodeTooManyConnections {
+			outcome = policy.AtCapacity
 		}
-		c.drop()
-		c.pool.dialFailed(c.host, o)
-	case j != nil:
+		c.close()
+		c.pool.dialFailed(c.host, outcome)
+	case job != nil:
 		c.job = nil
-		c.drop()
+		c.close()
 		switch {
-		case c.answer.whole():
-			c.settle(j)
-		case c.owes():
-			c.pool.finish(j, policy.ConnectFailed, gateway.Reply{})
+		case c.answer.complete():
+			c.resolve(job)
+		case c.hasUnsent():
+			c.pool.finish(job, policy.ConnectFailed, gateway.Reply{})
 		default:
-			c.pool.finish(j, policy.Reset, gateway.Reply{})
+			c.pool.finish(job, policy.Reset, gateway.Reply{})
 		}
 	default:
-		c.drop()
-		c.host.idle, c.host.resting = without(c.host.idle, c), without(c.host.resting, c)
-		c.pool.fill(c.host)
+		c.close()
+		c.host.idle, c.host.quarantined = remove(c.host.idle, c), remove(c.host.quarantined, c)
+		c.pool.dialIfNeeded(c.host)
 	}
 }
 
 // outdated tells that the host is gone, or is to be found elsewhere.
 func (c *conn) outdated() bool { return c.host.gone || c.addr != c.host.addr }
 
-func without(list []*conn, c *conn) []*conn {
-	for i, x := range list {
-		if x == c {
+func remove(list []*conn, c *conn) []*conn {
+	for i, other := range list {
+		if other == c {
 			return append(list[:i], list[i+1:]...)
 		}
 	}
--- a/internal/backend/moved_test.go
+++ b/internal/backend/moved_test.go
@@ -87,7 +87,7 @@
 					listed(next)
 					old.answer <- struct{}{}
 				}
-				if !second && len(core.outcomes) == 1 && len(pool.hosts["h"].resting) == 0 {
+				if !second && len(core.outcomes) == 1 && len(pool.hosts["h"].quarantined) == 0 {
 					second = true
 					send()
 				}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -46,109 +46,109 @@
 }
 
 const (
-	needEvery  = 100 * time.Millisecond
-	inputMost  = pgwire.MostValue + 4096 // the largest message that is collected fits with its head
-	streamRead = 32 << 10                // of a larger one so much is read at once
-	quietTime  = 5 * time.Second         // within which more of it must come
+	budgetInterval       = 100 * time.Millisecond
+	maxInputBytes        = pgwire.MostValue + 4096 // the largest message that is collected fits with its head
+	streamReadBytes      = 32 << 10                // of a larger one so much is read at once
+	streamSilenceTimeout = 5 * time.Second         // within which more of it must come
 )
 
 // Pool is all connections to databases.
 type Pool struct {
-	loop    *netloop.Loop
-	core    Core
-	opt     Options
-	hosts   map[policy.HostID]*host
-	startup []byte
-	short   netloop.Sparse
-	spoilt  netloop.Sparse
+	loop             *netloop.Loop
+	core             Core
+	options          Options
+	hosts            map[policy.HostID]*host
+	startup          []byte
+	shortageLog      netloop.Sparse
+	invalidAnswerLog netloop.Sparse
 }
 
 type host struct {
-	id      policy.HostID
-	addr    netip.AddrPort
-	gone    bool // from the list
-	goneAt  time.Duration
-	idle    []*conn // the one used last is the last
-	resting []*conn // they have just answered
-	waiting []*job  // for a connection, oldest first
-	dialing []*conn
-	open    int           // connections, those on their way included
-	shortAt time.Duration // when this machine had no descriptor or socket for a connection to it
-	again   time.Duration // when that is tried again
-	told    bool
-	most    int // attempts, as told
-}
-
-// restTime is how long a connection stays unused behind an answer: a second copy or
+	id            policy.HostID
+	addr          netip.AddrPort
+	gone          bool // from the list
+	goneAt        time.Duration
+	idle          []*conn // the one used last is the last
+	quarantined   []*conn // they have just answered
+	waiting       []*job  // for a connection, oldest first
+	dialing       []*conn
+	open          int           // connections, those on their way included
+	shortageAt    time.Duration // when this machine had no descriptor or socket for a connection to it
+	retryAt       time.Duration // when that is tried again
+	limitReported bool
+	reportedLimit int // attempts, as told
+}
+
+// quarantineTime is how long a connection stays unused behind an answer: a second copy or
 // noise that comes straight after would be taken for the next answer.
-const restTime = 2 * time.Millisecond
+const quarantineTime = 2 * time.Millisecond
 
-// keepGone is how long the address of a host that left the list is kept: the module may
+// goneRetention is how long the address of a host that left the list is kept: the module may
 // take the list for advice, and attempts may be out.
-const keepGone = time.Minute
+const goneRetention = time.Minute
 
 // job is an attempt or a probe on its way.
 type job struct {
-	attempt *gateway.Attempt // nil: a probe
-	host    *host
-	until   time.Duration
-	begin   time.Duration // it is not begun later than this
-	timer   *netloop.Timer
-	conn    *conn // nil: waits for one
+	attempt  *gateway.Attempt // nil: a probe
+	host     *host
+	deadline time.Duration
+	beginBy  time.Duration // it is not begun later than this
+	timer    *netloop.Timer
+	conn     *conn // nil: waits for one
 }
 
 // New makes an empty pool.
-func New(loop *netloop.Loop, core Core, opt Options) *Pool {
+func New(loop *netloop.Loop, core Core, options Options) *Pool {
 	p := &Pool{
-		loop: loop, core: core, opt: opt, hosts: map[policy.HostID]*host{},
+		loop: loop, core: core, options: options, hosts: map[policy.HostID]*host{},
 		startup: pgwire.Startup("api", "ledger"),
 	}
 	p.sweep()
-	if opt.Budget != nil {
-		p.keep()
+	if options.Budget != nil {
+		p.maintainBudget()
 	}
 	return p
 }
 
-// keep tells of the need for connections, and closes idle ones that are no longer in the budget.
-func (p *Pool) keep() {
-	p.loop.At(p.loop.Now()+needEvery, p.keep)
+// maintainBudget tells of the need for connections, and closes idle ones that are no longer in the budget.
+func (p *Pool) maintainBudget() {
+	p.loop.At(p.loop.Now()+budgetInterval, p.maintainBudget)
 	for _, h := range p.hosts {
-		p.trim(h, p.loop.Now())
-		p.need(h)
-		p.tell(h)
+		p.trimIdle(h, p.loop.Now())
+		p.reportDemand(h)
+		p.reportLimit(h)
 	}
 }
 
-// tell has the module send no more to h than it has connections for. Half as many more may wait for one of them: that
+// reportLimit has the module send no more to h than it has connections for. Half as many more may wait for one of them: that
 // is how a need for more shows.
-func (p *Pool) tell(h *host) {
-	n := p.opt.Budget.Allowed(h.id, p.loop.Now())
-	if n > 0 {
-		n += max(1, n/2)
+func (p *Pool) reportLimit(h *host) {
+	limit := p.options.Budget.Allowed(h.id, p.loop.Now())
+	if limit > 0 {
+		limit += max(1, limit/2)
 	}
-	if !h.told || n != h.most {
-		h.told, h.most = true, n
-		p.core.FleetEvent(policy.ConcurrencyLimit{Host: h.id, Max: n})
+	if !h.limitReported || limit != h.reportedLimit {
+		h.limitReported, h.reportedLimit = true, limit
+		p.core.FleetEvent(policy.ConcurrencyLimit{Host: h.id, Max: limit})
 	}
 }
 
-func (p *Pool) need(h *host) {
-	p.opt.Budget.ReportDemand(h.id, h.open-len(h.idle), len(h.waiting))
+func (p *Pool) reportDemand(h *host) {
+	p.options.Budget.ReportDemand(h.id, h.open-len(h.idle), len(h.waiting))
 }
 
-// over is how many connections to h are open beyond what may be used until a moment; below zero: so many more may be.
-func (p *Pool) over(h *host, until time.Duration) int {
-	if p.opt.Budget == nil {
+// overBudget is how many connections to h are open beyond what may be used until a moment; below zero: so many more may be.
+func (p *Pool) overBudget(h *host, until time.Duration) int {
+	if p.options.Budget == nil {
 		return math.MinInt
 	}
-	return h.open - p.opt.Budget.Allowed(h.id, until)
+	return h.open - p.options.Budget.Allowed(h.id, until)
 }
 
-// trim closes idle connections over the budget. Those in use stay: none was begun that might outlast it.
-func (p *Pool) trim(h *host, until time.Duration) {
-	for len(h.idle) > 0 && p.over(h, until) > 0 {
-		h.idle[0].drop()
+// trimIdle closes idle connections over the budget. Those in use stay: none was begun that might outlast it.
+func (p *Pool) trimIdle(h *host, until time.Duration) {
+	for len(h.idle) > 0 && p.overBudget(h, until) > 0 {
+		h.idle[0].close()
 		h.idle = slices.Delete(h.idle, 0, 1)
 	}
 }
@@ -156,9 +156,9 @@
 // Granted tells that there is more of the budget of a host.
 func (p *Pool) Granted(id policy.HostID) {
 	if h := p.hosts[id]; h != nil {
-		p.tell(h)
+		p.reportLimit(h)
 		for range len(h.waiting) {
-			p.fill(h)
+			p.dialIfNeeded(h)
 		}
 	}
 }
@@ -181,15 +181,15 @@
 		if moved || e.Status == policy.Gone {
 			p.CloseIdleConnections(e.Host)
 		}
-		if p.opt.Budget != nil {
-			h.told = false // the module may have forgotten it meanwhile
+		if p.options.Budget != nil {
+			h.limitReported = false // the module may have forgotten it meanwhile
 		}
-		p.leave(h, e.Status == policy.Gone)
+		p.setGone(h, e.Status == policy.Gone)
 	}
 	for id, h := range p.hosts {
 		if (kind == policy.ListFull || kind == policy.ListCached) && !named[id] {
 			p.CloseIdleConnections(id)
-			p.leave(h, true)
+			p.setGone(h, true)
 		}
 	}
 }
@@ -198,14 +198,14 @@
 // behind their answers.
 func (p *Pool) redial(h *host) {
 	for _, c := range slices.Clone(h.dialing) {
-		c.drop()
+		c.close()
 	}
 	for range h.waiting {
-		p.fill(h)
+		p.dialIfNeeded(h)
 	}
 }
 
-func (p *Pool) leave(h *host, gone bool) {
+func (p *Pool) setGone(h *host, gone bool) {
 	if gone && !h.gone {
 		h.goneAt = p.loop.Now()
 	}
@@ -214,53 +214,53 @@
 
 // Send starts an attempt.
 func (p *Pool) Send(a *gateway.Attempt) {
-	j := &job{attempt: a, host: p.hosts[a.Host], until: a.Deadline, begin: a.BeginBy}
-	a.BackendData = j
-	p.place(j)
+	job := &job{attempt: a, host: p.hosts[a.Host], deadline: a.Deadline, beginBy: a.BeginBy}
+	a.BackendData = job
+	p.assign(job)
 }
 
 // Probe starts a probe.
 func (p *Pool) Probe(id policy.HostID) {
-	until := p.loop.Now() + p.opt.DialTimeout
-	j := &job{host: p.hosts[id], until: until, begin: until}
-	if j.host == nil {
+	until := p.loop.Now() + p.options.DialTimeout
+	job := &job{host: p.hosts[id], deadline: until, beginBy: until}
+	if job.host == nil {
 		p.core.Probed(id, policy.ConnectFailed, gateway.Reply{})
 		return
 	}
-	p.place(j)
+	p.assign(job)
 }
 
 // ResumeStream lets an attempt's value go on.
 func (p *Pool) ResumeStream(a *gateway.Attempt) {
-	if j, ok := a.BackendData.(*job); ok && j.conn != nil {
-		j.conn.resume()
+	if job, ok := a.BackendData.(*job); ok && job.conn != nil {
+		job.conn.resumeStream()
 	}
 }
 
 // Cancel gives an attempt up. The database learns of it by the close.
 func (p *Pool) Cancel(a *gateway.Attempt) {
-	if j, ok := a.BackendData.(*job); ok {
-		p.abandon(j, policy.Cancelled)
+	if job, ok := a.BackendData.(*job); ok {
+		p.abandon(job, policy.Cancelled)
 	}
 }
 
 // CancelUnsent gives an attempt back if its last byte is not with the kernel: it has not run and must not any more.
 func (p *Pool) CancelUnsent(a *gateway.Attempt) {
-	if j, ok := a.BackendData.(*job); ok && (j.conn == nil || j.conn.owes()) {
-		p.abandon(j, policy.NotSent)
+	if job, ok := a.BackendData.(*job); ok && (job.conn == nil || job.conn.hasUnsent()) {
+		p.abandon(job, policy.NotSent)
 	}
 }
 
 // CloseIdleConnections closes the idle connections to a host.
 func (p *Pool) CloseIdleConnections(id policy.HostID) {
 	if h := p.hosts[id]; h != nil {
-		for _, c := range slices.Concat(h.idle, h.resting) {
-			c.drop()
+		for _, c := range slices.Concat(h.idle, h.quarantined) {
+			c.close()
 		}
 		clear(h.idle)
-		clear(h.resting)
-		h.idle, h.resting = h.idle[:0], h.resting[:0]
-		p.fill(h)
+		clear(h.quarantined)
+		h.idle, h.quarantined = h.idle[:0], h.quarantined[:0]
+		p.dialIfNeeded(h)
 	}
 }
 
@@ -269,10 +269,10 @@
 func (p *Pool) StopUsingHost(id policy.HostID) {
 	p.CloseIdleConnections(id)
 	if h := p.hosts[id]; h != nil {
-		list := h.waiting
+		jobs := h.waiting
 		h.waiting = nil
-		for _, j := range list {
-			p.finish(j, policy.NotSent, gateway.Reply{})
+		for _, job := range jobs {
+			p.finish(job, policy.NotSent, gateway.Reply{})
 		}
 	}
 }
@@ -284,80 +284,80 @@
 	}
 }
 
-// place finds a connection for j: the one used last, or else a new one, or one that
+// assign finds a connection for j: the one used last, or else a new one, or one that
 // comes free before that is up.
-func (p *Pool) place(j *job) {
-	h := j.host
+func (p *Pool) assign(job *job) {
+	h := job.host
 	switch {
 	case h == nil:
-		p.finish(j, policy.ConnectFailed, gateway.Reply{}) // not a byte was written
+		p.finish(job, policy.ConnectFailed, gateway.Reply{}) // not a byte was written
 		return
-	case p.late(j):
-		p.finish(j, policy.NotSent, gateway.Reply{}) // by this process's fault
+	case p.expired(job):
+		p.finish(job, policy.NotSent, gateway.Reply{}) // by this process's fault
 		return
 	}
-	p.trim(h, j.until)
+	p.trimIdle(h, job.deadline)
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
 		h.idle = h.idle[:n-1]
 		if c.nc.Silent() {
-			c.start(j)
+			c.start(job)
 			return
 		}
-		c.drop() // it has ended, or something came on it that nobody asked for
+		c.close() // it has ended, or something came on it that nobody asked for
 	}
-	h.waiting = append(h.waiting, j)
-	p.expect(j, p.opt.DialTimeout)
-	p.fill(h)
+	h.waiting = append(h.waiting, job)
+	p.startWaitTimer(job, p.options.DialTimeout)
+	p.dialIfNeeded(h)
 }
 
-// late tells that a job must not begin any more. It goes by the clock, not by the begin of the round: the process may have
+// expired tells that a job must not begin any more. It goes by the clock, not by the begin of the round: the process may have
 // stood still since then.
-func (p *Pool) late(j *job) bool { return j.begin <= p.loop.Clock() }
+func (p *Pool) expired(job *job) bool { return job.beginBy <= p.loop.Clock() }
 
-// expect gives up on j where no connection is there for it within d. Time that this process has lost does not count, and
+// startWaitTimer gives up on j where no connection is there for it within d. Time that this process has lost does not count, and
 // where there is no more of it, or of descriptors, the host is not to be blamed.
-func (p *Pool) expect(j *job, d time.Duration) {
-	lost, begun := p.loop.Lost(), p.loop.Now()
-	j.timer = p.loop.At(min(j.begin, p.loop.Now()+d), func() {
-		o, more := policy.ConnectFailed, p.loop.Lost()-lost
+func (p *Pool) startWaitTimer(job *job, limit time.Duration) {
+	pausedBefore, startedAt := p.loop.Lost(), p.loop.Now()
+	job.timer = p.loop.At(min(job.beginBy, p.loop.Now()+limit), func() {
+		outcome, paused := policy.ConnectFailed, p.loop.Lost()-pausedBefore
 		switch {
-		case j.begin < j.until && p.loop.Now() >= j.begin:
-			o = policy.NotSent // a repeat whose window is over
-		case p.over(j.host, j.until) >= 0:
-			o = policy.AtCapacity // the host is well: there is no connection to be had
-		case more > 0 && p.loop.Now() < j.begin:
-			p.expect(j, more)
+		case job.beginBy < job.deadline && p.loop.Now() >= job.beginBy:
+			outcome = policy.NotSent // a repeat whose window is over
+		case p.overBudget(job.host, job.deadline) >= 0:
+			outcome = policy.AtCapacity // the host is well: there is no connection to be had
+		case paused > 0 && p.loop.Now() < job.beginBy:
+			p.startWaitTimer(job, paused)
 			return
-		case more > 0 || j.host.shortAt >= begun:
-			o = policy.NotSent
+		case paused > 0 || job.host.shortageAt >= startedAt:
+			outcome = policy.NotSent
 		}
-		p.abandon(j, o)
+		p.abandon(job, outcome)
 	})
 }
 
-// fill opens a connection where more jobs wait than will have one.
-func (p *Pool) fill(h *host) {
-	if len(h.dialing)+len(h.resting) < len(h.waiting) {
+// dialIfNeeded opens a connection where more jobs wait than will have one.
+func (p *Pool) dialIfNeeded(h *host) {
+	if len(h.dialing)+len(h.quarantined) < len(h.waiting) {
 		p.dial(h)
 	}
 }
 
 func (p *Pool) dial(h *host) {
-	if p.over(h, h.waiting[0].until) >= 0 {
-		p.need(h)
+	if p.overBudget(h, h.waiting[0].deadline) >= 0 {
+		p.reportDemand(h)
 		return
 	}
-	if p.loop.Spare() <= p.opt.Reserve && !p.CloseOldestIdle() {
-		p.short.Printf(p.loop.Now(), "event=no_descriptor host=%s spare=%d", h.id, p.loop.Spare())
-		p.later(h)
+	if p.loop.Spare() <= p.options.Reserve && !p.CloseOldestIdle() {
+		p.shortageLog.Printf(p.loop.Now(), "event=no_descriptor host=%s spare=%d", h.id, p.loop.Spare())
+		p.retrySoon(h)
 		return
 	}
 	c := &conn{pool: p, host: h, addr: h.addr}
-	nc, err := p.loop.Dial(h.addr, c, inputMost)
+	nc, err := p.loop.Dial(h.addr, c, maxInputBytes)
 	if netloop.Wanting(err) {
-		p.short.Printf(p.loop.Now(), "event=no_socket host=%s err=%q", h.id, err)
-		p.later(h)
+		p.shortageLog.Printf(p.loop.Now(), "event=no_socket host=%s err=%q", h.id, err)
+		p.retrySoon(h)
 		return
 	}
 	if err != nil {
@@ -367,102 +367,102 @@
 	c.nc = nc
 	h.dialing = append(h.dialing, c)
 	h.open++
-	c.timer = p.loop.Within(p.opt.DialTimeout, c.lateUp)
+	c.timer = p.loop.Within(p.options.DialTimeout, c.dialTimedOut)
 }
 
-// later has another look for a descriptor, a socket, or a connection that comes free, soon: the want is this machine's own.
-func (p *Pool) later(h *host) {
-	if now := p.loop.Now(); now >= h.again {
-		h.again = now + restTime
-		p.loop.At(h.again, func() { p.fill(h) })
+// retrySoon has another look for a descriptor, a socket, or a connection that comes free, soon: the want is this machine's own.
+func (p *Pool) retrySoon(h *host) {
+	if now := p.loop.Now(); now >= h.retryAt {
+		h.retryAt = now + quarantineTime
+		p.loop.At(h.retryAt, func() { p.dialIfNeeded(h) })
 	}
-	h.shortAt = p.loop.Now()
+	h.shortageAt = p.loop.Now()
 }
 
 // CloseOldestIdle closes the connection that has been idle longest; false: there is none.
 func (p *Pool) CloseOldestIdle() bool {
 	var oldest *host
 	for _, h := range p.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleAt < oldest.idle[0].idleAt) {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleSince < oldest.idle[0].idleSince) {
 			oldest = h
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.idle[0].drop()
+	oldest.idle[0].close()
 	oldest.idle = slices.Delete(oldest.idle, 0, 1)
 	return true
 }
 
 // dialFailed ends the oldest job that no connection on its way is left for.
-func (p *Pool) dialFailed(h *host, o policy.Outcome) {
-	if len(h.waiting) > len(h.dialing)+len(h.resting) {
-		j := h.waiting[0]
+func (p *Pool) dialFailed(h *host, outcome policy.Outcome) {
+	if len(h.waiting) > len(h.dialing)+len(h.quarantined) {
+		job := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		p.finish(j, o, gateway.Reply{})
+		p.finish(job, outcome, gateway.Reply{})
 	}
 }
 
-// rest keeps a connection apart for a moment.
-func (p *Pool) rest(c *conn) {
-	c.host.resting = append(c.host.resting, c)
-	c.timer = p.loop.At(p.loop.Now()+restTime, func() {
-		c.host.resting = without(c.host.resting, c)
+// quarantine keeps a connection apart for a moment.
+func (p *Pool) quarantine(c *conn) {
+	c.host.quarantined = append(c.host.quarantined, c)
+	c.timer = p.loop.At(p.loop.Now()+quarantineTime, func() {
+		c.host.quarantined = remove(c.host.quarantined, c)
 		if c.nc.Silent() {
-			p.free(c)
+			p.release(c)
 		} else {
-			c.drop()
-			p.fill(c.host)
+			c.close()
+			p.dialIfNeeded(c.host)
 		}
 	})
 }
 
-// free gives a connection to the job that waits longest, or keeps it. A job whose time to begin is over is not begun,
+// release gives a connection to the job that waits longest, or keeps it. A job whose time to begin is over is not begun,
 // though its timer has not fired yet.
-func (p *Pool) free(c *conn) {
+func (p *Pool) release(c *conn) {
 	h := c.host
 	for len(h.waiting) > 0 {
-		j := h.waiting[0]
-		if p.over(h, j.until) > 0 {
-			c.drop()
+		job := h.waiting[0]
+		if p.overBudget(h, job.deadline) > 0 {
+			c.close()
 			return
 		}
 		h.waiting = h.waiting[1:]
-		if !p.late(j) {
-			c.start(j)
+		if !p.expired(job) {
+			c.start(job)
 			return
 		}
-		p.finish(j, policy.NotSent, gateway.Reply{})
+		p.finish(job, policy.NotSent, gateway.Reply{})
 	}
-	c.idleAt = p.loop.Now()
+	c.idleSince = p.loop.Now()
 	h.idle = append(h.idle, c)
 }
 
 // abandon stops waiting for j; a connection that it was written to is closed, for an
 // answer may yet come on it. What was not written whole cannot have run.
-func (p *Pool) abandon(j *job, o policy.Outcome) {
-	if c := j.conn; c != nil {
-		if c.owes() && o != policy.NotSent {
-			o = policy.ConnectFailed
+func (p *Pool) abandon(job *job, outcome policy.Outcome) {
+	if c := job.conn; c != nil {
+		if c.hasUnsent() && outcome != policy.NotSent {
+			outcome = policy.ConnectFailed
 		}
-		if c.job = nil; o == policy.Timeout || o == policy.Cancelled {
-			c.hearOut(j)
+		if c.job = nil; outcome == policy.Timeout || outcome == policy.Cancelled {
+			c.awaitLateAnswer(job)
 		} else {
-			c.drop()
+			c.close()
 		}
-	} else if i := slices.Index(j.host.waiting, j); i >= 0 {
-		j.host.waiting = slices.Delete(j.host.waiting, i, i+1)
+	} else if i := slices.Index(job.host.waiting, job); i >= 0 {
+		job.host.waiting = slices.Delete(job.host.waiting, i, i+1)
 	}
-	p.finish(j, o, gateway.Reply{})
+	p.finish(job, outcome, gateway.Reply{})
 }
 
-func (p *Pool) finish(j *job, o policy.Outcome, r gateway.Reply) {
-	j.timer.Stop()
-	if j.attempt != nil {
-		p.core.Resolved(j.attempt, o, r)
+func (p *Pool) finish(job *job, outcome policy.Outcome, reply gateway.Reply) {
+	job.timer.Stop()
+	if job.attempt != nil {
+		p.core.Resolved(job.attempt, outcome, reply)
 	} else {
-		p.core.Probed(j.host.id, o, r)
+		p.core.Probed(job.host.id, outcome, reply)
 	}
 }
 
@@ -470,13 +470,13 @@
 // that the database has just closed ends as a reset, and a write is lost with it.
 func (p *Pool) sweep() {
 	p.loop.At(p.loop.Now()+time.Second, p.sweep)
-	oldest := p.loop.Now() - p.opt.ConnIdle*6/10
+	oldest := p.loop.Now() - p.options.ConnIdle*6/10
 	for id, h := range p.hosts {
-		if h.gone && p.loop.Now()-h.goneAt > keepGone && len(h.waiting) == 0 {
+		if h.gone && p.loop.Now()-h.goneAt > goneRetention && len(h.waiting) == 0 {
 			delete(p.hosts, id) // attempts on their way keep it for themselves
 		}
-		for p.opt.ConnIdle > 0 && len(h.idle) > 0 && h.idle[0].idleAt < oldest {
-			h.idle[0].drop()
+		for p.options.ConnIdle > 0 && len(h.idle) > 0 && h.idle[0].idleSince < oldest {
+			h.idle[0].close()
 			h.idle = slices.Delete(h.idle, 0, 1)
 		}
 	}
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -146,7 +146,7 @@
 			loop, core, pool := r.loop, r.core(), r.pool
 			r.list(ln.Addr().String())
 			until := r.send(300 * time.Millisecond)
-			loop.At(until+2*crossing, loop.Stop)
+			loop.At(until+2*lateAnswerWait, loop.Stop)
 			require.NoError(t, loop.Run(func() bool { return false }))
 			assert.Equal(t, []policy.Outcome{policy.Timeout}, core.outcomes)
 			assert.Equal(t, c.late, core.late)
@@ -175,10 +175,10 @@
 			loop, core, pool := r.loop, r.core(), r.pool
 			r.list(ln.Addr().String())
 			until := r.send(300 * time.Millisecond)
-			loop.At(until-50*time.Millisecond, func() { pool.opt.Reserve = reserve })
+			loop.At(until-50*time.Millisecond, func() { pool.options.Reserve = reserve })
 			open := -1
-			loop.At(until+crossing/2, func() { open = pool.hosts["h"].open })
-			loop.At(until+2*crossing, loop.Stop)
+			loop.At(until+lateAnswerWait/2, func() { open = pool.hosts["h"].open })
+			loop.At(until+2*lateAnswerWait, loop.Stop)
 			require.NoError(t, loop.Run(func() bool { return false }))
 			assert.Equal(t, map[string]int{"soon": 1, "at once": 0}[name], open)
 			assert.Zero(t, pool.hosts["h"].open)
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -18,73 +18,73 @@
 // conn is one client's connection. What is sent ahead goes to the core as it comes, for
 // its time runs; the answers wait for their turns, in the order of the commands.
 type conn struct {
-	front   *Front
-	nc      *netloop.Conn
-	number  uint64        // for logs
-	bad     bool          // it sent what is not spoken here
-	started bool          // it has said hello
-	key     uint64        // told then
-	asked   bool          // it has sent a whole query
-	calls   []*call       // not answered to the client yet
-	kept    int           // bytes of answers that wait for their turns
-	taking  bool          // what has come is taken though the front closes
-	last    bool          // nothing more is taken: the connection ends when all is answered
-	pieces  *pieces       // of a large statement that has not come whole
-	begun   time.Duration // when it came to its place, whatever since says
-	unread  int           // bytes when reads last looked
-	readAt  time.Duration
-	inside  bool // serve is running: answers that come within it do not call it
-	place   place
-	at      *list.Element
-	since   time.Duration
+	front          *Front
+	nc             *netloop.Conn
+	number         uint64          // for logs
+	protocolError  bool            // it sent what is not spoken here
+	started        bool            // it has said hello
+	cancelKey      uint64          // told then
+	queried        bool            // it has sent a whole query
+	calls          []*call         // not answered to the client yet
+	bufferedBytes  int             // bytes of answers that wait for their turns
+	takesRemaining bool            // what has come is taken though the front closes
+	finishing      bool            // nothing more is taken: the connection ends when all is answered
+	large          *largeStatement // of a large statement that has not come whole
+	enteredAt      time.Duration   // when it came to its place, whatever since says
+	lastPending    int             // bytes when reads last looked
+	lastReadAt     time.Duration
+	serving        bool // serve is running: answers that come within it do not call it
+	state          connState
+	queueElement   *list.Element
+	progressAt     time.Duration
 }
 
-// file puts the connection where it belongs; who stays keeps the time of its coming.
-func (c *conn) file() {
-	p := idle
+// updateState puts the connection where it belongs; who stays keeps the time of its coming.
+func (c *conn) updateState() {
+	state := stateIdle
 	switch {
 	case c.nc.Closed():
-		p = leaving
+		state = stateClosing
 	case len(c.calls) > 0:
-		p = busy
+		state = stateBusy
 	case c.nc.Pending() > 0:
-		p = unread
-	case c.pieces != nil:
-		p = partial
-	case !c.asked:
-		p = fresh
+		state = stateUnread
+	case c.large != nil:
+		state = statePartial
+	case !c.queried:
+		state = stateNew
 	case len(c.nc.Input()) > 0:
-		p = partial
+		state = statePartial
 	}
 	now := c.front.loop.Now()
 	switch {
-	case c.at == nil || p != c.place:
-		c.unfile()
-		c.place, c.since, c.begun = p, now, now
-		c.at = c.front.queues[p].PushBack(c)
-	case p == partial && c.goesOn(now), p == fresh && c.started && len(c.nc.Input()) > 0 && c.goesOn(now):
-		c.since = now
-		c.front.queues[p].MoveToBack(c.at)
+	case c.queueElement == nil || state != c.state:
+		c.dequeue()
+		c.state, c.progressAt, c.enteredAt = state, now, now
+		c.queueElement = c.front.queues[state].PushBack(c)
+	case state == statePartial && c.madeProgress(now), state == stateNew && c.started && len(c.nc.Input()) > 0 && c.madeProgress(now):
+		c.progressAt = now
+		c.front.queues[state].MoveToBack(c.queueElement)
 	}
 }
 
-// goesOn tells whether more has come of a packet that is not whole, so that it may take longer.
-func (c *conn) goesOn(now time.Duration) bool {
-	if c.pieces == nil {
-		return now-c.begun < longest-limits[partial]
+// madeProgress tells whether more has come of a packet that is not whole, so that it may take longer.
+func (c *conn) madeProgress(now time.Duration) bool {
+	if c.large == nil {
+		return now-c.enteredAt < maxPacketTime-stateTimeouts[statePartial]
 	}
-	got := c.pieces.got + len(c.nc.Input())
-	more := got >= c.pieces.seen+goesOn
-	if more {
-		c.pieces.seen = got
+	received := c.large.received + len(c.nc.Input())
+	progressed := received >= c.large.progressMark+minProgressBytes
+	if progressed {
+		c.large.progressMark = received
 	}
-	return more
+	return progressed
 }
 
-func (c *conn) unfile() {
-	if c.at != nil {
-		c.front.queues[c.place].Remove(c.at)
-		c.at = nil
+func (c *conn) dequeue() {
+	if c.queueElement != nil {
+		c.front.queues[c.state].Remove(c.queueElement)
+		c.queueElement = nil
 	}
 }
 
@@ -96,85 +96,85 @@
 
 // flushed goes on when the client has read all that was kept for it.
 func (c *conn) flushed() {
-	if len(c.calls) > 0 && c.calls[0].parts {
-		c.front.core.ResumeStream(c.calls[0].q)
+	if len(c.calls) > 0 && c.calls[0].streamed {
+		c.front.core.ResumeStream(c.calls[0].request)
 	} else {
 		c.serve()
 	}
 }
 
-// cut ends a connection on which an answer has begun that will not become whole, or is not read.
-func (c *conn) cut(why closed) {
-	c.front.ended.Add(int(why))
+// abort ends a connection on which an answer has begun that will not become whole, or is not read.
+func (c *conn) abort(reason closeReason) {
+	c.front.closedCounts.Add(int(reason))
 	c.nc.Close()
 	c.Ended(nil)
 }
 
 // Ended tells that the client is gone.
 func (c *conn) Ended(error) {
-	c.forget()
-	c.unfile()
-	c.dropPieces()
-	delete(c.front.streams, c)
+	c.revokeCancelKey()
+	c.dequeue()
+	c.discardLarge()
+	delete(c.front.streaming, c)
 	calls := c.calls
 	c.calls = nil
-	for _, a := range calls {
-		if !a.done {
-			a.over()
-			c.front.core.ClientGone(a.q)
+	for _, call := range calls {
+		if !call.done {
+			call.markDone()
+			c.front.core.ClientGone(call.request)
 		}
 	}
 }
 
-// takes tells whether the next command may be taken. What is sent ahead without end, or
+// acceptsCommand tells whether the next command may be taken. What is sent ahead without end, or
 // without reading the answers, stays with the client.
-func (c *conn) takes() bool {
-	return !c.nc.Closed() && !c.last && len(c.calls) < mostAhead && c.nc.Pending()+c.kept < mostUnread
+func (c *conn) acceptsCommand() bool {
+	return !c.nc.Closed() && !c.finishing && len(c.calls) < maxPipelined && c.nc.Pending()+c.bufferedBytes < maxUnreadBytes
 }
 
 func (c *conn) serve() {
-	if c.inside {
+	if c.serving {
 		return
 	}
-	c.inside = true
-	for c.takes() && c.next() {
+	c.serving = true
+	for c.acceptsCommand() && c.handlePacket() {
 	}
-	c.inside = false
+	c.serving = false
 	if c.nc.Closed() {
 		return
 	}
-	if c.last {
+	if c.finishing {
 		c.nc.Consume(len(c.nc.Input()))
 	}
-	goes := c.front.easing != 0 && c.asked
-	if len(c.calls) == 0 && (c.last || goes && len(c.nc.Input()) == 0 && c.nc.Pending() == 0) {
-		c.finish(c.why())
+	drained := c.front.drainUntil != 0 && c.queried
+	if len(c.calls) == 0 && (c.finishing || drained && len(c.nc.Input()) == 0 && c.nc.Pending() == 0) {
+		c.finish(c.drainReason())
 		return
 	}
-	c.file()
-	c.front.relieve(c)
+	c.updateState()
+	c.front.reclaimMemory(c)
 }
 
-// say answers a command that needs no request; its turn comes behind the open ones.
-func (c *conn) say(message []byte) {
+// reply answers a command that needs no request; its turn comes behind the open ones.
+func (c *conn) reply(message []byte) {
 	if len(c.calls) == 0 {
 		c.nc.Write(message)
 		return
 	}
-	c.calls = append(c.calls, &call{conn: c, done: true, kept: message})
-	c.kept += len(message)
+	c.calls = append(c.calls, &call{conn: c, done: true, buffered: message})
+	c.bufferedBytes += len(message)
 }
 
-// next handles one packet; false: there is none that is whole.
-func (c *conn) next() bool {
-	in := c.nc.Input()
+// handlePacket handles one packet; false: there is none that is whole.
+func (c *conn) handlePacket() bool {
+	input := c.nc.Input()
 	if !c.started {
-		return c.hello(in)
+		return c.handleHello(input)
 	}
-	if c.pieces != nil || pgwire.LargeQuery(in) > 0 {
-		return c.collect()
+	if c.large != nil || pgwire.LargeQuery(input) > 0 {
+		return c.collectLarge()
 	}
-	kind, body, n, err := pgwire.Next(in, pgwire.MostMessage)
+	kind, body, n, err := pgwire.Next(input, pgwire.MostMessage)
 	if err != nil {
 		c.fatal(pgwire.CodeProtocolViolation, err.Error())
 		return false
@@ -184,9 +184,9 @@
 	}
 	switch kind {
 	case pgwire.Query:
-		return c.query(body, n)
+		return c.handleQuery(body, n)
 	case pgwire.Terminate:
-		if c.last = true; len(c.calls) == 0 {
+		if c.finishing = true; len(c.calls) == 0 {
 			c.close(closedDone)
 		}
 	default:
@@ -195,23 +195,23 @@
 	return false
 }
 
-func (c *conn) hello(in []byte) bool {
-	kind, n, err := pgwire.ParseHello(in)
+func (c *conn) handleHello(input []byte) bool {
+	kind, n, err := pgwire.ParseHello(input)
 	switch {
 	case err != nil:
 		c.fatal(pgwire.CodeProtocolViolation, err.Error())
 	case kind == pgwire.HelloTLS, kind == pgwire.HelloGSS:
 		c.fatal(pgwire.CodeUnsupported, "encryption is not spoken here")
 	case kind == pgwire.HelloCancel:
-		if key, ok := pgwire.CancelKey(in[:n]); ok {
+		if key, ok := pgwire.CancelKey(input[:n]); ok {
 			c.front.cancel(key)
 		}
 		c.close(closedDone)
 	case kind == pgwire.HelloStart:
 		c.nc.Consume(n)
-		c.started, c.key = true, c.front.key.Uint64()
-		c.front.keys[c.key] = c
-		c.nc.Write(pgwire.AppendWelcome(nil, c.key))
+		c.started, c.cancelKey = true, c.front.keySource.Uint64()
+		c.front.cancelKeys[c.cancelKey] = c
+		c.nc.Write(pgwire.AppendWelcome(nil, c.cancelKey))
 		return true
 	}
 	return false
@@ -220,54 +220,54 @@
 // cancel ends the request that the connection with this key waits for, not those sent ahead behind it. A wrong key, or
 // one that comes late, does nothing, and nobody is told which it was.
 func (f *Front) cancel(key uint64) {
-	if c := f.keys[key]; c != nil && len(c.calls) > 0 && c.calls[0].q != nil && !c.calls[0].done {
-		f.core.Cancel(c.calls[0].q)
+	if c := f.cancelKeys[key]; c != nil && len(c.calls) > 0 && c.calls[0].request != nil && !c.calls[0].done {
+		f.core.Cancel(c.calls[0].request)
 	}
 }
 
-// forget has the connection's key open nothing any more.
-func (c *conn) forget() {
+// revokeCancelKey has the connection's key open nothing any more.
+func (c *conn) revokeCancelKey() {
 	if c.started {
-		delete(c.front.keys, c.key)
+		delete(c.front.cancelKeys, c.cancelKey)
 	}
 }
 
-// query hands a statement to the core.
-func (c *conn) query(body []byte, n int) bool {
-	c.asked, c.last = true, c.front.closing && !c.taking
-	c.unfile() // its time in any place begins anew
+// handleQuery hands a statement to the core.
+func (c *conn) handleQuery(body []byte, n int) bool {
+	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
+	c.dequeue() // its time in any place begins anew
 	text, err := pgwire.Text(body)
 	if err == nil && pgwire.Blank(text) {
 		c.nc.Consume(n)
-		if c.front.held {
-			c.say(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is starting", "")))
+		if c.front.starting {
+			c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is starting", "")))
 		} else if c.front.drained {
-			c.say(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is drained", "")))
+			c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is drained", "")))
 		} else {
-			c.front.opt.Guard.CheckReady(c.front.opt.Servable == nil || c.front.opt.Servable())
-			c.say(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
+			c.front.options.Guard.CheckReady(c.front.options.Servable == nil || c.front.options.Servable())
+			c.reply(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
 		}
 		return true
 	}
 	var head pgwire.Head
 	var class int
 	if err == nil {
-		head, class, err = c.head(text)
+		head, class, err = c.parseHead(text)
 	}
 	if err != nil {
 		c.nc.Consume(n)
-		c.refuse(err)
+		c.rejectStatement(err)
 		return true
 	}
 	// The buffer goes with the request: the statement is written out from where it was
 	// read, and the head's places count from the start of its text.
 	buffer := c.nc.Take(n)
-	c.take(class, &pgwire.Statement{Text: buffer[n-len(body) : n-1], Head: head}, [][]byte{buffer}, 0)
+	c.submit(class, &pgwire.Statement{Text: buffer[n-len(body) : n-1], Head: head}, [][]byte{buffer}, 0)
 	return true
 }
 
-// head reads the comment that heads a statement, and finds its class.
-func (c *conn) head(text []byte) (head pgwire.Head, class int, err error) {
+// parseHead reads the comment that heads a statement, and finds its class.
+func (c *conn) parseHead(text []byte) (head pgwire.Head, class int, err error) {
 	if head, err = pgwire.ParseHead(text); err != nil {
 		return head, 0, err
 	}
@@ -275,46 +275,46 @@
 	if !known {
 		return head, 0, fmt.Errorf("unknown class %q", head.Class)
 	}
-	if _, open := c.front.ids[string(head.ID)]; open {
-		err = errOpen // databases would take one of the two for the other
+	if _, open := c.front.openIDs[string(head.ID)]; open {
+		err = errDuplicateID // databases would take one of the two for the other
 	}
 	return head, class, err
 }
 
-// refuse answers a statement that cannot be taken.
-func (c *conn) refuse(err error) {
-	c.front.bad.Printf(c.front.loop.Now(), "event=bad_query client=%d err=%q", c.number, err)
-	c.say(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), "")))
+// rejectStatement answers a statement that cannot be taken.
+func (c *conn) rejectStatement(err error) {
+	c.front.closeLog.Printf(c.front.loop.Now(), "event=bad_query client=%d err=%q", c.number, err)
+	c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), "")))
 }
 
-// take hands a statement to the core. Its buffers are given back when nobody needs them.
-func (c *conn) take(class int, st *pgwire.Statement, buffers [][]byte, large int) {
-	head := &st.Head
-	q := &gateway.Request{
-		Class: class, Group: policy.GroupID(head.Cluster), Session: session(head.Key),
+// submit hands a statement to the core. Its buffers are given back when nobody needs them.
+func (c *conn) submit(class int, statement *pgwire.Statement, buffers [][]byte, largeBytes int) {
+	head := &statement.Head
+	req := &gateway.Request{
+		Class: class, Group: policy.GroupID(head.Cluster), Session: sessionID(head.Key),
 		MinPosition: time.Duration(head.After) * time.Millisecond,
-		Deadline:    c.front.arrived() + time.Duration(head.Millis)*time.Millisecond,
+		Deadline:    c.front.arrivalTime() + time.Duration(head.Millis)*time.Millisecond,
 	}
-	if c.front.closing {
-		q.Deadline = min(q.Deadline, c.front.until)
+	if c.front.shuttingDown {
+		req.Deadline = min(req.Deadline, c.front.shutdownDeadline)
 	}
 	id := string(head.ID)
-	c.front.ids[id] = struct{}{}
-	q.Name, q.ConnectionID = id, c.number
-	a := &call{conn: c, q: q, id: id, buffers: buffers, large: large}
-	q.Client, q.Statement = a, st
-	c.calls = append(c.calls, a)
-	c.front.core.Submit(q)
+	c.front.openIDs[id] = struct{}{}
+	req.Name, req.ConnectionID = id, c.number
+	call := &call{conn: c, request: req, id: id, buffers: buffers, largeBytes: largeBytes}
+	req.Client, req.Statement = call, statement
+	c.calls = append(c.calls, call)
+	c.front.core.Submit(req)
 }
 
-// arrived is when what is read now may have come at the earliest: it waited if this process stood still. A hold-up within the
+// arrivalTime is when what is read now may have come at the earliest: it waited if this process stood still. A hold-up within the
 // terms' slack is not counted, nor that much of a longer one.
-func (f *Front) arrived() time.Duration {
-	return f.loop.Now() - max(0, f.loop.Age()-heldUp)
+func (f *Front) arrivalTime() time.Duration {
+	return f.loop.Now() - max(0, f.loop.Age()-arrivalSlack)
 }
 
-// session is the number of the session that a key names.
-func session(key []byte) policy.SessionID {
+// sessionID is the number of the sessionID that a key names.
+func sessionID(key []byte) policy.SessionID {
 	if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
 		return policy.SessionID(n)
 	}
@@ -324,59 +324,59 @@
 }
 
 // fatal answers with an error, the last on this connection.
-func (c *conn) fatal(code, why string) {
-	c.bad = true
-	c.front.bad.Printf(c.front.loop.Now(), "event=client_closed client=%d code=%s reason=%q", c.number, code, why)
-	c.say(pgwire.AppendError(nil, "FATAL", code, why, ""))
-	c.last = true
+func (c *conn) fatal(code, reason string) {
+	c.protocolError = true
+	c.front.closeLog.Printf(c.front.loop.Now(), "event=client_closed client=%d code=%s reason=%q", c.number, code, reason)
+	c.reply(pgwire.AppendError(nil, "FATAL", code, reason, ""))
+	c.finishing = true
 }
 
-func (c *conn) finish(why closed) {
-	c.ending(why)
-	c.forget()
-	c.dropPieces()
-	limit := limits[leaving]
+func (c *conn) finish(reason closeReason) {
+	c.recordClose(reason)
+	c.revokeCancelKey()
+	c.discardLarge()
+	limit := stateTimeouts[stateClosing]
 	if c.nc.Pending() > 0 {
-		limit = limits[unread]
+		limit = stateTimeouts[stateUnread]
 	}
-	until := c.front.loop.Now() + limit
-	if c.front.closing { // the process is killed soon after: an orderly end goes before a peer that keeps its side open
-		until = min(until, max(c.front.until, c.front.loop.Now()+lastMoment))
+	deadline := c.front.loop.Now() + limit
+	if c.front.shuttingDown { // the process is killed soon after: an orderly end goes before a peer that keeps its side open
+		deadline = min(deadline, max(c.front.shutdownDeadline, c.front.loop.Now()+lastAnswerTime))
 	}
-	c.nc.Finish(until)
-	c.file()
+	c.nc.Finish(deadline)
+	c.updateState()
 }
 
-// why is the reason for an orderly end.
-func (c *conn) why() closed {
+// drainReason is the reason for an orderly end.
+func (c *conn) drainReason() closeReason {
 	switch {
-	case c.bad:
+	case c.protocolError:
 		return closedBad
-	case c.front.closing || c.front.easing != 0:
+	case c.front.shuttingDown || c.front.drainUntil != 0:
 		return closedDrain
 	}
 	return closedDone
 }
 
-// ending notes that the gateway ends the connection, and checks that it owes no answer. One that has left is noted no more.
-func (c *conn) ending(why closed) {
-	if c.place == leaving && c.at != nil {
+// recordClose notes that the gateway ends the connection, and checks that it owes no answer. One that has left is noted no more.
+func (c *conn) recordClose(reason closeReason) {
+	if c.state == stateClosing && c.queueElement != nil {
 		return
 	}
-	c.front.ended.Add(int(why))
-	owed, request := 0, ""
-	for _, a := range c.calls {
-		if !a.done {
-			owed, request = owed+1, a.id
+	c.front.closedCounts.Add(int(reason))
+	unanswered, request := 0, ""
+	for _, call := range c.calls {
+		if !call.done {
+			unanswered, request = unanswered+1, call.id
 		}
 	}
-	c.front.opt.Guard.CheckClose(c.number, request, owed)
+	c.front.options.Guard.CheckClose(c.number, request, unanswered)
 }
 
-func (c *conn) close(why closed) {
-	c.ending(why)
-	c.forget()
-	c.unfile()
-	c.dropPieces()
+func (c *conn) close(reason closeReason) {
+	c.recordClose(reason)
+	c.revokeCancelKey()
+	c.dequeue()
+	c.discardLarge()
 	c.nc.Close()
 }
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -9,129 +9,129 @@
 	"lilaccove/internal/pgwire"
 )
 
-// place is what a connection is at. In each place they queue, the one that came first in
+// connState is what a connection is at. In each connState they queue, the one that came first in
 // front, so that the end of a limit and the choice of whom to close are at hand.
-type place int
+type connState int
 
 const (
-	busy    place = iota // the core has a request of it
-	fresh                // it has not sent a whole query yet, or not even a hello
-	partial              // a packet has begun
-	unread               // it has not read its answer
-	idle                 // between requests
-	leaving              // finished: it may read its last answer
-	places
+	stateBusy    connState = iota // the core has a request of it
+	stateNew                      // it has not sent a whole query yet, or not even a hello
+	statePartial                  // a packet has begun
+	stateUnread                   // it has not read its answer
+	stateIdle                     // between requests
+	stateClosing                  // finished: it may read its last answer
+	stateCount
 )
 
-// limits are how long a connection may stay in its place. Who connects and does not ask
+// stateTimeouts are how long a connection may stay in its place. Who connects and does not ask
 // is owed an error or a close within 3 s, but may take 2 s for a head; the protocol lets idle ones be
 // closed after 2 s. A packet that has begun has its time from the last bytes that came.
-var limits = [places]time.Duration{
-	fresh: 2600 * time.Millisecond, partial: 2500 * time.Millisecond, unread: 10 * time.Second, idle: 5 * time.Second,
-	leaving: 2 * time.Second,
+var stateTimeouts = [stateCount]time.Duration{
+	stateNew: 2600 * time.Millisecond, statePartial: 2500 * time.Millisecond, stateUnread: 10 * time.Second, stateIdle: 5 * time.Second,
+	stateClosing: 2 * time.Second,
 }
 
-// closed is why the front has ended a connection.
-type closed int
+// closeReason is why the front has ended a connection.
+type closeReason int
 
 const (
-	closedIdle        closed = iota // it has been idle for too long
-	closedSlow                      // it sent no whole command in time
-	closedUnread                    // it did not read its answer
-	closedDescriptors               // its descriptor was wanted
-	closedMemory                    // its buffer was wanted
-	closedBroken                    // a value broke off
-	closedBad                       // it sent what is not spoken here
-	closedDone                      // it has ended itself, or asked for no more than a cancel
-	closedDrain                     // the gateway ends, or is drained
-	closedReasons
+	closedIdle        closeReason = iota // it has been idle for too long
+	closedSlow                           // it sent no whole command in time
+	closedUnread                         // it did not read its answer
+	closedDescriptors                    // its descriptor was wanted
+	closedMemory                         // its buffer was wanted
+	closedBroken                         // a value broke off
+	closedBad                            // it sent what is not spoken here
+	closedDone                           // it has ended itself, or asked for no more than a cancel
+	closedDrain                          // the gateway ends, or is drained
+	closeReasonCount
 )
 
-var closedNames = [closedReasons]string{
+var closeReasonNames = [closeReasonCount]string{
 	"idle", "slow", "unread", "descriptors", "memory", "broken", "bad", "done", "drain",
 }
 
-// overstayed is why a connection ends that has been at its place for too long.
-var overstayed = [places]closed{idle: closedIdle, leaving: closedDone, unread: closedUnread, fresh: closedSlow, partial: closedSlow}
+// timeoutReasons is why a connection ends that has been at its place for too long.
+var timeoutReasons = [stateCount]closeReason{stateIdle: closedIdle, stateClosing: closedDone, stateUnread: closedUnread, stateNew: closedSlow, statePartial: closedSlow}
 
-const closedLines = 3 // in the log in a second, of those that are not usual
+const clientLogsPerSecond = 3 // in the log in a second, of those that are not usual
 
-// reread looks whether those that are slow to read their answers go on reading: progress counts, not the
+// checkReaders looks whether those that are slow to read their answers go on reading: progress counts, not the
 // time that it takes.
-func (f *Front) reread() {
-	for _, c := range f.all(unread) {
+func (f *Front) checkReaders() {
+	for _, c := range f.connsIn(stateUnread) {
 		if c.nc.Pending() == 0 {
 			c.serve()
-		} else if c.reads() {
-			f.queues[unread].MoveToBack(c.at)
-			c.since = f.loop.Now()
+		} else if c.hasRead() {
+			f.queues[stateUnread].MoveToBack(c.queueElement)
+			c.progressAt = f.loop.Now()
 		}
 	}
-	for c := range f.streams {
-		if !c.reads() && f.loop.Now()-c.readAt >= limits[unread] {
-			f.bad.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
-			c.cut(closedUnread)
+	for c := range f.streaming {
+		if !c.hasRead() && f.loop.Now()-c.lastReadAt >= stateTimeouts[stateUnread] {
+			f.closeLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
+			c.abort(closedUnread)
 		}
 	}
 }
 
-// reads tells whether the client has read since the last look, or has nothing to read.
-func (c *conn) reads() bool {
-	n := c.nc.Pending()
-	read := n == 0 || n != c.unread
-	if c.unread = n; read {
-		c.readAt = c.front.loop.Now()
+// hasRead tells whether the client has read since the last look, or has nothing to read.
+func (c *conn) hasRead() bool {
+	pending := c.nc.Pending()
+	progressed := pending == 0 || pending != c.lastPending
+	if c.lastPending = pending; progressed {
+		c.lastReadAt = c.front.loop.Now()
 	}
-	return read
+	return progressed
 }
 
 // sweep closes whoever has been at its place too long.
 func (f *Front) sweep() {
-	f.reread()
+	f.checkReaders()
 	now := f.loop.Now()
-	f.loop.At(now+sweepTime, f.sweep)
-	for p := fresh; p < places; p++ {
-		for e := f.queues[p].Front(); e != nil && e.Value.(*conn).since+limits[p] <= now; e = f.queues[p].Front() {
-			c := e.Value.(*conn)
-			if slices.Contains(f.queued, c) {
+	f.loop.At(now+sweepInterval, f.sweep)
+	for state := stateNew; state < stateCount; state++ {
+		for element := f.queues[state].Front(); element != nil && element.Value.(*conn).progressAt+stateTimeouts[state] <= now; element = f.queues[state].Front() {
+			c := element.Value.(*conn)
+			if slices.Contains(f.largeWaiting, c) {
 				c.fatal(pgwire.CodeTooManyConnections, "too many large statements at once; nothing has run")
 				c.serve()
 				continue
 			}
-			if p != idle && p != leaving {
-				f.bad.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
+			if state != stateIdle && state != stateClosing {
+				f.closeLog.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
 			}
-			c.close(overstayed[p])
+			c.close(timeoutReasons[state])
 		}
 	}
 }
 
-// roomy tells whether one more client may come where so many are the most. What databases
+// hasCapacity tells whether one more client may come where so many are the most. What databases
 // hold does not count against the clients' own share.
-func (f *Front) roomy(most int) bool {
-	return f.Clients() < most && f.loop.Spare() >= f.opt.Reserve
+func (f *Front) hasCapacity(maxClients int) bool {
+	return f.Clients() < maxClients && f.loop.Spare() >= f.options.Reserve
 }
 
-// makeRoom frees a descriptor: of one that was told its end already, else of the one that
+// reclaimDescriptor frees a descriptor: of one that was told its end already, else of the one that
 // has said nothing for longest, else of the one idle for longest. Silent connections,
 // however many, must not keep out those that ask, nor may a crowd that arrives at once
 // each other's connections between hello and query while idle ones are kept, or while there is room.
-func (f *Front) makeRoom() bool {
-	return f.closeOldest(leaving, 0) || f.closeOldest(fresh, freshGrace) || f.closeOldest(idle, idleGrace) ||
-		!f.roomy(f.opt.MaxClients) && (f.Clients() < f.opt.MaxClients && f.opt.FreeDescriptor() || f.closeOldest(idle, 0) || f.closeOldest(fresh, 0))
+func (f *Front) reclaimDescriptor() bool {
+	return f.closeOldest(stateClosing, 0) || f.closeOldest(stateNew, newConnGrace) || f.closeOldest(stateIdle, idleGrace) ||
+		!f.hasCapacity(f.options.MaxClients) && (f.Clients() < f.options.MaxClients && f.options.FreeDescriptor() || f.closeOldest(stateIdle, 0) || f.closeOldest(stateNew, 0))
 }
 
 // closeOldest closes the one that came to p first, if that is so long ago, and tells
 // whether it freed a descriptor.
-func (f *Front) closeOldest(p place, age time.Duration) bool {
-	for e := f.queues[p].Front(); e != nil; e = f.queues[p].Front() {
-		c := e.Value.(*conn)
-		if f.loop.Now()-c.since < age {
+func (f *Front) closeOldest(state connState, age time.Duration) bool {
+	for element := f.queues[state].Front(); element != nil; element = f.queues[state].Front() {
+		c := element.Value.(*conn)
+		if f.loop.Now()-c.progressAt < age {
 			return false
 		}
 		open := c.nc.Open()
 		c.nc.Poll() // what it has sent by now counts
-		if c.place == p && c.at == e {
+		if c.state == state && c.queueElement == element {
 			c.close(closedDescriptors)
 			if open {
 				return true
@@ -141,14 +141,14 @@
 	return false
 }
 
-// relieve frees buffers while they are short, other than those of c, which is at work:
+// reclaimMemory frees buffers while they are short, other than those of c, which is at work:
 // first of those that have not sent a whole packet for longest. A usual request is small.
-func (f *Front) relieve(c *conn) {
-	for p := fresh; p < idle && f.loop.Pressed(); p++ {
-		for _, x := range f.all(p) {
-			if x != c && x.nc.Held() > keepSmall && f.loop.Pressed() {
-				f.bad.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", x.number, x.nc.Held())
-				x.finish(closedMemory) // a plain close over unread bytes would take an answer along that was just written
+func (f *Front) reclaimMemory(c *conn) {
+	for state := stateNew; state < stateIdle && f.loop.Pressed(); state++ {
+		for _, other := range f.connsIn(state) {
+			if other != c && other.nc.Held() > smallBufferBytes && f.loop.Pressed() {
+				f.closeLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.Held())
+				other.finish(closedMemory) // a plain close over unread bytes would take an answer along that was just written
 			}
 		}
 	}
--- a/internal/front/pieces.go
+++ b/internal/front/pieces.go
@@ -7,119 +7,119 @@
 	"lilaccove/internal/pgwire"
 )
 
-// pieces are those of a statement that is too large to be collected in one buffer.
-type pieces struct {
-	whole int      // its length, with the head of its message
-	got   int      // of that
-	seen  int      // got when its time last began anew
-	list  [][]byte // as they came
+// largeStatement are those of a statement that is too large to be collected in one buffer.
+type largeStatement struct {
+	size         int      // its length, with the head of its message
+	received     int      // of that
+	progressMark int      // got when its time last began anew
+	pieces       [][]byte // as they came
 }
 
-// collect takes what has come of a large statement; true when that was all.
-func (c *conn) collect() bool {
-	p := c.pieces
-	if p == nil {
-		if slices.Contains(c.front.queued, c) {
+// collectLarge takes what has come of a large statement; true when that was all.
+func (c *conn) collectLarge() bool {
+	large := c.large
+	if large == nil {
+		if slices.Contains(c.front.largeWaiting, c) {
 			return false
 		}
-		n := pgwire.LargeQuery(c.nc.Input())
-		if n > c.front.opt.MaxLargeStatementBytes {
+		size := pgwire.LargeQuery(c.nc.Input())
+		if size > c.front.options.MaxLargeStatementBytes {
 			c.fatal(pgwire.CodeTooLarge, "the statement is too large for this gateway's memory")
 			return false
 		}
-		if !c.front.takeLarge(n) {
-			c.front.queued = append(c.front.queued, c)
+		if !c.front.reserveLarge(size) {
+			c.front.largeWaiting = append(c.front.largeWaiting, c)
 			c.nc.Pause()
 			return false
 		}
-		p = &pieces{whole: n}
-		c.pieces = p
-		c.nc.Widen(pieceMost)
+		large = &largeStatement{size: size}
+		c.large = large
+		c.nc.Widen(maxPieceBytes)
 	}
 	// A piece fills most of its buffer, however small the parts are in which it comes. The first one so
 	// holds the heading comment.
-	n := min(len(c.nc.Input()), p.whole-p.got)
-	if n < min(pieceMost*3/4, p.whole-p.got) {
+	n := min(len(c.nc.Input()), large.size-large.received)
+	if n < min(maxPieceBytes*3/4, large.size-large.received) {
 		return false
 	}
-	p.list = append(p.list, c.nc.Take(n))
-	if p.got += n; p.got < p.whole {
+	large.pieces = append(large.pieces, c.nc.Take(n))
+	if large.received += n; large.received < large.size {
 		return false
 	}
-	c.pieces = nil
+	c.large = nil
 	c.nc.Widen(0)
-	c.asked, c.last = true, c.front.closing && !c.taking
-	c.unfile()
-	st, class, err := c.statement(p)
+	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
+	c.dequeue()
+	statement, class, err := c.assembleStatement(large)
 	if err != nil {
-		c.front.free(p)
-		c.refuse(err)
+		c.front.freeBuffers(large)
+		c.rejectStatement(err)
 		return true
 	}
-	c.take(class, st, p.list, p.whole)
+	c.submit(class, statement, large.pieces, large.size)
 	return true
 }
 
-// statement is the whole of the pieces, without the head of the message and its last byte.
-func (c *conn) statement(p *pieces) (st *pgwire.Statement, class int, err error) {
-	st = &pgwire.Statement{Text: p.list[0][5:], More: slices.Clone(p.list[1:])}
-	last := &st.Text
-	if n := len(st.More); n > 0 {
-		last = &st.More[n-1]
+// assembleStatement is the whole of the pieces, without the head of the message and its last byte.
+func (c *conn) assembleStatement(large *largeStatement) (statement *pgwire.Statement, class int, err error) {
+	statement = &pgwire.Statement{Text: large.pieces[0][5:], More: slices.Clone(large.pieces[1:])}
+	last := &statement.Text
+	if n := len(statement.More); n > 0 {
+		last = &statement.More[n-1]
 	}
 	end := len(*last) - 1
-	ended := (*last)[end] == 0
+	terminated := (*last)[end] == 0
 	*last = (*last)[:end]
-	zero := func(b []byte) bool { return bytes.IndexByte(b, 0) >= 0 }
-	if !ended || zero(st.Text) || slices.ContainsFunc(st.More, zero) {
+	hasNUL := func(b []byte) bool { return bytes.IndexByte(b, 0) >= 0 }
+	if !terminated || hasNUL(statement.Text) || slices.ContainsFunc(statement.More, hasNUL) {
 		return nil, 0, pgwire.ErrText
 	}
-	st.Head, class, err = c.head(st.Text)
-	return st, class, err
+	statement.Head, class, err = c.parseHead(statement.Text)
+	return statement, class, err
 }
 
-// dropPieces forgets a large statement that does not become whole.
-func (c *conn) dropPieces() {
-	if p := c.pieces; p != nil {
-		c.pieces = nil
-		c.front.free(p)
+// discardLarge forgets a large statement that does not become whole.
+func (c *conn) discardLarge() {
+	if large := c.large; large != nil {
+		c.large = nil
+		c.front.freeBuffers(large)
 	}
-	c.front.queued = slices.DeleteFunc(c.front.queued, func(o *conn) bool { return o == c })
+	c.front.largeWaiting = slices.DeleteFunc(c.front.largeWaiting, func(other *conn) bool { return other == c })
 }
 
-func (f *Front) free(p *pieces) {
-	for _, b := range p.list {
+func (f *Front) freeBuffers(large *largeStatement) {
+	for _, b := range large.pieces {
 		f.loop.Free(b)
 	}
-	f.freeLarge(p.whole)
+	f.releaseLarge(large.size)
 }
 
-// takeLarge sets room for a large statement aside.
-func (f *Front) takeLarge(n int) bool {
-	if f.large+n > f.opt.MaxLargeStatementBytes {
+// reserveLarge sets room for a large statement aside.
+func (f *Front) reserveLarge(n int) bool {
+	if f.largeBytes+n > f.options.MaxLargeStatementBytes {
 		return false
 	}
-	f.large += n
+	f.largeBytes += n
 	return true
 }
 
-// freeLarge gives room back, and has those who wait for it go on: in the next round, for the caller may be in
+// releaseLarge gives room back, and has those who wait for it go on: in the next round, for the caller may be in
 // the midst of any connection's work.
-func (f *Front) freeLarge(n int) {
+func (f *Front) releaseLarge(n int) {
 	if n > 0 {
-		f.large -= n
+		f.largeBytes -= n
 		f.loop.At(f.loop.Now(), f.admitLarge)
 	}
 }
 
 // admitLarge has those who wait go on as far as there is room, the first in front.
 func (f *Front) admitLarge() {
-	for len(f.queued) > 0 {
-		c := f.queued[0]
-		if f.large+pgwire.LargeQuery(c.nc.Input()) > f.opt.MaxLargeStatementBytes {
+	for len(f.largeWaiting) > 0 {
+		c := f.largeWaiting[0]
+		if f.largeBytes+pgwire.LargeQuery(c.nc.Input()) > f.options.MaxLargeStatementBytes {
 			return
 		}
-		f.queued = f.queued[1:]
+		f.largeWaiting = f.largeWaiting[1:]
 		c.nc.Resume()
 		c.serve()
 	}
