--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -1,5 +1,5 @@
-// Package alarm calls functions at moments that are asked for in any order: a binary heap. Nothing here waits or reads a
-// clock; whoever owns a queue says what time it is.
+// Package alarm implements a timer queue as a binary heap: functions are scheduled in any order and called when due. It neither
+// waits nor reads a clock; the owner of a queue passes the current time.
 package alarm
 
 import (
@@ -7,67 +7,69 @@
 	"time"
 )
 
-// Queue is the functions that are still to be called. Its zero value is empty. It is not safe for concurrent use.
+// Queue holds the scheduled functions. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue struct {
-	heap  []entry
-	count uint64
+	heap         []entry
+	lastSequence uint64
 }
 
 type entry struct {
-	at    time.Duration
-	count uint64 // those of one moment are called in the order in which they were asked for
-	do    func()
+	dueTime  time.Duration
+	sequence uint64 // entries due at the same time are called in the order in which they were added
+	fn       func()
 }
 
-func (e *entry) before(o *entry) bool { return e.at < o.at || e.at == o.at && e.count < o.count }
+func (e *entry) before(other *entry) bool {
+	return e.dueTime < other.dueTime || e.dueTime == other.dueTime && e.sequence < other.sequence
+}
 
-// Add has do called at a moment. It takes time that grows with the logarithm of how many wait.
-func (q *Queue) Add(at time.Duration, do func()) {
-	q.count++
-	q.heap = append(q.heap, entry{at, q.count, do})
-	h := q.heap
-	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h[i].before(&h[up]) {
+// Add schedules fn to be called at a time. It takes O(log n) time for n scheduled functions.
+func (q *Queue) Add(dueTime time.Duration, fn func()) {
+	q.lastSequence++
+	q.heap = append(q.heap, entry{dueTime, q.lastSequence, fn})
+	heap := q.heap
+	for i := len(heap) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !heap[i].before(&heap[parent]) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		heap[i], heap[parent] = heap[parent], heap[i]
+		i = parent
 	}
 }
 
-// Next is the earliest moment asked for; the greatest there is where nothing is.
+// Next returns the earliest time that a function is due, or the maximum duration if the queue is empty.
 func (q *Queue) Next() time.Duration {
 	if len(q.heap) == 0 {
 		return math.MaxInt64
 	}
-	return q.heap[0].at
+	return q.heap[0].dueTime
 }
 
-// Run calls what is due, also what is added for a moment that has come while it runs.
+// Run calls all functions that are due, including due ones that are added while it runs.
 func (q *Queue) Run(now time.Duration) {
-	for len(q.heap) > 0 && q.heap[0].at <= now {
+	for len(q.heap) > 0 && q.heap[0].dueTime <= now {
 		q.pop()()
 	}
 }
 
 func (q *Queue) pop() func() {
-	h, n := q.heap, len(q.heap)-1
-	do := h[0].do
-	h[0], h[n] = h[n], entry{}
-	h = h[:n]
-	q.heap = h
+	heap, size := q.heap, len(q.heap)-1
+	fn := heap[0].fn
+	heap[0], heap[size] = heap[size], entry{}
+	heap = heap[:size]
+	q.heap = heap
 	for i := 0; ; {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < n; c++ {
-			if h[c].before(&h[least]) {
-				least = c
+		earliest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < size; child++ {
+			if heap[child].before(&heap[earliest]) {
+				earliest = child
 			}
 		}
-		if least == i {
-			return do
+		if earliest == i {
+			return fn
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		heap[i], heap[earliest] = heap[earliest], heap[i]
+		i = earliest
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -1,4 +1,4 @@
-// Attempts: how each is begun, how it ends, and what it tells.
+// Attempts: how they start and end, and what is reported of them.
 
 package gateway
 
@@ -9,9 +9,10 @@
 	"lilaccove/policy"
 )
 
-// BeginAttempt tells that the first byte of an attempt is written now, and returns the time that its database is told to have until
-// a moment: whole milliseconds, rounded up; 0: its time to begin is over, and it is not to be written. The clock is read once,
-// behind all that comes before the write, so that nothing that holds this process up meanwhile is told as left.
+// BeginAttempt reports that the first byte of an attempt is about to be written, and returns the time remaining until a
+// deadline, which is sent to the database: whole milliseconds, rounded up. 0 means that it is too late to begin, and the attempt
+// must not be written. The clock is read once, after everything that precedes the write, so that a stall of this process before
+// then is not counted as remaining time.
 func (g *Gateway) BeginAttempt(attempt *Attempt, until time.Duration) (remaining time.Duration) {
 	now := g.loop.Clock()
 	if attempt.BeginBy > 0 && now >= attempt.BeginBy {
@@ -25,7 +26,7 @@
 	return remaining
 }
 
-// checkAttempt has the guard judge an attempt that is about to be written.
+// checkAttempt has the guard check an attempt that is about to be written.
 func (g *Gateway) checkAttempt(attempt *Attempt, now, databaseTimeout time.Duration) {
 	req := attempt.request
 	check := invariant.Attempt{
@@ -40,7 +41,7 @@
 	g.guard.CheckAttempt(&check)
 }
 
-// Written tells that the kernel has taken the last byte of an attempt; it may be told again.
+// Written reports that the kernel has accepted the last byte of an attempt. It may be called repeatedly for one attempt.
 func (g *Gateway) Written(attempt *Attempt) {
 	if !attempt.written {
 		attempt.written = true
@@ -48,7 +49,7 @@
 	}
 }
 
-// Resolved tells how an attempt ended. The first value goes to the client at once.
+// Resolved reports how an attempt ended. The first value goes to the client at once.
 func (g *Gateway) Resolved(attempt *Attempt, outcome policy.Outcome, reply Reply) {
 	if attempt.done {
 		return
@@ -84,22 +85,22 @@
 	g.release(req)
 }
 
-// LateAnswer takes what a database answered to an attempt that was given up: that it is a replica counts as told. That it was
-// a primary may be older than what others have told since.
+// LateAnswer reports what a database answered to an attempt that had been given up. Its role counts if it is a replica; that
+// it was a primary may be older than what others have reported since, and is ignored.
 func (g *Gateway) LateAnswer(host policy.HostID, reply Reply) {
 	if reply.Role == policy.Replica {
 		g.events = append(g.events, policy.Result{Host: host, Attempt: -1, Outcome: policy.NotSent, Finished: true, Role: reply.Role})
 	}
 }
 
-// latency is how long something has taken since it was sent, without the time for which what came may have waited for this
-// process: an answer is not late for its reader's sake.
+// latency returns the time since something was sent, without the time for which the answer may have waited for this process
+// to read it: that delay is not the host's.
 func (g *Gateway) latency(sent time.Duration) time.Duration {
 	return max(0, g.loop.Now()-g.loop.Age()-sent)
 }
 
-// send starts an attempt; the timeout becomes a deadline here. One for a request that
-// is over is never sent.
+// send starts an attempt and turns its timeout into a deadline. An attempt of a finished
+// request is not sent.
 func (g *Gateway) send(action policy.Send) {
 	now := g.loop.Now()
 	req := g.requests[action.Request]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway leads requests through their lives: what happens is gathered as
-// events, the decision module takes them in one Step, and its actions are carried out.
-// It knows fronts and backends by small interfaces only and no protocol, so that a
-// second front goes through the same decisions and keeps the same rules.
+// Package gateway manages the lifecycle of requests: it collects events, passes them to the
+// decision module (package policy) in one Step, and carries out the resulting actions. It uses
+// fronts and backends through small interfaces and knows no wire protocol, so that another front
+// would be subject to the same decisions and rules.
 package gateway
 
 import (
@@ -19,30 +19,30 @@
 	"lilaccove/policy"
 )
 
-// deadlineGrace is how long after a request's deadline the gateway ends it itself. The module
-// does so a tick before; this guards the rule that each request gets its answer in time.
+// deadlineGrace is how long after a request's deadline the gateway fails it itself. The decision
+// module does so a tick earlier; this enforces that every request is answered in time.
 const deadlineGrace = 2 * time.Millisecond
 
-// Lines in the log in a second.
+// Limits on log lines per second.
 const (
 	givenUpLogsPerSecond = 5
 	retryLogsPerSecond   = 5
 )
 
-// Client is the front's side of one request. Exactly one of the first four is called,
-// once, unless Gone came first.
+// Client is the front's side of one request. Exactly one of the first four methods is called,
+// once, unless Gateway.ClientGone was called before or the value is streamed.
 type Client interface {
-	Served(value []byte) // the value as the backend gave it, good during the call
+	Served(value []byte) // the value as the backend delivered it, valid only during the call
 	Refused(retryAfter time.Duration)
 	Failed()
-	Cancelled() // behind Cancel: nothing has run
-	// A large value comes in parts instead: BeginStream, then Part, and at the end Complete, or Broken where
-	// it ended before it was whole. Part tells whether more may come at once; else More asks for it.
+	Cancelled() // after Gateway.Cancel: nothing has run
+	// A large value is streamed instead: BeginStream, then StreamChunk, and finally EndStream, or AbortStream if
+	// it ended incomplete. StreamChunk reports whether more may follow at once; if not, Gateway.ResumeStream asks for it.
 	BeginStream()
 	StreamChunk(b []byte) (more bool)
 	EndStream()
 	AbortStream()
-	Released() // nobody needs the statement any more; the last call
+	Released() // the statement is no longer needed; the last call
 }
 
 // Backends sends attempts and probes. Every Send leads to one Gateway.Resolved, every
@@ -50,54 +50,54 @@
 type Backends interface {
 	Send(a *Attempt)
 	Cancel(a *Attempt)
-	CancelUnsent(a *Attempt) // gives it back as NotSent if it is not written whole: nothing has run
-	ResumeStream(a *Attempt) // its value may go on
+	CancelUnsent(a *Attempt) // resolves it as NotSent if it is not completely written: nothing has run
+	ResumeStream(a *Attempt) // the client can take more of its value
 	Probe(host policy.HostID)
 	CloseIdleConnections(host policy.HostID)
-	StopUsingHost(host policy.HostID) // HangUp, and what waits for a connection is given back as NotSent
+	StopUsingHost(host policy.HostID) // CloseIdleConnections, and attempts that wait for a connection are resolved as NotSent
 	ListUpdated(kind policy.ListKind, entries []Entry)
 }
 
-// Discovery asks for the list and its changes.
+// Discovery requests the list of databases and its changes.
 type Discovery interface {
-	Subscribe(within time.Duration)
+	Subscribe(timeout time.Duration)
 }
 
-// Observer hears what is done to databases.
+// Observer is notified of what the gateway does to databases.
 type Observer interface {
-	Sent(host policy.HostID, group policy.GroupID)                // an attempt was begun
+	Sent(host policy.HostID, group policy.GroupID)                // an attempt was started
 	Accepted(host policy.HostID, group policy.GroupID, class int) // a request was served
-	PolicyLogged(text string)                                     // the decisions have logged something
+	PolicyLogged(text string)                                     // the decision module logged a line
 }
 
-// Router decides.
+// Router is the decision module (policy.Router).
 type Router interface {
 	Step(now time.Duration, events []policy.Event) []policy.Action
 	ExcludedHosts() int
 	Plausible(position time.Duration) bool
 }
 
-// Request is one request that a front has taken. The front fills it in.
+// Request is one request that a front has received. The front fills in the exported fields.
 type Request struct {
 	Client       Client
-	Statement    any // for the backend; the core does not look into it
+	Statement    any // for the backend; opaque to this package
 	Class        int
 	Group        policy.GroupID
 	Session      policy.SessionID
-	MinPosition  time.Duration // the position it must see; 0: none
+	MinPosition  time.Duration // the replication position it must see; 0: none
 	Deadline     time.Duration
-	Name         string // as its client named it, for logs
-	ConnectionID uint64 // the number of the client's connection, for logs
+	Name         string // the client's request id, for logs
+	ConnectionID uint64 // of the client's connection, for logs
 
 	id            policy.RequestID
 	attempts      []*Attempt
 	inFlight      int
-	finished      bool          // it has its answer, or the client is gone
-	cancelled     bool          // its client has cancelled it: no further attempt
+	finished      bool          // it is answered, or the client is gone
+	cancelled     bool          // the client cancelled it: no further attempt
 	mayHaveRun    bool          // some attempt may have had its effect
-	mayHaveRunAt  time.Duration // when the first such was begun
-	clientGoneAt  time.Duration // when its client left; 0: it has not
-	stream        *Attempt      // whose value is being passed on
+	mayHaveRunAt  time.Duration // when the first such attempt was started
+	clientGoneAt  time.Duration // when its client disconnected; 0: it has not
+	stream        *Attempt      // the attempt whose value is being streamed
 	deadlineTimer *netloop.Timer
 }
 
@@ -106,19 +106,19 @@
 	Host        policy.HostID
 	Statement   any
 	Deadline    time.Duration
-	BeginBy     time.Duration // the moment by which it has to begin, or not at all
-	BackendData any           // the backend's own
+	BeginBy     time.Duration // it must be started before this time or not at all
+	BackendData any           // private to the backend
 
 	request  *Request
 	number   int
 	sentAt   time.Duration
 	done     bool
-	started  bool // its first byte was to be written
+	started  bool // its first byte was about to be written
 	written  bool // its last byte was written
-	reported bool // the module has its result: its value began to be passed on
+	reported bool // the decision module has its result already: its value is being streamed
 }
 
-// Reply is what a backend learned with the end of an attempt or a probe.
+// Reply is what a backend learned from the answer to an attempt or a probe.
 type Reply struct {
 	Value       []byte
 	Role        policy.Role
@@ -127,13 +127,13 @@
 	Report      policy.Report
 }
 
-// Entry is one line of the list.
+// Entry is one entry of the list, with the address to dial.
 type Entry struct {
 	policy.Member
 	Dial netip.AddrPort
 }
 
-// Gateway is the life of all requests. Everything runs on the loop's goroutine.
+// Gateway holds all unfinished requests. Everything runs on the loop's goroutine.
 type Gateway struct {
 	loop          *netloop.Loop
 	router        Router
@@ -142,28 +142,28 @@
 	requests      map[policy.RequestID]*Request
 	events        []policy.Event
 	spareEvents   []policy.Event
-	expired       []*Request // past their deadlines in this round
+	expired       []*Request // whose deadline passed in this loop iteration
 	lastID        uint64
 	unanswered    int // requests without an answer
 	maxUnanswered int
 	probeTimes    map[policy.HostID]time.Duration
 	counts        *stats.Counters
 	members       map[policy.HostID]policy.Member
-	onListChange  func() // the list has
+	onListChange  func()
 	onPosition    func(host policy.HostID, at time.Duration)
 	onPrimary     func(host policy.HostID, at time.Duration)
-	observer      Observer // nil: nobody listens
+	observer      Observer // may be nil
 	suspended     map[policy.HostID]bool
-	reportedPause time.Duration    // as the module was told
-	actionTime    time.Duration    // when what the last Step decided began to be carried out
-	afterStep     []func()         // called when the next Step is carried out
+	reportedPause time.Duration    // total pause of the process that the decision module knows of
+	actionTime    time.Duration    // when the actions of the last Step began to be carried out
+	afterStep     []func()         // called when the next Step's actions are carried out
 	guard         *invariant.Guard // nil: nothing is checked
 	givenUpCounts *stats.Named
 	givenUpLog    netloop.Sparse
 	retryLog      netloop.Sparse
 }
 
-// New makes a gateway that holds at most so many unanswered requests; 0: no limit.
+// New returns a gateway that accepts at most maxUnanswered unanswered requests; 0: no limit.
 func New(loop *netloop.Loop, router Router, maxUnanswered int, counts *stats.Counters) *Gateway {
 	if maxUnanswered <= 0 {
 		maxUnanswered = math.MaxInt
@@ -176,7 +176,7 @@
 	}
 }
 
-// reasonNames are the names of policy's.
+// reasonNames returns the names of all policy.Reason values.
 func reasonNames() (names []string) {
 	for reason := range policy.ReasonCount {
 		names = append(names, reason.String())
@@ -184,26 +184,27 @@
 	return names
 }
 
-// SetGuard has all that is done checked.
+// SetGuard sets the guard that checks invariants.
 func (g *Gateway) SetGuard(guard *invariant.Guard) { g.guard = guard }
 
-// Metrics adds the figures of requests that were given up, by reason.
+// Metrics appends the counts of requests that were given up, by reason.
 func (g *Gateway) Metrics(b []byte) []byte { return g.givenUpCounts.Append(b) }
 
-// Connect sets what the gateway acts on.
+// Connect sets the backends and the discovery client that actions are carried out with.
 func (g *Gateway) Connect(backends Backends, discovery Discovery) {
 	g.backends, g.discovery = backends, discovery
 }
 
-// Unanswered is how many requests have no answer yet.
+// Unanswered returns how many requests have no answer yet.
 func (g *Gateway) Unanswered() int { return g.unanswered }
 
-// Gauges are what the operators read of the moment.
+// Gauges returns the current values that operators read.
 func (g *Gateway) Gauges() stats.Gauges {
 	return stats.Gauges{InProgress: g.unanswered, Known: len(g.members), Skipped: g.router.ExcludedHosts(), Lost: g.loop.Lost()}
 }
 
-// FleetEvent passes on what the fleet tells of hosts: policy.Bounded, Preferred or Heard.
+// FleetEvent passes on an event that comes from the fleet or from the connection budget rather than from a request, such as
+// policy.ConcurrencyLimit, PreferredHosts or PositionReported.
 func (g *Gateway) FleetEvent(event policy.Event) {
 	switch e := event.(type) {
 	case policy.PrimaryReported:
@@ -214,12 +215,12 @@
 	g.events = append(g.events, event)
 }
 
-// Fence has the decisions take no writes, or take them again. It goes before all that the round has brought.
+// Fence sets whether writes are refused. The event precedes all others of the loop iteration.
 func (g *Gateway) Fence(active bool) {
 	g.events = slices.Insert(g.events, 0, policy.Event(policy.FenceChanged{Active: active}))
 }
 
-// Take accepts a request. Its answer may come before Take returns.
+// Submit accepts a request. Its answer may come before Submit returns.
 func (g *Gateway) Submit(req *Request) {
 	now := g.loop.Now()
 	if g.unanswered >= g.maxUnanswered {
@@ -231,10 +232,10 @@
 	}
 	g.lastID++
 	g.unanswered++
-	// The client's own id would do, were it certain that none comes twice.
+	// The client's request ids cannot serve as keys: they are not certain to be unique.
 	req.id = policy.RequestID(strconv.FormatUint(g.lastID, 36))
 	g.requests[req.id] = req
-	// A round that comes late finds the module's own timer due with this one: the module goes first.
+	// In a late loop iteration the decision module's own timer is due together with this one: the module goes first.
 	req.deadlineTimer = g.loop.At(req.Deadline+deadlineGrace, func() { g.expired = append(g.expired, req) })
 	event := policy.Request{
 		ID: req.id, Class: req.Class, Group: req.Group, Session: req.Session, Timeout: req.Deadline - now,
@@ -245,8 +246,8 @@
 	g.events = append(g.events, event)
 }
 
-// Gone tells that the client of q has left: nothing more is owed. What waits for a connection would begin when nobody
-// wants it any more; that is taken back even where attempts may not be called off.
+// ClientGone reports that the client of req has disconnected: no answer is needed. Attempts that wait for a connection would
+// start although the result is no longer wanted; they are cancelled even where running attempts may not be.
 func (g *Gateway) ClientGone(req *Request) {
 	if stream := req.stream; stream != nil {
 		g.endStream(req, &g.counts.Of(req.Class).Abandoned)
@@ -262,8 +263,8 @@
 	}
 }
 
-// Cancel tells that the client of q wants no answer any more, and stays. What may run already goes on, and its outcome is
-// the answer; nothing else is begun.
+// Cancel reports that the client of req has cancelled it and stays connected. An attempt that may be running continues, and
+// its outcome is the answer; no other attempt is started.
 func (g *Gateway) Cancel(req *Request) {
 	if req.finished {
 		return
@@ -277,7 +278,7 @@
 	}
 }
 
-// cancelUnsent takes back what of q is not written whole.
+// cancelUnsent cancels the attempts of req that are not completely written.
 func (g *Gateway) cancelUnsent(req *Request) {
 	for _, attempt := range req.attempts {
 		if !attempt.done {
@@ -286,7 +287,7 @@
 	}
 }
 
-// finishCancelled ends a cancelled request that has nothing out.
+// finishCancelled answers a cancelled request that has no attempt in flight.
 func (g *Gateway) finishCancelled(req *Request) {
 	switch {
 	case !req.cancelled || req.inFlight > 0 || !g.markFinished(req):
@@ -298,6 +299,7 @@
 	}
 }
 
+// expire fails a request that is still unanswered after its deadline, which violates an invariant.
 func (g *Gateway) expire(req *Request) {
 	if g.markFinished(req) {
 		log.Printf("event=overdue request=%q attempts=%d out=%d", req.Name, len(req.attempts), req.inFlight)
@@ -313,7 +315,7 @@
 	req.Client.Failed()
 }
 
-// markFinished marks the final answer; false: there was one already.
+// markFinished marks a request as finished; it returns false if it was already.
 func (g *Gateway) markFinished(req *Request) bool {
 	if req.finished {
 		return false
@@ -324,7 +326,7 @@
 	return true
 }
 
-// release forgets a request that is over and has nothing out.
+// release removes a finished request that has no attempt in flight.
 func (g *Gateway) release(req *Request) {
 	if req.finished && req.inFlight == 0 && req.Client != nil {
 		delete(g.requests, req.id)
@@ -333,10 +335,10 @@
 	}
 }
 
-// SetObserver has a hear what is done to databases.
+// SetObserver sets the observer that is notified of what is done to databases.
 func (g *Gateway) SetObserver(observer Observer) { g.observer = observer }
 
-// notifyAccepted tells of a request that a database has served.
+// notifyAccepted notifies the observer of a request that a database has served.
 func (g *Gateway) notifyAccepted(attempt *Attempt) {
 	if g.observer != nil {
 		g.observer.Accepted(attempt.Host, attempt.request.Group, attempt.request.Class)
--- a/internal/gateway/list.go
+++ b/internal/gateway/list.go
@@ -1,4 +1,4 @@
-// The list of databases, and what is told of them.
+// The list of databases, suspensions, probe results and positions.
 
 package gateway
 
@@ -10,11 +10,11 @@
 	"lilaccove/policy"
 )
 
-// ListSize is how many databases the list holds.
+// ListSize returns how many databases the list holds.
 func (g *Gateway) ListSize() int { return len(g.members) }
 
-// Suspend leaves a database out, or lets it serve again; then is called as soon as no request
-// can go against that. It tells whether the database is known. Discovery does not change it.
+// Suspend suspends a database or resumes it; done is called as soon as no request can be routed
+// contrary to that. It returns whether the database is known. Discovery does not change a suspension.
 func (g *Gateway) Suspend(host policy.HostID, active bool, done func()) bool {
 	if _, listed := g.members[host]; !listed && !g.suspended[host] {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// SetSuspended is Suspend for a database that need not be listed yet.
+// SetSuspended is like Suspend for a database that need not be listed yet.
 func (g *Gateway) SetSuspended(host policy.HostID, active bool) {
 	if g.suspended[host] == active {
 		return
@@ -36,22 +36,22 @@
 	g.events = append(g.events, policy.SuspensionChanged{Host: host, Active: active})
 }
 
-// Probed tells how a probe ended.
+// Probed reports how a probe ended.
 func (g *Gateway) Probed(host policy.HostID, outcome policy.Outcome, reply Reply) {
 	g.reportPosition(host, reply.Report.HasPosition, reply.Report.Position)
 	g.events = append(g.events, policy.ProbeResult{
 		Host: host, Outcome: outcome, Latency: g.latency(g.probeTimes[host]), Report: reply.Report,
 	})
-	delete(g.probeTimes, host) // one is out at a time; hosts come and go
+	delete(g.probeTimes, host) // at most one probe per host is in flight; the map must not grow as hosts come and go
 }
 
-// ListUpdated passes on news of the list.
+// ListUpdated applies a new list or a change of the list and passes it on.
 func (g *Gateway) ListUpdated(kind policy.ListKind, entries []Entry) {
 	update := policy.ListUpdate{Kind: kind, Entries: make([]policy.Member, len(entries))}
 	for i, e := range entries {
 		update.Entries[i] = e.Member
 	}
-	var previous map[policy.HostID]policy.Member // those that a whole list may leave out
+	var previous map[policy.HostID]policy.Member // hosts that a full list may no longer contain
 	if kind == policy.ListFull || kind == policy.ListCached {
 		previous, g.members = g.members, make(map[policy.HostID]policy.Member, len(entries))
 	}
@@ -73,30 +73,31 @@
 	}
 }
 
-// OnPrimary has do called with each answer of a database as primary, and when it was asked.
+// OnPrimary sets a callback for each answer of a database as primary, with the time when it was asked.
 func (g *Gateway) OnPrimary(callback func(host policy.HostID, at time.Duration)) {
 	g.onPrimary = callback
 }
 
-// OnList has do called whenever the list has changed.
+// OnList sets a callback for changes of the list.
 func (g *Gateway) OnList(callback func()) { g.onListChange = callback }
 
-// OnPosition has do called with each position that a database tells.
+// OnPosition sets a callback for each position that a database reports.
 func (g *Gateway) OnPosition(callback func(host policy.HostID, at time.Duration)) {
 	g.onPosition = callback
 }
 
+// reportPosition passes a plausible position on to the callback of OnPosition.
 func (g *Gateway) reportPosition(host policy.HostID, known bool, position time.Duration) {
 	if known && g.onPosition != nil && g.router.Plausible(position) {
 		g.onPosition(host, position)
 	}
 }
 
-// InList tells whether a database is in the list.
+// InList reports whether a database is in the list.
 func (g *Gateway) InList(host policy.HostID) bool {
 	_, ok := g.members[host]
 	return ok
 }
 
-// Hosts are the databases of the list.
+// Hosts returns the databases of the list.
 func (g *Gateway) Hosts() []policy.Member { return slices.Collect(maps.Values(g.members)) }
--- a/internal/gateway/step.go
+++ b/internal/gateway/step.go
@@ -1,4 +1,4 @@
-// The round: what has happened goes to the decisions, and their actions are carried out.
+// One loop iteration: events go to the decision module, and its actions are carried out.
 
 package gateway
 
@@ -9,8 +9,8 @@
 	"lilaccove/policy"
 )
 
-// Step lets the module decide on all that was gathered. It tells whether carrying the
-// actions out has led to new events.
+// Step lets the decision module decide on all collected events. It reports whether carrying
+// out the actions has led to new events.
 func (g *Gateway) Step() (again bool) {
 	if total := g.loop.Lost(); total != g.reportedPause {
 		g.reportedPause = total
@@ -29,8 +29,8 @@
 	return len(g.events) > 0
 }
 
-// orderAfterPause orders what a round brings after this process was away: first that it was, then what the list tells, which may
-// have come before all else and binds what is done about it.
+// orderAfterPause orders the events of a loop iteration after a pause of this process: first the pause, then list updates, which
+// may have arrived before everything else and apply to the decisions on it.
 func (g *Gateway) orderAfterPause(pause policy.ProcessPaused) {
 	events := append(g.spareEvents[:0], pause)
 	rest := slices.DeleteFunc(g.events, func(e policy.Event) bool {
@@ -96,7 +96,7 @@
 	}
 }
 
-// recordGivenUp counts and logs a request that the decisions have given up.
+// recordGivenUp counts and logs a request that the decision module has given up.
 func (g *Gateway) recordGivenUp(req *Request, reason policy.Reason, refused bool) {
 	g.givenUpCounts.Add(int(reason))
 	g.givenUpLog.Printf(g.loop.Now(), "event=given_up request=%q client=%d class=%d group=%d reason=%s refused=%t attempts=%d",
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -1,4 +1,4 @@
-// Values that are too large to be collected: they are passed on as they come.
+// Streaming: values that are too large to buffer are passed on as they arrive.
 
 package gateway
 
@@ -6,9 +6,9 @@
 	"lilaccove/policy"
 )
 
-// BeginStream tells that a large value has begun to come for an attempt; false: nobody waits for it. The
-// request is served as far as the decisions go: other copies are called off, and how fast the client
-// reads the rest says nothing of the host.
+// BeginStream reports that a large value has begun to arrive for an attempt; it returns false if no client
+// waits for it. The decision module then considers the request served: other attempts are cancelled, and how
+// fast the client reads the rest says nothing about the host.
 func (g *Gateway) BeginStream(attempt *Attempt) bool {
 	req := attempt.request
 	if attempt.done || req.finished {
@@ -23,23 +23,23 @@
 	return true
 }
 
-// StreamChunk passes on what has come of a value; false: no more for now.
+// StreamChunk passes on the next bytes of a value; it returns false if the client can take no more for now.
 func (g *Gateway) StreamChunk(attempt *Attempt, chunk []byte) (more bool) {
 	return attempt.request.stream == attempt && attempt.request.Client.StreamChunk(chunk)
 }
 
-// More asks for what follows of q's value.
+// ResumeStream asks for the rest of req's value.
 func (g *Gateway) ResumeStream(req *Request) {
 	if req.stream != nil {
 		g.backends.ResumeStream(req.stream)
 	}
 }
 
-// streamEnded is Resolved for an attempt whose value was passed on. What it tells of the host is still news.
+// streamEnded is Resolved for an attempt whose value was streamed. The position it reports is still passed on.
 func (g *Gateway) streamEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
 	req, count := attempt.request, g.counts.Of(attempt.request.Class)
 	switch {
-	case req.stream != attempt: // the client left before
+	case req.stream != attempt: // the client disconnected before
 	case outcome == policy.OK:
 		g.notifyAccepted(attempt)
 		g.endStream(req, &count.Passed)
--- a/internal/repeats/repeats.go
+++ b/internal/repeats/repeats.go
@@ -1,30 +1,30 @@
-// Package repeats bounds how many attempts may be repeats, as a share of first attempts (a retry budget, as in Google's
-// "Site Reliability Engineering", chapter 21). A share divides itself: where each gateway keeps to it, the fleet does, however
-// the load lies, whoever can hear whom and whoever has just started. So a group that stalls meets a bounded sum of all
-// gateways' repeats, and nothing has to be lent or told.
+// Package repeats implements a retry budget: it bounds retries to a share of first attempts (Google's "Site Reliability
+// Engineering", chapter 21). A share needs no coordination: if each gateway keeps to it, the fleet does, however load is
+// distributed, whichever gateways can communicate and whichever have just started. So a stalled group receives a bounded number
+// of retries from all gateways together, without leases or messages between them.
 package repeats
 
-// burst is how many repeats are saved up at most, and how many there are at first: one that is asked little must be able to
-// repeat at all. All gateways together may make so many more than their share.
+// burst is the maximum number of saved-up retries and the initial number: a gateway with little load must be able to retry at
+// all. Each gateway may exceed its share by this number.
 const burst = 3
 
-// Budget is one gateway's. The zero value bounds nothing.
+// Budget is the retry budget of one gateway. The zero value allows all retries.
 type Budget struct {
-	share float64
-	have  float64
+	share  float64
+	tokens float64
 }
 
-// New allows a share of first attempts; 0 bounds nothing.
-func New(share float64) Budget { return Budget{share: share, have: burst} }
+// New returns a budget of a share of first attempts; 0 means no bound.
+func New(share float64) Budget { return Budget{share: share, tokens: burst} }
 
-// Allows tells whether an attempt may be made: a first one always, a repeat as long as there are some in hand.
-func (b *Budget) Allows(repeat bool) bool { return !repeat || b.share <= 0 || b.have >= 1 }
+// Allows reports whether an attempt may be made: a first attempt always, a retry if the budget has one left.
+func (b *Budget) Allows(retry bool) bool { return !retry || b.share <= 0 || b.tokens >= 1 }
 
-// Record notes an attempt.
-func (b *Budget) Record(repeat bool) {
-	if repeat {
-		b.have--
+// Record accounts for an attempt.
+func (b *Budget) Record(retry bool) {
+	if retry {
+		b.tokens--
 	} else {
-		b.have = min(burst, b.have+b.share)
+		b.tokens = min(burst, b.tokens+b.share)
 	}
 }
