--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -19,37 +19,37 @@
 type conn struct {
 	pool         *Pool
 	host         *host
-	addr         netip.AddrPort // where it was dialled: the host may have moved since
+	addr         netip.AddrPort // the dialled address: the host may have moved since
 	nc           *netloop.Conn
-	timer        *netloop.Timer // by which it must be up, or has rested
-	established  bool           // the database has greeted it
+	timer        *netloop.Timer // ends the dial or the quarantine
+	established  bool           // the greeting is complete
 	idleSince    time.Duration
-	rowRemaining int           // bytes to come of a row that is passed on
-	lastRead     time.Duration // when the last of them came
-	paused       bool          // the client has to read first
+	rowRemaining int           // unread bytes of the row that is being streamed
+	lastRead     time.Duration // when bytes of that row were last read
+	paused       bool          // streaming waits until the client has read
 	closed       bool
-	unwritten    [][]byte // of a large statement, what is still to be written
+	unwritten    [][]byte // remaining pieces of a large statement
 	job          *job
-	abandoned    bool // its attempt was given up; what is still read is the answer to that
+	abandoned    bool // its attempt was given up; only a late answer is still read
 	answer       answer
 }
 
-// answer is what has come for the current job, or for the greeting.
+// answer is what has been received for the current job or during the greeting.
 type answer struct {
-	value         []byte // RowDescription, DataRow and CommandComplete as they came
-	kinds         []byte // the kinds of those messages
-	probeColumn   []byte // of a probe's row
+	value         []byte // RowDescription, DataRow and CommandComplete as received
+	kinds         []byte // message types of those
+	probeColumn   []byte // the column of a probe's row
 	errorCode     string // of an ErrorResponse
 	errorText     string
-	streamed      bool // its value is handed on as it comes, and is not kept
+	streamed      bool // its value is streamed and not buffered
 	reply         gateway.Reply
 	timeoutBuffer [20]byte
 	kindsBuffer   [len(answerKinds)]byte
 }
 
-var errUnexpectedMessage = errors.New("a message out of turn")
+var errUnexpectedMessage = errors.New("unexpected message")
 
-const maxKeptValueBytes = 8 << 10 // an idle connection keeps no larger buffer
+const maxKeptValueBytes = 8 << 10 // largest value buffer that an idle connection keeps
 
 func (a *answer) reset() {
 	value := a.value[:0]
@@ -60,7 +60,7 @@
 	a.kinds = a.kindsBuffer[:0]
 }
 
-// Connected greets the database.
+// Connected sends the startup message.
 func (c *conn) Connected() {
 	c.answer.reset()
 	c.nc.OnFlush(c.flushed)
@@ -68,40 +68,40 @@
 }
 
 func (c *conn) dialTimedOut() {
-	c.close()
+	c.discard()
 	c.pool.dialFailed(c.host, policy.ConnectFailed)
 }
 
-// close closes the connection and takes it out of the books.
-func (c *conn) close() {
+// discard closes the connection and stops counting it.
+func (c *conn) discard() {
 	c.timer.Stop()
 	c.host.dialing = remove(c.host.dialing, c)
 	if c.nc.Close(); !c.closed {
 		c.closed = true
 		c.host.open--
-		if p := c.pool; p.options.Budget != nil { // another may be opened now, when this call is over
+		if p := c.pool; p.options.Budget != nil { // the budget allows another one now; dial after this call has returned
 			p.loop.At(p.loop.Now(), func() { p.dialIfNeeded(c.host) })
 		}
 	}
 }
 
-// lateAnswerWait is how long what comes behind an attempt that was given up, or behind a whole answer, is read: so long after it was
-// written an answer counts as told, by the protocol.
+// lateAnswerWait is how long input is still read after an attempt was given up, or after a complete answer. By the protocol, an
+// answer counts as known this long after it was written.
 const lateAnswerWait = 100 * time.Millisecond
 
-// awaitLateAnswer ends the sending, which tells the database that an attempt was given up, and reads what is on its way. That
-// answer counts as told, and it may be the only one to tell that the host is no primary any more.
+// awaitLateAnswer closes the write side, which signals to the database that the attempt was given up, and reads what is in
+// flight. That answer counts as known, and it may be the only one to show that the host is no longer the primary.
 func (c *conn) awaitLateAnswer(job *job) {
 	if job.attempt == nil || c.answer.streamed || c.pool.loop.Spare() <= c.pool.options.Reserve {
-		c.close()
+		c.discard()
 		return
 	}
 	c.abandoned = true
 	c.nc.CloseWrite()
-	c.timer = c.pool.loop.At(c.pool.loop.Now()+lateAnswerWait, c.close)
+	c.timer = c.pool.loop.At(c.pool.loop.Now()+lateAnswerWait, c.discard)
 }
 
-// start writes a job, unless an attempt's time to begin turns out to be over; then the connection serves another.
+// start writes a job. If it is too late to begin an attempt, the attempt ends as NotSent and the connection serves another job.
 func (c *conn) start(job *job) {
 	remaining := time.Duration(0)
 	if job.attempt != nil {
@@ -122,7 +122,7 @@
 	c.writeStatement(job.attempt.Statement.(*pgwire.Statement), remaining)
 }
 
-// writeProbe asks for what the settings say that probes tell.
+// writeProbe sends a probe: for the load report if the settings enable it, else a trivial query.
 func (c *conn) writeProbe() {
 	text := "SELECT 1"
 	if c.pool.options.ProbeReport {
@@ -131,7 +131,8 @@
 	c.nc.Write(pgwire.AppendQuery(nil, text))
 }
 
-// writeStatement writes one. Only the digits of d are new; the rest goes out from where it was read.
+// writeStatement writes a statement. Only the digits of the header's d field (the time left) are new; the rest is written from
+// the buffers into which it was read.
 func (c *conn) writeStatement(statement *pgwire.Statement, remaining time.Duration) {
 	digits := pgwire.AppendMillis(c.answer.timeoutBuffer[:0], remaining.Milliseconds())
 	before, after := statement.Head.Around(statement.Text)
@@ -145,7 +146,7 @@
 	c.flushed()
 }
 
-// flushed goes on with a large statement as the kernel takes it, and tells of one whose last byte it has.
+// flushed continues a large statement as the kernel accepts bytes, and reports when its last byte was accepted.
 func (c *conn) flushed() {
 	for len(c.unwritten) > 0 && c.nc.Pending() == 0 {
 		c.nc.Write(c.unwritten[0])
@@ -156,12 +157,12 @@
 	}
 }
 
-// hasUnsent tells whether a part of the statement is not with the kernel: it cannot run.
+// hasUnsent reports whether the kernel has not accepted all of the statement yet, so that it cannot have run.
 func (c *conn) hasUnsent() bool { return len(c.unwritten) > 0 || c.nc.Pending() > 0 }
 
 var nulByte = []byte{0}
 
-// Received takes in the database's messages.
+// Received handles input from the database.
 func (c *conn) Received() {
 	c.readMessages()
 	if !c.nc.Closed() && c.job != nil && c.answer.complete() && !c.answer.streamed {
@@ -169,7 +170,7 @@
 	}
 }
 
-// readMessages takes in those that are whole.
+// readMessages handles all messages that have arrived completely.
 func (c *conn) readMessages() {
 	for !c.nc.Closed() && !c.paused && len(c.nc.Input()) > 0 {
 		if c.rowRemaining > 0 {
@@ -198,19 +199,19 @@
 	}
 }
 
-// awaitReady gives ReadyForQuery, and what is told before it, a moment behind an answer that is whole. A database that hangs
-// there has answered all the same; its connection serves no other.
+// awaitReady waits briefly for ReadyForQuery, and for parameters reported before it, after a complete answer. If the database
+// hangs there, the answer still counts, but the connection is not used again.
 func (c *conn) awaitReady() {
 	job := c.job
 	job.timer.Stop()
 	job.timer = c.pool.loop.At(min(job.deadline, c.pool.loop.Now()+lateAnswerWait), func() {
 		c.job = nil
-		c.close()
+		c.discard()
 		c.resolve(job)
 	})
 }
 
-// beginStream starts to pass on a row that is too large to be collected; false: there is none.
+// beginStream starts to stream a row that is too large to buffer; it returns false if there is none.
 func (c *conn) beginStream() bool {
 	n := pgwire.LargeRow(c.nc.Input())
 	if n == 0 || c.job == nil || c.job.attempt == nil {
@@ -218,7 +219,7 @@
 	}
 	job := c.job
 	if !c.pool.core.BeginStream(job.attempt) {
-		c.pool.abandon(job, policy.Cancelled) // nobody waits for it any more
+		c.pool.abandon(job, policy.Cancelled) // no client waits for it
 		return false
 	}
 	job.timer.Stop()
@@ -230,7 +231,8 @@
 	return true
 }
 
-// watchStream gives a row up that does not go on, other than for the client's sake.
+// watchStream gives up a streamed row if the database sends nothing for streamSilenceTimeout. Time in which reading is paused
+// for the client does not count.
 func (c *conn) watchStream() {
 	job, now := c.job, c.pool.loop.Now()
 	if c.paused {
@@ -243,7 +245,7 @@
 	job.timer = c.pool.loop.At(c.lastRead+streamSilenceTimeout, c.watchStream)
 }
 
-// streamInput hands on what has come of a row.
+// streamInput forwards the received bytes of a streamed row.
 func (c *conn) streamInput() {
 	b := c.nc.Input()
 	b = b[:min(len(b), c.rowRemaining)]
@@ -253,7 +255,7 @@
 	c.nc.Consume(len(b))
 }
 
-// forward gives bytes to the client, and reads no more while it has enough of them.
+// forward passes bytes to the client, and pauses reading if the client can take no more for now.
 func (c *conn) forward(b []byte) {
 	if !c.pool.core.StreamChunk(c.job.attempt, b) {
 		c.paused = true
@@ -261,7 +263,7 @@
 	}
 }
 
-// resumeStream goes on when the client has read.
+// resumeStream continues after the client has read.
 func (c *conn) resumeStream() {
 	if c.paused {
 		c.paused = false
@@ -271,12 +273,12 @@
 	}
 }
 
-// expects tells whether a message of the kind may come now.
+// expects reports whether a message of this type is valid now.
 func (c *conn) expects(kind byte) bool {
 	a := &c.answer
 	switch {
 	case c.established && c.job == nil && !c.abandoned:
-		return false // nothing was asked
+		return false // no request is pending
 	case kind == pgwire.ParameterStatus, kind == pgwire.Notice:
 		return true
 	case !c.established:
@@ -291,7 +293,7 @@
 	return kind == answerKinds[len(a.kinds)]
 }
 
-// answerKinds is the shape of an answer with a value.
+// answerKinds is the sequence of message types in an answer with a value.
 const answerKinds = "TDC"
 
 func (c *conn) handleMessage(kind byte, body, raw []byte) {
@@ -306,7 +308,7 @@
 		if a.streamed {
 			c.forward(raw)
 		} else if c.abandoned {
-			// nobody waits for the value
+			// the value is not needed
 		} else if c.job.attempt != nil {
 			a.value = append(a.value, raw...)
 		} else if kind == pgwire.DataRow {
@@ -318,16 +320,16 @@
 	}
 }
 
-// protocolError ends a connection on which something came that does not belong there: whatever
-// follows cannot be told from an answer. What it carried may have run; nothing that was
-// said of it is believed.
+// protocolError closes a connection after an invalid or unexpected message: later messages cannot
+// be attributed to a request. The current job may have run; what was received for it is
+// discarded.
 func (c *conn) protocolError(err error) {
 	c.pool.invalidAnswerLog.Printf(c.pool.loop.Now(), "event=bad_answer host=%s busy=%t err=%q", c.host.id, c.job != nil, err)
 	c.answer.reset()
 	c.Ended(err)
 }
 
-// setParameter keeps what an answer tells of the database.
+// setParameter stores what a ParameterStatus reports about the database.
 func (a *answer) setParameter(name, value []byte) {
 	switch string(name) {
 	case "role":
@@ -341,7 +343,8 @@
 	}
 }
 
-// maxTime is the last moment that can be reckoned with; whether a position is plausible is for the decisions.
+// maxTime bounds parsed times so that arithmetic on them cannot overflow; the decision module judges whether a position is
+// plausible.
 const maxTime = time.Duration(math.MaxInt64 / 2)
 
 func parseRole(s string) policy.Role {
@@ -354,8 +357,8 @@
 	return policy.RoleUnknown
 }
 
-// parseReport reads name=value pairs; names nobody here reads are skipped. One that cannot be
-// read is no parseReport at all.
+// parseReport parses a load report of name=value pairs; unknown names are ignored. A report with
+// an invalid value is ignored as a whole.
 func (a *answer) parseReport(text []byte) {
 	var report policy.Report
 	for pair := range bytes.SplitSeq(text, []byte{','}) {
@@ -380,12 +383,12 @@
 	a.reply.Report = report
 }
 
-// handleReady handles ReadyForQuery: the end of the greeting or of an answer.
+// handleReady handles ReadyForQuery, which ends the greeting or an answer.
 func (c *conn) handleReady() {
 	job := c.job
 	if c.abandoned {
 		c.pool.core.LateAnswer(c.host.id, c.answer.reply)
-		c.close()
+		c.discard()
 		return
 	}
 	if !c.established {
@@ -398,8 +401,8 @@
 		c.resolve(job)
 	}
 	switch {
-	case c.outdated() || len(c.nc.Input()) > 0: // more than the answer came with it
-		c.close()
+	case c.outdated() || len(c.nc.Input()) > 0: // unrequested bytes follow the answer
+		c.discard()
 		c.pool.dialIfNeeded(c.host)
 	case job != nil:
 		c.pool.quarantine(c)
@@ -408,7 +411,7 @@
 	}
 }
 
-// resolve ends a job with what was answered.
+// resolve ends a job with the received answer.
 func (c *conn) resolve(job *job) {
 	a := &c.answer
 	if job.attempt == nil && a.probeColumn != nil && c.pool.options.ProbeReport {
@@ -418,7 +421,7 @@
 	c.pool.finish(job, c.pool.outcome(a, c.host.id), a.reply)
 }
 
-// outcome is the protocol's table.
+// outcome maps an answer's SQLSTATE to an outcome, as the protocol defines it.
 func (p *Pool) outcome(a *answer, host policy.HostID) policy.Outcome {
 	switch a.errorCode {
 	case "":
@@ -433,14 +436,14 @@
 	return policy.Error
 }
 
-// complete tells whether the answer is complete though ReadyForQuery did not come.
+// complete reports whether the answer is complete, apart from ReadyForQuery.
 func (a *answer) complete() bool { return a.errorCode != "" || string(a.kinds) == answerKinds }
 
-// Ended settles what the connection carried.
+// Ended handles the end of the connection and resolves its job.
 func (c *conn) Ended(error) {
 	switch job := c.job; {
 	case c.abandoned:
-		if c.close(); c.answer.complete() {
+		if c.discard(); c.answer.complete() {
 			c.pool.core.LateAnswer(c.host.id, c.answer.reply)
 		}
 	case !c.established:
@@ -448,11 +451,11 @@
 		if a := &c.answer; a.errorCode == pgwire.CodeTooManyConnections {
 			outcome = policy.AtCapacity
 		}
-		c.close()
+		c.discard()
 		c.pool.dialFailed(c.host, outcome)
 	case job != nil:
 		c.job = nil
-		c.close()
+		c.discard()
 		switch {
 		case c.answer.complete():
 			c.resolve(job)
@@ -462,13 +465,13 @@
 			c.pool.finish(job, policy.Reset, gateway.Reply{})
 		}
 	default:
-		c.close()
+		c.discard()
 		c.host.idle, c.host.quarantined = remove(c.host.idle, c), remove(c.host.quarantined, c)
 		c.pool.dialIfNeeded(c.host)
 	}
 }
 
-// outdated tells that the host is gone, or is to be found elsewhere.
+// outdated reports whether the host has left the list or has another address now.
 func (c *conn) outdated() bool { return c.host.gone || c.addr != c.host.addr }
 
 func remove(list []*conn, c *conn) []*conn {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend holds the connections to the databases: a pool per host, the attempts
-// and probes that go over them, and what the databases' answers mean.
+// Package backend manages the connections to the databases: a pool per host, the attempts
+// and probes sent over them, and the interpretation of the databases' answers.
 package backend
 
 import (
@@ -14,45 +14,45 @@
 	"lilaccove/policy"
 )
 
-// Core hears how attempts and probes end.
+// Core is notified of the progress and end of attempts and probes.
 type Core interface {
-	Resolved(a *gateway.Attempt, o policy.Outcome, r gateway.Reply)
-	LateAnswer(host policy.HostID, r gateway.Reply) // what was answered to an attempt that was given up meanwhile
-	Probed(host policy.HostID, o policy.Outcome, r gateway.Reply)
-	// BeginAttempt tells that the first byte of an attempt is written now, and returns how long its database is told to have; 0: its
-	// time to begin is over.
-	BeginAttempt(a *gateway.Attempt, until time.Duration) (left time.Duration)
-	Written(a *gateway.Attempt) // its last byte was taken by the kernel
-	BeginStream(a *gateway.Attempt) bool
-	FleetEvent(e policy.Event)
-	StreamChunk(a *gateway.Attempt, b []byte) (more bool)
-}
-
-// Options are what the pool is told once.
+	Resolved(attempt *gateway.Attempt, outcome policy.Outcome, reply gateway.Reply)
+	LateAnswer(host policy.HostID, reply gateway.Reply) // the answer to an attempt that had been given up
+	Probed(host policy.HostID, outcome policy.Outcome, reply gateway.Reply)
+	// BeginAttempt reports that the first byte of an attempt is about to be written, and returns the remaining time to send to the
+	// database; 0: it is too late to begin.
+	BeginAttempt(attempt *gateway.Attempt, until time.Duration) (remaining time.Duration)
+	Written(attempt *gateway.Attempt) // the kernel has accepted its last byte
+	BeginStream(attempt *gateway.Attempt) bool
+	FleetEvent(event policy.Event)
+	StreamChunk(attempt *gateway.Attempt, chunk []byte) (more bool)
+}
+
+// Options configure a Pool.
 type Options struct {
-	ConnIdle    time.Duration // databases close connections that stood idle so long
-	DialTimeout time.Duration // a connection is up by then, or has failed; probes, too
+	ConnIdle    time.Duration // databases close connections that were idle this long
+	DialTimeout time.Duration // for establishing a connection, and for a probe
 	ProbeReport bool          // probes ask for the load report
-	Reserve     int           // descriptors left for clients and discovery
-	Budget      Budget        // of connections; nil: as many as descriptors allow
+	Reserve     int           // descriptors reserved for clients and discovery
+	Budget      Budget        // of connections; nil: limited by descriptors only
 }
 
-// Budget bounds the connections to each host by what the whole fleet may have.
+// Budget bounds the connections to each host to this gateway's part of the fleet's shared budget.
 type Budget interface {
-	// Allowed is how many may be open and used from now until a moment.
+	// Allowed returns how many connections may be open and in use from now until a time.
 	Allowed(host policy.HostID, until time.Duration) int
-	// ReportDemand tells how many are used, and how many more are waited for.
+	// ReportDemand reports how many connections are in use, and how many jobs wait for one.
 	ReportDemand(host policy.HostID, used, waiting int)
 }
 
 const (
 	budgetInterval       = 100 * time.Millisecond
-	maxInputBytes        = pgwire.MostValue + 4096 // the largest message that is collected fits with its head
-	streamReadBytes      = 32 << 10                // of a larger one so much is read at once
-	streamSilenceTimeout = 5 * time.Second         // within which more of it must come
+	maxInputBytes        = pgwire.MostValue + 4096 // the largest buffered message with its header
+	streamReadBytes      = 32 << 10                // read size for a streamed message
+	streamSilenceTimeout = 5 * time.Second         // between two reads of a streamed message
 )
 
-// Pool is all connections to databases.
+// Pool manages all connections to databases.
 type Pool struct {
 	loop             *netloop.Loop
 	core             Core
@@ -63,41 +63,42 @@
 	invalidAnswerLog netloop.Sparse
 }
 
+// host is one database with its connections and the jobs that wait for one.
 type host struct {
 	id            policy.HostID
 	addr          netip.AddrPort
-	gone          bool // from the list
+	gone          bool // no longer in the list
 	goneAt        time.Duration
-	idle          []*conn // the one used last is the last
-	quarantined   []*conn // they have just answered
+	idle          []*conn // most recently used last
+	quarantined   []*conn // unused for quarantineTime after an answer
 	waiting       []*job  // for a connection, oldest first
 	dialing       []*conn
-	open          int           // connections, those on their way included
-	shortageAt    time.Duration // when this machine had no descriptor or socket for a connection to it
-	retryAt       time.Duration // when that is tried again
+	open          int           // number of connections, including those being dialled
+	shortageAt    time.Duration // when this machine last had no descriptor or socket for a connection
+	retryAt       time.Duration // when dialling is retried after that
 	limitReported bool
-	reportedLimit int // attempts, as told
+	reportedLimit int // concurrent attempts
 }
 
-// quarantineTime is how long a connection stays unused behind an answer: a second copy or
-// noise that comes straight after would be taken for the next answer.
+// quarantineTime is how long a connection stays unused after an answer: a duplicate or stray
+// bytes that follow directly would be taken for the next answer.
 const quarantineTime = 2 * time.Millisecond
 
-// goneRetention is how long the address of a host that left the list is kept: the module may
-// take the list for advice, and attempts may be out.
+// goneRetention is how long the address of a host that left the list is kept: the decision module
+// may treat removals as advisory, and attempts may be in flight.
 const goneRetention = time.Minute
 
-// job is an attempt or a probe on its way.
+// job is an attempt or a probe in progress.
 type job struct {
 	attempt  *gateway.Attempt // nil: a probe
 	host     *host
 	deadline time.Duration
-	beginBy  time.Duration // it is not begun later than this
+	beginBy  time.Duration // it is not started at or after this time
 	timer    *netloop.Timer
-	conn     *conn // nil: waits for one
+	conn     *conn // nil: none is assigned yet
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(loop *netloop.Loop, core Core, options Options) *Pool {
 	p := &Pool{
 		loop: loop, core: core, options: options, hosts: map[policy.HostID]*host{},
@@ -110,7 +111,7 @@
 	return p
 }
 
-// maintainBudget tells of the need for connections, and closes idle ones that are no longer in the budget.
+// maintainBudget reports the demand for connections, and closes idle ones that the budget no longer covers.
 func (p *Pool) maintainBudget() {
 	p.loop.At(p.loop.Now()+budgetInterval, p.maintainBudget)
 	for _, h := range p.hosts {
@@ -120,8 +121,8 @@
 	}
 }
 
-// reportLimit has the module send no more to h than it has connections for. Half as many more may wait for one of them: that
-// is how a need for more shows.
+// reportLimit limits the attempts that the decision module sends to h to the connections allowed, plus half as many that may
+// wait for one: waiting attempts show that there is demand for more.
 func (p *Pool) reportLimit(h *host) {
 	limit := p.options.Budget.Allowed(h.id, p.loop.Now())
 	if limit > 0 {
@@ -137,7 +138,7 @@
 	p.options.Budget.ReportDemand(h.id, h.open-len(h.idle), len(h.waiting))
 }
 
-// overBudget is how many connections to h are open beyond what may be used until a moment; below zero: so many more may be.
+// overBudget returns by how many the open connections to h exceed those allowed until a time; negative: so many more are allowed.
 func (p *Pool) overBudget(h *host, until time.Duration) int {
 	if p.options.Budget == nil {
 		return math.MinInt
@@ -145,15 +146,15 @@
 	return h.open - p.options.Budget.Allowed(h.id, until)
 }
 
-// trimIdle closes idle connections over the budget. Those in use stay: none was begun that might outlast it.
+// trimIdle closes idle connections that exceed the budget. Those in use stay: no job was started that could outlast it.
 func (p *Pool) trimIdle(h *host, until time.Duration) {
 	for len(h.idle) > 0 && p.overBudget(h, until) > 0 {
-		h.idle[0].close()
+		h.idle[0].discard()
 		h.idle = slices.Delete(h.idle, 0, 1)
 	}
 }
 
-// Granted tells that there is more of the budget of a host.
+// Granted reports that the budget for a host has grown.
 func (p *Pool) Granted(id policy.HostID) {
 	if h := p.hosts[id]; h != nil {
 		p.reportLimit(h)
@@ -163,8 +164,8 @@
 	}
 }
 
-// ListUpdated keeps the addresses of hosts. Connections to where one was before, or to one
-// that is gone, are of no use; a list that is not of changes holds all that are not gone.
+// ListUpdated stores the addresses of hosts, and closes idle connections to former addresses and to
+// hosts that are gone. A full or cached list contains every host that is not gone.
 func (p *Pool) ListUpdated(kind policy.ListKind, entries []gateway.Entry) {
 	named := map[policy.HostID]bool{}
 	for _, e := range entries {
@@ -182,7 +183,7 @@
 			p.CloseIdleConnections(e.Host)
 		}
 		if p.options.Budget != nil {
-			h.limitReported = false // the module may have forgotten it meanwhile
+			h.limitReported = false // the decision module may have dropped the host, and its limit, meanwhile
 		}
 		p.setGone(h, e.Status == policy.Gone)
 	}
@@ -194,11 +195,11 @@
 	}
 }
 
-// redial drops the connections that are on their way to where a host was before; who waits for them has others. Busy ones go
-// behind their answers.
+// redial closes connections being dialled to a host's former address, and dials new ones for the waiting jobs. Busy connections
+// are closed after their answers.
 func (p *Pool) redial(h *host) {
 	for _, c := range slices.Clone(h.dialing) {
-		c.close()
+		c.discard()
 	}
 	for range h.waiting {
 		p.dialIfNeeded(h)
@@ -221,30 +222,30 @@
 
 // Probe starts a probe.
 func (p *Pool) Probe(id policy.HostID) {
-	until := p.loop.Now() + p.options.DialTimeout
-	job := &job{host: p.hosts[id], deadline: until, beginBy: until}
-	if job.host == nil {
+	deadline := p.loop.Now() + p.options.DialTimeout
+	probe := &job{host: p.hosts[id], deadline: deadline, beginBy: deadline}
+	if probe.host == nil {
 		p.core.Probed(id, policy.ConnectFailed, gateway.Reply{})
 		return
 	}
-	p.assign(job)
+	p.assign(probe)
 }
 
-// ResumeStream lets an attempt's value go on.
+// ResumeStream continues streaming an attempt's value.
 func (p *Pool) ResumeStream(a *gateway.Attempt) {
 	if job, ok := a.BackendData.(*job); ok && job.conn != nil {
 		job.conn.resumeStream()
 	}
 }
 
-// Cancel gives an attempt up. The database learns of it by the close.
+// Cancel gives up an attempt. The database is notified by the end of the connection.
 func (p *Pool) Cancel(a *gateway.Attempt) {
 	if job, ok := a.BackendData.(*job); ok {
 		p.abandon(job, policy.Cancelled)
 	}
 }
 
-// CancelUnsent gives an attempt back if its last byte is not with the kernel: it has not run and must not any more.
+// CancelUnsent resolves an attempt as NotSent if the kernel has not accepted its last byte: it has not run and must not.
 func (p *Pool) CancelUnsent(a *gateway.Attempt) {
 	if job, ok := a.BackendData.(*job); ok && (job.conn == nil || job.conn.hasUnsent()) {
 		p.abandon(job, policy.NotSent)
@@ -255,7 +256,7 @@
 func (p *Pool) CloseIdleConnections(id policy.HostID) {
 	if h := p.hosts[id]; h != nil {
 		for _, c := range slices.Concat(h.idle, h.quarantined) {
-			c.close()
+			c.discard()
 		}
 		clear(h.idle)
 		clear(h.quarantined)
@@ -264,8 +265,8 @@
 	}
 }
 
-// StopUsingHost hangs up and gives back what waits for a connection to a host: not a byte of it was
-// written. What runs there goes on.
+// StopUsingHost closes the idle connections to a host, and resolves the jobs that wait for a connection
+// as NotSent: none of their bytes was written. Running jobs continue.
 func (p *Pool) StopUsingHost(id policy.HostID) {
 	p.CloseIdleConnections(id)
 	if h := p.hosts[id]; h != nil {
@@ -284,16 +285,16 @@
 	}
 }
 
-// assign finds a connection for j: the one used last, or else a new one, or one that
-// comes free before that is up.
+// assign finds a connection for a job: the most recently used idle one, else a new one, or one
+// that becomes free before the new one is established.
 func (p *Pool) assign(job *job) {
 	h := job.host
 	switch {
 	case h == nil:
-		p.finish(job, policy.ConnectFailed, gateway.Reply{}) // not a byte was written
+		p.finish(job, policy.ConnectFailed, gateway.Reply{}) // nothing was written
 		return
 	case p.expired(job):
-		p.finish(job, policy.NotSent, gateway.Reply{}) // by this process's fault
+		p.finish(job, policy.NotSent, gateway.Reply{}) // this process is late; not the host's fault
 		return
 	}
 	p.trimIdle(h, job.deadline)
@@ -304,28 +305,28 @@
 			c.start(job)
 			return
 		}
-		c.close() // it has ended, or something came on it that nobody asked for
+		c.discard() // it was closed, or unrequested bytes arrived
 	}
 	h.waiting = append(h.waiting, job)
 	p.startWaitTimer(job, p.options.DialTimeout)
 	p.dialIfNeeded(h)
 }
 
-// expired tells that a job must not begin any more. It goes by the clock, not by the begin of the round: the process may have
-// stood still since then.
+// expired reports whether it is too late to begin a job. It reads the clock instead of the time at which the loop iteration
+// began: the process may have been stopped since then.
 func (p *Pool) expired(job *job) bool { return job.beginBy <= p.loop.Clock() }
 
-// startWaitTimer gives up on j where no connection is there for it within d. Time that this process has lost does not count, and
-// where there is no more of it, or of descriptors, the host is not to be blamed.
+// startWaitTimer gives up on a job if no connection becomes available within limit. Pauses of this process do not count, and if
+// a pause used up the job's time, or descriptors ran short, the job ends as NotSent: the host is not at fault.
 func (p *Pool) startWaitTimer(job *job, limit time.Duration) {
 	pausedBefore, startedAt := p.loop.Lost(), p.loop.Now()
 	job.timer = p.loop.At(min(job.beginBy, p.loop.Now()+limit), func() {
 		outcome, paused := policy.ConnectFailed, p.loop.Lost()-pausedBefore
 		switch {
 		case job.beginBy < job.deadline && p.loop.Now() >= job.beginBy:
-			outcome = policy.NotSent // a repeat whose window is over
+			outcome = policy.NotSent // the time to begin a retry is over
 		case p.overBudget(job.host, job.deadline) >= 0:
-			outcome = policy.AtCapacity // the host is well: there is no connection to be had
+			outcome = policy.AtCapacity // the host is healthy, but the budget allows no connection
 		case paused > 0 && p.loop.Now() < job.beginBy:
 			p.startWaitTimer(job, paused)
 			return
@@ -336,7 +337,7 @@
 	})
 }
 
-// dialIfNeeded opens a connection where more jobs wait than will have one.
+// dialIfNeeded opens a connection if more jobs wait than connections are about to become available.
 func (p *Pool) dialIfNeeded(h *host) {
 	if len(h.dialing)+len(h.quarantined) < len(h.waiting) {
 		p.dial(h)
@@ -370,7 +371,8 @@
 	c.timer = p.loop.Within(p.options.DialTimeout, c.dialTimedOut)
 }
 
-// retrySoon has another look for a descriptor, a socket, or a connection that comes free, soon: the want is this machine's own.
+// retrySoon schedules another attempt to dial after a shortage of descriptors or sockets, which is this machine's own and not the
+// host's fault.
 func (p *Pool) retrySoon(h *host) {
 	if now := p.loop.Now(); now >= h.retryAt {
 		h.retryAt = now + quarantineTime
@@ -379,7 +381,7 @@
 	h.shortageAt = p.loop.Now()
 }
 
-// CloseOldestIdle closes the connection that has been idle longest; false: there is none.
+// CloseOldestIdle closes the connection that has been idle longest; it returns false if there is none.
 func (p *Pool) CloseOldestIdle() bool {
 	var oldest *host
 	for _, h := range p.hosts {
@@ -390,12 +392,12 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.idle[0].close()
+	oldest.idle[0].discard()
 	oldest.idle = slices.Delete(oldest.idle, 0, 1)
 	return true
 }
 
-// dialFailed ends the oldest job that no connection on its way is left for.
+// dialFailed ends the oldest waiting job if fewer connections are about to become available than jobs wait.
 func (p *Pool) dialFailed(h *host, outcome policy.Outcome) {
 	if len(h.waiting) > len(h.dialing)+len(h.quarantined) {
 		job := h.waiting[0]
@@ -404,7 +406,7 @@
 	}
 }
 
-// quarantine keeps a connection apart for a moment.
+// quarantine keeps a connection unused for quarantineTime.
 func (p *Pool) quarantine(c *conn) {
 	c.host.quarantined = append(c.host.quarantined, c)
 	c.timer = p.loop.At(p.loop.Now()+quarantineTime, func() {
@@ -412,20 +414,20 @@
 		if c.nc.Silent() {
 			p.release(c)
 		} else {
-			c.close()
+			c.discard()
 			p.dialIfNeeded(c.host)
 		}
 	})
 }
 
-// release gives a connection to the job that waits longest, or keeps it. A job whose time to begin is over is not begun,
-// though its timer has not fired yet.
+// release gives a connection to the job that has waited longest, or keeps it as idle. A job whose time to begin is over is not
+// started, even if its timer has not fired yet.
 func (p *Pool) release(c *conn) {
 	h := c.host
 	for len(h.waiting) > 0 {
 		job := h.waiting[0]
 		if p.overBudget(h, job.deadline) > 0 {
-			c.close()
+			c.discard()
 			return
 		}
 		h.waiting = h.waiting[1:]
@@ -439,8 +441,8 @@
 	h.idle = append(h.idle, c)
 }
 
-// abandon stops waiting for j; a connection that it was written to is closed, for an
-// answer may yet come on it. What was not written whole cannot have run.
+// abandon gives up a job; a connection on which it was written is closed, because an answer may
+// still arrive on it. A job that was not completely written cannot have run.
 func (p *Pool) abandon(job *job, outcome policy.Outcome) {
 	if c := job.conn; c != nil {
 		if c.hasUnsent() && outcome != policy.NotSent {
@@ -449,7 +451,7 @@
 		if c.job = nil; outcome == policy.Timeout || outcome == policy.Cancelled {
 			c.awaitLateAnswer(job)
 		} else {
-			c.close()
+			c.discard()
 		}
 	} else if i := slices.Index(job.host.waiting, job); i >= 0 {
 		job.host.waiting = slices.Delete(job.host.waiting, i, i+1)
@@ -466,17 +468,17 @@
 	}
 }
 
-// sweep closes connections well before the databases would: a request written to one
-// that the database has just closed ends as a reset, and a write is lost with it.
+// sweep closes idle connections well before the databases would: a request written to a connection
+// that the database has just closed ends as a reset, and the outcome of a write is then unknown.
 func (p *Pool) sweep() {
 	p.loop.At(p.loop.Now()+time.Second, p.sweep)
 	oldest := p.loop.Now() - p.options.ConnIdle*6/10
 	for id, h := range p.hosts {
 		if h.gone && p.loop.Now()-h.goneAt > goneRetention && len(h.waiting) == 0 {
-			delete(p.hosts, id) // attempts on their way keep it for themselves
+			delete(p.hosts, id) // attempts in flight keep their reference
 		}
 		for p.options.ConnIdle > 0 && len(h.idle) > 0 && h.idle[0].idleSince < oldest {
-			h.idle[0].close()
+			h.idle[0].discard()
 			h.idle = slices.Delete(h.idle, 0, 1)
 		}
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -290,21 +290,21 @@
 // submit hands a statement to the core. Its buffers are given back when nobody needs them.
 func (c *conn) submit(class int, statement *pgwire.Statement, buffers [][]byte, largeBytes int) {
 	head := &statement.Head
-	req := &gateway.Request{
+	request := &gateway.Request{
 		Class: class, Group: policy.GroupID(head.Cluster), Session: sessionID(head.Key),
 		MinPosition: time.Duration(head.After) * time.Millisecond,
 		Deadline:    c.front.arrivalTime() + time.Duration(head.Millis)*time.Millisecond,
 	}
 	if c.front.shuttingDown {
-		req.Deadline = min(req.Deadline, c.front.shutdownDeadline)
+		request.Deadline = min(request.Deadline, c.front.shutdownDeadline)
 	}
 	id := string(head.ID)
 	c.front.openIDs[id] = struct{}{}
-	req.Name, req.ConnectionID = id, c.number
-	call := &call{conn: c, request: req, id: id, buffers: buffers, largeBytes: largeBytes}
-	req.Client, req.Statement = call, statement
+	request.Name, request.ConnectionID = id, c.number
+	call := &call{conn: c, request: request, id: id, buffers: buffers, largeBytes: largeBytes}
+	request.Client, request.Statement = call, statement
 	c.calls = append(c.calls, call)
-	c.front.core.Submit(req)
+	c.front.core.Submit(request)
 }
 
 // arrivalTime is when what is read now may have come at the earliest: it waited if this process stood still. A hold-up within the
--- a/internal/front/pieces.go
+++ b/internal/front/pieces.go
@@ -17,46 +17,46 @@
 
 // collectLarge takes what has come of a large statement; true when that was all.
 func (c *conn) collectLarge() bool {
-	large := c.large
-	if large == nil {
+	pending := c.large
+	if pending == nil {
 		if slices.Contains(c.front.largeWaiting, c) {
 			return false
 		}
-		size := pgwire.LargeQuery(c.nc.Input())
-		if size > c.front.options.MaxLargeStatementBytes {
+		length := pgwire.LargeQuery(c.nc.Input())
+		if length > c.front.options.MaxLargeStatementBytes {
 			c.fatal(pgwire.CodeTooLarge, "the statement is too large for this gateway's memory")
 			return false
 		}
-		if !c.front.reserveLarge(size) {
+		if !c.front.reserveLarge(length) {
 			c.front.largeWaiting = append(c.front.largeWaiting, c)
 			c.nc.Pause()
 			return false
 		}
-		large = &largeStatement{size: size}
-		c.large = large
+		pending = &largeStatement{size: length}
+		c.large = pending
 		c.nc.Widen(maxPieceBytes)
 	}
 	// A piece fills most of its buffer, however small the parts are in which it comes. The first one so
 	// holds the heading comment.
-	n := min(len(c.nc.Input()), large.size-large.received)
-	if n < min(maxPieceBytes*3/4, large.size-large.received) {
+	n := min(len(c.nc.Input()), pending.size-pending.received)
+	if n < min(maxPieceBytes*3/4, pending.size-pending.received) {
 		return false
 	}
-	large.pieces = append(large.pieces, c.nc.Take(n))
-	if large.received += n; large.received < large.size {
+	pending.pieces = append(pending.pieces, c.nc.Take(n))
+	if pending.received += n; pending.received < pending.size {
 		return false
 	}
 	c.large = nil
 	c.nc.Widen(0)
 	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
 	c.dequeue()
-	statement, class, err := c.assembleStatement(large)
+	statement, class, err := c.assembleStatement(pending)
 	if err != nil {
-		c.front.freeBuffers(large)
+		c.front.freeBuffers(pending)
 		c.rejectStatement(err)
 		return true
 	}
-	c.submit(class, statement, large.pieces, large.size)
+	c.submit(class, statement, pending.pieces, pending.size)
 	return true
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -105,13 +105,13 @@
 	now := g.loop.Now()
 	req := g.requests[action.Request]
 	if req == nil || req.finished {
-		number := 0
+		index := 0
 		if req != nil {
-			number = len(req.attempts)
-			req.attempts = append(req.attempts, &Attempt{request: req, number: number, done: true})
+			index = len(req.attempts)
+			req.attempts = append(req.attempts, &Attempt{request: req, number: index, done: true})
 		}
 		g.events = append(g.events, policy.Result{
-			Request: action.Request, Attempt: number, Host: action.Host, Outcome: policy.NotSent, Finished: true,
+			Request: action.Request, Attempt: index, Host: action.Host, Outcome: policy.NotSent, Finished: true,
 		})
 		return
 	}
