--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -15,18 +15,18 @@
 type call struct {
 	conn       *conn
 	request    *gateway.Request
-	done       bool     // it has its answer, or nobody waits for one
-	streamed   bool     // its value comes in parts
-	buffered   []byte   // the answer, until those before it are given
-	id         string   // as the client named it
-	buffers    [][]byte // the statement's
-	largeBytes int      // bytes it has of what large statements may have
+	done       bool     // it is answered, or the client is gone
+	streamed   bool     // its value is streamed
+	buffered   []byte   // the answer, until all earlier ones are written
+	id         string   // the client's request id
+	buffers    [][]byte // of the statement
+	largeBytes int      // bytes reserved for a large statement
 }
 
-// Served passes the value on, whole, as the database gave it.
+// Served writes the complete value as the database delivered it.
 func (call *call) Served(value []byte) { call.answer(value) }
 
-// Refused tells that trying again is harmless, and when.
+// Refused answers that nothing has run, with the time after which to retry.
 func (call *call) Refused(retryAfter time.Duration) {
 	detail := ""
 	if retryAfter > 0 {
@@ -35,17 +35,17 @@
 	call.answer(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "refused, nothing has run", detail))
 }
 
-// Cancelled tells that nothing has run, and that its client wanted it so.
+// Cancelled answers that nothing has run because the client cancelled.
 func (call *call) Cancelled() {
 	call.answer(pgwire.AppendError(nil, "ERROR", pgwire.CodeQueryCanceled, "canceled, nothing has run", ""))
 }
 
-// Failed promises nothing.
+// Failed answers that the outcome is unknown.
 func (call *call) Failed() {
 	call.answer(pgwire.AppendError(nil, "ERROR", pgwire.CodeUnknownOutcome, "failed, the statement may have run", ""))
 }
 
-// answer gives the client its answer when the turn has come, else keeps it.
+// answer writes the answer if it is the connection's next one, else buffers it.
 func (call *call) answer(message []byte) {
 	c := call.conn
 	c.front.options.Guard.CheckAnswer(call.id, c.number, call.done)
@@ -54,8 +54,8 @@
 		return
 	}
 	if c.calls[0] != call {
-		before := len(call.buffered)                                        // of a value that came in parts
-		call.buffered = slices.Concat(call.buffered, message, readyMessage) // the message is good during the call
+		before := len(call.buffered)                                        // of a streamed value
+		call.buffered = slices.Concat(call.buffered, message, readyMessage) // message is valid only during this call
 		c.bufferedBytes += len(call.buffered) - before
 		return
 	}
@@ -63,16 +63,17 @@
 	c.advance()
 }
 
-// BeginStream tells that a large value comes in parts.
+// BeginStream starts a streamed value.
 func (call *call) BeginStream() {
 	call.streamed = true
-	if conn := call.conn; !conn.nc.Closed() && conn.calls[0] == call {
-		conn.front.streaming[conn] = struct{}{}
-		conn.lastReadAt = conn.front.loop.Now()
+	if c := call.conn; !c.nc.Closed() && c.calls[0] == call {
+		c.front.streaming[c] = struct{}{}
+		c.lastReadAt = c.front.loop.Now()
 	}
 }
 
-// StreamChunk passes one on when the turn has come, else keeps it and wants no more until then.
+// StreamChunk writes the next bytes of a streamed value if it is the connection's next answer; else it buffers them and asks for
+// no more until then.
 func (call *call) StreamChunk(b []byte) (more bool) {
 	c := call.conn
 	if c.nc.Closed() {
@@ -87,19 +88,19 @@
 	return c.nc.Pending() < maxStreamBacklog
 }
 
-// EndStream ends a value that came in parts.
+// EndStream ends a streamed value.
 func (call *call) EndStream() { call.answer(nil) }
 
-// AbortStream tells that no more of it comes. The client can tell by the end of the connection.
+// AbortStream closes the connection because the value ended incomplete; that is how the client notices.
 func (call *call) AbortStream() {
 	call.markDone()
 	if c := call.conn; !c.nc.Closed() {
-		c.front.closeLog.Printf(c.front.loop.Now(), "event=client_closed client=%d request=%q reason=%q", c.number, call.id, "a value broke off")
+		c.front.clientLog.Printf(c.front.loop.Now(), "event=client_closed client=%d request=%q reason=%q", c.number, call.id, "the streamed value ended incomplete")
 		c.abort(closedBroken)
 	}
 }
 
-// advance lets go of the first answer, which is given, and gives those behind it whose turn has come.
+// advance removes the first call, whose answer is written, and writes the answers that are next in order.
 func (c *conn) advance() {
 	delete(c.front.streaming, c)
 	for c.calls = c.calls[1:]; len(c.calls) > 0; c.calls = c.calls[1:] {
@@ -118,14 +119,14 @@
 		c.calls = nil
 	case c.calls[0].streamed:
 		c.calls[0].BeginStream()
-		if c.nc.Pending() < maxStreamBacklog { // else when it is flushed
+		if c.nc.Pending() < maxStreamBacklog { // else flushed does so
 			c.front.core.ResumeStream(c.calls[0].request)
 		}
 	}
 	c.serve()
 }
 
-// markDone takes the request out of the books.
+// markDone marks the request as done and its id as unused.
 func (call *call) markDone() {
 	call.done = true
 	delete(call.conn.front.openIDs, call.id)
@@ -133,7 +134,7 @@
 
 var readyMessage = pgwire.AppendReady(nil)
 
-// Released gives the statement's buffer back.
+// Released frees the statement's buffers.
 func (call *call) Released() {
 	f := call.conn.front
 	for _, b := range call.buffers {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -1,4 +1,4 @@
-// One client's connection.
+// A client's connection.
 
 package front
 
@@ -15,31 +15,31 @@
 	"lilaccove/policy"
 )
 
-// conn is one client's connection. What is sent ahead goes to the core as it comes, for
-// its time runs; the answers wait for their turns, in the order of the commands.
+// conn is one client's connection. Pipelined commands go to the core as they arrive, because
+// their deadlines run; the answers are written in the order of the commands.
 type conn struct {
 	front          *Front
 	nc             *netloop.Conn
 	number         uint64          // for logs
-	protocolError  bool            // it sent what is not spoken here
-	started        bool            // it has said hello
-	cancelKey      uint64          // told then
-	queried        bool            // it has sent a whole query
-	calls          []*call         // not answered to the client yet
-	bufferedBytes  int             // bytes of answers that wait for their turns
-	takesRemaining bool            // what has come is taken though the front closes
-	finishing      bool            // nothing more is taken: the connection ends when all is answered
-	large          *largeStatement // of a large statement that has not come whole
-	enteredAt      time.Duration   // when it came to its place, whatever since says
-	lastPending    int             // bytes when reads last looked
+	protocolError  bool            // it sent an invalid or unsupported message
+	started        bool            // the startup message was received
+	cancelKey      uint64          // sent in the answer to that
+	queried        bool            // a complete query was received
+	calls          []*call         // not completely answered yet
+	bufferedBytes  int             // bytes of answers that wait for earlier ones
+	takesRemaining bool            // received input is still handled during shutdown
+	finishing      bool            // input is ignored; the connection ends when all is answered
+	large          *largeStatement // a large statement that is not completely received
+	enteredAt      time.Duration   // when it entered its state
+	lastPending    int             // unread bytes at the last call of hasRead
 	lastReadAt     time.Duration
-	serving        bool // serve is running: answers that come within it do not call it
+	serving        bool // serve is running; answers given during it must not call it again
 	state          connState
 	queueElement   *list.Element
-	progressAt     time.Duration
+	progressAt     time.Duration // enteredAt, or when progress last extended the state's timeout
 }
 
-// updateState puts the connection where it belongs; who stays keeps the time of its coming.
+// updateState determines the connection's state and queues it there. A connection that stays in its state keeps its time.
 func (c *conn) updateState() {
 	state := stateIdle
 	switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-// madeProgress tells whether more has come of a packet that is not whole, so that it may take longer.
+// madeProgress reports whether enough of an incomplete packet has arrived to extend its time.
 func (c *conn) madeProgress(now time.Duration) bool {
 	if c.large == nil {
 		return now-c.enteredAt < maxPacketTime-stateTimeouts[statePartial]
@@ -81,6 +81,7 @@
 	return progressed
 }
 
+// dequeue removes the connection from its state's queue.
 func (c *conn) dequeue() {
 	if c.queueElement != nil {
 		c.front.queues[c.state].Remove(c.queueElement)
@@ -88,13 +89,13 @@
 	}
 }
 
-// Connected is for dialled connections.
+// Connected does nothing: it concerns dialled connections only.
 func (c *conn) Connected() {}
 
-// Received goes on with what the client sent.
+// Received handles input from the client.
 func (c *conn) Received() { c.serve() }
 
-// flushed goes on when the client has read all that was kept for it.
+// flushed continues when all output was written.
 func (c *conn) flushed() {
 	if len(c.calls) > 0 && c.calls[0].streamed {
 		c.front.core.ResumeStream(c.calls[0].request)
@@ -103,14 +104,14 @@
 	}
 }
 
-// abort ends a connection on which an answer has begun that will not become whole, or is not read.
+// abort closes a connection whose current answer cannot be completed or is not being read.
 func (c *conn) abort(reason closeReason) {
 	c.front.closedCounts.Add(int(reason))
 	c.nc.Close()
 	c.Ended(nil)
 }
 
-// Ended tells that the client is gone.
+// Ended handles the end of the connection: the client is gone.
 func (c *conn) Ended(error) {
 	c.revokeCancelKey()
 	c.dequeue()
@@ -126,12 +127,13 @@
 	}
 }
 
-// acceptsCommand tells whether the next command may be taken. What is sent ahead without end, or
-// without reading the answers, stays with the client.
+// acceptsCommand reports whether the next command may be handled. Too many pipelined commands, or too many
+// unread answers, leave further input unread.
 func (c *conn) acceptsCommand() bool {
 	return !c.nc.Closed() && !c.finishing && len(c.calls) < maxPipelined && c.nc.Pending()+c.bufferedBytes < maxUnreadBytes
 }
 
+// serve handles all complete packets that may be handled now, then closes the connection or updates its state.
 func (c *conn) serve() {
 	if c.serving {
 		return
@@ -155,7 +157,7 @@
 	c.front.reclaimMemory(c)
 }
 
-// reply answers a command that needs no request; its turn comes behind the open ones.
+// reply answers a command that needs no request, after the answers to earlier commands.
 func (c *conn) reply(message []byte) {
 	if len(c.calls) == 0 {
 		c.nc.Write(message)
@@ -165,7 +167,7 @@
 	c.bufferedBytes += len(message)
 }
 
-// handlePacket handles one packet; false: there is none that is whole.
+// handlePacket handles the next packet; it returns false if none is complete or no further one is to be handled.
 func (c *conn) handlePacket() bool {
 	input := c.nc.Input()
 	if !c.started {
@@ -217,25 +219,25 @@
 	return false
 }
 
-// cancel ends the request that the connection with this key waits for, not those sent ahead behind it. A wrong key, or
-// one that comes late, does nothing, and nobody is told which it was.
+// cancel cancels the request that the connection with this key waits for, not the pipelined ones after it. A wrong key, or
+// one that arrives too late, has no effect, and the sender does not learn which it was.
 func (f *Front) cancel(key uint64) {
 	if c := f.cancelKeys[key]; c != nil && len(c.calls) > 0 && c.calls[0].request != nil && !c.calls[0].done {
 		f.core.Cancel(c.calls[0].request)
 	}
 }
 
-// revokeCancelKey has the connection's key open nothing any more.
+// revokeCancelKey invalidates the connection's cancel key.
 func (c *conn) revokeCancelKey() {
 	if c.started {
 		delete(c.front.cancelKeys, c.cancelKey)
 	}
 }
 
-// handleQuery hands a statement to the core.
+// handleQuery answers the empty query, which asks whether the gateway is ready, and submits other statements.
 func (c *conn) handleQuery(body []byte, n int) bool {
 	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
-	c.dequeue() // its time in any place begins anew
+	c.dequeue() // the timeout of its state restarts
 	text, err := pgwire.Text(body)
 	if err == nil && pgwire.Blank(text) {
 		c.nc.Consume(n)
@@ -259,14 +261,14 @@
 		c.rejectStatement(err)
 		return true
 	}
-	// The buffer goes with the request: the statement is written out from where it was
-	// read, and the head's places count from the start of its text.
+	// The request takes over the buffer: the statement is written from where it was read,
+	// and the head's offsets count from the start of its text.
 	buffer := c.nc.Take(n)
 	c.submit(class, &pgwire.Statement{Text: buffer[n-len(body) : n-1], Head: head}, [][]byte{buffer}, 0)
 	return true
 }
 
-// parseHead reads the comment that heads a statement, and finds its class.
+// parseHead parses the comment at the start of a statement and looks up its class.
 func (c *conn) parseHead(text []byte) (head pgwire.Head, class int, err error) {
 	if head, err = pgwire.ParseHead(text); err != nil {
 		return head, 0, err
@@ -276,18 +278,18 @@
 		return head, 0, fmt.Errorf("unknown class %q", head.Class)
 	}
 	if _, open := c.front.openIDs[string(head.ID)]; open {
-		err = errDuplicateID // databases would take one of the two for the other
+		err = errDuplicateID // databases could not tell the two apart
 	}
 	return head, class, err
 }
 
-// rejectStatement answers a statement that cannot be taken.
+// rejectStatement answers a statement that is invalid.
 func (c *conn) rejectStatement(err error) {
-	c.front.closeLog.Printf(c.front.loop.Now(), "event=bad_query client=%d err=%q", c.number, err)
+	c.front.clientLog.Printf(c.front.loop.Now(), "event=bad_query client=%d err=%q", c.number, err)
 	c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocolViolation, err.Error(), "")))
 }
 
-// submit hands a statement to the core. Its buffers are given back when nobody needs them.
+// submit passes a statement to the core. Its buffers are freed when it is released.
 func (c *conn) submit(class int, statement *pgwire.Statement, buffers [][]byte, largeBytes int) {
 	head := &statement.Head
 	request := &gateway.Request{
@@ -307,13 +309,13 @@
 	c.front.core.Submit(request)
 }
 
-// arrivalTime is when what is read now may have come at the earliest: it waited if this process stood still. A hold-up within the
-// terms' slack is not counted, nor that much of a longer one.
+// arrivalTime returns the earliest time at which the current input may have arrived: it waited while this process was stalled. A
+// delay of up to arrivalSlack, which the requirements allow, is not counted, nor that part of a longer one.
 func (f *Front) arrivalTime() time.Duration {
 	return f.loop.Now() - max(0, f.loop.Age()-arrivalSlack)
 }
 
-// sessionID is the number of the sessionID that a key names.
+// sessionID returns the number of the session that a key names: 16 hexadecimal digits, or else a hash of the key.
 func sessionID(key []byte) policy.SessionID {
 	if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
 		return policy.SessionID(n)
@@ -323,14 +325,15 @@
 	return policy.SessionID(h.Sum64())
 }
 
-// fatal answers with an error, the last on this connection.
+// fatal answers with an error after which the connection is closed.
 func (c *conn) fatal(code, reason string) {
 	c.protocolError = true
-	c.front.closeLog.Printf(c.front.loop.Now(), "event=client_closed client=%d code=%s reason=%q", c.number, code, reason)
+	c.front.clientLog.Printf(c.front.loop.Now(), "event=client_closed client=%d code=%s reason=%q", c.number, code, reason)
 	c.reply(pgwire.AppendError(nil, "FATAL", code, reason, ""))
 	c.finishing = true
 }
 
+// finish ends the connection in an orderly way: the client can still read its last answer.
 func (c *conn) finish(reason closeReason) {
 	c.recordClose(reason)
 	c.revokeCancelKey()
@@ -340,14 +343,14 @@
 		limit = stateTimeouts[stateUnread]
 	}
 	deadline := c.front.loop.Now() + limit
-	if c.front.shuttingDown { // the process is killed soon after: an orderly end goes before a peer that keeps its side open
+	if c.front.shuttingDown { // the process is killed soon after, so a peer that keeps its side open is not waited for
 		deadline = min(deadline, max(c.front.shutdownDeadline, c.front.loop.Now()+lastAnswerTime))
 	}
 	c.nc.Finish(deadline)
 	c.updateState()
 }
 
-// drainReason is the reason for an orderly end.
+// drainReason returns the reason for an orderly end.
 func (c *conn) drainReason() closeReason {
 	switch {
 	case c.protocolError:
@@ -358,7 +361,8 @@
 	return closedDone
 }
 
-// recordClose notes that the gateway ends the connection, and checks that it owes no answer. One that has left is noted no more.
+// recordClose counts that the gateway ends the connection, and has the guard check that no answer is pending. A connection that
+// is closing already is not counted again.
 func (c *conn) recordClose(reason closeReason) {
 	if c.state == stateClosing && c.queueElement != nil {
 		return
@@ -373,6 +377,7 @@
 	c.front.options.Guard.CheckClose(c.number, request, unanswered)
 }
 
+// close closes the connection at once.
 func (c *conn) close(reason closeReason) {
 	c.recordClose(reason)
 	c.revokeCancelKey()
--- a/internal/front/drain.go
+++ b/internal/front/drain.go
@@ -1,12 +1,12 @@
-// The end of the front, and how it is emptied.
+// Shutdown, handover and draining of the front.
 
 package front
 
 import "time"
 
-// Shutdown stops accepting and lets each connection go as soon as it owes nothing. What has come by now is taken, and of a
-// command that has begun the rest; nothing that begins later, or clients that go on sending would be owed answers without
-// end. All answers are given by the moment until.
+// Shutdown stops accepting and closes each connection as soon as all its requests are answered. Input received so far is still
+// handled, and the rest of a command that has begun; later commands are not, or clients that keep sending could delay the end
+// without limit. All answers are due by the time until.
 func (f *Front) Shutdown(until time.Duration) {
 	f.shutdownDeadline, f.shuttingDown = until, true
 	f.closeListener()
@@ -17,8 +17,8 @@
 	}
 }
 
-// closeListener takes the connections that wait in the queue and stops listening, at the latest when no answer could be given
-// any more. While they cannot be taken it is tried again.
+// closeListener accepts the connections that wait in the listen queue and stops listening. While they cannot be accepted it
+// retries, until no answer could be given in time any more.
 func (f *Front) closeListener() {
 	if !f.listener.Drain() && f.loop.Now()+listenerRetryInterval < f.shutdownDeadline {
 		f.loop.At(f.loop.Now()+listenerRetryInterval, f.closeListener)
@@ -27,39 +27,41 @@
 	f.listener.Close()
 }
 
-// takeRemaining takes what a client has sent by now, though the front closes, and the rest of a command that has begun.
+// takeRemaining handles what a client has sent by now during a shutdown, and lets the rest of a command that has begun follow.
 func (c *conn) takeRemaining() {
 	c.takesRemaining = true
-	c.nc.Poll() // a request may have come that no round has read yet
+	c.nc.Poll() // a request may have arrived that was not read yet
 	c.serve()
 	c.takesRemaining = false
 	c.finishing = c.finishing || len(c.nc.Input()) == 0 && c.large == nil
 	c.serve()
 }
 
-// HandOver stops accepting, for others hold the queue, and lets each connection go behind its next answer. Who
-// asks for nothing is let go one by one until the moment given: a close that crosses a request turns it
-// back unheard, which hardly happens behind an answer.
+// HandOver stops accepting, because the successor holds the listen queue, and closes each connection after its next
+// answer. Idle connections are closed gradually until the time given: a close that crosses a request rejects it
+// unread, which is unlikely directly after an answer.
 func (f *Front) HandOver(until time.Duration) {
 	f.listener.Pause()
 	f.beginDrain(until)
 }
 
-// ResumeAccepting accepts clients again after Leave, because nobody else does. Each still goes behind its next answer.
+// ResumeAccepting accepts clients again after HandOver, because the successor is lost. Each connection is still closed after its
+// next answer.
 func (f *Front) ResumeAccepting() error { return f.listener.Start() }
 
-// Drain has the empty query answered with a no and lets all clients go as Leave does. New ones are served
-// once each: whoever sends them here takes a moment to notice.
+// Drain makes the empty query fail and closes connections as HandOver does. New connections are served one
+// request each: the load balancer takes a while to notice.
 func (f *Front) Drain(until time.Duration) {
 	f.drained = true
 	f.beginDrain(until)
 }
 
-// Activate takes Empty back.
+// Activate undoes Drain.
 func (f *Front) Activate() { f.drained, f.drainUntil = false, 0 }
 
-const drainStep = 50 * time.Millisecond
+const drainStep = 50 * time.Millisecond // between two closings of some idle connections
 
+// beginDrain starts to close connections after their next answers, and idle ones by the time until.
 func (f *Front) beginDrain(until time.Duration) {
 	running := f.drainUntil != 0
 	if f.drainUntil = until; !running {
@@ -67,7 +69,7 @@
 	}
 }
 
-// closeSomeIdle lets a part of the idle connections go, the longest idle first, so that none is left by the moment set.
+// closeSomeIdle closes a part of the idle connections, longest idle first, such that none is left by drainUntil.
 func (f *Front) closeSomeIdle() {
 	now := f.loop.Now()
 	if f.drainUntil == 0 || f.shuttingDown {
@@ -84,7 +86,7 @@
 	}
 }
 
-// ShutdownComplete tells that no client is owed bytes, or waits in the queue, once Drain was called.
+// ShutdownComplete reports, after Shutdown, whether no client waits for bytes or in the listen queue.
 func (f *Front) ShutdownComplete() bool {
 	f.checkReaders()
 	return f.listener.Closed() && f.queues[stateBusy].Len() == 0 && f.queues[stateUnread].Len() == 0
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,6 @@
-// Package front serves the clients: it greets them, frames their queries, hands each
-// one to the core and writes the answers in order. A client that closes its connection
-// has gone away.
+// Package front serves the clients: it answers their startup messages, parses their queries,
+// submits each one to the core and writes the answers in order. A client that closes its
+// connection is considered gone.
 package front
 
 import (
@@ -18,82 +18,82 @@
 	"lilaccove/internal/stats"
 )
 
-// Core takes requests.
+// Core processes requests.
 type Core interface {
-	Submit(q *gateway.Request)
-	ClientGone(q *gateway.Request)
-	ResumeStream(q *gateway.Request)
-	Cancel(q *gateway.Request)
+	Submit(req *gateway.Request)
+	ClientGone(req *gateway.Request)
+	ResumeStream(req *gateway.Request)
+	Cancel(req *gateway.Request)
 }
 
 const (
-	maxInputBytes         = pgwire.MostMessage + 4096 // one statement, and the head of the next
-	maxPipelined          = 32                        // commands of one connection that are not answered yet
-	maxUnreadBytes        = 256 << 10                 // bytes of answers that it has not read, or that wait for their turns
-	maxStreamBacklog      = 64 << 10                  // bytes of a value that comes in parts that it has not read
+	maxInputBytes         = pgwire.MostMessage + 4096 // one statement and the header of the next
+	maxPipelined          = 32                        // unanswered commands of one connection
+	maxUnreadBytes        = 256 << 10                 // bytes of answers that a client has not read, or that wait for earlier ones
+	maxStreamBacklog      = 64 << 10                  // bytes of a streamed value that a client has not read
 	sweepInterval         = 100 * time.Millisecond
 	listenerRetryInterval = 20 * time.Millisecond
-	arrivalSlack          = 150*time.Millisecond - sweepInterval // for which a gateway may be held up, less what its loop may not see of that
-	maxPacketTime         = 10 * time.Second                     // that a packet may take from its first byte on, unless it is a large statement
-	minProgressBytes      = 1 << 10                              // bytes of a large statement that must come for its time to begin anew
-	maxPieceBytes         = 64 << 10                             // of a large statement read at once
-	newConnGrace          = 500 * time.Millisecond               // for a hello and the query that follows its answer
-	idleGrace             = 250 * time.Millisecond               // in steady use a connection is not idle for longer
-	lastAnswerTime        = 50 * time.Millisecond                // for a client to read the last answer of a process that ends
-	smallBufferBytes      = 4 << 10                              // a connection that holds no more is no use against a want of memory
+	arrivalSlack          = 150*time.Millisecond - sweepInterval // allowed stall of a gateway, less the part that its loop may not notice
+	maxPacketTime         = 10 * time.Second                     // from the first to the last byte of a packet, unless it is a large statement
+	minProgressBytes      = 1 << 10                              // bytes of a large statement that restart its timeout
+	maxPieceBytes         = 64 << 10                             // read size for a large statement
+	newConnGrace          = 500 * time.Millisecond               // for the startup message and the first query
+	idleGrace             = 250 * time.Millisecond               // a connection in steady use is not idle for longer
+	lastAnswerTime        = 50 * time.Millisecond                // for a client to read its last answer during a shutdown
+	smallBufferBytes      = 4 << 10                              // closing a connection with smaller buffers does not help when memory is short
 )
 
 var errDuplicateID = errors.New("a request with this id is open")
 
-// Options are what the front is told once.
+// Options configure a Front.
 type Options struct {
-	Classes                []string    // their names, by number
-	MaxClients             int         // clients at once
-	Reserve                int         // descriptors left for databases and discovery
-	MaxLargeStatementBytes int         // bytes of statements over pgwire.MostMessage at once
-	FreeDescriptor         func() bool // frees a descriptor that nobody needs just now, elsewhere; false: there is none
+	Classes                []string    // names of the classes, by number
+	MaxClients             int         // concurrent clients
+	Reserve                int         // descriptors reserved for databases and discovery
+	MaxLargeStatementBytes int         // total bytes of concurrent statements over pgwire.MostMessage
+	FreeDescriptor         func() bool // frees an unneeded descriptor elsewhere; false: there is none
 
 	Guard    *invariant.Guard // nil: nothing is checked
-	Servable func() bool      // requests can be served; nil: they always can
+	Servable func() bool      // whether requests can be served; nil: always
 }
 
-// Front is all connections of clients.
+// Front manages all connections of clients.
 type Front struct {
 	loop             *netloop.Loop
 	core             Core
 	options          Options
 	classes          map[string]int
-	openIDs          map[string]struct{} // of open requests, as the clients named them
+	openIDs          map[string]struct{} // client's request ids of unanswered requests
 	listener         *netloop.Listener
-	accepting        bool                  // it accepts
+	accepting        bool                  // the listener accepts
 	queues           [stateCount]list.List // of *conn
-	streaming        map[*conn]struct{}    // whose first open answer comes in parts
-	largeBytes       int                   // bytes of large statements, those to come included
-	largeWaiting     []*conn               // their large statements have no room yet
-	cancelKeys       map[uint64]*conn      // by which clients may cancel; one says nothing of another
+	streaming        map[*conn]struct{}    // connections whose current answer is streamed
+	largeBytes       int                   // reserved for large statements, including bytes not received yet
+	largeWaiting     []*conn               // connections that wait for such a reservation
+	cancelKeys       map[uint64]*conn      // keys by which clients may cancel; unpredictable from other keys
 	keySource        *rand.ChaCha8
-	shuttingDown     bool          // each connection goes as soon as it owes nothing
-	shutdownDeadline time.Duration // while it does: when the last answer is due
-	drainUntil       time.Duration // each goes behind its next answer, and idle ones by then; 0: they stay
-	starting         bool          // so it is before the first yes
-	drained          bool          // the empty query is answered with a no
+	shuttingDown     bool          // each connection is closed as soon as all is answered
+	shutdownDeadline time.Duration // when the last answer is due
+	drainUntil       time.Duration // connections close after their next answers, idle ones by this time; 0: not draining
+	starting         bool          // the empty query fails: the gateway is not ready yet
+	drained          bool          // the empty query fails: the gateway is drained
 	refusedLog       netloop.Sparse
-	closeLog         netloop.Sparse
-	lastNumber       uint64 // of connections so far
+	clientLog        netloop.Sparse
+	lastNumber       uint64 // of the last accepted connection
 	closedCounts     *stats.Named
 }
 
-// Metrics adds the figures of connections that the gateway has ended, by reason.
+// Metrics appends the counts of connections that the gateway has closed, by reason.
 func (f *Front) Metrics(b []byte) []byte { return f.closedCounts.Append(b) }
 
-// New makes a front that hands requests to core.
+// New returns a front that submits requests to core.
 func New(loop *netloop.Loop, core Core, options Options) *Front {
 	f := &Front{
 		loop: loop, core: core, options: options, classes: map[string]int{}, openIDs: map[string]struct{}{}, streaming: map[*conn]struct{}{},
-		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamed("closed", closeReasonNames[:]), closeLog: netloop.Sparse{Most: clientLogsPerSecond},
+		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamed("closed", closeReasonNames[:]), clientLog: netloop.Sparse{Most: clientLogsPerSecond},
 	}
 	var secret [32]byte
-	_, _ = crand.Read(secret[:]) // it never fails
+	_, _ = crand.Read(secret[:]) // never fails
 	f.keySource = rand.NewChaCha8(secret)
 	for i, name := range options.Classes {
 		f.classes[name] = i
@@ -102,7 +102,7 @@
 	return f
 }
 
-// Listen begins to accept clients; it returns the address in use.
+// Listen starts to listen and to accept clients, and returns the actual address.
 func (f *Front) Listen(addr netip.AddrPort) (netip.AddrPort, error) {
 	ln, err := f.loop.Listen(addr, f.accept)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return ln.Addr, nil
 }
 
-// Inherit takes over a listening socket; Open begins to accept from it.
+// Inherit takes over a listening socket; Open starts to accept from it.
 func (f *Front) Inherit(fd int, addr netip.AddrPort) (at netip.AddrPort, err error) {
 	if f.listener, err = f.loop.Inherit(fd, addr, f.accept); err != nil {
 		return netip.AddrPort{}, err
@@ -120,7 +120,7 @@
 	return f.listener.Addr, nil
 }
 
-// Open begins to accept, if it has not yet.
+// Open starts to accept if it has not yet.
 func (f *Front) Open() error {
 	if f.accepting {
 		return nil
@@ -130,13 +130,13 @@
 	return err
 }
 
-// Accepting tells whether clients are accepted.
+// Accepting reports whether clients are accepted.
 func (f *Front) Accepting() bool { return f.accepting && !f.shuttingDown }
 
-// SetStarting has the empty query answered with a no as long as the gateway should not be given clients yet.
+// SetStarting sets whether the empty query fails because the gateway should not receive clients yet.
 func (f *Front) SetStarting(on bool) { f.starting = on }
 
-// connsIn is who is at p, as a list of its own: what is done to them moves them.
+// connsIn returns a copy of a state's queue, because handling a connection may move it to another.
 func (f *Front) connsIn(state connState) (list []*conn) {
 	for element := f.queues[state].Front(); element != nil; element = element.Next() {
 		list = append(list, element.Value.(*conn))
@@ -144,7 +144,7 @@
 	return list
 }
 
-// Clients is how many connections are not on their way out.
+// Clients returns how many connections are not closing.
 func (f *Front) Clients() (n int) {
 	for state := stateBusy; state < stateClosing; state++ {
 		n += f.queues[state].Len()
@@ -152,7 +152,7 @@
 	return n
 }
 
-// SetMaxClients changes how many clients there may be at once.
+// SetMaxClients changes the number of concurrent clients allowed.
 func (f *Front) SetMaxClients(maxClients int) { f.options.MaxClients = maxClients }
 
 func (f *Front) accept(nc *netloop.Conn) {
@@ -160,10 +160,10 @@
 	c := &conn{front: f, nc: nc, number: f.lastNumber}
 	nc.Handle(c, maxInputBytes)
 	nc.OnFlush(c.flushed)
-	// Clients may hold a limited number of connections, too: idle ones that are kept until
-	// there is no hasRoom at all leave them none to ask on. So they go from half of it on.
+	// Clients may be limited in their number of connections, too: if idle ones were kept until the
+	// limit is reached, clients might have none left to send on. So idle ones are closed from half the limit on.
 	hasRoom := f.hasCapacity(f.options.MaxClients)
-	for range 2 { // one for the new connection, one to get back to the reserve
+	for range 2 { // one for the new connection, one to restore the reserve
 		hasRoom = f.hasCapacity(f.options.MaxClients/2) || f.reclaimDescriptor() || hasRoom
 	}
 	if !hasRoom {
--- a/internal/front/pieces.go
+++ b/internal/front/large.go
@@ -7,15 +7,15 @@
 	"lilaccove/internal/pgwire"
 )
 
-// largeStatement are those of a statement that is too large to be collected in one buffer.
+// largeStatement is a statement, partly received, that is too large for one buffer.
 type largeStatement struct {
-	size         int      // its length, with the head of its message
-	received     int      // of that
-	progressMark int      // got when its time last began anew
-	pieces       [][]byte // as they came
+	size         int      // length including the message header
+	received     int      // bytes of size received
+	progressMark int      // value of received when the timeout last restarted
+	pieces       [][]byte // in order
 }
 
-// collectLarge takes what has come of a large statement; true when that was all.
+// collectLarge reads the received part of a large statement; it returns true when the statement is complete.
 func (c *conn) collectLarge() bool {
 	pending := c.large
 	if pending == nil {
@@ -36,8 +36,8 @@
 		c.large = pending
 		c.nc.Widen(maxPieceBytes)
 	}
-	// A piece fills most of its buffer, however small the parts are in which it comes. The first one so
-	// holds the heading comment.
+	// A piece fills most of its buffer, however small the reads are. So the first piece holds the
+	// heading comment.
 	n := min(len(c.nc.Input()), pending.size-pending.received)
 	if n < min(maxPieceBytes*3/4, pending.size-pending.received) {
 		return false
@@ -60,7 +60,7 @@
 	return true
 }
 
-// assembleStatement is the whole of the pieces, without the head of the message and its last byte.
+// assembleStatement builds the statement from its pieces, without the message header and the final NUL.
 func (c *conn) assembleStatement(large *largeStatement) (statement *pgwire.Statement, class int, err error) {
 	statement = &pgwire.Statement{Text: large.pieces[0][5:], More: slices.Clone(large.pieces[1:])}
 	last := &statement.Text
@@ -78,7 +78,7 @@
 	return statement, class, err
 }
 
-// discardLarge forgets a large statement that does not become whole.
+// discardLarge discards a large statement that will not be completed.
 func (c *conn) discardLarge() {
 	if large := c.large; large != nil {
 		c.large = nil
@@ -87,6 +87,7 @@
 	c.front.largeWaiting = slices.DeleteFunc(c.front.largeWaiting, func(other *conn) bool { return other == c })
 }
 
+// freeBuffers frees the pieces of a large statement and its reservation.
 func (f *Front) freeBuffers(large *largeStatement) {
 	for _, b := range large.pieces {
 		f.loop.Free(b)
@@ -94,7 +95,7 @@
 	f.releaseLarge(large.size)
 }
 
-// reserveLarge sets room for a large statement aside.
+// reserveLarge reserves memory for a large statement; it returns false if there is not enough.
 func (f *Front) reserveLarge(n int) bool {
 	if f.largeBytes+n > f.options.MaxLargeStatementBytes {
 		return false
@@ -103,8 +104,8 @@
 	return true
 }
 
-// releaseLarge gives room back, and has those who wait for it go on: in the next round, for the caller may be in
-// the midst of any connection's work.
+// releaseLarge releases a reservation and admits waiting connections: in the next loop iteration, because the
+// caller may be handling any connection.
 func (f *Front) releaseLarge(n int) {
 	if n > 0 {
 		f.largeBytes -= n
@@ -112,7 +113,7 @@
 	}
 }
 
-// admitLarge has those who wait go on as far as there is room, the first in front.
+// admitLarge lets waiting connections continue, in order, as far as memory allows.
 func (f *Front) admitLarge() {
 	for len(f.largeWaiting) > 0 {
 		c := f.largeWaiting[0]
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -1,4 +1,4 @@
-// How long connections may stay at their places, and who is closed when descriptors or buffers run short.
+// Timeouts of connections by state, and which ones are closed when descriptors or buffers run short.
 
 package front
 
@@ -9,41 +9,41 @@
 	"lilaccove/internal/pgwire"
 )
 
-// connState is what a connection is at. In each connState they queue, the one that came first in
-// front, so that the end of a limit and the choice of whom to close are at hand.
+// connState is the state of a connection. Each state has a queue, ordered by the time of entry or last
+// progress, so that expired connections and candidates for closing are at its front.
 type connState int
 
 const (
-	stateBusy    connState = iota // the core has a request of it
-	stateNew                      // it has not sent a whole query yet, or not even a hello
-	statePartial                  // a packet has begun
-	stateUnread                   // it has not read its answer
+	stateBusy    connState = iota // a request is unanswered
+	stateNew                      // no complete query received yet, or no startup message
+	statePartial                  // a packet is partly received
+	stateUnread                   // an answer is not read yet
 	stateIdle                     // between requests
-	stateClosing                  // finished: it may read its last answer
+	stateClosing                  // ended by the gateway; the client may read its last answer
 	stateCount
 )
 
-// stateTimeouts are how long a connection may stay in its place. Who connects and does not ask
-// is owed an error or a close within 3 s, but may take 2 s for a head; the protocol lets idle ones be
-// closed after 2 s. A packet that has begun has its time from the last bytes that came.
+// stateTimeouts bounds how long a connection may stay in each state. A client that connects and sends
+// no query must get an error or a close within 3 s, but may take 2 s for a message header; the protocol
+// allows closing idle connections after 2 s. The timeout of a partial packet restarts with received bytes.
 var stateTimeouts = [stateCount]time.Duration{
 	stateNew: 2600 * time.Millisecond, statePartial: 2500 * time.Millisecond, stateUnread: 10 * time.Second, stateIdle: 5 * time.Second,
 	stateClosing: 2 * time.Second,
 }
 
-// closeReason is why the front has ended a connection.
+// closeReason is why the front has closed a connection.
 type closeReason int
 
 const (
-	closedIdle        closeReason = iota // it has been idle for too long
-	closedSlow                           // it sent no whole command in time
-	closedUnread                         // it did not read its answer
-	closedDescriptors                    // its descriptor was wanted
-	closedMemory                         // its buffer was wanted
-	closedBroken                         // a value broke off
-	closedBad                            // it sent what is not spoken here
-	closedDone                           // it has ended itself, or asked for no more than a cancel
-	closedDrain                          // the gateway ends, or is drained
+	closedIdle        closeReason = iota // idle for too long
+	closedSlow                           // no complete command in time
+	closedUnread                         // the answer was not read
+	closedDescriptors                    // its descriptor was needed
+	closedMemory                         // its buffer was needed
+	closedBroken                         // a streamed value ended incomplete
+	closedBad                            // invalid or unsupported message
+	closedDone                           // terminated by the client, or a cancel request
+	closedDrain                          // the gateway shuts down or drains
 	closeReasonCount
 )
 
@@ -51,13 +51,13 @@
 	"idle", "slow", "unread", "descriptors", "memory", "broken", "bad", "done", "drain",
 }
 
-// timeoutReasons is why a connection ends that has been at its place for too long.
+// timeoutReasons maps states to the reason for closing a connection that exceeds the state's timeout.
 var timeoutReasons = [stateCount]closeReason{stateIdle: closedIdle, stateClosing: closedDone, stateUnread: closedUnread, stateNew: closedSlow, statePartial: closedSlow}
 
-const clientLogsPerSecond = 3 // in the log in a second, of those that are not usual
+const clientLogsPerSecond = 3 // lines on client errors and unusual closes
 
-// checkReaders looks whether those that are slow to read their answers go on reading: progress counts, not the
-// time that it takes.
+// checkReaders checks whether clients that are slow to read their answers make progress; the total time of
+// reading is not limited.
 func (f *Front) checkReaders() {
 	for _, c := range f.connsIn(stateUnread) {
 		if c.nc.Pending() == 0 {
@@ -69,13 +69,13 @@
 	}
 	for c := range f.streaming {
 		if !c.hasRead() && f.loop.Now()-c.lastReadAt >= stateTimeouts[stateUnread] {
-			f.closeLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
+			f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
 			c.abort(closedUnread)
 		}
 	}
 }
 
-// hasRead tells whether the client has read since the last look, or has nothing to read.
+// hasRead reports whether the client has read since the last call, or has nothing to read.
 func (c *conn) hasRead() bool {
 	pending := c.nc.Pending()
 	progressed := pending == 0 || pending != c.lastPending
@@ -85,7 +85,7 @@
 	return progressed
 }
 
-// sweep closes whoever has been at its place too long.
+// sweep closes connections that exceed their state's timeout.
 func (f *Front) sweep() {
 	f.checkReaders()
 	now := f.loop.Now()
@@ -99,30 +99,30 @@
 				continue
 			}
 			if state != stateIdle && state != stateClosing {
-				f.closeLog.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
+				f.clientLog.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
 			}
 			c.close(timeoutReasons[state])
 		}
 	}
 }
 
-// hasCapacity tells whether one more client may come where so many are the most. What databases
-// hold does not count against the clients' own share.
+// hasCapacity reports whether one more client may connect under a limit. Connections to databases do
+// not count against it.
 func (f *Front) hasCapacity(maxClients int) bool {
 	return f.Clients() < maxClients && f.loop.Spare() >= f.options.Reserve
 }
 
-// reclaimDescriptor frees a descriptor: of one that was told its end already, else of the one that
-// has said nothing for longest, else of the one idle for longest. Silent connections,
-// however many, must not keep out those that ask, nor may a crowd that arrives at once
-// each other's connections between hello and query while idle ones are kept, or while there is room.
+// reclaimDescriptor frees a descriptor: of a closing connection, else of the one that has been silent
+// longest without a first query, else of the one idle longest. Any number of silent connections must not
+// keep out clients that send queries. Many clients that connect at once must not displace each other
+// between startup and first query while idle connections are kept or capacity is left.
 func (f *Front) reclaimDescriptor() bool {
 	return f.closeOldest(stateClosing, 0) || f.closeOldest(stateNew, newConnGrace) || f.closeOldest(stateIdle, idleGrace) ||
 		!f.hasCapacity(f.options.MaxClients) && (f.Clients() < f.options.MaxClients && f.options.FreeDescriptor() || f.closeOldest(stateIdle, 0) || f.closeOldest(stateNew, 0))
 }
 
-// closeOldest closes the one that came to p first, if that is so long ago, and tells
-// whether it freed a descriptor.
+// closeOldest closes the first connection of a state's queue if it is at least age old, and reports
+// whether that freed a descriptor.
 func (f *Front) closeOldest(state connState, age time.Duration) bool {
 	for element := f.queues[state].Front(); element != nil; element = f.queues[state].Front() {
 		c := element.Value.(*conn)
@@ -130,7 +130,7 @@
 			return false
 		}
 		open := c.nc.Open()
-		c.nc.Poll() // what it has sent by now counts
+		c.nc.Poll() // input that has arrived counts
 		if c.state == state && c.queueElement == element {
 			c.close(closedDescriptors)
 			if open {
@@ -141,14 +141,14 @@
 	return false
 }
 
-// reclaimMemory frees buffers while they are short, other than those of c, which is at work:
-// first of those that have not sent a whole packet for longest. A usual request is small.
+// reclaimMemory frees buffers while memory is short, except those of c, which is in use: first those
+// of clients that have not sent a complete packet, oldest first. A usual request is small.
 func (f *Front) reclaimMemory(c *conn) {
 	for state := stateNew; state < stateIdle && f.loop.Pressed(); state++ {
 		for _, other := range f.connsIn(state) {
 			if other != c && other.nc.Held() > smallBufferBytes && f.loop.Pressed() {
-				f.closeLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.Held())
-				other.finish(closedMemory) // a plain close over unread bytes would take an answer along that was just written
+				f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.Held())
+				other.finish(closedMemory) // a plain close with unread input would reset the connection and lose an answer that was just written
 			}
 		}
 	}
