--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -11,21 +11,21 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is asked for, also by what is called, is called once, in the order of the moments and of the asking, and
-// nothing before its moment.
+// All functions, including those added by called ones, are called once, in the order of their times and then of addition, and
+// none before its time.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type call struct{ at, asked int }
+		type call struct{ due, added int }
 		var q Queue
 		var want, got []call
-		now, asked := 0, 0
-		var add func(at int, more bool)
+		now, added := 0, 0
+		var add func(due int, addsAnother bool)
 		add = func(at int, more bool) {
-			asked++
-			c := call{at, asked}
-			want = append(want, c)
+			added++
+			call := call{at, added}
+			want = append(want, call)
 			q.Add(time.Duration(at), func() {
-				got = append(got, c)
+				got = append(got, call)
 				require.LessOrEqual(t, at, now)
 				if more {
 					add(max(at, now)+rapid.IntRange(0, 3).Draw(t, "later"), false)
@@ -40,13 +40,13 @@
 			q.Run(time.Duration(now))
 			assert.Greater(t, q.Next(), time.Duration(now))
 		}
-		for range 2 { // what is called may ask for more once
+		for range 2 { // a called function may add another one, once
 			now += 100
 			q.Run(time.Duration(now))
 		}
 		assert.Equal(t, time.Duration(math.MaxInt64), q.Next())
-		slices.SortFunc(want, func(a, b call) int { return a.asked - b.asked })
-		slices.SortFunc(got, func(a, b call) int { return a.asked - b.asked })
+		slices.SortFunc(want, func(a, b call) int { return a.added - b.added })
+		slices.SortFunc(got, func(a, b call) int { return a.added - b.added })
 		require.Equal(t, want, got)
 	})
 	var q Queue
@@ -63,11 +63,11 @@
 		q.Add(9, func() { got = append(got, i) })
 	}
 	q.Run(9)
-	assert.True(t, slices.IsSorted(got), "those of one moment in the order of asking: %v", got)
+	assert.True(t, slices.IsSorted(got), "entries of equal time in order of addition: %v", got)
 	assert.Len(t, got, 50)
 }
 
-// BenchmarkQueue has as many wait as 15,000 requests a second leave behind, two each for up to three seconds.
+// BenchmarkQueue keeps as many entries as 15,000 requests per second with two timers each of up to three seconds.
 func BenchmarkQueue(b *testing.B) {
 	var q Queue
 	now := time.Duration(0)
--- a/internal/backend/late_start_test.go
+++ b/internal/backend/late_start_test.go
@@ -11,25 +11,25 @@
 	"lilaccove/policy"
 )
 
-// overtaken is a core that finds the first attempt's time to begin over when it is about to be written, as behind a stop.
-type overtaken struct {
-	ends
-	asked int
+// lateAtBegin is a core for which it is too late to begin the first attempt when it is about to be written, as after a pause.
+type lateAtBegin struct {
+	recorder
+	calls int
 }
 
-func (o *overtaken) BeginAttempt(a *gateway.Attempt, until time.Duration) time.Duration {
-	if o.asked++; o.asked == 1 {
+func (o *lateAtBegin) BeginAttempt(a *gateway.Attempt, until time.Duration) time.Duration {
+	if o.calls++; o.calls == 1 {
 		return 0
 	}
-	return o.ends.BeginAttempt(a, until)
+	return o.recorder.BeginAttempt(a, until)
 }
 
-// An attempt whose time is over in the very moment in which it would be written is not sent, and its connection serves the next.
-func TestAttemptThatIsOvertakenBeforeTheWriteIsNotSent(t *testing.T) {
-	p := newPlace(t)
+// An attempt whose time to begin ends just before the write is not sent, and its connection serves the next one.
+func TestAttemptExpiredBeforeWriteIsNotSent(t *testing.T) {
+	p := newFakeDatabase(t)
 	close(p.greet)
 	p.answer <- struct{}{}
-	core := &overtaken{}
+	core := &lateAtBegin{}
 	r := newRigFor(t, core)
 	r.list(p.Addr().String())
 	r.send(5 * time.Second)
--- a/internal/backend/moved_test.go
+++ b/internal/backend/moved_test.go
@@ -14,19 +14,19 @@
 	"lilaccove/policy"
 )
 
-// place is an address at which a database answers each query once it is told to.
-type place struct {
+// fakeDatabase listens on an address and answers each query when the test allows it.
+type fakeDatabase struct {
 	net.Listener
 	greet   chan struct{} // closed: connections are greeted
-	answer  chan struct{} // one for each query
+	answer  chan struct{} // one item per query
 	queries chan struct{}
 }
 
-func newPlace(t *testing.T) *place {
+func newFakeDatabase(t *testing.T) *fakeDatabase {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	p := &place{Listener: ln, greet: make(chan struct{}), answer: make(chan struct{}, 16), queries: make(chan struct{}, 16)}
+	p := &fakeDatabase{Listener: ln, greet: make(chan struct{}), answer: make(chan struct{}, 16), queries: make(chan struct{}, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -39,7 +39,7 @@
 	return p
 }
 
-func (p *place) serve(c net.Conn) {
+func (p *fakeDatabase) serve(c net.Conn) {
 	defer c.Close()
 	<-p.greet
 	_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
@@ -54,38 +54,38 @@
 		_, _ = io.CopyN(io.Discard, in, int64(size[2])<<8+int64(size[3])-4)
 		p.queries <- struct{}{}
 		<-p.answer
-		_, _ = c.Write([]byte(row))
+		_, _ = c.Write([]byte(valueAnswer))
 	}
 }
 
-// A database moves to another address while a connection to the old one is busy, or on its way. What is sent from then on
-// goes to the new one.
-func TestNothingNewGoesToTheAddressBeforeAMove(t *testing.T) {
-	for _, name := range []string{"busy", "on its way"} {
+// A database moves to another address while a connection to the former one is busy or being dialled. Later attempts go to the
+// new address.
+func TestNewAttemptsGoToTheNewAddress(t *testing.T) {
+	for _, name := range []string{"busy", "dialling"} {
 		t.Run(name, func(t *testing.T) {
-			old, next := newPlace(t), newPlace(t)
-			close(next.greet)
-			next.answer <- struct{}{}
-			next.answer <- struct{}{}
+			former, current := newFakeDatabase(t), newFakeDatabase(t)
+			close(current.greet)
+			current.answer <- struct{}{}
+			current.answer <- struct{}{}
 			r := newRig(t)
 			loop, core, pool := r.loop, r.core(), r.pool
-			listed := func(p *place) { r.list(p.Addr().String()) }
+			moveTo := func(p *fakeDatabase) { r.list(p.Addr().String()) }
 			send := func() { r.send(5 * time.Second) }
-			listed(old)
+			moveTo(former)
 			send()
-			if name == "on its way" {
-				listed(next)
-				close(old.greet)
+			if name == "dialling" {
+				moveTo(current)
+				close(former.greet)
 			} else {
-				close(old.greet)
+				close(former.greet)
 			}
 			moved, second := false, false
 			loop.At(loop.Now()+5*time.Second, loop.Stop)
 			require.NoError(t, loop.Run(func() bool {
-				if name == "busy" && !moved && len(old.queries) == 1 {
+				if name == "busy" && !moved && len(former.queries) == 1 {
 					moved = true
-					listed(next)
-					old.answer <- struct{}{}
+					moveTo(current)
+					former.answer <- struct{}{}
 				}
 				if !second && len(core.outcomes) == 1 && len(pool.hosts["h"].quarantined) == 0 {
 					second = true
@@ -98,8 +98,8 @@
 				return false
 			}))
 			assert.Equal(t, []policy.Outcome{policy.OK, policy.OK}, core.outcomes)
-			want := map[string]int{"busy": 1, "on its way": 2}[name]
-			assert.Len(t, next.queries, want, "sent behind the move")
+			want := map[string]int{"busy": 1, "dialling": 2}[name]
+			assert.Len(t, current.queries, want, "sent after the move")
 		})
 	}
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -15,36 +15,38 @@
 	"lilaccove/policy"
 )
 
-// ends takes what becomes of attempts.
-type ends struct {
+// recorder is a core that records the outcomes of attempts and the roles in late answers.
+type recorder struct {
 	outcomes []policy.Outcome
 	late     []policy.Role
 }
 
-func (e *ends) BeginAttempt(*gateway.Attempt, time.Duration) time.Duration { return time.Millisecond }
-func (e *ends) Resolved(_ *gateway.Attempt, o policy.Outcome, _ gateway.Reply) {
+func (e *recorder) BeginAttempt(*gateway.Attempt, time.Duration) time.Duration {
+	return time.Millisecond
+}
+func (e *recorder) Resolved(_ *gateway.Attempt, o policy.Outcome, _ gateway.Reply) {
 	e.outcomes = append(e.outcomes, o)
 }
-func (e *ends) LateAnswer(_ policy.HostID, r gateway.Reply)       { e.late = append(e.late, r.Role) }
-func (*ends) Probed(policy.HostID, policy.Outcome, gateway.Reply) {}
-func (*ends) Written(*gateway.Attempt)                            {}
-func (*ends) BeginStream(*gateway.Attempt) bool                   { return true }
-func (*ends) FleetEvent(policy.Event)                             {}
-func (*ends) StreamChunk(*gateway.Attempt, []byte) bool           { return true }
+func (e *recorder) LateAnswer(_ policy.HostID, r gateway.Reply)       { e.late = append(e.late, r.Role) }
+func (*recorder) Probed(policy.HostID, policy.Outcome, gateway.Reply) {}
+func (*recorder) Written(*gateway.Attempt)                            {}
+func (*recorder) BeginStream(*gateway.Attempt) bool                   { return true }
+func (*recorder) FleetEvent(policy.Event)                             {}
+func (*recorder) StreamChunk(*gateway.Attempt, []byte) bool           { return true }
 
-// row is an answer with a value.
-const row = "T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01" +
+// valueAnswer is a complete answer with a value.
+const valueAnswer = "T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01" +
 	"D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x02ok" + "C\x00\x00\x00\x0dSELECT 1\x00" + "Z\x00\x00\x00\x05I"
 
-// The database ends a resting connection, or says something on it, behind the loop's last look and before a request goes
-// out: no event has told of it, and the request must not go there.
-func TestRequestMeetsAConnectionThatHasJustFailed(t *testing.T) {
+// The database closes an idle connection, or sends something on it, after the loop last polled it and before a request is
+// written. No event has reported that yet, but the request must not use the connection.
+func TestRequestAvoidsConnectionThatJustFailed(t *testing.T) {
 	for name, fail := range map[string]func(c *net.TCPConn){
-		"closed":      func(c *net.TCPConn) { c.Close() },
-		"reset":       func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
-		"half closed": func(c *net.TCPConn) { _ = c.CloseWrite() },
-		"half a line": func(c *net.TCPConn) { _, _ = c.Write([]byte("S\x00\x00")) },
-		"an answer":   func(c *net.TCPConn) { _, _ = c.Write([]byte(row)) },
+		"closed":         func(c *net.TCPConn) { c.Close() },
+		"reset":          func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
+		"half closed":    func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"half a message": func(c *net.TCPConn) { _, _ = c.Write([]byte("S\x00\x00")) },
+		"an answer":      func(c *net.TCPConn) { _, _ = c.Write([]byte(valueAnswer)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,7 +73,7 @@
 							_, _ = io.ReadFull(in, size[:])
 							_, _ = io.CopyN(io.Discard, in, int64(size[2])<<8+int64(size[3])-4)
 							queries <- c.(*net.TCPConn)
-							_, _ = c.Write([]byte(row))
+							_, _ = c.Write([]byte(valueAnswer))
 						}
 					}()
 				}
@@ -93,7 +95,7 @@
 					assert.Same(t, old, <-queries)
 					fail(old)
 					nc := pool.hosts["h"].idle[0].nc
-					require.Eventually(t, func() bool { return !nc.Silent() }, 5*time.Second, time.Millisecond, "it has come")
+					require.Eventually(t, func() bool { return !nc.Silent() }, 5*time.Second, time.Millisecond, "the end or the bytes have arrived")
 					send()
 				}
 				return false
@@ -101,28 +103,28 @@
 			assert.Equal(t, []policy.Outcome{policy.OK, policy.OK}, core.outcomes)
 			select {
 			case next := <-queries:
-				assert.NotSame(t, old, next, "it went out on a connection of its own")
+				assert.NotSame(t, old, next, "it was written on a new connection")
 			default:
-				assert.Fail(t, "it did not go out again")
+				assert.Fail(t, "the second request was not written")
 			}
 		})
 	}
 }
 
-// An attempt is given up while the database's answer is on its way. That answer was written, so it counts as told; the
-// database sees no more than an end behind the statement.
-func TestAnswerCrossesTheEndOfItsAttempt(t *testing.T) {
+// An attempt is given up while the database's answer is in flight. That answer was written, so it counts as known; the
+// database sees only the end of the stream after the statement.
+func TestLateAnswerAfterAttemptWasGivenUp(t *testing.T) {
 	const role = "S\x00\x00\x00\x11role\x00replica\x00"
 	for name, c := range map[string]struct {
 		answer string
 		late   []policy.Role
 	}{
-		"whole":                 {role + row, []policy.Role{policy.Replica}},
-		"but for what ends it":  {role + row[:len(row)-6], []policy.Role{policy.Replica}},
-		"turned away":           {role + string(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "over", "")), []policy.Role{policy.Replica}},
-		"cut off":               {role + row[:len(row)-20], nil},
-		"with noise":            {role + "?\x00\x00\x00\x04" + row, nil},
-		"of which nothing came": {"", nil},
+		"complete":              {role + valueAnswer, []policy.Role{policy.Replica}},
+		"without ReadyForQuery": {role + valueAnswer[:len(valueAnswer)-6], []policy.Role{policy.Replica}},
+		"refused":               {role + string(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "over", "")), []policy.Role{policy.Replica}},
+		"truncated":             {role + valueAnswer[:len(valueAnswer)-20], nil},
+		"with stray bytes":      {role + "?\x00\x00\x00\x04" + valueAnswer, nil},
+		"no bytes":              {"", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,7 +138,7 @@
 				}
 				_, _ = c1.Write(pgwire.AppendWelcome(nil, 0))
 				_, _ = io.CopyN(io.Discard, c1, int64(len(pgwire.Startup("api", "ledger"))))
-				all, _ := io.ReadAll(c1) // to the end of the sending
+				all, _ := io.ReadAll(c1) // until the write side is closed
 				rest <- all
 				_, _ = c1.Write([]byte(c.answer))
 				c1.Close()
@@ -157,9 +159,9 @@
 	}
 }
 
-// A database that neither answers nor ends is left to itself soon, and at once where descriptors are short.
-func TestAnswerToAnAttemptGivenUpIsNotWaitedForLong(t *testing.T) {
-	for name, reserve := range map[string]int{"soon": 0, "at once": 1000} {
+// The connection to a database that neither answers nor closes is closed after a short wait, or at once if descriptors are short.
+func TestLateAnswerWaitIsBounded(t *testing.T) {
+	for name, reserve := range map[string]int{"after a wait": 0, "at once": 1000} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
@@ -176,11 +178,11 @@
 			r.list(ln.Addr().String())
 			until := r.send(300 * time.Millisecond)
 			loop.At(until-50*time.Millisecond, func() { pool.options.Reserve = reserve })
-			open := -1
-			loop.At(until+lateAnswerWait/2, func() { open = pool.hosts["h"].open })
+			openDuringWait := -1
+			loop.At(until+lateAnswerWait/2, func() { openDuringWait = pool.hosts["h"].open })
 			loop.At(until+2*lateAnswerWait, loop.Stop)
 			require.NoError(t, loop.Run(func() bool { return false }))
-			assert.Equal(t, map[string]int{"soon": 1, "at once": 0}[name], open)
+			assert.Equal(t, map[string]int{"after a wait": 1, "at once": 0}[name], openDuringWait)
 			assert.Zero(t, pool.hosts["h"].open)
 			assert.Equal(t, []policy.Outcome{policy.Timeout}, core.outcomes)
 		})
--- a/internal/backend/ready_test.go
+++ b/internal/backend/ready_test.go
@@ -13,15 +13,15 @@
 	"lilaccove/policy"
 )
 
-// A database hangs, or is cut off, between the whole of its answer and ReadyForQuery. The answer counts: neither is a value
-// held back until its request has failed, nor is a refusal taken for silence.
-func TestAnswerIsWholeThoughItsDatabaseHangsBehindIt(t *testing.T) {
+// A database hangs, or is disconnected, between its complete answer and ReadyForQuery. The answer counts: a value is not held
+// back until its request fails, and a refusal is not taken for a timeout.
+func TestCompleteAnswerCountsWithoutReadyForQuery(t *testing.T) {
 	busy := string(pgwire.AppendError(nil, "ERROR", pgwire.CodeTooManyConnections, "busy", ""))
 	for name, c := range map[string]struct {
 		says string
 		want policy.Outcome
 	}{
-		"a value":   {row[:len(row)-6], policy.OK},
+		"a value":   {valueAnswer[:len(valueAnswer)-6], policy.OK},
 		"a refusal": {busy, policy.AtCapacity},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 				return false
 			}))
 			assert.Equal(t, []policy.Outcome{c.want}, r.core().outcomes)
-			assert.Empty(t, r.pool.hosts["h"].idle, "the connection is used no more")
+			assert.Empty(t, r.pool.hosts["h"].idle, "the connection is not used again")
 			assert.Zero(t, r.pool.hosts["h"].open)
 		})
 	}
--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -14,52 +14,52 @@
 	"lilaccove/policy"
 )
 
-// Over random lives of requests - attempts and second copies that end in any way and order, refusals, failures,
-// clients that leave, a gateway that is full, answers nobody gave in time - each request is counted once, where
-// it ends, and each attempt once, however often its last byte is told.
+// Random requests - concurrent attempts that end in any way and order, refusals, failures, clients that
+// disconnect, a full gateway, missed deadlines - are each counted exactly once when they end, and each
+// attempt once, however often Written is called for it.
 func TestCountsBalance(t *testing.T) {
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		loop, err := netloop.New(16, 0, 1<<20)
 		require.NoError(t, err)
-		r, w := &script{}, &world{}
+		router, env := &stubRouter{}, &environment{}
 		counts := stats.New([]string{"a", "b"})
-		g := New(loop, r, 20, counts)
-		g.Connect(w, w)
-		var taken, written uint64
+		g := New(loop, router, 20, counts)
+		g.Connect(env, env)
+		var submitted, written uint64
 		var open []*Request
 		for range 500 {
 			switch {
 			case len(open) == 0 || rnd.IntN(3) == 0:
-				q := &Request{Client: &world{}, Class: rnd.IntN(2), Deadline: loop.Now() + time.Hour}
-				taken++
+				q := &Request{Client: &environment{}, Class: rnd.IntN(2), Deadline: loop.Now() + time.Hour}
+				submitted++
 				g.Submit(q)
 				open = append(open, q)
 			default:
 				q := open[rnd.IntN(len(open))]
 				switch rnd.IntN(8) {
 				case 0:
-					r.next = []policy.Action{policy.Refuse{Request: q.id}}
+					router.actions = []policy.Action{policy.Refuse{Request: q.id}}
 				case 1:
-					r.next = []policy.Action{policy.Fail{Request: q.id}, policy.Refuse{Request: q.id}}
+					router.actions = []policy.Action{policy.Fail{Request: q.id}, policy.Refuse{Request: q.id}}
 				case 2:
 					g.ClientGone(q)
-					for _, a := range w.cancelled { // as a backend does
+					for _, a := range env.cancelled { // as a backend would
 						g.Resolved(a, policy.Cancelled, Reply{})
-						w.sent = slices.DeleteFunc(w.sent, func(o *Attempt) bool { return o == a })
+						env.sent = slices.DeleteFunc(env.sent, func(o *Attempt) bool { return o == a })
 					}
-					w.cancelled = nil
+					env.cancelled = nil
 				case 3:
 					g.expire(q)
 				case 4, 5:
-					r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
+					router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
 				}
 				g.events = append(g.events, policy.TimerFired{})
 			}
 			g.Step()
-			for i := 0; i < len(w.sent); i++ {
+			for i := 0; i < len(env.sent); i++ {
 				if rnd.IntN(2) == 0 {
-					a := w.sent[i]
+					a := env.sent[i]
 					if rnd.IntN(2) == 0 {
 						if !a.written {
 							written++
@@ -71,32 +71,32 @@
 						g.StreamChunk(a, []byte("x"))
 						if rnd.IntN(2) == 0 {
 							g.Step()
-							continue // its end comes later, or its client leaves first
+							continue // it ends later, or its client disconnects first
 						}
 					}
 					g.Resolved(a, policy.Outcome(rnd.IntN(8)), Reply{})
-					w.sent = append(w.sent[:i], w.sent[i+1:]...)
+					env.sent = append(env.sent[:i], env.sent[i+1:]...)
 				}
 			}
 			var all stats.Class
 			for i := range 2 {
-				k := counts.Of(i)
-				all.Passed += k.Passed
-				all.Dropped += k.Dropped
-				all.BadGateway += k.BadGateway
-				all.Abandoned += k.Abandoned
-				all.Tries += k.Tries
+				class := counts.Of(i)
+				all.Passed += class.Passed
+				all.Dropped += class.Dropped
+				all.BadGateway += class.BadGateway
+				all.Abandoned += class.Abandoned
+				all.Tries += class.Tries
 			}
-			require.Equal(t, taken, all.Passed+all.Dropped+all.BadGateway+all.Abandoned+uint64(g.Gauges().InProgress))
+			require.Equal(t, submitted, all.Passed+all.Dropped+all.BadGateway+all.Abandoned+uint64(g.Gauges().InProgress))
 			require.Equal(t, written, all.Tries)
 		}
 		loop.Close()
 	}
 }
 
-// What is known is the list; the yes to an operator comes when the module has been told.
-func TestKnownAndSuspended(t *testing.T) {
-	_, g, r, _ := newWorld(t)
+// ListSize follows the list, and a suspension is confirmed only after the decision module has processed it.
+func TestListSizeAndSuspension(t *testing.T) {
+	_, g, router, _ := newTestGateway(t)
 	entry := func(h policy.HostID, s policy.Status) Entry {
 		return Entry{Member: policy.Member{Host: h, Status: s}}
 	}
@@ -107,89 +107,89 @@
 	assert.Equal(t, 2, g.ListSize())
 	g.Step()
 
-	yes := 0
-	assert.False(t, g.Suspend("a", true, func() { yes++ }), "it has left")
-	assert.True(t, g.Suspend("b", true, func() { yes++ }))
-	assert.Zero(t, yes, "nothing is decided yet")
+	confirmed := 0
+	assert.False(t, g.Suspend("a", true, func() { confirmed++ }), "not in the list any more")
+	assert.True(t, g.Suspend("b", true, func() { confirmed++ }))
+	assert.Zero(t, confirmed, "the decision module has not processed it yet")
 	g.Step()
-	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b", Active: true}}, r.heard)
-	assert.Equal(t, 1, yes)
+	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b", Active: true}}, router.events)
+	assert.Equal(t, 1, confirmed)
 
 	g.ListUpdated(policy.ListFull, []Entry{entry("c", policy.Healthy)})
 	g.Step()
-	assert.True(t, g.Suspend("b", true, func() { yes++ }), "out twice")
-	assert.True(t, g.Suspend("b", false, func() { yes++ }), "and back, though it has left the list")
-	assert.True(t, g.Suspend("c", false, func() { yes++ }), "back without having been out")
+	assert.True(t, g.Suspend("b", true, func() { confirmed++ }), "suspended twice")
+	assert.True(t, g.Suspend("b", false, func() { confirmed++ }), "resumed, though it is not in the list any more")
+	assert.True(t, g.Suspend("c", false, func() { confirmed++ }), "resumed without having been suspended")
 	g.Step()
-	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b"}}, r.heard)
-	assert.Equal(t, 4, yes)
+	assert.Equal(t, []policy.Event{policy.SuspensionChanged{Host: "b"}}, router.events)
+	assert.Equal(t, 4, confirmed)
 }
 
-// With the first bytes of a large value the request has its answer: the module hears of a served request with the
-// time up to then, no other copy may begin, no deadline ends it; what the end tells of the host is still news.
-func TestValueInParts(t *testing.T) {
-	loop, g, r, w := newWorld(t)
-	q := g.take(w, time.Second)
-	r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
+// The first bytes of a large value answer the request: the decision module sees a served request with the latency
+// up to then, no other attempt can win, and no deadline ends it. The position reported at its end is still passed on.
+func TestStreamedValue(t *testing.T) {
+	loop, g, router, env := newTestGateway(t)
+	q := g.submitFor(env, time.Second)
+	router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
 	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
-	a, b := w.sent[0], w.sent[1]
+	a, b := env.sent[0], env.sent[1]
 	require.True(t, g.BeginStream(a))
-	assert.False(t, g.BeginStream(b), "one copy wins")
+	assert.False(t, g.BeginStream(b), "one attempt wins")
 	assert.False(t, g.BeginStream(a))
 	g.Step()
-	require.Len(t, r.heard, 1)
-	e := r.heard[0].(policy.Result)
+	require.Len(t, router.events, 1)
+	e := router.events[0].(policy.Result)
 	assert.Equal(t, policy.OK, e.Outcome)
 	assert.True(t, e.Finished)
 	assert.Equal(t, max(0, loop.Now()-a.sentAt), e.Latency)
 	assert.True(t, g.StreamChunk(a, []byte("x")))
-	assert.False(t, g.StreamChunk(a, []byte("xyz")), "the client has enough for now")
+	assert.False(t, g.StreamChunk(a, []byte("xyz")), "the client can take no more for now")
 	g.ResumeStream(q)
-	assert.Equal(t, []*Attempt{a}, w.resumed)
+	assert.Equal(t, []*Attempt{a}, env.resumed)
 	assert.Equal(t, 1, g.Gauges().InProgress)
 	g.Resolved(b, policy.OK, Reply{Value: []byte("second")})
 	g.Resolved(a, policy.OK, Reply{Role: policy.Replica, Position: 7, HasPosition: true})
 	g.ResumeStream(q)
 	g.Step()
-	assert.Equal(t, []string{"begin", "part x", "part xyz", "complete", "released"}, w.said)
-	assert.Equal(t, policy.Result{Host: "a", Report: policy.Report{Position: 7, HasPosition: true, Role: policy.Replica}}, r.heard[len(r.heard)-1])
+	assert.Equal(t, []string{"begin", "part x", "part xyz", "complete", "released"}, env.calls)
+	assert.Equal(t, policy.Result{Host: "a", Report: policy.Report{Position: 7, HasPosition: true, Role: policy.Replica}}, router.events[len(router.events)-1])
 	assert.Zero(t, g.Unanswered())
 }
 
-// For how long an answer may have waited for this process to read it is not its host's delay, and the module hears how long
-// the process was away before it hears of anything else of that round's making.
-func TestOwnDelayIsNotTheHosts(t *testing.T) {
-	const away = 80 * time.Millisecond
-	loop, g, r, w := newWorld(t)
-	q := g.take(w, time.Second)
-	r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
+// The time for which an answer may have waited for this process to read it does not count as the host's latency, and the
+// decision module learns of the pause before it sees other events of that loop iteration.
+func TestProcessPauseIsNotCountedAsLatency(t *testing.T) {
+	const pause = 80 * time.Millisecond
+	loop, g, router, env := newTestGateway(t)
+	q := g.submitFor(env, time.Second)
+	router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
 	g.events = append(g.events, policy.TimerFired{})
-	round := 0
+	iteration := 0
 	require.NoError(t, loop.Run(func() bool {
-		switch round++; round {
+		switch iteration++; iteration {
 		case 1:
 			g.Step()
-			for begun := loop.Clock(); loop.Clock() < begun+away; {
-				time.Sleep(time.Millisecond) // it stands still
+			for start := loop.Clock(); loop.Clock() < start+pause; {
+				time.Sleep(time.Millisecond) // the pause
 			}
 		case 2:
-			g.Resolved(w.sent[0], policy.OK, Reply{})
+			g.Resolved(env.sent[0], policy.OK, Reply{})
 			g.Step()
 			loop.Stop()
 		}
 		return true
 	}))
-	var lost, latency time.Duration = 0, -1
-	for _, e := range r.heard {
+	var reported, latency time.Duration = 0, -1
+	for _, e := range router.events {
 		switch e := e.(type) {
 		case policy.ProcessPaused:
-			lost = e.Total
+			reported = e.Total
 		case policy.Result:
 			latency = e.Latency
 		}
 	}
-	assert.Greater(t, lost, away/2)
+	assert.Greater(t, reported, pause/2)
 	assert.GreaterOrEqual(t, latency, time.Duration(0))
-	assert.Less(t, latency, away/2)
+	assert.Less(t, latency, pause/2)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,124 +12,130 @@
 	"lilaccove/policy"
 )
 
-// script is a router that acts as it is told and keeps what it heard.
-type script struct {
-	heard []policy.Event
-	next  []policy.Action
+// stubRouter returns prepared actions and records the events of the last Step.
+type stubRouter struct {
+	events  []policy.Event
+	actions []policy.Action
 }
 
-func (s *script) Step(_ time.Duration, events []policy.Event) []policy.Action {
-	s.heard = append([]policy.Event(nil), events...)
-	next := s.next
-	s.next = nil
-	return next
+func (s *stubRouter) Step(_ time.Duration, events []policy.Event) []policy.Action {
+	s.events = append([]policy.Event(nil), events...)
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
 
-func (s *script) ExcludedHosts() int         { return 0 }
-func (*script) Plausible(time.Duration) bool { return true }
-
-// world is the rest: a client, the backends and discovery.
-type world struct {
-	said             []string
-	sent, cancelled  []*Attempt
-	resumed          []*Attempt
-	probed, hungUp   []policy.HostID
-	withdrawn        []policy.HostID
-	listed, askedFor int
+func (s *stubRouter) ExcludedHosts() int         { return 0 }
+func (*stubRouter) Plausible(time.Duration) bool { return true }
+
+// environment fakes a client, the backends and discovery, and records calls.
+type environment struct {
+	calls                 []string
+	sent, cancelled       []*Attempt
+	resumed               []*Attempt
+	probed, idleClosed    []policy.HostID
+	stopped               []policy.HostID
+	listed, subscriptions int
 }
 
-func (w *world) Served(value []byte)         { w.said = append(w.said, "served "+string(value)) }
-func (w *world) Refused(after time.Duration) { w.said = append(w.said, "refused "+after.String()) }
-func (w *world) Failed()                     { w.said = append(w.said, "failed") }
-func (w *world) Released()                   { w.said = append(w.said, "released") }
-func (w *world) BeginStream()                { w.said = append(w.said, "begin") }
-func (w *world) EndStream()                  { w.said = append(w.said, "complete") }
-func (w *world) Cancelled()                  { w.said = append(w.said, "cancelled") }
-func (w *world) AbortStream()                { w.said = append(w.said, "broken") }
-func (w *world) ResumeStream(a *Attempt)     { w.resumed = append(w.resumed, a) }
-func (w *world) StreamChunk(b []byte) bool {
-	w.said = append(w.said, "part "+string(b))
+func (w *environment) Served(value []byte) { w.calls = append(w.calls, "served "+string(value)) }
+func (w *environment) Refused(after time.Duration) {
+	w.calls = append(w.calls, "refused "+after.String())
+}
+func (w *environment) Failed()                 { w.calls = append(w.calls, "failed") }
+func (w *environment) Released()               { w.calls = append(w.calls, "released") }
+func (w *environment) BeginStream()            { w.calls = append(w.calls, "begin") }
+func (w *environment) EndStream()              { w.calls = append(w.calls, "complete") }
+func (w *environment) Cancelled()              { w.calls = append(w.calls, "cancelled") }
+func (w *environment) AbortStream()            { w.calls = append(w.calls, "broken") }
+func (w *environment) ResumeStream(a *Attempt) { w.resumed = append(w.resumed, a) }
+func (w *environment) StreamChunk(b []byte) bool {
+	w.calls = append(w.calls, "part "+string(b))
 	return len(b) < 3
 }
-func (w *world) Send(a *Attempt)                          { w.sent = append(w.sent, a) }
-func (w *world) CancelUnsent(*Attempt)                    {}
-func (w *world) Cancel(a *Attempt)                        { w.cancelled = append(w.cancelled, a) }
-func (w *world) Probe(h policy.HostID)                    { w.probed = append(w.probed, h) }
-func (w *world) CloseIdleConnections(h policy.HostID)     { w.hungUp = append(w.hungUp, h) }
-func (w *world) StopUsingHost(h policy.HostID)            { w.withdrawn = append(w.withdrawn, h) }
-func (w *world) Subscribe(time.Duration)                  { w.askedFor++ }
-func (w *world) ListUpdated(_ policy.ListKind, e []Entry) { w.listed += len(e) }
-
-func newWorld(t testing.TB) (*netloop.Loop, *Gateway, *script, *world) {
+func (w *environment) Send(a *Attempt)                          { w.sent = append(w.sent, a) }
+func (w *environment) CancelUnsent(*Attempt)                    {}
+func (w *environment) Cancel(a *Attempt)                        { w.cancelled = append(w.cancelled, a) }
+func (w *environment) Probe(h policy.HostID)                    { w.probed = append(w.probed, h) }
+func (w *environment) CloseIdleConnections(h policy.HostID)     { w.idleClosed = append(w.idleClosed, h) }
+func (w *environment) StopUsingHost(h policy.HostID)            { w.stopped = append(w.stopped, h) }
+func (w *environment) Subscribe(time.Duration)                  { w.subscriptions++ }
+func (w *environment) ListUpdated(_ policy.ListKind, e []Entry) { w.listed += len(e) }
+
+// newTestGateway returns a gateway for at most two unanswered requests, with its fakes.
+func newTestGateway(t testing.TB) (*netloop.Loop, *Gateway, *stubRouter, *environment) {
 	loop, err := netloop.New(16, 0, 1<<20)
 	require.NoError(t, err)
 	t.Cleanup(loop.Close)
-	r, w := &script{}, &world{}
-	g := New(loop, r, 2, stats.New([]string{"only"}))
-	g.Connect(w, w)
-	return loop, g, r, w
+	router, env := &stubRouter{}, &environment{}
+	g := New(loop, router, 2, stats.New([]string{"only"}))
+	g.Connect(env, env)
+	return loop, g, router, env
 }
 
-func (g *Gateway) take(w *world, left time.Duration) *Request {
-	q := &Request{Client: w, Deadline: g.loop.Now() + left, MinPosition: g.loop.Now() + time.Hour}
+// submitFor submits a request of env and runs one Step.
+func (g *Gateway) submitFor(env *environment, timeout time.Duration) *Request {
+	q := &Request{Client: env, Deadline: g.loop.Now() + timeout, MinPosition: g.loop.Now() + time.Hour}
 	g.Submit(q)
 	g.Step()
 	return q
 }
 
-// Of all that may end a request only the first is told, and the statement is given back
-// when the last attempt is over.
+// Only the first answer of a request reaches the client, and the statement is released when the
+// last attempt has ended.
 func TestOneFinalAnswer(t *testing.T) {
-	_, g, r, w := newWorld(t)
-	q := g.take(w, time.Second)
-	e := r.heard[0].(policy.Request)
-	assert.InDelta(t, -time.Hour, e.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be behind")
-	r.next = []policy.Action{policy.Send{Request: e.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: e.ID, Host: "b"}}
+	_, g, router, env := newTestGateway(t)
+	q := g.submitFor(env, time.Second)
+	e := router.events[0].(policy.Request)
+	assert.InDelta(t, -time.Hour, e.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be slow")
+	router.actions = []policy.Action{policy.Send{Request: e.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: e.ID, Host: "b"}}
 	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
-	require.Len(t, w.sent, 2)
-	assert.Equal(t, g.loop.Now()+time.Millisecond, w.sent[0].Deadline)
-	assert.Equal(t, q.Deadline, w.sent[1].Deadline, "no time-out: until the client gives up")
+	require.Len(t, env.sent, 2)
+	assert.Equal(t, g.loop.Now()+time.Millisecond, env.sent[0].Deadline)
+	assert.Equal(t, q.Deadline, env.sent[1].Deadline, "no timeout: until the client's deadline")
 
-	g.Resolved(w.sent[1], policy.OK, Reply{Value: []byte("v")})
-	g.Resolved(w.sent[1], policy.Reset, Reply{})
+	g.Resolved(env.sent[1], policy.OK, Reply{Value: []byte("v")})
+	g.Resolved(env.sent[1], policy.Reset, Reply{})
 	g.ClientGone(q)
-	r.next = []policy.Action{
+	router.actions = []policy.Action{
 		policy.Refuse{Request: e.ID}, policy.Fail{Request: e.ID}, policy.Cancel{Request: e.ID, Attempt: 0},
 		policy.Cancel{Request: e.ID, Attempt: 1}, policy.Cancel{Request: "none"}, policy.Send{Request: e.ID, Host: "c"},
 	}
 	assert.True(t, g.Step())
-	assert.Len(t, r.heard, 1)
-	assert.True(t, r.heard[0].(policy.Result).Finished)
-	assert.Equal(t, []*Attempt{w.sent[0]}, w.cancelled)
-	assert.Len(t, w.sent, 2, "nothing is sent for a request that is over")
-	assert.Equal(t, []string{"served v"}, w.said)
+	assert.Len(t, router.events, 1)
+	assert.True(t, router.events[0].(policy.Result).Finished)
+	assert.Equal(t, []*Attempt{env.sent[0]}, env.cancelled)
+	assert.Len(t, env.sent, 2, "nothing is sent for a finished request")
+	assert.Equal(t, []string{"served v"}, env.calls)
 	g.Step()
-	moot := r.heard[0].(policy.Result)
-	assert.Equal(t, policy.NotSent, moot.Outcome)
-	assert.Equal(t, 2, moot.Attempt)
+	notSent := router.events[0].(policy.Result)
+	assert.Equal(t, policy.NotSent, notSent.Outcome)
+	assert.Equal(t, 2, notSent.Attempt)
 
-	g.Resolved(w.sent[0], policy.OK, Reply{Value: []byte("w")})
-	assert.Equal(t, []string{"served v", "released"}, w.said)
+	g.Resolved(env.sent[0], policy.OK, Reply{Value: []byte("w")})
+	assert.Equal(t, []string{"served v", "released"}, env.calls)
 	assert.Zero(t, g.Unanswered())
 	assert.Empty(t, g.requests)
 }
 
-func TestOtherEnds(t *testing.T) {
-	loop, g, r, w := newWorld(t)
-	gone := g.take(w, time.Second)
-	g.take(w, time.Millisecond)
-	g.take(w, time.Second) // over the limit: refused unheard
-	assert.Equal(t, []string{"refused 0s", "released"}, w.said)
+// A request over the limit is refused, one whose client disconnects is released without an answer, and one that the
+// decision module leaves unanswered fails after its deadline.
+func TestRefusedAbandonedAndExpiredRequests(t *testing.T) {
+	loop, g, router, env := newTestGateway(t)
+	abandoned := g.submitFor(env, time.Second)
+	g.submitFor(env, time.Millisecond)
+	g.submitFor(env, time.Second) // over the limit
+	assert.Equal(t, []string{"refused 0s", "released"}, env.calls)
 	assert.Equal(t, 2, g.Unanswered())
 
-	w.said = nil
-	g.ClientGone(gone)
-	g.ClientGone(gone)
-	assert.Equal(t, []string{"released"}, w.said)
+	env.calls = nil
+	g.ClientGone(abandoned)
+	g.ClientGone(abandoned)
+	assert.Equal(t, []string{"released"}, env.calls)
 
-	// A request that the module leaves without an answer fails at its deadline.
-	w.said = nil
+	// The remaining request expires.
+	env.calls = nil
 	assert.NoError(t, loop.Run(func() bool {
 		g.Step()
 		if g.Unanswered() == 0 {
@@ -137,62 +143,65 @@
 		}
 		return false
 	}))
-	assert.Equal(t, []string{"failed", "released"}, w.said)
-	assert.IsType(t, policy.RequestAbandoned{}, r.heard[len(r.heard)-1])
+	assert.Equal(t, []string{"failed", "released"}, env.calls)
+	assert.IsType(t, policy.RequestAbandoned{}, router.events[len(router.events)-1])
 }
 
-// In a round that comes late the module's own answer goes before the gateway's, which
-// promises less.
-func TestModuleAnswersFirstInALateRound(t *testing.T) {
-	loop, g, r, w := newWorld(t)
-	q := g.take(w, time.Millisecond)
-	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*deadlineGrace { // the round is late
+// In a late loop iteration the decision module's answer precedes the gateway's own failure, which
+// tells the client less.
+func TestModuleAnswersFirstInLateIteration(t *testing.T) {
+	loop, g, router, env := newTestGateway(t)
+	q := g.submitFor(env, time.Millisecond)
+	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*deadlineGrace { // the iteration is late
 	}
 	loop.At(q.Deadline, func() { g.events = append(g.events, policy.TimerFired{}) })
 	assert.NoError(t, loop.Run(func() bool {
-		r.next = []policy.Action{policy.Refuse{Request: q.id, RetryAfter: time.Second}}
+		router.actions = []policy.Action{policy.Refuse{Request: q.id, RetryAfter: time.Second}}
 		g.Step()
 		if g.Unanswered() == 0 {
 			loop.Stop()
 		}
 		return false
 	}))
-	assert.Equal(t, []string{"refused 1s", "released"}, w.said)
+	assert.Equal(t, []string{"refused 1s", "released"}, env.calls)
 }
 
-func TestCarriesOutTheRest(t *testing.T) {
-	loop, g, r, w := newWorld(t)
-	r.next = []policy.Action{
+// Probes, closing of connections, subscriptions, timers and log lines are carried out; an attempt of an unknown request
+// ends as NotSent.
+func TestCarriesOutOtherActions(t *testing.T) {
+	loop, g, router, env := newTestGateway(t)
+	router.actions = []policy.Action{
 		policy.Probe{Host: "a"}, policy.CloseIdleConnections{Host: "b"}, policy.Subscribe{}, policy.Log{Text: "x"},
 		policy.SetTimer{After: time.Millisecond, ID: 7}, policy.Send{Request: "unknown", Host: "a"},
 	}
 	g.ListUpdated(policy.ListFull, make([]Entry, 3))
 	assert.True(t, g.Step())
-	assert.Equal(t, []policy.HostID{"a"}, w.probed)
-	assert.Equal(t, []policy.HostID{"b"}, w.hungUp)
-	assert.Equal(t, 3, w.listed)
-	assert.Equal(t, 1, w.askedFor)
+	assert.Equal(t, []policy.HostID{"a"}, env.probed)
+	assert.Equal(t, []policy.HostID{"b"}, env.idleClosed)
+	assert.Equal(t, 3, env.listed)
+	assert.Equal(t, 1, env.subscriptions)
 	g.Step()
-	assert.Equal(t, policy.NotSent, r.heard[0].(policy.Result).Outcome)
+	assert.Equal(t, policy.NotSent, router.events[0].(policy.Result).Outcome)
 	g.Probed("a", policy.OK, Reply{})
 	assert.NoError(t, loop.Run(func() bool {
 		g.Step()
-		if _, ok := r.heard[len(r.heard)-1].(policy.TimerFired); ok {
+		if _, ok := router.events[len(router.events)-1].(policy.TimerFired); ok {
 			loop.Stop()
 		}
 		return false
 	}))
-	assert.Equal(t, policy.TimerFired{ID: 7}, r.heard[len(r.heard)-1])
+	assert.Equal(t, policy.TimerFired{ID: 7}, router.events[len(router.events)-1])
 }
 
-// What was answered to an attempt that was given up unseats a primary; it seats none, for others may have told more since.
+// A late answer to an attempt that was given up can show that a host is no longer the primary. It cannot show that one is:
+// that may be outdated.
 func TestLateAnswers(t *testing.T) {
-	_, g, r, _ := newWorld(t)
+	_, g, router, _ := newTestGateway(t)
 	g.LateAnswer("p", Reply{Role: policy.Primary})
 	g.LateAnswer("h", Reply{})
 	g.Step()
-	assert.Empty(t, r.heard)
+	assert.Empty(t, router.events)
 	g.LateAnswer("p", Reply{Role: policy.Replica})
 	g.Step()
-	assert.Equal(t, []policy.Event{policy.Result{Host: "p", Attempt: -1, Outcome: policy.NotSent, Finished: true, Role: policy.Replica}}, r.heard)
+	assert.Equal(t, []policy.Event{policy.Result{Host: "p", Attempt: -1, Outcome: policy.NotSent, Finished: true, Role: policy.Replica}}, router.events)
 }
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -11,102 +11,102 @@
 	"lilaccove/policy"
 )
 
-// guarded is a gateway whose decisions are the test's, under a guard.
-type guarded struct {
+// guardedGateway is a gateway with a guard, whose decisions the test makes.
+type guardedGateway struct {
 	*Gateway
-	t     testing.TB
-	r     *script
-	w     *world
-	names []invariant.Name
+	t          testing.TB
+	stub       *stubRouter
+	env        *environment
+	violations []invariant.Name
 }
 
-// recent is the class of reads of bounded age.
-const recent = 1
+// recentClass is a class of reads with a staleness bound.
+const recentClass = 1
 
-func newGuarded(t testing.TB) *guarded {
-	loop, g, r, w := newWorld(t)
-	x := &guarded{Gateway: g, t: t, r: r, w: w}
+func newGuarded(t testing.TB) *guardedGateway {
+	loop, g, router, env := newTestGateway(t)
+	x := &guardedGateway{Gateway: g, t: t, stub: router, env: env}
 	set := policy.Settings{DrainGrace: 250 * time.Millisecond, Classes: []policy.Class{{RetrySafety: policy.AtMostOnce}, {Level: policy.Recent, Bound: time.Second}}}
-	x.SetGuard(invariant.New(set, func(v invariant.Violation) { x.names = append(x.names, v.Name) }))
+	x.SetGuard(invariant.New(set, func(v invariant.Violation) { x.violations = append(x.violations, v.Name) }))
 	_ = loop
 	return x
 }
 
-// send has the decisions send a request to a host, and the backend begin on it with what is told of the time.
-func (x *guarded) send(q *Request, host policy.HostID, told time.Duration) *Attempt {
-	x.r.next = []policy.Action{policy.Send{Request: q.id, Host: host}}
+// sendAndBegin has the decisions sendAndBegin a request to a host, and the backend begin on it with what is told of the time.
+func (x *guardedGateway) sendAndBegin(q *Request, host policy.HostID, timeout time.Duration) *Attempt {
+	x.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: host}}
 	x.events = append(x.events, policy.TimerFired{})
 	x.Step()
-	a := x.w.sent[len(x.w.sent)-1]
-	x.BeginAttempt(a, x.loop.Clock()+told)
+	a := x.env.sent[len(x.env.sent)-1]
+	x.BeginAttempt(a, x.loop.Clock()+timeout)
 	return a
 }
 
-// Whatever the decisions get wrong shows where the attempt is begun: the guard is on the one path that all attempts take.
-func TestGuardSeesWhatTheDecisionsGetWrong(t *testing.T) {
+// The guard reports wrong decisions when an attempt begins: it checks the one code path that all attempts take.
+func TestGuardReportsViolations(t *testing.T) {
 	entries := func(s policy.Status) []Entry {
 		return []Entry{{Member: policy.Member{Host: "a", Status: s}}}
 	}
 	for name, c := range map[string]struct {
 		want invariant.Name
-		do   func(x *guarded, q *Request)
+		do   func(x *guardedGateway, q *Request)
 	}{
-		"two at once": {invariant.ConcurrentAttempt, func(x *guarded, q *Request) {
-			x.send(q, "a", 0)
-			x.send(q, "b", 0)
+		"two attempts at once": {invariant.ConcurrentAttempt, func(x *guardedGateway, q *Request) {
+			x.sendAndBegin(q, "a", 0)
+			x.sendAndBegin(q, "b", 0)
 		}},
-		"again after it may have run": {invariant.RetryForbidden, func(x *guarded, q *Request) {
-			x.Resolved(x.send(q, "a", 0), policy.Reset, Reply{})
-			x.send(q, "b", 0)
+		"retry after it may have run": {invariant.RetryForbidden, func(x *guardedGateway, q *Request) {
+			x.Resolved(x.sendAndBegin(q, "a", 0), policy.Reset, Reply{})
+			x.sendAndBegin(q, "b", 0)
 		}},
-		"at a draining host": {invariant.ToDraining, func(x *guarded, q *Request) {
+		"to a draining host": {invariant.ToDraining, func(x *guardedGateway, q *Request) {
 			x.ListUpdated(policy.ListDelta, entries(policy.Draining))
-			time.Sleep(310 * time.Millisecond) // the grace is one of real time
-			x.send(q, "a", 0)
+			time.Sleep(310 * time.Millisecond) // the grace period is in real time
+			x.sendAndBegin(q, "a", 0)
 		}},
-		"at a host that left the list": {invariant.ToDraining, func(x *guarded, q *Request) {
+		"to a host that left the list": {invariant.ToDraining, func(x *guardedGateway, q *Request) {
 			x.ListUpdated(policy.ListFull, entries(policy.Healthy))
 			x.ListUpdated(policy.ListFull, nil)
 			time.Sleep(310 * time.Millisecond)
-			x.send(q, "a", 0)
+			x.sendAndBegin(q, "a", 0)
 		}},
-		"at a suspended host": {invariant.ToSuspended, func(x *guarded, q *Request) {
+		"to a suspended host": {invariant.ToSuspended, func(x *guardedGateway, q *Request) {
 			x.SetSuspended("a", true)
 			time.Sleep(310 * time.Millisecond)
-			x.send(q, "a", 0)
+			x.sendAndBegin(q, "a", 0)
 		}},
-		"with too much time": {invariant.DeadlineTooLong, func(x *guarded, q *Request) { x.send(q, "a", 2*time.Second) }},
-		"behind the client's end": {invariant.AfterClientGone, func(x *guarded, q *Request) {
-			a := x.send(q, "a", 0)
+		"with too long a timeout": {invariant.DeadlineTooLong, func(x *guardedGateway, q *Request) { x.sendAndBegin(q, "a", 2*time.Second) }},
+		"after the client disconnected": {invariant.AfterClientGone, func(x *guardedGateway, q *Request) {
+			a := x.sendAndBegin(q, "a", 0)
 			x.ClientGone(q)
 			time.Sleep(110 * time.Millisecond)
 			x.BeginAttempt(a, 0)
 		}},
-		"behind the answer": {invariant.AfterAnswer, func(x *guarded, q *Request) {
-			a := x.send(q, "a", 0)
-			x.r.next = []policy.Action{policy.Fail{Request: q.id}}
+		"after the answer": {invariant.AfterAnswer, func(x *guardedGateway, q *Request) {
+			a := x.sendAndBegin(q, "a", 0)
+			x.stub.actions = []policy.Action{policy.Fail{Request: q.id}}
 			x.events = append(x.events, policy.TimerFired{})
 			x.Step()
 			x.BeginAttempt(a, 0)
 		}},
-		"behind the deadline": {invariant.AfterDeadline, func(x *guarded, q *Request) {
-			a := x.send(q, "a", 0)
+		"after the deadline": {invariant.AfterDeadline, func(x *guardedGateway, q *Request) {
+			a := x.sendAndBegin(q, "a", 0)
 			q.Deadline = x.loop.Clock() - time.Millisecond
 			x.BeginAttempt(a, 0)
 		}},
-		"at a replica that has told that it is too old": {invariant.StaleRead, func(x *guarded, q *Request) {
+		"to a replica known to lag too far": {invariant.StaleRead, func(x *guardedGateway, q *Request) {
 			now := x.loop.Now()
 			answer := func(host policy.HostID, role policy.Role, position time.Duration) {
-				read := x.take(x.w, time.Second)
-				x.Resolved(x.send(read, host, 0), policy.OK, Reply{Role: role, Position: position, HasPosition: true})
+				read := x.submitFor(x.env, time.Second)
+				x.Resolved(x.sendAndBegin(read, host, 0), policy.OK, Reply{Role: role, Position: position, HasPosition: true})
 			}
 			answer("p", policy.Primary, now)
 			answer("a", policy.Replica, now-10*time.Second)
-			time.Sleep(110 * time.Millisecond) // what an answer tells counts as known by then
-			q.Class = recent
-			x.send(q, "a", 0)
+			time.Sleep(110 * time.Millisecond) // an answer counts as known by then
+			q.Class = recentClass
+			x.sendAndBegin(q, "a", 0)
 		}},
-		"left without an answer": {invariant.NeverAnswered, func(x *guarded, q *Request) {
+		"no answer by the deadline": {invariant.NeverAnswered, func(x *guardedGateway, q *Request) {
 			x.expired = append(x.expired, q)
 			x.Step()
 		}},
@@ -114,38 +114,39 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			x := newGuarded(t)
-			c.do(x, x.take(x.w, time.Second))
-			assert.Equal(t, []invariant.Name{c.want}, x.names)
+			c.do(x, x.submitFor(x.env, time.Second))
+			assert.Equal(t, []invariant.Name{c.want}, x.violations)
 		})
 	}
 }
 
-// A stop may come between the last look at whether an attempt is late and its first byte. It is not begun then.
-func TestStopBeforeTheFirstByteBeginsNothing(t *testing.T) {
+// The process may be stopped between the last check of an attempt's deadline and its first byte. The attempt must not begin
+// then.
+func TestPauseBeforeFirstByteStartsNoAttempt(t *testing.T) {
 	x := newGuarded(t)
-	q := x.take(x.w, 50*time.Millisecond)
-	x.r.next = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
+	q := x.submitFor(x.env, 50*time.Millisecond)
+	x.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
 	x.events = append(x.events, policy.TimerFired{})
 	x.Step()
-	a := x.w.sent[len(x.w.sent)-1]
-	time.Sleep(60 * time.Millisecond) // the stop
+	a := x.env.sent[len(x.env.sent)-1]
+	time.Sleep(60 * time.Millisecond) // the pause
 	assert.Zero(t, x.BeginAttempt(a, a.Deadline))
 	assert.False(t, a.started)
-	assert.Empty(t, x.names)
+	assert.Empty(t, x.violations)
 }
 
-// What the decisions get right violates nothing.
-func TestGuardIsSilentWhereAllIsRight(t *testing.T) {
+// Correct decisions cause no reports.
+func TestGuardReportsNothingWithoutViolation(t *testing.T) {
 	x := newGuarded(t)
-	q := x.take(x.w, time.Second)
-	x.Resolved(x.send(q, "a", time.Second), policy.ConnectFailed, Reply{})
-	x.Resolved(x.send(q, "b", time.Second), policy.OK, Reply{})
-	assert.Empty(t, x.names)
-	assert.Equal(t, []string{"served ", "released"}, x.w.said)
+	q := x.submitFor(x.env, time.Second)
+	x.Resolved(x.sendAndBegin(q, "a", time.Second), policy.ConnectFailed, Reply{})
+	x.Resolved(x.sendAndBegin(q, "b", time.Second), policy.OK, Reply{})
+	assert.Empty(t, x.violations)
+	assert.Equal(t, []string{"served ", "released"}, x.env.calls)
 }
 
-// A whole list costs no more than its length for the guard: fleets may have thousands of databases.
-func BenchmarkListed(b *testing.B) {
+// The guard's cost of a full list must be linear in its length: fleets may have thousands of databases.
+func BenchmarkListUpdated(b *testing.B) {
 	x := newGuarded(b)
 	entries := make([]Entry, 3200)
 	for i := range entries {
