--- a/internal/backend/moved_test.go
+++ b/internal/backend/moved_test.go
@@ -39,11 +39,11 @@
 	return p
 }
 
-func (p *fakeDatabase) serve(c net.Conn) {
-	defer c.Close()
+func (p *fakeDatabase) serve(conn net.Conn) {
+	defer conn.Close()
 	<-p.greet
-	_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
-	in := bufio.NewReader(c)
+	_, _ = conn.Write(pgwire.AppendWelcome(nil, 0))
+	in := bufio.NewReader(conn)
 	_, _ = io.CopyN(io.Discard, in, int64(len(pgwire.Startup("api", "ledger"))))
 	for {
 		if kind, err := in.ReadByte(); err != nil || kind != pgwire.Query {
@@ -54,7 +54,7 @@
 		_, _ = io.CopyN(io.Discard, in, int64(size[2])<<8+int64(size[3])-4)
 		p.queries <- struct{}{}
 		<-p.answer
-		_, _ = c.Write([]byte(valueAnswer))
+		_, _ = conn.Write([]byte(valueAnswer))
 	}
 }
 
--- a/internal/backend/pause_test.go
+++ b/internal/backend/pause_test.go
@@ -39,13 +39,13 @@
 	defer ln.Close()
 	timeouts := make(chan int, 1)
 	go func() {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		defer c.Close()
-		_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
-		in := bufio.NewReader(c)
+		defer conn.Close()
+		_, _ = conn.Write(pgwire.AppendWelcome(nil, 0))
+		in := bufio.NewReader(conn)
 		_, _ = in.ReadString('*')
 		head, _ := in.ReadString('*')
 		var timeoutMillis int
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -168,24 +168,24 @@
 // hosts that are gone. A full or cached list contains every host that is not gone.
 func (p *Pool) ListUpdated(kind policy.ListKind, entries []gateway.Entry) {
 	named := map[policy.HostID]bool{}
-	for _, e := range entries {
-		named[e.Host] = true
-		h := p.hosts[e.Host]
+	for _, entry := range entries {
+		named[entry.Host] = true
+		h := p.hosts[entry.Host]
 		if h == nil {
-			h = &host{id: e.Host}
-			p.hosts[e.Host] = h
+			h = &host{id: entry.Host}
+			p.hosts[entry.Host] = h
 		}
-		moved := e.Dial != h.addr
-		if h.addr = e.Dial; moved {
+		moved := entry.Dial != h.addr
+		if h.addr = entry.Dial; moved {
 			p.redial(h)
 		}
-		if moved || e.Status == policy.Gone {
-			p.CloseIdleConnections(e.Host)
+		if moved || entry.Status == policy.Gone {
+			p.CloseIdleConnections(entry.Host)
 		}
 		if p.options.Budget != nil {
 			h.limitReported = false // the decision module may have dropped the host, and its limit, meanwhile
 		}
-		p.setGone(h, e.Status == policy.Gone)
+		p.setGone(h, entry.Status == policy.Gone)
 	}
 	for id, h := range p.hosts {
 		if (kind == policy.ListFull || kind == policy.ListCached) && !named[id] {
@@ -232,22 +232,22 @@
 }
 
 // ResumeStream continues streaming an attempt's value.
-func (p *Pool) ResumeStream(a *gateway.Attempt) {
-	if job, ok := a.BackendData.(*job); ok && job.conn != nil {
+func (p *Pool) ResumeStream(attempt *gateway.Attempt) {
+	if job, ok := attempt.BackendData.(*job); ok && job.conn != nil {
 		job.conn.resumeStream()
 	}
 }
 
 // Cancel gives up an attempt. The database is notified by the end of the connection.
-func (p *Pool) Cancel(a *gateway.Attempt) {
-	if job, ok := a.BackendData.(*job); ok {
+func (p *Pool) Cancel(attempt *gateway.Attempt) {
+	if job, ok := attempt.BackendData.(*job); ok {
 		p.abandon(job, policy.Cancelled)
 	}
 }
 
 // CancelUnsent resolves an attempt as NotSent if the kernel has not accepted its last byte: it has not run and must not.
-func (p *Pool) CancelUnsent(a *gateway.Attempt) {
-	if job, ok := a.BackendData.(*job); ok && (job.conn == nil || job.conn.hasUnsent()) {
+func (p *Pool) CancelUnsent(attempt *gateway.Attempt) {
+	if job, ok := attempt.BackendData.(*job); ok && (job.conn == nil || job.conn.hasUnsent()) {
 		p.abandon(job, policy.NotSent)
 	}
 }
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -95,7 +95,8 @@
 func (call *call) AbortStream() {
 	call.markDone()
 	if c := call.conn; !c.nc.Closed() {
-		c.front.clientLog.Printf(c.front.loop.Now(), "event=client_closed client=%d request=%q reason=%q", c.number, call.id, "the streamed value ended incomplete")
+		c.front.clientLog.Printf(c.front.loop.Now(), "event=client_closed client=%d request=%q reason=%q",
+			c.number, call.id, "the streamed value ended incomplete")
 		c.abort(closedBroken)
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -90,7 +90,8 @@
 func New(loop *netloop.Loop, core Core, options Options) *Front {
 	f := &Front{
 		loop: loop, core: core, options: options, classes: map[string]int{}, openIDs: map[string]struct{}{}, streaming: map[*conn]struct{}{},
-		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamed("closed", closeReasonNames[:]), clientLog: netloop.Sparse{Most: clientLogsPerSecond},
+		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamed("closed", closeReasonNames[:]),
+		clientLog: netloop.Sparse{Most: clientLogsPerSecond},
 	}
 	var secret [32]byte
 	_, _ = crand.Read(secret[:]) // never fails
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -52,7 +52,9 @@
 }
 
 // timeoutReasons maps states to the reason for closing a connection that exceeds the state's timeout.
-var timeoutReasons = [stateCount]closeReason{stateIdle: closedIdle, stateClosing: closedDone, stateUnread: closedUnread, stateNew: closedSlow, statePartial: closedSlow}
+var timeoutReasons = [stateCount]closeReason{
+	stateIdle: closedIdle, stateClosing: closedDone, stateUnread: closedUnread, stateNew: closedSlow, statePartial: closedSlow,
+}
 
 const clientLogsPerSecond = 3 // lines on client errors and unusual closes
 
@@ -91,8 +93,8 @@
 	now := f.loop.Now()
 	f.loop.At(now+sweepInterval, f.sweep)
 	for state := stateNew; state < stateCount; state++ {
-		for element := f.queues[state].Front(); element != nil && element.Value.(*conn).progressAt+stateTimeouts[state] <= now; element = f.queues[state].Front() {
-			c := element.Value.(*conn)
+		for e := f.queues[state].Front(); e != nil && e.Value.(*conn).progressAt+stateTimeouts[state] <= now; e = f.queues[state].Front() {
+			c := e.Value.(*conn)
 			if slices.Contains(f.largeWaiting, c) {
 				c.fatal(pgwire.CodeTooManyConnections, "too many large statements at once; nothing has run")
 				c.serve()
@@ -118,7 +120,8 @@
 // between startup and first query while idle connections are kept or capacity is left.
 func (f *Front) reclaimDescriptor() bool {
 	return f.closeOldest(stateClosing, 0) || f.closeOldest(stateNew, newConnGrace) || f.closeOldest(stateIdle, idleGrace) ||
-		!f.hasCapacity(f.options.MaxClients) && (f.Clients() < f.options.MaxClients && f.options.FreeDescriptor() || f.closeOldest(stateIdle, 0) || f.closeOldest(stateNew, 0))
+		!f.hasCapacity(f.options.MaxClients) && (f.Clients() < f.options.MaxClients && f.options.FreeDescriptor() ||
+			f.closeOldest(stateIdle, 0) || f.closeOldest(stateNew, 0))
 }
 
 // closeOldest closes the first connection of a state's queue if it is at least age old, and reports
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,8 +30,9 @@
 func (g *Gateway) checkAttempt(attempt *Attempt, now, databaseTimeout time.Duration) {
 	req := attempt.request
 	check := invariant.Attempt{
-		Now: now, Request: req.Name, Client: req.ConnectionID, Database: attempt.Host, Class: req.Class, Deadline: req.Deadline, DatabaseTimeout: databaseTimeout,
-		ClientGoneTime: req.clientGoneAt, MayRun: req.mayHaveRun, MayRunSince: req.mayHaveRunAt, Answered: req.finished && req.clientGoneAt == 0,
+		Now: now, Request: req.Name, Client: req.ConnectionID, Database: attempt.Host, Class: req.Class,
+		Deadline: req.Deadline, DatabaseTimeout: databaseTimeout, ClientGoneTime: req.clientGoneAt,
+		MayRun: req.mayHaveRun, MayRunSince: req.mayHaveRunAt, Answered: req.finished && req.clientGoneAt == 0,
 	}
 	for _, other := range req.attempts {
 		if other != attempt && other.started && !other.done {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,7 +39,7 @@
 	// A large value is streamed instead: BeginStream, then StreamChunk, and finally EndStream, or AbortStream if
 	// it ended incomplete. StreamChunk reports whether more may follow at once; if not, Gateway.ResumeStream asks for it.
 	BeginStream()
-	StreamChunk(b []byte) (more bool)
+	StreamChunk(chunk []byte) (more bool)
 	EndStream()
 	AbortStream()
 	Released() // the statement is no longer needed; the last call
@@ -48,10 +48,10 @@
 // Backends sends attempts and probes. Every Send leads to one Gateway.Resolved, every
 // Probe to one Gateway.Probed, whatever happens to the socket.
 type Backends interface {
-	Send(a *Attempt)
-	Cancel(a *Attempt)
-	CancelUnsent(a *Attempt) // resolves it as NotSent if it is not completely written: nothing has run
-	ResumeStream(a *Attempt) // the client can take more of its value
+	Send(attempt *Attempt)
+	Cancel(attempt *Attempt)
+	CancelUnsent(attempt *Attempt) // resolves it as NotSent if it is not completely written: nothing has run
+	ResumeStream(attempt *Attempt) // the client can take more of its value
 	Probe(host policy.HostID)
 	CloseIdleConnections(host policy.HostID)
 	StopUsingHost(host policy.HostID) // CloseIdleConnections, and attempts that wait for a connection are resolved as NotSent
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,29 +38,31 @@
 	listed, subscriptions int
 }
 
-func (w *environment) Served(value []byte) { w.calls = append(w.calls, "served "+string(value)) }
-func (w *environment) Refused(after time.Duration) {
-	w.calls = append(w.calls, "refused "+after.String())
+func (env *environment) Served(value []byte) { env.calls = append(env.calls, "served "+string(value)) }
+func (env *environment) Refused(after time.Duration) {
+	env.calls = append(env.calls, "refused "+after.String())
 }
-func (w *environment) Failed()                 { w.calls = append(w.calls, "failed") }
-func (w *environment) Released()               { w.calls = append(w.calls, "released") }
-func (w *environment) BeginStream()            { w.calls = append(w.calls, "begin") }
-func (w *environment) EndStream()              { w.calls = append(w.calls, "complete") }
-func (w *environment) Cancelled()              { w.calls = append(w.calls, "cancelled") }
-func (w *environment) AbortStream()            { w.calls = append(w.calls, "broken") }
-func (w *environment) ResumeStream(a *Attempt) { w.resumed = append(w.resumed, a) }
-func (w *environment) StreamChunk(b []byte) bool {
-	w.calls = append(w.calls, "part "+string(b))
+func (env *environment) Failed()                 { env.calls = append(env.calls, "failed") }
+func (env *environment) Released()               { env.calls = append(env.calls, "released") }
+func (env *environment) BeginStream()            { env.calls = append(env.calls, "begin stream") }
+func (env *environment) EndStream()              { env.calls = append(env.calls, "end stream") }
+func (env *environment) Cancelled()              { env.calls = append(env.calls, "cancelled") }
+func (env *environment) AbortStream()            { env.calls = append(env.calls, "abort stream") }
+func (env *environment) ResumeStream(a *Attempt) { env.resumed = append(env.resumed, a) }
+func (env *environment) StreamChunk(b []byte) bool {
+	env.calls = append(env.calls, "chunk "+string(b))
 	return len(b) < 3
 }
-func (w *environment) Send(a *Attempt)                          { w.sent = append(w.sent, a) }
-func (w *environment) CancelUnsent(*Attempt)                    {}
-func (w *environment) Cancel(a *Attempt)                        { w.cancelled = append(w.cancelled, a) }
-func (w *environment) Probe(h policy.HostID)                    { w.probed = append(w.probed, h) }
-func (w *environment) CloseIdleConnections(h policy.HostID)     { w.idleClosed = append(w.idleClosed, h) }
-func (w *environment) StopUsingHost(h policy.HostID)            { w.stopped = append(w.stopped, h) }
-func (w *environment) Subscribe(time.Duration)                  { w.subscriptions++ }
-func (w *environment) ListUpdated(_ policy.ListKind, e []Entry) { w.listed += len(e) }
+func (env *environment) Send(a *Attempt)       { env.sent = append(env.sent, a) }
+func (env *environment) CancelUnsent(*Attempt) {}
+func (env *environment) Cancel(a *Attempt)     { env.cancelled = append(env.cancelled, a) }
+func (env *environment) Probe(h policy.HostID) { env.probed = append(env.probed, h) }
+func (env *environment) CloseIdleConnections(h policy.HostID) {
+	env.idleClosed = append(env.idleClosed, h)
+}
+func (env *environment) StopUsingHost(h policy.HostID)            { env.stopped = append(env.stopped, h) }
+func (env *environment) Subscribe(time.Duration)                  { env.subscriptions++ }
+func (env *environment) ListUpdated(_ policy.ListKind, e []Entry) { env.listed += len(e) }
 
 // newTestGateway returns a gateway for at most two unanswered requests, with its fakes.
 func newTestGateway(t testing.TB) (*netloop.Loop, *Gateway, *stubRouter, *environment) {
@@ -86,9 +88,9 @@
 func TestOneFinalAnswer(t *testing.T) {
 	_, g, router, env := newTestGateway(t)
 	q := g.submitFor(env, time.Second)
-	e := router.events[0].(policy.Request)
-	assert.InDelta(t, -time.Hour, e.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be slow")
-	router.actions = []policy.Action{policy.Send{Request: e.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: e.ID, Host: "b"}}
+	submitted := router.events[0].(policy.Request)
+	assert.InDelta(t, -time.Hour, submitted.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be slow")
+	router.actions = []policy.Action{policy.Send{Request: submitted.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: submitted.ID, Host: "b"}}
 	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
 	require.Len(t, env.sent, 2)
@@ -99,8 +101,8 @@
 	g.Resolved(env.sent[1], policy.Reset, Reply{})
 	g.ClientGone(q)
 	router.actions = []policy.Action{
-		policy.Refuse{Request: e.ID}, policy.Fail{Request: e.ID}, policy.Cancel{Request: e.ID, Attempt: 0},
-		policy.Cancel{Request: e.ID, Attempt: 1}, policy.Cancel{Request: "none"}, policy.Send{Request: e.ID, Host: "c"},
+		policy.Refuse{Request: submitted.ID}, policy.Fail{Request: submitted.ID}, policy.Cancel{Request: submitted.ID, Attempt: 0},
+		policy.Cancel{Request: submitted.ID, Attempt: 1}, policy.Cancel{Request: "none"}, policy.Send{Request: submitted.ID, Host: "c"},
 	}
 	assert.True(t, g.Step())
 	assert.Len(t, router.events, 1)
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -24,15 +24,15 @@
 const recentClass = 1
 
 func newGuarded(t testing.TB) *guardedGateway {
-	loop, g, router, env := newTestGateway(t)
-	x := &guardedGateway{Gateway: g, t: t, stub: router, env: env}
+	loop, g, stub, env := newTestGateway(t)
+	guarded := &guardedGateway{Gateway: g, t: t, stub: stub, env: env}
 	set := policy.Settings{DrainGrace: 250 * time.Millisecond, Classes: []policy.Class{{RetrySafety: policy.AtMostOnce}, {Level: policy.Recent, Bound: time.Second}}}
-	x.SetGuard(invariant.New(set, func(v invariant.Violation) { x.violations = append(x.violations, v.Name) }))
+	guarded.SetGuard(invariant.New(set, func(v invariant.Violation) { guarded.violations = append(guarded.violations, v.Name) }))
 	_ = loop
-	return x
+	return guarded
 }
 
-// sendAndBegin has the decisions sendAndBegin a request to a host, and the backend begin on it with what is told of the time.
+// sendAndBegin sends a request to a host and begins the attempt with a timeout.
 func (x *guardedGateway) sendAndBegin(q *Request, host policy.HostID, timeout time.Duration) *Attempt {
 	x.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: host}}
 	x.events = append(x.events, policy.TimerFired{})
@@ -123,37 +123,37 @@
 // The process may be stopped between the last check of an attempt's deadline and its first byte. The attempt must not begin
 // then.
 func TestPauseBeforeFirstByteStartsNoAttempt(t *testing.T) {
-	x := newGuarded(t)
-	q := x.submitFor(x.env, 50*time.Millisecond)
-	x.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
-	x.events = append(x.events, policy.TimerFired{})
-	x.Step()
-	a := x.env.sent[len(x.env.sent)-1]
+	guarded := newGuarded(t)
+	q := guarded.submitFor(guarded.env, 50*time.Millisecond)
+	guarded.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
+	guarded.events = append(guarded.events, policy.TimerFired{})
+	guarded.Step()
+	a := guarded.env.sent[len(guarded.env.sent)-1]
 	time.Sleep(60 * time.Millisecond) // the pause
-	assert.Zero(t, x.BeginAttempt(a, a.Deadline))
+	assert.Zero(t, guarded.BeginAttempt(a, a.Deadline))
 	assert.False(t, a.started)
-	assert.Empty(t, x.violations)
+	assert.Empty(t, guarded.violations)
 }
 
 // Correct decisions cause no reports.
 func TestGuardReportsNothingWithoutViolation(t *testing.T) {
-	x := newGuarded(t)
-	q := x.submitFor(x.env, time.Second)
-	x.Resolved(x.sendAndBegin(q, "a", time.Second), policy.ConnectFailed, Reply{})
-	x.Resolved(x.sendAndBegin(q, "b", time.Second), policy.OK, Reply{})
-	assert.Empty(t, x.violations)
-	assert.Equal(t, []string{"served ", "released"}, x.env.calls)
+	guarded := newGuarded(t)
+	q := guarded.submitFor(guarded.env, time.Second)
+	guarded.Resolved(guarded.sendAndBegin(q, "a", time.Second), policy.ConnectFailed, Reply{})
+	guarded.Resolved(guarded.sendAndBegin(q, "b", time.Second), policy.OK, Reply{})
+	assert.Empty(t, guarded.violations)
+	assert.Equal(t, []string{"served ", "released"}, guarded.env.calls)
 }
 
 // The guard's cost of a full list must be linear in its length: fleets may have thousands of databases.
 func BenchmarkListUpdated(b *testing.B) {
-	x := newGuarded(b)
+	guarded := newGuarded(b)
 	entries := make([]Entry, 3200)
 	for i := range entries {
 		entries[i].Host = policy.HostID(fmt.Sprintf("s-%04x", i))
 	}
 	for b.Loop() {
-		x.ListUpdated(policy.ListFull, entries)
-		x.events = x.events[:0]
+		guarded.ListUpdated(policy.ListFull, entries)
+		guarded.events = guarded.events[:0]
 	}
 }
--- a/internal/gateway/list.go
+++ b/internal/gateway/list.go
@@ -48,17 +48,17 @@
 // ListUpdated applies a new list or a change of the list and passes it on.
 func (g *Gateway) ListUpdated(kind policy.ListKind, entries []Entry) {
 	update := policy.ListUpdate{Kind: kind, Entries: make([]policy.Member, len(entries))}
-	for i, e := range entries {
-		update.Entries[i] = e.Member
+	for i, entry := range entries {
+		update.Entries[i] = entry.Member
 	}
 	var previous map[policy.HostID]policy.Member // hosts that a full list may no longer contain
 	if kind == policy.ListFull || kind == policy.ListCached {
 		previous, g.members = g.members, make(map[policy.HostID]policy.Member, len(entries))
 	}
-	for _, e := range entries {
-		g.guard.RecordStatus(e.Host, e.Status, g.loop.Now())
-		if g.members[e.Host] = e.Member; e.Status == policy.Gone {
-			delete(g.members, e.Host)
+	for _, entry := range entries {
+		g.guard.RecordStatus(entry.Host, entry.Status, g.loop.Now())
+		if g.members[entry.Host] = entry.Member; entry.Status == policy.Gone {
+			delete(g.members, entry.Host)
 		}
 	}
 	for host := range previous {
