--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -20,15 +20,15 @@
 		var want, got []call
 		now, added := 0, 0
 		var add func(due int, addsAnother bool)
-		add = func(at int, more bool) {
+		add = func(due int, addsAnother bool) {
 			added++
-			call := call{at, added}
+			call := call{due, added}
 			want = append(want, call)
-			q.Add(time.Duration(at), func() {
+			q.Add(time.Duration(due), func() {
 				got = append(got, call)
-				require.LessOrEqual(t, at, now)
-				if more {
-					add(max(at, now)+rapid.IntRange(0, 3).Draw(t, "later"), false)
+				require.LessOrEqual(t, due, now)
+				if addsAnother {
+					add(max(due, now)+rapid.IntRange(0, 3).Draw(t, "later"), false)
 				}
 			})
 		}
