--- /dev/null
+++ b/internal/front/large.go
@@ -0,0 +1,127 @@
+package front
+
+import (
+	"bytes"
+	"slices"
+
+	"lilaccove/internal/pgwire"
+)
+
+// largeStatement is a statement, partly received, that is too large for one buffer.
+type largeStatement struct {
+	size         int      // length including the message header
+	received     int      // bytes of size received
+	progressMark int      // value of received when the timeout last restarted
+	pieces       [][]byte // in order
+}
+
+// collectLarge reads the received part of a large statement; it returns true when the statement is complete.
+func (c *conn) collectLarge() bool {
+	pending := c.large
+	if pending == nil {
+		if slices.Contains(c.front.largeWaiting, c) {
+			return false
+		}
+		length := pgwire.LargeQuery(c.nc.Input())
+		if length > c.front.options.MaxLargeStatementBytes {
+			c.fatal(pgwire.CodeTooLarge, "the statement is too large for this gateway's memory")
+			return false
+		}
+		if !c.front.reserveLarge(length) {
+			c.front.largeWaiting = append(c.front.largeWaiting, c)
+			c.nc.Pause()
+			return false
+		}
+		pending = &largeStatement{size: length}
+		c.large = pending
+		c.nc.Widen(maxPieceBytes)
+	}
+	// A piece fills most of its buffer, however small the reads are. So the first piece holds the
+	// heading comment.
+	n := min(len(c.nc.Input()), pending.size-pending.received)
+	if n < min(maxPieceBytes*3/4, pending.size-pending.received) {
+		return false
+	}
+	pending.pieces = append(pending.pieces, c.nc.Take(n))
+	if pending.received += n; pending.received < pending.size {
+		return false
+	}
+	c.large = nil
+	c.nc.Widen(0)
+	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
+	c.dequeue()
+	statement, class, err := c.assembleStatement(pending)
+	if err != nil {
+		c.front.freeBuffers(pending)
+		c.rejectStatement(err)
+		return true
+	}
+	c.submit(class, statement, pending.pieces, pending.size)
+	return true
+}
+
+// assembleStatement builds the statement from its pieces, without the message header and the final NUL.
+func (c *conn) assembleStatement(large *largeStatement) (statement *pgwire.Statement, class int, err error) {
+	statement = &pgwire.Statement{Text: large.pieces[0][5:], More: slices.Clone(large.pieces[1:])}
+	last := &statement.Text
+	if n := len(statement.More); n > 0 {
+		last = &statement.More[n-1]
+	}
+	end := len(*last) - 1
+	terminated := (*last)[end] == 0
+	*last = (*last)[:end]
+	hasNUL := func(b []byte) bool { return bytes.IndexByte(b, 0) >= 0 }
+	if !terminated || hasNUL(statement.Text) || slices.ContainsFunc(statement.More, hasNUL) {
+		return nil, 0, pgwire.ErrText
+	}
+	statement.Head, class, err = c.parseHead(statement.Text)
+	return statement, class, err
+}
+
+// discardLarge discards a large statement that will not be completed.
+func (c *conn) discardLarge() {
+	if large := c.large; large != nil {
+		c.large = nil
+		c.front.freeBuffers(large)
+	}
+	c.front.largeWaiting = slices.DeleteFunc(c.front.largeWaiting, func(other *conn) bool { return other == c })
+}
+
+// freeBuffers frees the pieces of a large statement and its reservation.
+func (f *Front) freeBuffers(large *largeStatement) {
+	for _, b := range large.pieces {
+		f.loop.Free(b)
+	}
+	f.releaseLarge(large.size)
+}
+
+// reserveLarge reserves memory for a large statement; it returns false if there is not enough.
+func (f *Front) reserveLarge(n int) bool {
+	if f.largeBytes+n > f.options.MaxLargeStatementBytes {
+		return false
+	}
+	f.largeBytes += n
+	return true
+}
+
+// releaseLarge releases a reservation and admits waiting connections: in the next loop iteration, because the
+// caller may be handling any connection.
+func (f *Front) releaseLarge(n int) {
+	if n > 0 {
+		f.largeBytes -= n
+		f.loop.At(f.loop.Now(), f.admitLarge)
+	}
+}
+
+// admitLarge lets waiting connections continue, in order, as far as memory allows.
+func (f *Front) admitLarge() {
+	for len(f.largeWaiting) > 0 {
+		c := f.largeWaiting[0]
+		if f.largeBytes+pgwire.LargeQuery(c.nc.Input()) > f.options.MaxLargeStatementBytes {
+			return
+		}
+		f.largeWaiting = f.largeWaiting[1:]
+		c.nc.Resume()
+		c.serve()
+	}
+}
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -1,4 +1,4 @@
-// How long connections may stay at their places, and who is closed when descriptors or buffers run short.
+// Timeouts of connections by state, and which ones are closed when descriptors or buffers run short.
 
 package front
 
@@ -9,129 +9,132 @@
 	"lilaccove/internal/pgwire"
 )
 
-// place is what a connection is at. In each place they queue, the one that came first in
-// front, so that the end of a limit and the choice of whom to close are at hand.
-type place int
+// connState is the state of a connection. Each state has a queue, ordered by the time of entry or last
+// progress, so that expired connections and candidates for closing are at its front.
+type connState int
 
 const (
-	busy    place = iota // the core has a request of it
-	fresh                // it has not sent a whole query yet, or not even a hello
-	partial              // a packet has begun
-	unread               // it has not read its answer
-	idle                 // between requests
-	leaving              // finished: it may read its last answer
-	places
+	stateBusy    connState = iota // a request is unanswered
+	stateNew                      // no complete query received yet, or no startup message
+	statePartial                  // a packet is partly received
+	stateUnread                   // an answer is not read yet
+	stateIdle                     // between requests
+	stateClosing                  // ended by the gateway; the client may read its last answer
+	stateCount
 )
 
-// limits are how long a connection may stay in its place. Who connects and does not ask
-// is owed an error or a close within 3 s, but may take 2 s for a head; the protocol lets idle ones be
-// closed after 2 s. A packet that has begun has its time from the last bytes that came.
-var limits = [places]time.Duration{
-	fresh: 2600 * time.Millisecond, partial: 2500 * time.Millisecond, unread: 10 * time.Second, idle: 5 * time.Second,
-	leaving: 2 * time.Second,
+// stateTimeouts bounds how long a connection may stay in each state. A client that connects and sends
+// no query must get an error or a close within 3 s, but may take 2 s for a message header; the protocol
+// allows closing idle connections after 2 s. The timeout of a partial packet restarts with received bytes.
+var stateTimeouts = [stateCount]time.Duration{
+	stateNew: 2600 * time.Millisecond, statePartial: 2500 * time.Millisecond, stateUnread: 10 * time.Second, stateIdle: 5 * time.Second,
+	stateClosing: 2 * time.Second,
 }
 
-// closed is why the front has ended a connection.
-type closed int
+// closeReason is why the front has closed a connection.
+type closeReason int
 
 const (
-	closedIdle        closed = iota // it has been idle for too long
-	closedSlow                      // it sent no whole command in time
-	closedUnread                    // it did not read its answer
-	closedDescriptors               // its descriptor was wanted
-	closedMemory                    // its buffer was wanted
-	closedBroken                    // a value broke off
-	closedBad                       // it sent what is not spoken here
-	closedDone                      // it has ended itself, or asked for no more than a cancel
-	closedDrain                     // the gateway ends, or is drained
-	closedReasons
+	closedIdle        closeReason = iota // idle for too long
+	closedSlow                           // no complete command in time
+	closedUnread                         // the answer was not read
+	closedDescriptors                    // its descriptor was needed
+	closedMemory                         // its buffer was needed
+	closedBroken                         // a streamed value ended incomplete
+	closedBad                            // invalid or unsupported message
+	closedDone                           // terminated by the client, or a cancel request
+	closedDrain                          // the gateway shuts down or drains
+	closeReasonCount
 )
 
-var closedNames = [closedReasons]string{
+var closeReasonNames = [closeReasonCount]string{
 	"idle", "slow", "unread", "descriptors", "memory", "broken", "bad", "done", "drain",
 }
 
-// overstayed is why a connection ends that has been at its place for too long.
-var overstayed = [places]closed{idle: closedIdle, leaving: closedDone, unread: closedUnread, fresh: closedSlow, partial: closedSlow}
+// timeoutReasons maps states to the reason for closing a connection that exceeds the state's timeout.
+var timeoutReasons = [stateCount]closeReason{
+	stateIdle: closedIdle, stateClosing: closedDone, stateUnread: closedUnread, stateNew: closedSlow, statePartial: closedSlow,
+}
 
-const closedLines = 3 // in the log in a second, of those that are not usual
+const clientLogsPerSecond = 3 // lines on client errors and unusual closes
 
-// reread looks whether those that are slow to read their answers go on reading: progress counts, not the
-// time that it takes.
-func (f *Front) reread() {
-	for _, c := range f.all(unread) {
+// checkReaders checks whether clients that are slow to read their answers make progress; the total time of
+// reading is not limited.
+func (f *Front) checkReaders() {
+	for _, c := range f.connsIn(stateUnread) {
 		if c.nc.Pending() == 0 {
 			c.serve()
-		} else if c.reads() {
-			f.queues[unread].MoveToBack(c.at)
-			c.since = f.loop.Now()
+		} else if c.hasRead() {
+			f.queues[stateUnread].MoveToBack(c.queueElement)
+			c.progressAt = f.loop.Now()
 		}
 	}
-	for c := range f.streams {
-		if !c.reads() && f.loop.Now()-c.readAt >= limits[unread] {
-			f.bad.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
-			c.cut(closedUnread)
+	for c := range f.streaming {
+		if !c.hasRead() && f.loop.Now()-c.lastReadAt >= stateTimeouts[stateUnread] {
+			f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=unread pending=%d", c.number, c.nc.Pending())
+			c.abort(closedUnread)
 		}
 	}
 }
 
-// reads tells whether the client has read since the last look, or has nothing to read.
-func (c *conn) reads() bool {
-	n := c.nc.Pending()
-	read := n == 0 || n != c.unread
-	if c.unread = n; read {
-		c.readAt = c.front.loop.Now()
+// hasRead reports whether the client has read since the last call, or has nothing to read.
+func (c *conn) hasRead() bool {
+	pending := c.nc.Pending()
+	progressed := pending == 0 || pending != c.lastPending
+	if c.lastPending = pending; progressed {
+		c.lastReadAt = c.front.loop.Now()
 	}
-	return read
+	return progressed
 }
 
-// sweep closes whoever has been at its place too long.
+// sweep closes connections that exceed their state's timeout.
 func (f *Front) sweep() {
-	f.reread()
+	f.checkReaders()
 	now := f.loop.Now()
-	f.loop.At(now+sweepTime, f.sweep)
-	for p := fresh; p < places; p++ {
-		for e := f.queues[p].Front(); e != nil && e.Value.(*conn).since+limits[p] <= now; e = f.queues[p].Front() {
+	f.loop.At(now+sweepInterval, f.sweep)
+	for state := stateNew; state < stateCount; state++ {
+		for e := f.queues[state].Front(); e != nil && e.Value.(*conn).progressAt+stateTimeouts[state] <= now; e = f.queues[state].Front() {
 			c := e.Value.(*conn)
-			if slices.Contains(f.queued, c) {
+			if slices.Contains(f.largeWaiting, c) {
 				c.fatal(pgwire.CodeTooManyConnections, "too many large statements at once; nothing has run")
 				c.serve()
 				continue
 			}
-			if p != idle && p != leaving {
-				f.bad.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
+			if state != stateIdle && state != stateClosing {
+				f.clientLog.Printf(now, "event=client_closed client=%d reason=slow started=%t pending=%d", c.number, c.started, c.nc.Pending())
 			}
-			c.close(overstayed[p])
+			c.close(timeoutReasons[state])
 		}
 	}
 }
 
-// roomy tells whether one more client may come where so many are the most. What databases
-// hold does not count against the clients' own share.
-func (f *Front) roomy(most int) bool {
-	return f.Clients() < most && f.loop.Spare() >= f.opt.Reserve
+// hasCapacity reports whether one more client may connect under a limit. Connections to databases do
+// not count against it.
+func (f *Front) hasCapacity(maxClients int) bool {
+	return f.Clients() < maxClients && f.loop.Spare() >= f.options.Reserve
 }
 
-// makeRoom frees a descriptor: of one that was told its end already, else of the one that
-// has said nothing for longest, else of the one idle for longest. Silent connections,
-// however many, must not keep out those that ask, nor may a crowd that arrives at once
-// each other's connections between hello and query while idle ones are kept, or while there is room.
-func (f *Front) makeRoom() bool {
-	return f.closeOldest(leaving, 0) || f.closeOldest(fresh, freshGrace) || f.closeOldest(idle, idleGrace) ||
-		!f.roomy(f.opt.MaxClients) && (f.Clients() < f.opt.MaxClients && f.opt.FreeDescriptor() || f.closeOldest(idle, 0) || f.closeOldest(fresh, 0))
+// reclaimDescriptor frees a descriptor: of a closing connection, else of the one that has been silent
+// longest without a first query, else of the one idle longest. Any number of silent connections must not
+// keep out clients that send queries. Many clients that connect at once must not displace each other
+// between startup and first query while idle connections are kept or capacity is left.
+func (f *Front) reclaimDescriptor() bool {
+	return f.closeOldest(stateClosing, 0) || f.closeOldest(stateNew, newConnGrace) || f.closeOldest(stateIdle, idleGrace) ||
+		!f.hasCapacity(f.options.MaxClients) && (f.Clients() < f.options.MaxClients && f.options.FreeDescriptor() ||
+			f.closeOldest(stateIdle, 0) || f.closeOldest(stateNew, 0))
 }
 
-// closeOldest closes the one that came to p first, if that is so long ago, and tells
-// whether it freed a descriptor.
-func (f *Front) closeOldest(p place, age time.Duration) bool {
-	for e := f.queues[p].Front(); e != nil; e = f.queues[p].Front() {
-		c := e.Value.(*conn)
-		if f.loop.Now()-c.since < age {
+// closeOldest closes the first connection of a state's queue if it is at least age old, and reports
+// whether that freed a descriptor.
+func (f *Front) closeOldest(state connState, age time.Duration) bool {
+	for element := f.queues[state].Front(); element != nil; element = f.queues[state].Front() {
+		c := element.Value.(*conn)
+		if f.loop.Now()-c.progressAt < age {
 			return false
 		}
 		open := c.nc.Open()
-		c.nc.Poll() // what it has sent by now counts
-		if c.place == p && c.at == e {
+		c.nc.Poll() // input that has arrived counts
+		if c.state == state && c.queueElement == element {
 			c.close(closedDescriptors)
 			if open {
 				return true
@@ -141,14 +144,14 @@
 	return false
 }
 
-// relieve frees buffers while they are short, other than those of c, which is at work:
-// first of those that have not sent a whole packet for longest. A usual request is small.
-func (f *Front) relieve(c *conn) {
-	for p := fresh; p < idle && f.loop.Pressed(); p++ {
-		for _, x := range f.all(p) {
-			if x != c && x.nc.Held() > keepSmall && f.loop.Pressed() {
-				f.bad.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", x.number, x.nc.Held())
-				x.finish(closedMemory) // a plain close over unread bytes would take an answer along that was just written
+// reclaimMemory frees buffers while memory is short, except those of c, which is in use: first those
+// of clients that have not sent a complete packet, oldest first. A usual request is small.
+func (f *Front) reclaimMemory(c *conn) {
+	for state := stateNew; state < stateIdle && f.loop.Pressed(); state++ {
+		for _, other := range f.connsIn(state) {
+			if other != c && other.nc.Held() > smallBufferBytes && f.loop.Pressed() {
+				f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.Held())
+				other.finish(closedMemory) // a plain close with unread input would reset the connection and lose an answer that was just written
 			}
 		}
 	}
