--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -57,14 +57,14 @@
 	events := map[int][]policy.Event{}
 	for _, it := range b.Items {
 		switch it.Kind {
-		case wire.Start:
+		case wire.RouterStart:
 			p, err := policy.New(it.Settings, it.Seed)
 			if err != nil {
 				return fmt.Errorf("router %d: %w", it.Router, err)
 			}
 			h.routers[it.Router] = p
 			events[it.Router] = nil
-		case wire.Stop:
+		case wire.RouterStop:
 			delete(h.routers, it.Router)
 			delete(events, it.Router)
 		default:
@@ -79,7 +79,7 @@
 	}
 	for _, n := range order {
 		if p := h.routers[n]; p != nil && len(events[n]) > 0 {
-			h.reply.Router(n)
+			h.reply.BeginRouter(n)
 			h.step(p, b.Now, events[n])
 		}
 	}
--- a/cmd/lilaccove/agent_test.go
+++ b/cmd/lilaccove/agent_test.go
@@ -42,7 +42,7 @@
 			d.answers(fails)
 			d.cut()
 			time.Sleep(4 * time.Second) // long enough for any pause between calls to have grown
-			s.a.Tell("terminating", time.Time{})
+			s.a.Announce("terminating", time.Time{})
 			d.answers(tells(s.world, false))
 			back := time.Now()
 			at := s.asked(d, back)
@@ -59,7 +59,7 @@
 	release := make(chan struct{})
 	s := newSite(t, func(s *site) {
 		pushed(s)
-		s.a.Tell("terminating", time.Time{}) // behind the list that the process is started with
+		s.a.Announce("terminating", time.Time{}) // behind the list that the process is started with
 		d = s.listing(func(c net.Conn, call int) {
 			<-release
 			tells(s.world, false)(c, call)
--- a/cmd/lilaccove/audit_test.go
+++ b/cmd/lilaccove/audit_test.go
@@ -66,7 +66,7 @@
 	members := p.World().Members()
 	old, claims := members[0], members[1]
 	require.Equal(t, old.Group, claims.Group)
-	claims.Claim()
+	claims.ClaimPrimary()
 	var f audit.Finding
 	p.eventually("it is found", func() bool {
 		list := p.found(audit.TwoPrimaries)
@@ -88,7 +88,7 @@
 	sides := [][]int{{0}, {1, 2, 3}}
 	p.Mesh().Partition(sides, true)
 	host := p.World().Members()[1]
-	host.Tell("terminating", time.Time{})
+	host.Announce("terminating", time.Time{})
 	p.eventually("it is found", func() bool { return len(p.found(audit.AfterDrain)) > 0 })
 	for _, f := range p.found(audit.AfterDrain) {
 		assert.Equal(t, []string{"n0"}, f.Gateways)
@@ -100,7 +100,7 @@
 	p.finish()
 	world := p.report.World.(standin.Counts)
 	assert.Zero(t, world.Duplicates+world.Stale)
-	assert.Zero(t, p.report.Total.Counts[loadrun.BadAnswer])
+	assert.Zero(t, p.report.Total.Counts[loadrun.InvalidAnswer])
 	assert.Positive(t, world.Drained, "the stand-in saw the same")
 }
 
@@ -154,7 +154,7 @@
 	})
 	list, _ := read()
 	assert.Empty(t, audit.Analyze(list, audit.DefaultTolerances()))
-	require.NoError(t, p.Node(1).Term())
+	require.NoError(t, p.Node(1).Terminate())
 	ended, _ := read()
 	assert.Greater(t, len(ended), len(list), "the last span is written at the end")
 	p.judge(0.7)
--- a/cmd/lilaccove/budget_test.go
+++ b/cmd/lilaccove/budget_test.go
@@ -93,9 +93,9 @@
 // The borrower stands still for longer than its loans last: it must not use what has lapsed when it goes on.
 func TestFleetBudgetStop(t *testing.T) {
 	p := newBudgetParty(t)
-	require.NoError(t, p.Node(0).Stop())
+	require.NoError(t, p.Node(0).Pause())
 	time.Sleep(4 * time.Second) // the fault: longer than a lease
-	require.NoError(t, p.Node(0).Continue())
+	require.NoError(t, p.Node(0).Resume())
 	p.eventually("it borrows again", func() bool { return p.figure(0, "fleet_budget.borrowed") >= 2 })
 	p.within(0.03)
 }
@@ -104,7 +104,7 @@
 func TestFleetBudgetRoll(t *testing.T) {
 	p := newBudgetParty(t)
 	for i := range 4 {
-		require.NoError(t, p.Node(i).Term())
+		require.NoError(t, p.Node(i).Terminate())
 		_, err := p.Start(i)
 		require.NoError(t, err)
 	}
--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -128,9 +128,9 @@
 		if i, ok := c.victim(); ok {
 			c.say("stop n%d for %v", i, d)
 			node := c.Node(i)
-			assert.NoError(c.t, node.Stop())
+			assert.NoError(c.t, node.Pause())
 			c.later(d, func() {
-				assert.NoError(c.t, node.Continue())
+				assert.NoError(c.t, node.Resume())
 				c.up(i)
 			})
 		}
@@ -167,7 +167,7 @@
 			c.listed = time.Now()
 		}
 	case 7:
-		faults := []standin.Faults{{ResetBefore: 0.05}, {ResetAfter: 0.05}, {Silence: 0.03}, {Errors: 0.05}, {Spoil: 0.03}}
+		faults := []standin.Faults{{ResetBefore: 0.05}, {ResetAfter: 0.05}, {Silence: 0.03}, {Errors: 0.05}, {Malformed: 0.03}}
 		f := faults[c.rnd.IntN(len(faults))]
 		c.say("answers %+v for %v", f, d)
 		c.World().SetFaults(f)
@@ -176,7 +176,7 @@
 		if time.Since(c.listed) > listPause {
 			c.listed = time.Now()
 			c.say("watches fall silent")
-			c.World().Mute()
+			c.World().SilenceWatches()
 		}
 	}
 	if c.rnd.IntN(3) == 0 && !c.quiet { // an operator
@@ -195,7 +195,7 @@
 	for i := range c.n {
 		for j := range c.n {
 			if i != j {
-				c.Mesh().Set(i, j, l)
+				c.Mesh().SetLink(i, j, l)
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 			}
 			c.left(0, c.all()...)
 			c.equal()
-			c.eventually("all are in the front", func() bool { return c.Front().Admitted() == 7 })
+			c.eventually("all are in the front", func() bool { return c.Balancer().Admitted() == 7 })
 			from := make([]int, 7)
 			for i := range 7 {
 				from[i] = c.figure(i, "passed.write")
@@ -278,7 +278,7 @@
 	switch x.kind {
 	case audit.TwoPrimaries:
 		x.host = members[1+4*c.rnd.IntN(2)]
-		x.host.Claim()
+		x.host.ClaimPrimary()
 	case audit.AfterOverride: // it does not reach one
 		x.host = members[4*c.rnd.IntN(2)]
 		c.Mesh().Partition(sides, true)
@@ -287,7 +287,7 @@
 		x.host = members[1+4*c.rnd.IntN(2)]
 		c.straggle(x.victim)
 		c.Mesh().Partition(sides, true)
-		x.host.Tell("terminating", time.Time{})
+		x.host.Announce("terminating", time.Time{})
 	}
 	c.say("planted %q at n%d", x.kind, x.victim)
 	return x
--- a/cmd/lilaccove/cold_test.go
+++ b/cmd/lilaccove/cold_test.go
@@ -46,7 +46,7 @@
 	cold := p.World().Members()[4:]
 	p.eventually("the cold ones have work", func() bool {
 		for _, h := range cold {
-			if h.Begun() < 50 {
+			if h.StatementCount() < 50 {
 				return false
 			}
 		}
@@ -93,12 +93,12 @@
 func TestFleetColdStop(t *testing.T) {
 	p := newPartyOf(t, 7, coldPlan)
 	for _, i := range []int{2, 3} {
-		require.NoError(t, p.Node(i).Stop())
+		require.NoError(t, p.Node(i).Pause())
 	}
 	p.chill()
 	time.Sleep(1500 * time.Millisecond) // the fault
 	for _, i := range []int{2, 3} {
-		require.NoError(t, p.Node(i).Continue())
+		require.NoError(t, p.Node(i).Resume())
 	}
 	p.borne(0.3)
 }
@@ -137,12 +137,12 @@
 				_, err := p.Start(i)
 				require.NoError(t, err)
 			}
-			p.eventually("all are in the front again", func() bool { return p.Front().Admitted() == tt.processes })
+			p.eventually("all are in the front again", func() bool { return p.Balancer().Admitted() == tt.processes })
 			t.Logf("%d processes were ready after %v", tt.processes, time.Since(began))
 			if tt.again {
 				for _, h := range p.World().Members() {
-					if h.Cold() {
-						h.Tell("in_service", time.Now())
+					if h.IsCold() {
+						h.Announce("in_service", time.Now())
 					}
 				}
 			}
@@ -167,7 +167,7 @@
 		_, err := p.Start(i)
 		require.NoError(t, err)
 	}
-	p.eventually("all are back in the front", func() bool { return p.Front().Admitted() == 5 })
+	p.eventually("all are back in the front", func() bool { return p.Balancer().Admitted() == 5 })
 	before := p.World().Counts().Reads
 	p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+300 })
 	assert.Zero(t, p.World().Counts().Drained)
@@ -181,7 +181,7 @@
 	calls := func() standin.Calls { return p.World().Discovery().Calls() }
 	p.eventually("each has a watch", func() bool { return calls().Watches == 5 })
 	begun := time.Now()
-	p.World().Mute()
+	p.World().SilenceWatches()
 	time.Sleep(time.Until(begun.Add(6 * time.Second))) // the fault
 	stop := make(chan struct{})
 	defer close(stop)
--- a/cmd/lilaccove/edges_test.go
+++ b/cmd/lilaccove/edges_test.go
@@ -24,7 +24,7 @@
 	s := newSite(t, func(s *site) {
 		managed(s)
 		s.sockets = 96
-		s.world.Down(true)
+		s.world.SetDiscoveryDown(true)
 	})
 	stop := make(chan struct{})
 	var crowd sync.WaitGroup
@@ -62,13 +62,13 @@
 	}
 	s.eventually("they fill it", func() bool { return fds() > 48 })
 	for _, d := range []*database{s.p, s.a, s.b} {
-		d.HangUp()
+		d.CloseConnections()
 	}
 	time.Sleep(time.Second) // the fault lasts
-	s.world.Down(false)
+	s.world.SetDiscoveryDown(false)
 	s.watches(s.disc, 1)
 	assert.True(t, s.ready())
-	s.a.Tell("terminating", time.Time{})
+	s.a.Announce("terminating", time.Time{})
 	s.eventually("a write is served", func() bool { return s.client().ask(stmt("write", 1000, "")).value == "p" })
 	s.eventually("a read is served", func() bool { return s.client().ask(stmt("own", 1000, "")).value != "" })
 	assert.LessOrEqual(t, fds(), s.sockets)
@@ -81,10 +81,12 @@
 func TestRestingConnectionsThatFail(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(d *database){
-		"closed":        func(d *database) { d.HangUp() },
-		"half a line":   func(d *database) { d.Blurt("S\x00\x00") },
-		"another's row": func(d *database) { d.Blurt(string(standin.Row("another's", ""))) },
-		"an error":      func(d *database) { d.Blurt(string(pgwire.AppendError(nil, "FATAL", "57P01", "shutting down", ""))) },
+		"closed":        func(d *database) { d.CloseConnections() },
+		"half a line":   func(d *database) { d.SendUnrequested("S\x00\x00") },
+		"another's row": func(d *database) { d.SendUnrequested(string(standin.Row("another's", ""))) },
+		"an error": func(d *database) {
+			d.SendUnrequested(string(pgwire.AppendError(nil, "FATAL", "57P01", "shutting down", "")))
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -111,7 +113,7 @@
 	t.Parallel()
 	s := newSite(t, nil)
 	for _, d := range []*database{s.p, s.a, s.b} {
-		d.Script(nil)
+		d.SetScript(nil)
 	}
 	c := s.client()
 	done := 0
@@ -123,7 +125,7 @@
 		}
 	}
 	writes(5)
-	s.a.Claim()
+	s.a.ClaimPrimary()
 	writes(20)
 	s.a.Promote()
 	writes(20)
--- a/cmd/lilaccove/faults_test.go
+++ b/cmd/lilaccove/faults_test.go
@@ -227,8 +227,8 @@
 func TestNoOldDataOverAClockStep(t *testing.T) {
 	t.Parallel()
 	overClockSteps(t, func(t *testing.T, s *site) {
-		s.a.Fall(5 * time.Second)
-		s.b.Fall(5 * time.Second)
+		s.a.SetLag(5 * time.Second)
+		s.b.SetLag(5 * time.Second)
 		c := s.client()
 		for range 60 {
 			c.ask(stmt("own", 1000, "")) // any member answers, and tells how far it has come
@@ -245,8 +245,8 @@
 	overClockSteps(t, func(t *testing.T, s *site) {
 		c := s.client()
 		s.meet(c)
-		s.a.Fall(5 * time.Second)
-		s.b.Fall(5 * time.Second)
+		s.a.SetLag(5 * time.Second)
+		s.b.SetLag(5 * time.Second)
 		before := len(s.a.Statements()) + len(s.b.Statements())
 		for range 30 {
 			commit := time.Now().UnixMilli() + 1 // behind all that was told of the replicas
@@ -340,7 +340,7 @@
 		begun := time.Now()
 		s.watches(s.disc, 1)
 		old := s.disc
-		next, err := s.world.Elsewhere()
+		next, err := s.world.AddDiscovery()
 		require.NoError(t, err)
 		s.disc = next
 		s.configure(next.Addr, []byte("{}"))
@@ -362,7 +362,7 @@
 			path := filepath.Join(t.TempDir(), "plan.json")
 			fault := fmt.Sprintf(`{"faults":[{"call":"open","error":"EMFILE","file":%q,"most":3}]}`, file)
 			require.NoError(t, os.WriteFile(path, []byte(fault), 0o600))
-			_, err := p.StartAs(2, []string{faultyProgram(t)}, "LILACCOVE_FAULTS="+path)
+			_, err := p.StartCommand(2, []string{faultyProgram(t)}, "LILACCOVE_FAULTS="+path)
 			require.NoError(t, err)
 			p.left(1, 2)
 			p.equal()
--- a/cmd/lilaccove/fence_test.go
+++ b/cmd/lilaccove/fence_test.go
@@ -30,7 +30,7 @@
 
 // everFenced tells whether a gateway has ever shut itself out.
 func (p *party) everFenced(i int) bool {
-	for _, e := range p.Node(i).Events() {
+	for _, e := range p.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_fenced on=true") {
 			return true
 		}
@@ -40,7 +40,7 @@
 
 // direct is a client of one gateway, past the front.
 func (p *party) direct(i int) *client {
-	return (&site{t: p.t, addr: p.Node(i).Clients}).client()
+	return (&site{t: p.t, addr: p.Node(i).ClientAddr}).client()
 }
 
 func inGroup(text string, group int) string {
@@ -50,11 +50,11 @@
 // A gateway whose discovery tells an old list, whatever it asks, shuts itself out and nobody else does: the front leaves it,
 // it refuses writes at once and serves reads. It is back when its discovery tells the truth. An operator may say otherwise.
 func TestFleetAuditFence(t *testing.T) {
-	p := newPartyWith(t, 4, fencePlan(4), func(l *lab.Lab) { l.Apart = []int{0} })
-	p.Discovery(0).Stick(true)
-	require.NoError(t, p.World().Grow(0))
+	p := newPartyWith(t, 4, fencePlan(4), func(l *lab.Lab) { l.SeparateDiscovery = []int{0} })
+	p.Discovery(0).Freeze(true)
+	require.NoError(t, p.World().AddReplica(0))
 	p.eventually("it shuts itself out", func() bool { return len(p.fenced(0)) == 1 })
-	p.eventually("the front leaves it", func() bool { return p.Front().Admitted() == 3 })
+	p.eventually("the front leaves it", func() bool { return p.Balancer().Admitted() == 3 })
 	c := p.direct(0)
 	begun := time.Now()
 	got := c.ask(inGroup(stmt("write", 3000, ""), 0))
@@ -74,10 +74,10 @@
 	_, err = p.Node(0).Call("PUT", "/v1/gateway/unfence")
 	require.NoError(t, err)
 
-	require.NoError(t, p.World().Grow(1)) // and the word was for the list that it had
-	p.Discovery(0).Stick(false)
+	require.NoError(t, p.World().AddReplica(1)) // and the word was for the list that it had
+	p.Discovery(0).Freeze(false)
 	p.eventually("it is back", func() bool { return p.figure(0, "known_databases") == 12 && len(p.fenced(0)) == 0 })
-	p.eventually("the front gives it clients", func() bool { return p.Front().Admitted() == 4 })
+	p.eventually("the front gives it clients", func() bool { return p.Balancer().Admitted() == 4 })
 	for _, i := range p.but(0) {
 		assert.False(t, p.everFenced(i), "n%d", i)
 	}
@@ -86,10 +86,10 @@
 
 // Where discovery tells most an old list, nobody is shut out: who is right cannot be known.
 func TestFleetAuditFenceNeverTooMany(t *testing.T) {
-	p := newPartyWith(t, 4, fencePlan(4), func(l *lab.Lab) { l.Apart = []int{0, 1} })
-	p.Discovery(0).Stick(true)
-	p.Discovery(1).Stick(true)
-	require.NoError(t, p.World().Grow(0))
+	p := newPartyWith(t, 4, fencePlan(4), func(l *lab.Lab) { l.SeparateDiscovery = []int{0, 1} })
+	p.Discovery(0).Freeze(true)
+	p.Discovery(1).Freeze(true)
+	require.NoError(t, p.World().AddReplica(0))
 	for _, i := range []int{0, 1} {
 		p.eventually("each old one has asked in vain and given up", func() bool { return p.figure(i, "fleet_behind_asked") == 3 })
 	}
@@ -106,12 +106,12 @@
 	p := newPartyWith(t, 4, fencePlan(4), nil)
 	c := p.direct(1)
 	c.ask("")
-	require.NoError(t, p.Node(1).Stop())
+	require.NoError(t, p.Node(1).Pause())
 	for range 3 {
 		c.write(query(inGroup(stmt("write", 3000, ""), 0)))
 	}
 	time.Sleep(3 * time.Second) // the fault itself
-	require.NoError(t, p.Node(1).Continue())
+	require.NoError(t, p.Node(1).Resume())
 	for range 3 {
 		assert.Equal(t, pgwire.CodeTooManyConnections, c.read().code, "refused, not sent")
 	}
@@ -131,7 +131,7 @@
 	p := newPartyWith(t, 4, fencePlan(4), nil)
 	c := p.direct(1)
 	c.ask("")
-	require.NoError(t, p.Node(1).Stop())
+	require.NoError(t, p.Node(1).Pause())
 	to, err := net.Dial("udp", p.peerAddress(1))
 	require.NoError(t, err)
 	t.Cleanup(func() { to.Close() })
@@ -141,7 +141,7 @@
 	}
 	time.Sleep(3 * time.Second) // the fault itself; the others go on telling
 	p.Mesh().Partition([][]int{{1}, {0, 2, 3}}, true)
-	require.NoError(t, p.Node(1).Continue())
+	require.NoError(t, p.Node(1).Resume())
 	begun := time.Now()
 	for time.Since(begun) < time.Second {
 		assert.Equal(t, pgwire.CodeTooManyConnections, c.ask(inGroup(stmt("write", 1000, ""), 0)).code, "%v behind its stop", time.Since(begun))
@@ -154,7 +154,7 @@
 // peerAddress is where a gateway itself listens for the others, behind all relays.
 func (p *party) peerAddress(i int) string {
 	p.t.Helper()
-	for _, e := range p.Node(i).Events() {
+	for _, e := range p.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_started ") {
 			_, rest, _ := strings.Cut(e, "listen=")
 			return strings.Fields(rest)[0]
--- a/cmd/lilaccove/fleet_clock_test.go
+++ b/cmd/lilaccove/fleet_clock_test.go
@@ -17,7 +17,7 @@
 	path := filepath.Join(p.t.TempDir(), "plan.json")
 	require.NoError(p.t, os.WriteFile(path, fmt.Appendf(nil, `{"wall_step_ms":%d}`, step.Milliseconds()), 0o600))
 	for _, i := range list {
-		_, err := p.StartAs(i, []string{faultyProgram(p.t)}, "LILACCOVE_FAULTS="+path)
+		_, err := p.StartCommand(i, []string{faultyProgram(p.t)}, "LILACCOVE_FAULTS="+path)
 		require.NoError(p.t, err)
 	}
 }
@@ -32,7 +32,7 @@
 				if end == "killed" {
 					p.Node(2).Kill()
 				} else {
-					require.NoError(t, p.Node(2).Term())
+					require.NoError(t, p.Node(2).Terminate())
 				}
 				p.agree(3, p.but(2)...)
 				p.startStepped(step, 2)
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -62,7 +62,7 @@
 
 // newPartyOf is newParty with a plan of its own.
 func newPartyOf(t *testing.T, n int, text string, twins ...int) *party {
-	return newPartyWith(t, n, text, func(l *lab.Lab) { l.Twins = twins })
+	return newPartyWith(t, n, text, func(l *lab.Lab) { l.Siblings = twins })
 }
 
 // newPartyWith is newPartyOf in a lab that is changed before it opens.
@@ -122,7 +122,7 @@
 	if pl.Lab.Fleet {
 		p.agree(n, p.all()...)
 	} else {
-		p.eventually("all are in the front", func() bool { return p.Front().Admitted() == n })
+		p.eventually("all are in the front", func() bool { return p.Balancer().Admitted() == n })
 	}
 	return p
 }
@@ -162,9 +162,9 @@
 // straggle has the watch of one gateway tell no changes any more, without being silent: the others watch anew.
 func (p *party) straggle(one int) {
 	p.t.Helper()
-	p.World().Withhold()
+	p.World().WithholdChanges()
 	for _, i := range p.but(one) {
-		require.NoError(p.t, p.Node(i).Term())
+		require.NoError(p.t, p.Node(i).Terminate())
 		_, err := p.Start(i)
 		require.NoError(p.t, err)
 	}
@@ -184,7 +184,7 @@
 // dead are the names that gateways have declared dead so far.
 func (p *party) dead(list ...int) (names []string) {
 	for _, i := range list {
-		for _, e := range p.Node(i).Events() {
+		for _, e := range p.Node(i).FleetEvents() {
 			if strings.HasPrefix(e, "fleet_member ") && strings.Contains(e, " state=dead ") {
 				names = append(names, strings.TrimPrefix(strings.Fields(e)[1], "name="))
 			}
@@ -211,7 +211,7 @@
 	p.Node(2).Kill()
 	p.agree(4, p.but(2)...)
 	assert.Equal(t, []string{"n2"}, p.dead(p.but(2)...))
-	p.eventually("the front leaves it", func() bool { return p.Front().Admitted() == 4 })
+	p.eventually("the front leaves it", func() bool { return p.Balancer().Admitted() == 4 })
 	_, err := p.Start(2)
 	require.NoError(t, err)
 	p.agree(5, p.all()...)
@@ -221,9 +221,9 @@
 // A process that stood still is declared dead, refutes that when it goes on, and declares nobody else dead.
 func TestFleetMembershipStop(t *testing.T) {
 	p := newParty(t, 5)
-	require.NoError(t, p.Node(1).Stop())
+	require.NoError(t, p.Node(1).Pause())
 	time.Sleep(3 * time.Second) // the fault itself
-	require.NoError(t, p.Node(1).Continue())
+	require.NoError(t, p.Node(1).Resume())
 	p.eventually("it refutes", func() bool { return p.figure(1, "fleet_refutations") > 0 })
 	p.agree(5, p.all()...)
 	assert.Subset(t, []string{"n1"}, p.dead(p.all()...))
@@ -234,8 +234,8 @@
 
 func TestFleetMembershipOneWay(t *testing.T) {
 	p := newParty(t, 5)
-	p.Mesh().Cut(0, 1, true)
-	p.Mesh().Cut(3, 2, true)
+	p.Mesh().SetCut(0, 1, true)
+	p.Mesh().SetCut(3, 2, true)
 	p.eventually("many probes are lost on the cut links", func() bool { return p.Mesh().Counts().Cut > 30 })
 	assert.Empty(t, p.dead(p.all()...), "helpers reach whom a link does not")
 	p.agree(5, p.all()...)
@@ -262,7 +262,7 @@
 func TestFleetMembershipRoll(t *testing.T) {
 	p := newParty(t, 5)
 	for i := range 5 {
-		require.NoError(t, p.Node(i).Term())
+		require.NoError(t, p.Node(i).Terminate())
 		p.eventually("its leave is heard", func() bool {
 			r, err := p.Node((i + 1) % 5).Fleet()
 			return err == nil && !slices.ContainsFunc(r.View.Members, func(m peer.ReportMember) bool { return m.Name == fmt.Sprintf("n%d", i) })
@@ -294,7 +294,7 @@
 func TestFleetMembershipNameTwice(t *testing.T) {
 	p := newParty(t, 4, 1)
 	first := p.Node(1)
-	second, err := p.Twin(0)
+	second, err := p.StartSibling(0)
 	require.NoError(t, err)
 	flagged := func(i int) bool {
 		r, err := p.Node(i).Fleet()
@@ -304,7 +304,7 @@
 	p.eventually("each view tells", func() bool { return flagged(0) && flagged(2) && flagged(3) })
 	for _, n := range []*lab.Node{first, second} {
 		p.eventually("both logs tell", func() bool {
-			return slices.ContainsFunc(n.Events(), func(e string) bool { return strings.HasPrefix(e, "fleet_twice ") })
+			return slices.ContainsFunc(n.FleetEvents(), func(e string) bool { return strings.HasPrefix(e, "fleet_twice ") })
 		})
 	}
 	second.Kill()
@@ -319,7 +319,7 @@
 // Noise of every kind is counted and harms nobody.
 func TestFleetMembershipGarbage(t *testing.T) {
 	p := newParty(t, 4)
-	c, err := net.Dial("udp", p.Node(0).Peers.String())
+	c, err := net.Dial("udp", p.Node(0).PeerAddr.String())
 	require.NoError(t, err)
 	defer c.Close()
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -349,7 +349,7 @@
 		return p.figure(0, "fleet_dropped.rate") > 0
 	})
 	for range 40 { // connections that say nothing, or nonsense
-		s, err := net.Dial("tcp", p.Node(0).Peers.String())
+		s, err := net.Dial("tcp", p.Node(0).PeerAddr.String())
 		require.NoError(t, err)
 		defer s.Close()
 		_, _ = s.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3})
@@ -357,17 +357,17 @@
 	for i := range 4 {
 		for j := range 4 {
 			if i != j {
-				p.Mesh().Set(i, j, plan.Link{Corrupt: 0.2, Duplicate: 0.3, Reorder: 0.2, Delay: time.Millisecond, Jitter: 5 * time.Millisecond})
+				p.Mesh().SetLink(i, j, plan.Link{Corrupt: 0.2, Duplicate: 0.3, Reorder: 0.2, Delay: time.Millisecond, Jitter: 5 * time.Millisecond})
 			}
 		}
 	}
 	p.eventually("links spoil and double", func() bool {
 		n := p.Mesh().Counts()
-		return n.Spoilt > 100 && n.Doubled > 100 && n.Late > 100
+		return n.Corrupted > 100 && n.Duplicated > 100 && n.Reordered > 100
 	})
 	for i := range 4 {
 		for j := range 4 {
-			p.Mesh().Set(i, j, plan.Link{})
+			p.Mesh().SetLink(i, j, plan.Link{})
 		}
 	}
 	p.agree(4, p.all()...)
@@ -391,7 +391,7 @@
 // Two processes of an upgrade are one member all along; the new one takes over the address when the old one has ended.
 func TestFleetMembershipUpgrade(t *testing.T) {
 	p := newParty(t, 1)
-	peers := p.Node(0).Peers.String()
+	peers := p.Node(0).PeerAddr.String()
 	listen := freePort(t)
 	file := t.TempDir() + "/fleet.yaml"
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "fleet: lab\nlisten: %s\nseeds: [%s]\n", listen, peers), 0o600))
@@ -433,7 +433,7 @@
 
 // states are those in which gateway 0 has told of another, one after the other, without repeats.
 func (p *party) states(name string) (list []string) {
-	for _, e := range p.Node(0).Events() {
+	for _, e := range p.Node(0).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_member name="+name+" ") {
 			_, rest, _ := strings.Cut(e, "state=")
 			list = append(list, strings.Fields(rest)[0])
--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -104,9 +104,9 @@
 	n := &lab.Node{Name: name, Process: lab.NewProcess(cmd)}
 	require.NoError(m.t, n.Launch(func(string) {}, func() {}))
 	m.t.Cleanup(n.Kill)
-	said, err := n.Ready(patience)
+	said, err := n.WaitStarted(patience)
 	require.NoError(m.t, err)
-	n.Clients, n.Manage = lab.Field(said, "listen"), lab.Field(said, "management")
+	n.ClientAddr, n.ManagementAddr = lab.LogField(said, "listen"), lab.LogField(said, "management")
 	m.nodes[name] = n
 }
 
@@ -278,7 +278,7 @@
 // A gateway without a fleet file tells nothing of a fleet.
 func TestTrafficByRoleNeedsAFleet(t *testing.T) {
 	s := newSite(t, func(s *site) { s.managed = true })
-	n := &lab.Node{Manage: s.manage}
+	n := &lab.Node{ManagementAddr: s.manage}
 	text, err := n.Call("GET", "/v1/metrics")
 	require.NoError(t, err)
 	assert.NotContains(t, string(text), "fleet_")
--- a/cmd/lilaccove/large_test.go
+++ b/cmd/lilaccove/large_test.go
@@ -36,7 +36,7 @@
 	t.Parallel()
 	s := newSite(t, managed)
 	c := s.client()
-	sizes := []int{pgwire.MostValue - 1, pgwire.MostValue, pgwire.MostValue + 1, pgwire.MostValue + 5, 500 << 10, 1, 4 << 20, 1 << 20}
+	sizes := []int{pgwire.MaxBufferedValue - 1, pgwire.MaxBufferedValue, pgwire.MaxBufferedValue + 1, pgwire.MaxBufferedValue + 5, 500 << 10, 1, 4 << 20, 1 << 20}
 	for i, n := range sizes {
 		value := blob(n)
 		s.p.will(func(d *database, c net.Conn, _ string) { d.Answer(c, value) })
@@ -116,7 +116,7 @@
 func TestSlowReaderHoldsUpOnlyItsValue(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, managed)
-	value := blob(pgwire.MostAnswer - 100)
+	value := blob(pgwire.MaxServerMessage - 100)
 	var given atomic.Int64
 	s.p.will(func(_ *database, c net.Conn, _ string) {
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
@@ -211,7 +211,7 @@
 	c := s.client()
 	d := regexp.MustCompile(`,d=(\d+),`)
 	rnd := rand.New(rand.NewPCG(1, 2))
-	for _, n := range []int{pgwire.MostValue, pgwire.MostMessage / 2, pgwire.MostMessage/2 + 1000, 500 << 10, 4 << 20} {
+	for _, n := range []int{pgwire.MaxBufferedValue, pgwire.MaxBufferedMessage / 2, pgwire.MaxBufferedMessage/2 + 1000, 500 << 10, 4 << 20} {
 		text := large(n)
 		before, message := len(s.p.Statements()), query(text)+query(stmt("write", 2900, ""))
 		for len(message) > 0 {
@@ -281,14 +281,14 @@
 					return
 				}
 				_, _ = c.Read(make([]byte, 1024))
-				_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
+				_, _ = c.Write(pgwire.AppendStartupReply(nil, 0))
 				_, _ = io.CopyN(io.Discard, c, 64<<10)
 				_ = c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 			}()
 		}
 	}()
-	s.p.Move(ln.Addr().String())
+	s.p.AnnounceAddr(ln.Addr().String())
 	s.eventually("it has moved", func() bool {
 		c := s.client()
 		got := c.ask(large(4 << 20))
--- a/cmd/lilaccove/leave_test.go
+++ b/cmd/lilaccove/leave_test.go
@@ -20,9 +20,9 @@
 // stops has the gateway stand still while the test does something.
 func (s *site) stops(do func()) {
 	s.t.Helper()
-	require.NoError(s.t, s.Stop())
+	require.NoError(s.t, s.Pause())
 	do()
-	require.NoError(s.t, s.Continue())
+	require.NoError(s.t, s.Resume())
 }
 
 // serves checks that a write of another client is served, by when all that came before has been dealt with.
@@ -78,12 +78,12 @@
 			s := newSite(t, func(s *site) {
 				s.settings = strings.NewReplacer(`"Cancel":true`, `"Cancel":`+cancels, `"DialTimeoutUs":250000`, `"DialTimeoutUs":3000000`).Replace(testSettings)
 			})
-			s.p.Late(time.Second)
+			s.p.DelayGreeting(time.Second)
 			c := s.client()
 			c.write(query(stmt("write", 3000, "")))
 			s.eventually("it waits for a connection", func() bool { return s.p.Dials() > 0 })
 			c.c.Close()
-			s.p.Late(0)
+			s.p.DelayGreeting(0)
 			s.serves()
 			assert.Len(t, s.p.Statements(), 1)
 		})
@@ -100,11 +100,11 @@
 	got := make(chan net.Conn, 8)
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
-			_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
+			_, _ = c.Write(pgwire.AppendStartupReply(nil, 0))
 			got <- c
 		}
 	}()
-	s.p.Move(ln.Addr().String()) // a database that greets, and reads nothing for now
+	s.p.AnnounceAddr(ln.Addr().String()) // a database that greets, and reads nothing for now
 	c := s.client()
 	whole := strings.Repeat("9f", 4<<20)
 	s.eventually("it is written to", func() bool {
@@ -136,7 +136,7 @@
 				managed(s)
 				s.settings = strings.NewReplacer(`"Cancel":true`, `"Cancel":false`, `"DialTimeoutUs":250000`, `"DialTimeoutUs":3000000`).Replace(testSettings)
 			})
-			s.p.Late(2 * time.Second)
+			s.p.DelayGreeting(2 * time.Second)
 			c := s.client()
 			for range 40 {
 				c.write(query(stmt("write", 3000, "")))
@@ -161,7 +161,7 @@
 		s.settings = strings.Replace(testSettings, `"GoalTimeUs":500000,"DeadlineUs":1200000`, `"GoalTimeUs":4000000,"DeadlineUs":8000000`, 1)
 	})
 	for _, d := range []*database{s.a, s.b} {
-		d.Fall(10 * time.Second)
+		d.SetLag(10 * time.Second)
 	}
 	known := s.client()
 	for range 2 { // the primary tells the databases' clock, without which the age of data is not known at first
@@ -179,7 +179,7 @@
 	c.c.Close()
 	s.eventually("its end is read", func() bool { return s.figure("in_progress") == 0 })
 	for _, d := range []*database{s.a, s.b} {
-		d.Fall(0)
+		d.SetLag(0)
 	}
 	for range 10 { // their answers tell how far they are
 		assert.NotEmpty(t, known.ask(stmt("own", 1000, "")).value)
@@ -198,14 +198,14 @@
 			`"DialTimeoutUs":250000`, `"DialTimeoutUs":3000000`).Replace(testSettings)
 	})
 	s.p.will(func(d *database, c net.Conn, _ string) {
-		d.Late(time.Second)
+		d.DelayGreeting(time.Second)
 		c.Close()
 	})
 	begun := time.Now()
 	got := s.client().ask(stmt("write", 2500, ""))
 	assert.Less(t, time.Since(begun), time.Second, "given up is answered at once")
 	assert.Equal(t, pgwire.CodeTooManyConnections, got.code, "whoever comes again is told apart by the key")
-	s.p.Late(0)
+	s.p.DelayGreeting(0)
 	s.serves()
 	assert.Len(t, s.p.Statements(), 2)
 }
@@ -249,7 +249,7 @@
 	assert.NotEqual(t, key, otherKey)
 	s.cancel(key) // nothing is open
 
-	s.p.Late(time.Second)
+	s.p.DelayGreeting(time.Second)
 	c.write(query(stmt("write", 3000, "")) + query(""))
 	s.eventually("it waits for a connection", func() bool { return s.p.Dials() > 0 })
 	for _, wrong := range []uint64{otherKey, 0, key ^ 1, key ^ 1<<63} {
@@ -259,7 +259,7 @@
 	s.cancel(key)
 	assert.Equal(t, pgwire.CodeQueryCanceled, c.read().code)
 	assert.True(t, c.read().empty, "what was sent ahead is not meant")
-	s.p.Late(0)
+	s.p.DelayGreeting(0)
 	s.serves()
 	assert.Len(t, s.p.Statements(), 1)
 
--- a/cmd/lilaccove/main.go
+++ b/cmd/lilaccove/main.go
@@ -132,7 +132,7 @@
 	}
 	defer ops.leave()
 	log.Printf("event=started name=%s listen=%s discovery=%s sockets=%d memory_mb=%d%s",
-		cfg.Name, at, side.Ask, sockets, memory>>20, manage)
+		cfg.Name, at, side.DiscoveryAddr, sockets, memory>>20, manage)
 
 	heard := make(chan os.Signal, cap(signals))
 	loop.OnWake(func() {
--- a/cmd/lilaccove/main_test.go
+++ b/cmd/lilaccove/main_test.go
@@ -47,9 +47,9 @@
 	assert.LessOrEqual(t, ms, 900)
 
 	// A value of the largest size, in an answer and in a statement.
-	big := strings.Repeat("x", pgwire.MostValue)
+	big := strings.Repeat("x", pgwire.MaxBufferedValue)
 	s.p.will(func(d *database, c net.Conn, _ string) { d.Answer(c, big) })
-	got := c.ask(strings.Replace(stmt("write", 2000, ""), `\x9f03`, `\x`+strings.Repeat("9f", pgwire.MostValue), 1))
+	got := c.ask(strings.Replace(stmt("write", 2000, ""), `\x9f03`, `\x`+strings.Repeat("9f", pgwire.MaxBufferedValue), 1))
 	assert.Equal(t, big, got.value)
 	assert.Equal(t, 1, got.rows)
 
@@ -148,7 +148,7 @@
 	t.Parallel()
 	s := newSite(t, nil)
 	for _, d := range []*database{s.p, s.a, s.b} {
-		d.Admit(false)
+		d.SetAdmitting(false)
 	}
 	c := s.client()
 	for _, class := range []string{"write", "browse", "own"} {
@@ -235,7 +235,7 @@
 	s := newSite(t, nil)
 	c := s.client()
 	s.meet(c)
-	s.a.Tell("terminating", time.Time{})
+	s.a.Announce("terminating", time.Time{})
 	s.eventually("the change is heard", func() bool {
 		n := len(s.a.Statements())
 		for range 4 {
@@ -253,7 +253,7 @@
 // Rule 4: a database that has just started is spared, by what the list tells.
 func TestColdDatabaseIsSpared(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) { s.a.Tell("in_service", time.Now()) })
+	s := newSite(t, func(s *site) { s.a.Announce("in_service", time.Now()) })
 	c := s.client()
 	for range 60 {
 		assert.NotEmpty(t, c.ask(stmt("own", 1000, "")).value)
@@ -266,7 +266,7 @@
 	t.Parallel()
 	s := newSite(t, nil)
 	for _, d := range []*database{s.a, s.b} {
-		d.Fall(5 * time.Second)
+		d.SetLag(5 * time.Second)
 	}
 	c := s.client()
 	s.meet(c)
@@ -568,13 +568,13 @@
 // Without discovery the known list stays in force, and it is asked again.
 func TestServesOnWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) { s.world.Down(true) })
+	s := newSite(t, func(s *site) { s.world.SetDiscoveryDown(true) })
 	c := s.client()
 	assert.Equal(t, "p", c.ask(stmt("write", 1000, "")).value)
-	s.eventually("it asks", func() bool { return s.disc.Calls().Asked > 0 })
-	s.world.Down(false)
+	s.eventually("it asks", func() bool { return s.disc.Calls().Requests > 0 })
+	s.world.SetDiscoveryDown(false)
 	s.watches(s.disc, 1)
-	s.world.Say("no JSON") // ends the watch; the list stays
+	s.world.SendToWatches("no JSON") // ends the watch; the list stays
 	assert.Equal(t, "p", c.ask(stmt("write", 1000, "")).value)
 	s.eventually("the failure is logged", func() bool { return strings.Contains(s.logged(), "list: ") })
 }
@@ -597,9 +597,9 @@
 		assert.Equal(t, 1, s.disc.Calls().Watches, "the old watch stays")
 	}
 	for range 3 {
-		s.a.Tell("terminating", time.Time{})
+		s.a.Announce("terminating", time.Time{})
 		old := s.disc
-		next, err := s.world.Elsewhere()
+		next, err := s.world.AddDiscovery()
 		require.NoError(t, err)
 		s.disc = next
 		s.configure(next.Addr, []byte("{}"))
@@ -608,7 +608,7 @@
 		s.watches(old, 0)
 		assert.Equal(t, "p", c.ask(stmt("write", 1000, "")).value, "the client's connection stays")
 	}
-	assert.Equal(t, strconv.Itoa(s.world.Version()), s.disc.Calls().After, "it goes on from the version that it has")
+	assert.Equal(t, strconv.Itoa(s.world.ListVersion()), s.disc.Calls().LastAfter, "it goes on from the version that it has")
 	s.term()
 	s.hup()
 	s.exits()
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -109,7 +109,7 @@
 	if o.links != nil && !o.links.Synced() {
 		return nil
 	}
-	if o.beside && (o.core.ListSize() == 0 || !o.watch.Heard()) && o.loop.Now() < o.begunAt+policy.StartupTimeout {
+	if o.beside && (o.core.ListSize() == 0 || !o.watch.ListReceived()) && o.loop.Now() < o.begunAt+policy.StartupTimeout {
 		return nil
 	}
 	return o.front.Open()
@@ -188,8 +188,8 @@
 		part = 2
 	}
 	log.Printf("event=processes beside=%t", o.beside)
-	o.loop.SetLimit(o.sockets / part)
-	o.loop.SetBuffers(o.memory / 4 / part)
+	o.loop.SetDescriptorLimit(o.sockets / part)
+	o.loop.SetBufferLimit(o.memory / 4 / part)
 	o.front.SetMaxClients(o.sockets / 2 / part)
 	limitHeap(o.memory / part)
 	if o.links != nil {
@@ -200,7 +200,7 @@
 // adopt does what another process was told, or a predecessor.
 func (o *operations) adopt(s handover.State) {
 	for id, e := range s.Suspended {
-		o.core.SetSuspended(policy.HostID(id), o.side.Alone(id, e.Active))
+		o.core.SetSuspended(policy.HostID(id), o.side.SetLocalOverride(id, e.Active))
 	}
 	o.drainHere = s.Drained.Active
 	o.drain()
@@ -246,8 +246,8 @@
 	return o.side.Metrics(b)
 }
 
-// Fleet is what this gateway knows of the others; false: it is in no fleet.
-func (o *operations) Fleet() ([]byte, bool) {
+// FleetMembers is what this gateway knows of the others; false: it is in no fleet.
+func (o *operations) FleetMembers() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
 	}
@@ -257,7 +257,7 @@
 // Suspend leaves a database out, or has it serve again, here and in a process beside this one.
 func (o *operations) Suspend(id string, out bool, then func(kept bool)) bool {
 	o.look()
-	known := o.core.Suspend(policy.HostID(id), o.side.Alone(id, out), func() { o.await(then) })
+	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, out), func() { o.await(then) })
 	if known {
 		log.Printf("event=suspended host=%q out=%t", id, out)
 		if o.share != nil {
@@ -320,7 +320,7 @@
 	if !o.links.SetOverride(id, out, func(text string) { said = text; done() }) {
 		return false
 	}
-	if !o.core.Suspend(policy.HostID(id), out || o.side.LeftOut(id), done) {
+	if !o.core.Suspend(policy.HostID(id), out || o.side.LocalOverrideActive(id), done) {
 		done() // not listed any more: nothing is sent there anyway
 	}
 	return true
@@ -395,7 +395,7 @@
 
 // comparing tells that the list of the start has not been compared with what an agent has: it may be too old to serve by.
 func (o *operations) comparing() bool {
-	return o.list == policy.ListFromAgent && !o.watch.Heard() && o.loop.Now() < o.begunAt+policy.StartupTimeout
+	return o.list == policy.ListFromAgent && !o.watch.ListReceived() && o.loop.Now() < o.begunAt+policy.StartupTimeout
 }
 
 // waitsForWords tells that what operators told the processes before this one cannot be read yet.
--- a/cmd/lilaccove/operations_test.go
+++ b/cmd/lilaccove/operations_test.go
@@ -94,7 +94,7 @@
 	s.yes("PUT", "/v1/databases/a/suspend")
 	assert.Equal(t, 1, s.figure("skipped_databases"))
 	before := len(s.a.Statements())
-	s.a.Tell("in_service", time.Now())
+	s.a.Announce("in_service", time.Now())
 	for range 40 {
 		assert.NotEmpty(t, c.ask(stmt("own", 1000, "")).value)
 	}
--- a/cmd/lilaccove/price_test.go
+++ b/cmd/lilaccove/price_test.go
@@ -37,7 +37,7 @@
 // price starts gateways that have nothing to do, waits until they know each other, and tells what one takes: its share
 // of a core, and KiB of memory of its own.
 func price(b *testing.B, n int, fleet bool) (core, kib float64) {
-	w, err := standin.New(standin.Options{Groups: 1, Group: 2, Members: 3, Cores: 1, Seed: 1})
+	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
 	defer w.Close()
 	var all []*lab.Process
@@ -56,9 +56,9 @@
 		p := lab.NewProcess(cmd)
 		known, seen := make(chan string, 1), make(chan bool, 1)
 		require.NoError(b, p.Launch(func(line string) {
-			if at := lab.Field(line, "listen"); strings.Contains(line, "event=fleet_started ") {
+			if at := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
 				known <- at
-			} else if strings.Contains(line, "event=fleet_view ") && lab.Field(line, "members") == strconv.Itoa(n) {
+			} else if strings.Contains(line, "event=fleet_view ") && lab.LogField(line, "members") == strconv.Itoa(n) {
 				select {
 				case seen <- true:
 				default:
@@ -66,7 +66,7 @@
 			}
 		}, func() {}))
 		defer p.Kill()
-		_, err := p.Ready(patience)
+		_, err := p.WaitStarted(patience)
 		require.NoError(b, err)
 		if all = append(all, p); !fleet {
 			continue
--- a/cmd/lilaccove/primaries_test.go
+++ b/cmd/lilaccove/primaries_test.go
@@ -21,7 +21,7 @@
 func primariesAreTold(t *testing.T, lines string) {
 	p := newPartyOf(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, "+lines, 1))
 	idle := 3
-	p.Front().Set(idle, "127.0.0.1:1") // nobody is sent to it
+	p.Balancer().SetAddr(idle, "127.0.0.1:1") // nobody is sent to it
 	ask := func(what string) {
 		t.Helper()
 		begun := time.Now()
--- a/cmd/lilaccove/reconcile_test.go
+++ b/cmd/lilaccove/reconcile_test.go
@@ -94,16 +94,16 @@
 	for i := range 4 {
 		for j := range 4 {
 			if i != j {
-				p.Mesh().Set(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
+				p.Mesh().SetLink(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
 			}
 		}
 	}
-	p.World().Lag(0.5, 3*time.Second)
-	require.NoError(t, p.Node(3).Stop())
+	p.World().SetLag(0.5, 3*time.Second)
+	require.NoError(t, p.Node(3).Pause())
 	before := p.World().Counts().Reads
 	p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+200 })
-	p.World().Lag(1, 0)
-	require.NoError(t, p.Node(3).Continue())
+	p.World().SetLag(1, 0)
+	require.NoError(t, p.Node(3).Resume())
 	sides := [][]int{{0, 1}, {2, 3}}
 	p.Mesh().Partition(sides, true)
 	p.agree(2, 0, 1)
@@ -119,14 +119,14 @@
 // A fleet that changes over from rumours to a budget: who has one takes rumours in, who has none refuses what it cannot read
 // with a line that says why, and nothing is served that is too old.
 func TestFleetReconcileChangeOver(t *testing.T) {
-	p := newPartyWith(t, 4, fmt.Sprintf(reconcilePlan, 800), func(l *lab.Lab) { l.Rumours = []int{0, 1} })
+	p := newPartyWith(t, 4, fmt.Sprintf(reconcilePlan, 800), func(l *lab.Lab) { l.WithoutByteBudget = []int{0, 1} })
 	for _, i := range []int{2, 3} {
 		p.eventually("rumours are taken in", func() bool { return p.figure(i, "fleet_positions.heard") > 20 })
 		assert.Positive(t, p.figure(i, "fleet_positions.budget"))
 	}
 	for _, i := range []int{0, 1} {
 		p.eventually("it says what it refuses", func() bool {
-			return strings.Contains(strings.Join(p.Node(i).Events(), "\n"), "under a budget, which the fleet file here does not have")
+			return strings.Contains(strings.Join(p.Node(i).FleetEvents(), "\n"), "under a budget, which the fleet file here does not have")
 		})
 		p.eventually("it goes on as before", func() bool { return p.figure(i, "fleet_positions.heard") > 0 })
 	}
--- a/cmd/lilaccove/repeats_test.go
+++ b/cmd/lilaccove/repeats_test.go
@@ -25,9 +25,9 @@
 			p.eventually("reads are tried", func() bool { return tried() > 200 })
 			p.restart(nil, 1, 5)
 			processes += 2
-			require.NoError(t, p.Node(4).Stop())
+			require.NoError(t, p.Node(4).Pause())
 			p.eventually("reads are tried", func() bool { return tried() > 500 })
-			require.NoError(t, p.Node(4).Continue())
+			require.NoError(t, p.Node(4).Resume())
 			p.Mesh().Partition([][]int{{0, 1, 2}, {3, 4, 5, 6}}, false)
 			p.eventually("reads are tried", func() bool { return tried() > 900 })
 			c := p.World().Counts()
--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -77,7 +77,7 @@
 	if handle == nil {
 		handle = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
 	}
-	d.Script(func(c net.Conn, text string) { handle(d, c, text) })
+	d.SetScript(func(c net.Conn, text string) { handle(d, c, text) })
 }
 
 // waits has it answer "late" to all that has come and comes, once the channel is closed.
@@ -126,7 +126,7 @@
 
 // newSite starts the program; change may alter what it is told before.
 func newSite(t *testing.T, change func(*site)) *site {
-	w, err := standin.New(standin.Options{Groups: 1, Group: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
+	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
 	s := &site{
@@ -179,9 +179,9 @@
 			t.Log(s.logged())
 		}
 	})
-	said, err := s.Ready(patience)
+	said, err := s.WaitStarted(patience)
 	require.NoError(t, err, s.logged())
-	s.addr, s.manage = lab.Field(said, "listen"), lab.Field(said, "management")
+	s.addr, s.manage = lab.LogField(said, "listen"), lab.LogField(said, "management")
 }
 
 // configure writes the file at GW_CONFIG.
@@ -269,11 +269,11 @@
 		}
 		switch kind {
 		case pgwire.DataRow:
-			v, ok := pgwire.Column(body)
+			v, ok := pgwire.ParseSingleColumn(body)
 			require.True(c.t, ok)
 			a.value = string(v)
 			a.rows++
-		case pgwire.ErrorMsg:
+		case pgwire.ErrorResponse:
 			a.code = string(pgwire.ErrorCode(body))
 			for _, f := range bytes.Split(body, []byte{0}) {
 				if len(f) > 0 && f[0] == 'D' {
--- a/cmd/lilaccove/shared_test.go
+++ b/cmd/lilaccove/shared_test.go
@@ -38,16 +38,16 @@
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				p.Mesh().Set(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
+				p.Mesh().SetLink(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
 			}
 		}
 	}
-	p.World().Lag(0.5, 3*time.Second)
-	require.NoError(t, p.Node(4).Stop())
+	p.World().SetLag(0.5, 3*time.Second)
+	require.NoError(t, p.Node(4).Pause())
 	before := p.World().Counts().Reads
 	p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+200 })
-	p.World().Lag(1, 0)
-	require.NoError(t, p.Node(4).Continue())
+	p.World().SetLag(1, 0)
+	require.NoError(t, p.Node(4).Resume())
 	sides := [][]int{{0, 1}, {2, 3, 4}}
 	p.Mesh().Partition(sides, true)
 	p.agree(2, 0, 1)
@@ -61,7 +61,7 @@
 
 // subset is what a gateway told last of its subsets: gateways and hosts.
 func (p *party) subset(i int) (gateways, hosts string) {
-	for _, e := range p.Node(i).Events() {
+	for _, e := range p.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_subset ") {
 			f := strings.Fields(e)
 			gateways, hosts = f[1], f[2]
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -100,6 +100,6 @@
 	require.Len(t, s.p.Statements(), before+1)
 	head, err := pgwire.ParseHead([]byte(s.p.Statements()[before]))
 	require.NoError(t, err)
-	told := time.Duration(head.Millis) * time.Millisecond
+	told := time.Duration(head.DeadlineMillis) * time.Millisecond
 	assert.LessOrEqual(t, told, patient-goesOn.Sub(sent)+heldUp, "what is left, and the slack")
 }
--- a/cmd/lilaccove/starved_test.go
+++ b/cmd/lilaccove/starved_test.go
@@ -24,17 +24,17 @@
 	}
 	work, count := map[int]int{}, map[int]int{}
 	for _, h := range p.World().Members() {
-		work[h.Group] += h.Begun() - begun[h.ID]
+		work[h.Group] += h.StatementCount() - begun[h.ID]
 		count[h.Group]++
 	}
 	for _, h := range p.World().Members() {
-		assert.Greater(p.t, h.Begun()-begun[h.ID], work[h.Group]/count[h.Group]/2, "%s of group %d", h.ID, h.Group)
+		assert.Greater(p.t, h.StatementCount()-begun[h.ID], work[h.Group]/count[h.Group]/2, "%s of group %d", h.ID, h.Group)
 	}
 }
 
 // breakers are what a gateway has said of them.
 func (p *party) breakers(i int) (list []string) {
-	for _, e := range p.Node(i).Events() {
+	for _, e := range p.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "policy ") {
 			list = append(list, e)
 		}
@@ -45,7 +45,7 @@
 func (p *party) begun() map[string]int {
 	all := map[string]int{}
 	for _, h := range p.World().Members() {
-		all[h.ID] = h.Begun()
+		all[h.ID] = h.StatementCount()
 	}
 	return all
 }
@@ -54,7 +54,7 @@
 func (p *party) serves(i int) time.Duration {
 	p.t.Helper()
 	asked := time.Now()
-	s := &site{t: p.t, addr: p.Node(i).Clients}
+	s := &site{t: p.t, addr: p.Node(i).ClientAddr}
 	p.eventually("it serves", func() bool {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -71,9 +71,9 @@
 func TestFleetStarvedStop(t *testing.T) {
 	p := newPartyOf(t, 7, starvedPlan)
 	begun := p.begun()
-	require.NoError(t, p.Node(1).Stop())
+	require.NoError(t, p.Node(1).Pause())
 	time.Sleep(2 * time.Second) // the fault itself
-	require.NoError(t, p.Node(1).Continue())
+	require.NoError(t, p.Node(1).Resume())
 	assert.Less(t, p.serves(1), time.Second)
 	p.agree(7, p.all()...)
 	p.unharmed(begun)
@@ -86,9 +86,9 @@
 	p := newPartyOf(t, 7, starvedPlan)
 	begun := p.begun()
 	for range 8 {
-		require.NoError(t, p.Node(1).Stop())
+		require.NoError(t, p.Node(1).Pause())
 		time.Sleep(700 * time.Millisecond) // the fault itself
-		require.NoError(t, p.Node(1).Continue())
+		require.NoError(t, p.Node(1).Resume())
 		time.Sleep(300 * time.Millisecond)
 	}
 	assert.Less(t, p.serves(1), time.Second)
--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -37,7 +37,7 @@
 
 // told tells whether the newest process of a gateway has logged something.
 func (p *party) told(i int, what string) bool {
-	for _, e := range p.Node(i).Events() {
+	for _, e := range p.Node(i).FleetEvents() {
 		if strings.Contains(e, what) {
 			return true
 		}
@@ -62,14 +62,14 @@
 func TestFleetStateDiskAllKilled(t *testing.T) {
 	p := newPartyOf(t, 4, storePlan)
 	host := p.World().Members()[0]
-	p.eventually("it is in use", func() bool { return host.Begun() > 20 })
+	p.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	assert.Equal(t, "ok: held by 3 of 3 others, on disk", p.word(2, host.ID, "suspend"))
 	var begun int
-	p.restart(func() { begun = host.Begun() }, p.all()...)
+	p.restart(func() { begun = host.StatementCount() }, p.all()...)
 	p.left(1, p.all()...)
 	before := p.World().Counts().Reads
 	p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+200 })
-	assert.Equal(t, begun, host.Begun(), "it was used in spite of the word")
+	assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the word")
 	p.equal()
 	p.word(0, host.ID, "resume")
 	p.left(0, p.all()...)
@@ -83,17 +83,17 @@
 		t.Run(step.String(), func(t *testing.T) {
 			p := newPartyOf(t, 4, storePlan)
 			host := p.World().Members()[0]
-			p.eventually("it is in use", func() bool { return host.Begun() > 20 })
+			p.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 			assert.Equal(t, "ok: held by 3 of 3 others, on disk", p.word(2, host.ID, "suspend"))
 			for _, i := range p.all() {
 				p.Node(i).Kill()
 			}
-			begun := host.Begun()
+			begun := host.StatementCount()
 			p.startStepped(step, p.all()...)
 			p.left(1, p.all()...)
 			before := p.World().Counts().Reads
 			p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+200 })
-			assert.Equal(t, begun, host.Begun(), "it was used in spite of the word")
+			assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the word")
 			p.judge(0.3)
 		})
 	}
@@ -119,7 +119,7 @@
 // locks holds the lock on a gateway's file of words, as a process of it would that hangs on a slow disk.
 func (p *party) locks(i int) (release func()) {
 	p.t.Helper()
-	lock, err := os.OpenFile(filepath.Join(p.WordsDir(i), "words.lock"), os.O_CREATE|os.O_RDWR, 0o640)
+	lock, err := os.OpenFile(filepath.Join(p.OverridesDir(i), "words.lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { lock.Close() })
 	p.eventually("the lock is free", func() bool { return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil })
@@ -165,7 +165,7 @@
 func TestFleetStateDiskOldCopy(t *testing.T) {
 	p := newPartyOf(t, 4, storePlan)
 	host := p.World().Members()[1].ID
-	dir := p.WordsDir(1)
+	dir := p.OverridesDir(1)
 	p.word(0, host, "suspend")
 	p.eventually("its disk has it", func() bool { return p.figure(1, "fleet_words.saved") > 0 })
 	old, err := os.ReadFile(filepath.Join(dir, "words"))
@@ -185,7 +185,7 @@
 	p := newPartyOf(t, 4, storePlan)
 	host := p.World().Members()[1].ID
 	p.word(0, host, "suspend")
-	file := func(i int) string { return filepath.Join(p.WordsDir(i), "words") }
+	file := func(i int) string { return filepath.Join(p.OverridesDir(i), "words") }
 	for i := range 4 {
 		p.eventually("each disk has it", func() bool { return p.figure(i, "fleet_words.saved") > 0 })
 	}
@@ -228,7 +228,7 @@
 	for i := range 4 {
 		for j := range 4 {
 			if i != j {
-				p.Mesh().Set(i, j, plan.Link{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2})
+				p.Mesh().SetLink(i, j, plan.Link{Loss: 0.2, Duplicate: 0.2, Reorder: 0.2})
 			}
 		}
 	}
@@ -259,9 +259,9 @@
 	p := newPartyOf(t, 4, storePlan)
 	p.restart(func() {
 		for i := range 4 {
-			require.NoError(t, os.RemoveAll(p.WordsDir(i)))
+			require.NoError(t, os.RemoveAll(p.OverridesDir(i)))
 		}
-		store, _, err := wordstore.Open(wordstore.Options{Dir: p.WordsDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
+		store, _, err := wordstore.Open(wordstore.Options{Dir: p.OverridesDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
 		require.NoError(t, err)
 		saved := make(chan error, 1)
 		store.Save(words, func(err error) { saved <- err })
--- a/cmd/lilaccove/versions_test.go
+++ b/cmd/lilaccove/versions_test.go
@@ -17,7 +17,7 @@
 	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
 	p.straggle(0)
 	known := p.figure(0, "known_databases")
-	require.NoError(t, p.World().Grow(0))
+	require.NoError(t, p.World().AddReplica(0))
 	for i := 1; i < 4; i++ {
 		p.eventually("the others hear of it", func() bool { return p.figure(i, "known_databases") == known+1 })
 	}
--- a/cmd/lilaccove/watch_test.go
+++ b/cmd/lilaccove/watch_test.go
@@ -197,7 +197,7 @@
 			})
 			<-silent
 			s.meet(s.client())
-			s.a.Tell("terminating", time.Time{})
+			s.a.Announce("terminating", time.Time{})
 			at := s.asked(d, begun)
 			assert.Less(t, at.Sub(begun), binds-500*time.Millisecond, "time is left for the answer")
 			s.drains(at.Add(500 * time.Millisecond))
@@ -231,7 +231,7 @@
 			s.meet(s.client()) // the known list serves meanwhile
 			s.asked(d, time.Time{})
 			time.Sleep(3 * time.Second) // the fault lasts
-			s.a.Tell("terminating", time.Time{})
+			s.a.Announce("terminating", time.Time{})
 			d.answers(tells(s.world, false))
 			back := time.Now()
 			at := s.asked(d, back)
@@ -253,7 +253,7 @@
 	begun := time.Now()
 	s.hup()
 	at := s.asked(next, begun)
-	s.a.Tell("terminating", time.Time{})
+	s.a.Announce("terminating", time.Time{})
 	next.answers(tells(s.world, false))
 	at = s.asked(next, at)
 	assert.Less(t, at.Sub(begun), 4*time.Second, "a change binds 4 s after SIGHUP")
@@ -265,7 +265,7 @@
 	t.Parallel()
 	var d *lines
 	s := newSite(t, func(s *site) {
-		s.a.Tell("terminating", time.Time{})
+		s.a.Announce("terminating", time.Time{})
 		d = s.listing(nil)
 		d.answers(tells(s.world, true))
 	})
@@ -281,15 +281,15 @@
 	var d *lines
 	older := make(chan struct{})
 	s := newSite(t, func(s *site) {
-		s.a.Tell("terminating", time.Time{})
+		s.a.Announce("terminating", time.Time{})
 		list := strings.Replace(string(s.world.List()), `"seq":2`, `"seq":50`, 1)
 		d = s.listing(func(c net.Conn, call int) {
 			if call == 1 {
 				_, _ = fmt.Fprintf(c, "%s%s\n", head, list)
 				<-older
-				s.a.Tell("in_service", time.Time{})
+				s.a.Announce("in_service", time.Time{})
 				back := strings.Replace(string(s.world.List()), `"whole":true`, `"whole":false`, 1)
-				s.a.Tell("terminating", time.Time{})
+				s.a.Announce("terminating", time.Time{})
 				_, _ = fmt.Fprintf(c, "%s\n", back)
 				hold(c)
 			}
--- a/cmd/lilaccove/words_test.go
+++ b/cmd/lilaccove/words_test.go
@@ -48,11 +48,11 @@
 func (p *party) begunBy(host *standin.Host) int {
 	p.t.Helper()
 	p.eventually("what was under way is over", func() bool {
-		before, reads := host.Begun(), p.World().Counts().Reads
+		before, reads := host.StatementCount(), p.World().Counts().Reads
 		p.eventually("reads go on elsewhere", func() bool { return p.World().Counts().Reads > reads+30 })
-		return host.Begun() == before
+		return host.StatementCount() == before
 	})
-	return host.Begun()
+	return host.StatementCount()
 }
 
 // A word told to one gateway binds all. One that is killed and returns without a memory knows it before it takes clients:
@@ -60,7 +60,7 @@
 func TestFleetStateSuspension(t *testing.T) {
 	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
 	host := p.World().Members()[0] // a primary: who does not know better uses it first
-	p.eventually("it is in use", func() bool { return host.Begun() > 20 })
+	p.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	p.word(2, host.ID, "suspend")
 	p.left(1, p.all()...)
 	require.Equal(t, p.state(0).Digest, p.state(3).Digest)
@@ -68,20 +68,20 @@
 	for _, i := range []int{2, 0} {
 		p.Node(i).Kill()
 		for j := range 4 { // what others know is long on its way
-			p.Mesh().Set(i, j, plan.Link{Delay: 200 * time.Millisecond})
-			p.Mesh().Set(j, i, plan.Link{Delay: 200 * time.Millisecond})
+			p.Mesh().SetLink(i, j, plan.Link{Delay: 200 * time.Millisecond})
+			p.Mesh().SetLink(j, i, plan.Link{Delay: 200 * time.Millisecond})
 		}
 		_, err := p.Start(i)
 		require.NoError(t, err)
-		p.eventually("it is back in the front", func() bool { return p.Front().Admitted() == 4 && p.state(i).Synced })
+		p.eventually("it is back in the front", func() bool { return p.Balancer().Admitted() == 4 && p.state(i).Synced })
 		reads := p.World().Counts().Reads
 		p.eventually("reads go on", func() bool { return p.World().Counts().Reads > reads+200 })
 	}
 	p.left(1, p.all()...)
-	assert.Equal(t, begun, host.Begun(), "a gateway that returned used it")
+	assert.Equal(t, begun, host.StatementCount(), "a gateway that returned used it")
 	p.word(1, host.ID, "resume")
 	p.left(0, p.all()...)
-	p.eventually("it is in use again", func() bool { return host.Begun() > begun })
+	p.eventually("it is in use again", func() bool { return host.StatementCount() > begun })
 	_, err := p.Node(1).Call("PUT", "/v1/fleet/databases/nobody/suspend")
 	assert.ErrorContains(t, err, "404")
 	p.judge(0.7)
@@ -92,26 +92,26 @@
 func TestFleetStateTwoReturnAtOnce(t *testing.T) {
 	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
 	host := p.World().Members()[0]
-	p.eventually("it is in use", func() bool { return host.Begun() > 20 })
+	p.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	p.word(0, host.ID, "suspend")
 	p.left(1, p.all()...)
 	begun := p.begunBy(host)
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
-			p.Mesh().Set(i, j, plan.Link{Delay: 200 * time.Millisecond})
-			p.Mesh().Set(j, i, plan.Link{Delay: 200 * time.Millisecond})
+			p.Mesh().SetLink(i, j, plan.Link{Delay: 200 * time.Millisecond})
+			p.Mesh().SetLink(j, i, plan.Link{Delay: 200 * time.Millisecond})
 		}
 	}
 	for range 2 {
 		p.restart(nil, 2, 3)
 		p.eventually("both are back in the front", func() bool {
-			return p.Front().Admitted() == 4 && p.state(2).Synced && p.state(3).Synced
+			return p.Balancer().Admitted() == 4 && p.state(2).Synced && p.state(3).Synced
 		})
 		reads := p.World().Counts().Reads
 		p.eventually("reads go on", func() bool { return p.World().Counts().Reads > reads+200 })
 		p.left(1, p.all()...)
 	}
-	assert.Equal(t, begun, host.Begun(), "a gateway that returned used it")
+	assert.Equal(t, begun, host.StatementCount(), "a gateway that returned used it")
 	p.judge(0.6)
 }
 
@@ -172,17 +172,17 @@
 	passed := p.figure(2, "passed.browse")
 	p.eventually("it cannot know yet", func() bool { return p.figure(2, "passed.browse") > passed+10 })
 	p.Mesh().Partition(sides, false)
-	p.eventually("it obeys", func() bool { return drained() && p.Front().Admitted() == 3 })
+	p.eventually("it obeys", func() bool { return drained() && p.Balancer().Admitted() == 3 })
 	p.restart(nil, 2)
 	p.eventually("it obeys after a restart", func() bool { return drained() && p.state(2).Synced })
 	_, err := p.Node(2).Call("PUT", "/v1/gateway/activate")
 	require.NoError(t, err)
 	p.agree(3, 0, 1, 3)
 	assert.True(t, drained())
-	assert.Equal(t, 3, p.Front().Admitted())
+	assert.Equal(t, 3, p.Balancer().Admitted())
 	assert.Zero(t, p.figure(2, "passed.browse"))
 	say(1, "activate")
-	p.eventually("it works again", func() bool { return p.Front().Admitted() == 4 && p.figure(2, "passed.browse") > 0 })
+	p.eventually("it works again", func() bool { return p.Balancer().Admitted() == 4 && p.figure(2, "passed.browse") > 0 })
 	p.agree(4, p.all()...)
 	_, err = p.Node(0).Call("PUT", "/v1/fleet/gateways/nobody/drain")
 	assert.ErrorContains(t, err, "404")
--- a/cmd/lilacload/main.go
+++ b/cmd/lilacload/main.go
@@ -59,13 +59,13 @@
 	if text, err = os.ReadFile(f.trace); err != nil {
 		return nil, nil, err
 	}
-	list, err := plan.Trace(p, f.trace, text, f.speed, f.rate)
+	list, err := plan.ParseTrace(p, f.trace, text, f.speed, f.rate)
 	return p, list, err
 }
 
 // finish writes a report out and tells by its error what the exit status says.
 func (f *flags) finish(r *run.Report) error {
-	if err := r.Text(os.Stdout); err != nil {
+	if err := r.WriteText(os.Stdout); err != nil {
 		return err
 	}
 	if f.json != "" {
@@ -78,7 +78,7 @@
 		}
 	}
 	if f.plots != "" {
-		if err := r.Plots(f.plots); err != nil {
+		if err := r.WritePlots(f.plots); err != nil {
 			return err
 		}
 	}
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d arrivals in %v, %d classes, %d stages, %d events\n", len(list), p.Length(), len(p.Classes), len(p.Stages), len(p.Events))
+		fmt.Fprintf(c.OutOrStdout(), "%d arrivals in %v, %d classes, %d stages, %d events\n", len(list), p.Duration(), len(p.Classes), len(p.Stages), len(p.Events))
 		return nil
 	}
 	var rec flags
@@ -137,7 +137,7 @@
 			ctx, cancel := interruptible()
 			defer cancel()
 			recorder := run.NewRecorder(p)
-			r := &run.Runner{Plan: p, Arrivals: list, Targets: targets, Sample: recorder.Add}
+			r := &run.Runner{Plan: p, Arrivals: list, Targets: targets, OnSample: recorder.Add}
 			sent, err := r.Play(ctx)
 			if err != nil {
 				return err
--- a/cmd/lilacload/soak.go
+++ b/cmd/lilacload/soak.go
@@ -26,11 +26,11 @@
 	f := c.Flags()
 	f.IntVar(&opt.Gateways, "gateways", 24, "gateways")
 	f.IntVar(&opt.Databases, "databases", 36, "databases, in groups of four")
-	f.DurationVar(&opt.For, "for", 60*time.Second, "how long load is sent")
+	f.DurationVar(&opt.Duration, "for", 60*time.Second, "how long load is sent")
 	f.Uint64Var(&opt.Seed, "seed", 1, "what all is drawn from; a multiple of three has lists pushed")
-	f.IntSliceVar(&opt.Only, "only", nil, "play only these of the troubles drawn, to shrink a schedule that fails")
+	f.IntSliceVar(&opt.OnlyFaults, "only", nil, "play only these of the troubles drawn, to shrink a schedule that fails")
 	f.StringVar(&opt.Program, "gateway", "bin/lilaccove", "the gateway's program")
-	f.StringVar(&opt.Faulty, "faulty", "", "the gateway's program built with -tags faults; without it no system calls fail")
+	f.StringVar(&opt.FaultyProgram, "faulty", "", "the gateway's program built with -tags faults; without it no system calls fail")
 	f.StringVar(&faults, "faults", "", "the file that names the troubles which may be drawn")
 	f.StringVar(&report, "json", "", "write the report to this file as well")
 	f.StringVar(&logs, "logs", "", "keep what the gateways say in this file")
@@ -79,7 +79,7 @@
 	if err := yaml.Unmarshal(text, &file); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	opt.Troubles = file.Troubles
+	opt.FaultNames = file.Troubles
 	return nil
 }
 
@@ -87,9 +87,9 @@
 func tellSoak(out io.Writer, r *soak.Report, opt soak.Options) error {
 	q := r.Requests
 	fmt.Fprintf(out, "seed %d: %d gateways, %d troubles, %d overlaps, %d restarts, ready in %.2f s (p90), %d processes, %d MB\n",
-		r.Seed, r.Gateways, len(r.Troubles), r.Overlaps, r.Restarts, r.ReadyS.P90, r.ProcessesMax, r.MemoryMBMax)
+		r.Seed, r.Gateways, len(r.Faults), r.Overlaps, r.Restarts, r.ReadySeconds.P90, r.ProcessesMax, r.MemoryMBMax)
 	fmt.Fprintf(out, "requests: %d sent, %d served, %d refused, %d failed, %d unanswered, %d lost, %d crossed a close, %d not sent\n",
-		q.Sent, q.Served, q.Refused, q.Failed, q.Unanswered, q.Lost, q.Crossed, q.Unsent)
+		q.Sent, q.Served, q.Refused, q.Failed, q.Unanswered, q.Lost, q.CrossedClose, q.Unsent)
 	for name, n := range r.Violations {
 		fmt.Fprintf(out, "VIOLATED %s: %d from outside, %d from inside\n", name, n.Outside, n.Inside)
 	}
@@ -98,11 +98,11 @@
 	}
 	err := r.Err()
 	if err != nil {
-		for _, t := range r.Troubles {
-			fmt.Fprintf(out, "  %3d %6.2f s %5.2f s %s %v\n", t.Number, t.At.Seconds(), t.For.Seconds(), t.Name, t.Gateways)
+		for _, t := range r.Faults {
+			fmt.Fprintf(out, "  %3d %6.2f s %5.2f s %s %v\n", t.Number, t.At.Seconds(), t.Duration.Seconds(), t.Name, t.Gateways)
 		}
 		fmt.Fprintf(out, "again: lilacload soak --gateways %d --databases %d --for %v --seed %d\nless: add --only with some of the numbers above\n",
-			opt.Gateways, opt.Databases, opt.For, opt.Seed)
+			opt.Gateways, opt.Databases, opt.Duration, opt.Seed)
 	}
 	return err
 }
--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -52,7 +52,7 @@
 func Open(opt Options) (*Writer, error) {
 	w := &Writer{opt: opt, lines: make(chan []byte, queueSize), done: make(chan struct{})}
 	if err := w.open(); err != nil {
-		if !sys.Passing(err) {
+		if !sys.IsTransient(err) {
 			return nil, err
 		}
 		log.Printf("event=audit_file_failed lost=0 err=%q", err)
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -92,7 +92,7 @@
 // awaitLateAnswer closes the write side, which signals to the database that the attempt was given up, and reads what is in
 // flight. That answer counts as known, and it may be the only one to show that the host is no longer the primary.
 func (c *conn) awaitLateAnswer(job *job) {
-	if job.attempt == nil || c.answer.streamed || c.pool.loop.Spare() <= c.pool.options.Reserve {
+	if job.attempt == nil || c.answer.streamed || c.pool.loop.SpareDescriptors() <= c.pool.options.Reserve {
 		c.discard()
 		return
 	}
@@ -135,13 +135,13 @@
 // the buffers into which it was read.
 func (c *conn) writeStatement(statement *pgwire.Statement, remaining time.Duration) {
 	digits := pgwire.AppendMillis(c.answer.timeoutBuffer[:0], remaining.Milliseconds())
-	before, after := statement.Head.Around(statement.Text)
-	head := pgwire.QueryHead(statement.Length() - len(statement.Text) + len(before) + len(digits) + len(after) + 1)
-	if len(statement.More) == 0 {
+	before, after := statement.Head.SplitAtDeadline(statement.Text)
+	head := pgwire.QueryHeader(statement.Length() - len(statement.Text) + len(before) + len(digits) + len(after) + 1)
+	if len(statement.Rest) == 0 {
 		c.nc.Write(head[:], before, digits, after, nulByte)
 	} else {
 		c.nc.Write(head[:], before, digits, after)
-		c.unwritten = append(slices.Clone(statement.More), nulByte)
+		c.unwritten = append(slices.Clone(statement.Rest), nulByte)
 	}
 	c.flushed()
 }
@@ -213,7 +213,7 @@
 
 // beginStream starts to stream a row that is too large to buffer; it returns false if there is none.
 func (c *conn) beginStream() bool {
-	n := pgwire.LargeRow(c.nc.Input())
+	n := pgwire.LargeRowLength(c.nc.Input())
 	if n == 0 || c.job == nil || c.job.attempt == nil {
 		return false
 	}
@@ -225,7 +225,7 @@
 	job.timer.Stop()
 	c.rowRemaining, c.lastRead = n, c.pool.loop.Now()
 	c.answer.kinds, c.answer.streamed = append(c.answer.kinds, pgwire.DataRow), true
-	c.nc.Widen(streamReadBytes)
+	c.nc.SetMinBuffer(streamReadBytes)
 	c.watchStream()
 	c.forward(c.answer.value)
 	return true
@@ -287,7 +287,7 @@
 		return a.complete()
 	case a.complete():
 		return false
-	case kind == pgwire.ErrorMsg:
+	case kind == pgwire.ErrorResponse:
 		return true
 	}
 	return kind == answerKinds[len(a.kinds)]
@@ -300,7 +300,7 @@
 	a := &c.answer
 	switch kind {
 	case pgwire.ParameterStatus:
-		if name, value, err := pgwire.Pair(body); err == nil {
+		if name, value, err := pgwire.ParseParameterStatus(body); err == nil {
 			a.setParameter(name, value)
 		}
 	case pgwire.RowDescription, pgwire.DataRow, pgwire.CommandComplete:
@@ -312,11 +312,11 @@
 		} else if c.job.attempt != nil {
 			a.value = append(a.value, raw...)
 		} else if kind == pgwire.DataRow {
-			column, _ := pgwire.Column(body)
+			column, _ := pgwire.ParseSingleColumn(body)
 			a.probeColumn = bytes.Clone(column)
 		}
-	case pgwire.ErrorMsg:
-		a.errorCode, a.errorText = string(pgwire.ErrorCode(body)), string(pgwire.ErrorText(body))
+	case pgwire.ErrorResponse:
+		a.errorCode, a.errorText = string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))
 	}
 }
 
@@ -397,7 +397,7 @@
 		c.host.dialing = remove(c.host.dialing, c)
 	} else {
 		c.job = nil
-		c.nc.Widen(0)
+		c.nc.SetMinBuffer(0)
 		c.resolve(job)
 	}
 	switch {
@@ -426,7 +426,7 @@
 	switch a.errorCode {
 	case "":
 		return policy.OK
-	case pgwire.CodeReadOnly, pgwire.CodeTooFarBehind:
+	case pgwire.CodeReadOnly, pgwire.CodeReplicaTooStale:
 		return policy.Miss
 	case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
 		return policy.AtCapacity
--- a/internal/backend/moved_test.go
+++ b/internal/backend/moved_test.go
@@ -42,7 +42,7 @@
 func (p *fakeDatabase) serve(conn net.Conn) {
 	defer conn.Close()
 	<-p.greet
-	_, _ = conn.Write(pgwire.AppendWelcome(nil, 0))
+	_, _ = conn.Write(pgwire.AppendStartupReply(nil, 0))
 	in := bufio.NewReader(conn)
 	_, _ = io.CopyN(io.Discard, in, int64(len(pgwire.Startup("api", "ledger"))))
 	for {
--- a/internal/backend/pause_test.go
+++ b/internal/backend/pause_test.go
@@ -44,7 +44,7 @@
 			return
 		}
 		defer conn.Close()
-		_, _ = conn.Write(pgwire.AppendWelcome(nil, 0))
+		_, _ = conn.Write(pgwire.AppendStartupReply(nil, 0))
 		in := bufio.NewReader(conn)
 		_, _ = in.ReadString('*')
 		head, _ := in.ReadString('*')
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -47,9 +47,9 @@
 
 const (
 	budgetInterval       = 100 * time.Millisecond
-	maxInputBytes        = pgwire.MostValue + 4096 // the largest buffered message with its header
-	streamReadBytes      = 32 << 10                // read size for a streamed message
-	streamSilenceTimeout = 5 * time.Second         // between two reads of a streamed message
+	maxInputBytes        = pgwire.MaxBufferedValue + 4096 // the largest buffered message with its header
+	streamReadBytes      = 32 << 10                       // read size for a streamed message
+	streamSilenceTimeout = 5 * time.Second                // between two reads of a streamed message
 )
 
 // Pool manages all connections to databases.
@@ -59,8 +59,8 @@
 	options          Options
 	hosts            map[policy.HostID]*host
 	startup          []byte
-	shortageLog      netloop.Sparse
-	invalidAnswerLog netloop.Sparse
+	shortageLog      netloop.RateLimitedLog
+	invalidAnswerLog netloop.RateLimitedLog
 }
 
 // host is one database with its connections and the jobs that wait for one.
@@ -301,7 +301,7 @@
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
 		h.idle = h.idle[:n-1]
-		if c.nc.Silent() {
+		if c.nc.NoInputPending() {
 			c.start(job)
 			return
 		}
@@ -319,9 +319,9 @@
 // startWaitTimer gives up on a job if no connection becomes available within limit. Pauses of this process do not count, and if
 // a pause used up the job's time, or descriptors ran short, the job ends as NotSent: the host is not at fault.
 func (p *Pool) startWaitTimer(job *job, limit time.Duration) {
-	pausedBefore, startedAt := p.loop.Lost(), p.loop.Now()
+	pausedBefore, startedAt := p.loop.StallTime(), p.loop.Now()
 	job.timer = p.loop.At(min(job.beginBy, p.loop.Now()+limit), func() {
-		outcome, paused := policy.ConnectFailed, p.loop.Lost()-pausedBefore
+		outcome, paused := policy.ConnectFailed, p.loop.StallTime()-pausedBefore
 		switch {
 		case job.beginBy < job.deadline && p.loop.Now() >= job.beginBy:
 			outcome = policy.NotSent // the time to begin a retry is over
@@ -349,14 +349,14 @@
 		p.reportDemand(h)
 		return
 	}
-	if p.loop.Spare() <= p.options.Reserve && !p.CloseOldestIdle() {
-		p.shortageLog.Printf(p.loop.Now(), "event=no_descriptor host=%s spare=%d", h.id, p.loop.Spare())
+	if p.loop.SpareDescriptors() <= p.options.Reserve && !p.CloseOldestIdle() {
+		p.shortageLog.Printf(p.loop.Now(), "event=no_descriptor host=%s spare=%d", h.id, p.loop.SpareDescriptors())
 		p.retrySoon(h)
 		return
 	}
 	c := &conn{pool: p, host: h, addr: h.addr}
 	nc, err := p.loop.Dial(h.addr, c, maxInputBytes)
-	if netloop.Wanting(err) {
+	if netloop.IsResourceShortage(err) {
 		p.shortageLog.Printf(p.loop.Now(), "event=no_socket host=%s err=%q", h.id, err)
 		p.retrySoon(h)
 		return
@@ -368,7 +368,7 @@
 	c.nc = nc
 	h.dialing = append(h.dialing, c)
 	h.open++
-	c.timer = p.loop.Within(p.options.DialTimeout, c.dialTimedOut)
+	c.timer = p.loop.AfterRunTime(p.options.DialTimeout, c.dialTimedOut)
 }
 
 // retrySoon schedules another attempt to dial after a shortage of descriptors or sockets, which is this machine's own and not the
@@ -411,7 +411,7 @@
 	c.host.quarantined = append(c.host.quarantined, c)
 	c.timer = p.loop.At(p.loop.Now()+quarantineTime, func() {
 		c.host.quarantined = remove(c.host.quarantined, c)
-		if c.nc.Silent() {
+		if c.nc.NoInputPending() {
 			p.release(c)
 		} else {
 			c.discard()
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -59,7 +59,7 @@
 					if err != nil {
 						return
 					}
-					_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
+					_, _ = c.Write(pgwire.AppendStartupReply(nil, 0))
 					conns <- c.(*net.TCPConn)
 					go func() {
 						in := bufio.NewReader(c)
@@ -95,7 +95,7 @@
 					assert.Same(t, old, <-queries)
 					fail(old)
 					nc := pool.hosts["h"].idle[0].nc
-					require.Eventually(t, func() bool { return !nc.Silent() }, 5*time.Second, time.Millisecond, "the end or the bytes have arrived")
+					require.Eventually(t, func() bool { return !nc.NoInputPending() }, 5*time.Second, time.Millisecond, "the end or the bytes have arrived")
 					send()
 				}
 				return false
@@ -136,7 +136,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = c1.Write(pgwire.AppendWelcome(nil, 0))
+				_, _ = c1.Write(pgwire.AppendStartupReply(nil, 0))
 				_, _ = io.CopyN(io.Discard, c1, int64(len(pgwire.Startup("api", "ledger"))))
 				all, _ := io.ReadAll(c1) // until the write side is closed
 				rest <- all
@@ -169,7 +169,7 @@
 			go func() {
 				c, err := ln.Accept()
 				if err == nil {
-					_, _ = c.Write(pgwire.AppendWelcome(nil, 0))
+					_, _ = c.Write(pgwire.AppendStartupReply(nil, 0))
 					time.Sleep(5 * time.Second)
 				}
 			}()
--- a/internal/backend/ready_test.go
+++ b/internal/backend/ready_test.go
@@ -33,7 +33,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = db.Write(pgwire.AppendWelcome(nil, 0))
+				_, _ = db.Write(pgwire.AppendStartupReply(nil, 0))
 				_, _ = io.CopyN(io.Discard, db, int64(len(pgwire.Startup("api", "ledger")))+10)
 				_, _ = io.WriteString(db, c.says)
 				_, _ = io.Copy(io.Discard, db)
--- a/internal/calibrate/calibrate.go
+++ b/internal/calibrate/calibrate.go
@@ -371,7 +371,7 @@
 		return s, err
 	}
 	figures := stats.Parse(text)
-	s.at, s.roles = time.Now(), stats.Roles(figures)
+	s.at, s.roles = time.Now(), stats.TrafficByRole(figures)
 	s.learned, s.heard = figures["fleet_positions.learned"], figures["fleet_positions.heard"]
 	for name, n := range figures {
 		if strings.HasPrefix(name, "upstream_tries.") {
@@ -383,7 +383,7 @@
 		return s, err
 	}
 	s.cpu, s.monitor = all-monitor, monitor
-	s.memory = lab.Resident(n.Pid()) / (1 << 20)
+	s.memory = lab.ResidentMemory(n.Pid()) / (1 << 20)
 	return s, nil
 }
 
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -23,7 +23,7 @@
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"`
 	Limits     Limits          `json:"limits"`
-	Known      json.RawMessage `json:"known"`
+	CachedList json.RawMessage `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
 
@@ -42,7 +42,7 @@
 // Load reads the configuration at the start; the plain variables go before what it says.
 func Load(env func(string) string) (Config, error) {
 	var cfg Config
-	if err := sys.AtStart(func() error { return read(env, &cfg) }); err != nil {
+	if err := sys.RetryAtStart(func() error { return read(env, &cfg) }); err != nil {
 		return cfg, err
 	}
 	for name, to := range map[string]*string{
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("fleet file %s: the settings forbid that gateways talk to each other (Allowed.Peers is not true); start without the file", path)
 	}
 	var text []byte
-	err := sys.AtStart(func() (err error) {
+	err := sys.RetryAtStart(func() (err error) {
 		text, err = sys.ReadFile(path)
 		return err
 	})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,14 +23,14 @@
 
 // Side is the control side of one gateway. Everything runs on the loop's goroutine. Use New, then Connect, then Join.
 type Side struct {
-	Loop   *netloop.Loop
-	Core   *gateway.Gateway
-	Watch  *discovery.Client
-	Counts *stats.Counters
-	Guard  *invariant.Guard
-	Ask    netip.AddrPort      // where discovery was told to be
-	Links  *peer.Links         // to the fleet; nil: without a fleet file
-	Spans  *peer.AuditRecorder // what was done; only with links
+	Loop          *netloop.Loop
+	Core          *gateway.Gateway
+	Watch         *discovery.Client
+	Counts        *stats.Counters
+	Guard         *invariant.Guard
+	DiscoveryAddr netip.AddrPort      // where discovery was told to be
+	Links         *peer.Links         // to the fleet; nil: without a fleet file
+	Audit         *peer.AuditRecorder // what was done; only with links
 
 	cfg       Config
 	set       settings.Settings
@@ -41,7 +41,7 @@
 	positions *peer.Positions
 	primaries *peer.Positions
 	subsets   *subsets
-	broken    netloop.Sparse
+	broken    netloop.RateLimitedLog
 }
 
 // violationLines are in the log in a second at most; the figures count all.
@@ -50,7 +50,7 @@
 // violated logs what must never be.
 func (s *Side) violated(v invariant.Violation) {
 	s.broken.Printf(s.Loop.Now(), "event=violation name=%s request=%q client=%d database=%s list=%d transition=%s by_ms=%d",
-		v.Name, v.Request, v.Client, v.Database, s.Watch.Seq(), v.Transition, v.Excess.Milliseconds())
+		v.Name, v.Request, v.Client, v.Database, s.Watch.ListVersion(), v.Transition, v.Excess.Milliseconds())
 }
 
 // New makes one by a configuration, its settings as they were read, and a fleet file; nil: in no fleet.
@@ -63,8 +63,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Side{Loop: loop, Ask: ask, Counts: stats.New(set.Classes), cfg: cfg, set: set, party: party, alone: map[string]bool{},
-		broken: netloop.Sparse{Most: violationLines}}
+	s := &Side{Loop: loop, DiscoveryAddr: ask, Counts: stats.New(set.Classes), cfg: cfg, set: set, party: party, alone: map[string]bool{},
+		broken: netloop.RateLimitedLog{MaxPerSecond: violationLines}}
 	s.Core = gateway.New(loop, router, set.MaxOpen, s.Counts)
 	s.Watch = discovery.New(loop, s.Core, ask, set.Zones)
 	s.Guard = invariant.New(set.Policy, s.violated)
@@ -75,7 +75,7 @@
 	if s.Links, err = peer.New(loop, cfg.Name, zone(set), party, loop.Now()); err != nil {
 		return nil, err
 	}
-	if s.Spans, err = s.Links.StartAudit(func(class int) bool { return set.Policy.Classes[class].Level == policy.Write }); err != nil {
+	if s.Audit, err = s.Links.StartAudit(func(class int) bool { return set.Policy.Classes[class].Level == policy.Write }); err != nil {
 		s.Links.Close()
 		return nil, fmt.Errorf("audit file: %w", err)
 	}
@@ -93,7 +93,7 @@
 // Connect sets what the gateway reaches databases by, and has it know the list from before its start.
 func (s *Side) Connect(b gateway.Backends) {
 	s.Core.Connect(b, s.Watch)
-	if err := s.Watch.Known(s.cfg.Known); err != nil {
+	if err := s.Watch.LoadCachedList(s.cfg.CachedList); err != nil {
 		log.Printf("event=bad_known err=%q", err) // discovery has a newer one
 	}
 }
@@ -106,13 +106,13 @@
 	}
 	s.drain = drain
 	core, links := s.Core, s.Links
-	core.SetObserver(s.Spans)
-	s.Spans.SetList(core.Hosts())
-	s.changed = append(s.changed, func() { s.Spans.SetList(core.Hosts()) })
+	core.SetObserver(s.Audit)
+	s.Audit.SetList(core.Hosts())
+	s.changed = append(s.changed, func() { s.Audit.SetList(core.Hosts()) })
 	links.OnOverride(s.word)
 	links.OnFence(core.Fence)
 	links.ShareVersions(peer.LocalVersions{
-		ListVersion: s.Watch.Seq, RequestList: s.Watch.Renew, ConfigDigest: sameSettings(s.cfg.Settings), FleetFileDigest: digest(s.party.Common()), Build: build(),
+		ListVersion: s.Watch.ListVersion, RequestList: s.Watch.Resubscribe, ConfigDigest: sameSettings(s.cfg.Settings), FleetFileDigest: digest(s.party.Common()), Build: build(),
 	})
 	if s.party.RetryBudget > 0 {
 		core.FleetEvent(policy.RetryBudget{Share: s.party.RetryBudget})
@@ -125,12 +125,12 @@
 	}
 	if s.party.Positions {
 		s.positions = links.SharePositions(core.InList, core.Hosts, core.FleetEvent)
-		core.OnPosition(s.Position)
+		core.OnPosition(s.ObservePosition)
 		s.changed = append(s.changed, s.positions.ListChanged)
 	}
 	if s.party.Primaries {
 		s.primaries = links.SharePrimaries(core.InList, core.Hosts, core.FleetEvent)
-		core.OnPrimary(s.Primary)
+		core.OnPrimary(s.ObservePrimary)
 		s.changed = append(s.changed, s.primaries.ListChanged)
 	}
 	core.OnList(func() {
@@ -140,15 +140,15 @@
 	})
 }
 
-// Position takes in how far a database says that it has come.
-func (s *Side) Position(host policy.HostID, at time.Duration) {
+// ObservePosition takes in how far a database says that it has come.
+func (s *Side) ObservePosition(host policy.HostID, at time.Duration) {
 	if s.positions != nil {
 		s.positions.Observe(host, at-s.set.Policy.PositionGranularity) // a write's position is rounded up
 	}
 }
 
-// Primary takes in that a database has answered as primary, and when it was asked.
-func (s *Side) Primary(host policy.HostID, at time.Duration) {
+// ObservePrimary takes in that a database has answered as primary, and when it was asked.
+func (s *Side) ObservePrimary(host policy.HostID, at time.Duration) {
 	if s.primaries != nil {
 		s.primaries.Observe(host, at)
 	}
@@ -162,8 +162,8 @@
 	return s.positions.Ages()
 }
 
-// PositionNews is how many positions were news so far, from databases and from other gateways.
-func (s *Side) PositionNews() (learned, heard uint64) {
+// PositionUpdates is how many positions were news so far, from databases and from other gateways.
+func (s *Side) PositionUpdates() (learned, heard uint64) {
 	if s.positions == nil {
 		return 0, 0
 	}
@@ -189,7 +189,7 @@
 // Close ends the records and writes what is not on the disk yet.
 func (s *Side) Close() {
 	if s.Links != nil {
-		s.Spans.Close()
+		s.Audit.Close()
 		s.Links.Close()
 	}
 }
@@ -213,8 +213,8 @@
 	return s.Watch.Traffic().Append(s.Links.Metrics(b), "discovery")
 }
 
-// Alone notes a word on a database to this gateway alone; it tells what holds: the fleet's word leaves it out as well.
-func (s *Side) Alone(id string, out bool) bool {
+// SetLocalOverride notes a word on a database to this gateway alone; it tells what holds: the fleet's word leaves it out as well.
+func (s *Side) SetLocalOverride(id string, out bool) bool {
 	if s.Links == nil {
 		return out
 	}
@@ -224,8 +224,8 @@
 	return out || s.Links.OverrideActive(id)
 }
 
-// LeftOut tells whether a word to this gateway alone leaves a database out.
-func (s *Side) LeftOut(id string) bool { return s.alone[id] }
+// LocalOverrideActive tells whether a word to this gateway alone leaves a database out.
+func (s *Side) LocalOverrideActive(id string) bool { return s.alone[id] }
 
 // word does what operators told the whole fleet. It binds at once, also of a database that the list does not name yet.
 func (s *Side) word(id string, out bool) {
@@ -235,7 +235,7 @@
 		}
 		return
 	}
-	s.Spans.Override(id, out)
+	s.Audit.Override(id, out)
 	s.Core.SetSuspended(policy.HostID(id), out || s.alone[id])
 }
 
@@ -255,11 +255,11 @@
 	}
 	if err != nil {
 		log.Printf("event=reload_failed err=%q", err)
-		if sys.Passing(err) && s.Loop.Now() < late {
+		if sys.IsTransient(err) && s.Loop.Now() < late {
 			s.Loop.At(s.Loop.Now()+readPause, func() { s.reload(env, late) })
 		}
 		return
 	}
 	log.Printf("event=reloaded discovery=%s", ask)
-	s.Watch.Move(ask)
+	s.Watch.SetAddr(ask)
 }
--- a/internal/datapath/clients.go
+++ b/internal/datapath/clients.go
@@ -492,7 +492,7 @@
 		if kind, body, err = message(c.in); kind == pgwire.Ready {
 			break
 		}
-		if kind == pgwire.ErrorMsg {
+		if kind == pgwire.ErrorResponse {
 			err = said(body)
 		}
 	}
@@ -530,7 +530,7 @@
 }
 
 func said(body []byte) error {
-	return fmt.Errorf("%s %s", pgwire.ErrorCode(body), pgwire.ErrorText(body))
+	return fmt.Errorf("%s %s", pgwire.ErrorCode(body), pgwire.ErrorMessage(body))
 }
 
 // message reads one.
@@ -540,7 +540,7 @@
 		return 0, nil, err
 	}
 	n := int(binary.BigEndian.Uint32(h[1:])) - 4
-	if n < 0 || n > pgwire.MostAnswer+4096 {
+	if n < 0 || n > pgwire.MaxServerMessage+4096 {
 		return 0, nil, fmt.Errorf("a message of %d bytes", n)
 	}
 	body = make([]byte, n)
@@ -620,13 +620,13 @@
 		}
 		switch kind {
 		case pgwire.DataRow:
-			b, ok := pgwire.Column(body)
+			b, ok := pgwire.ParseSingleColumn(body)
 			if rows++; !ok {
 				rows += 2
 			}
 			value = string(b)
-		case pgwire.ErrorMsg:
-			no = &refusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorText(body))}
+		case pgwire.ErrorResponse:
+			no = &refusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))}
 		case pgwire.Ready:
 			_ = c.conn.SetDeadline(time.Time{})
 			switch {
--- a/internal/datapath/databases.go
+++ b/internal/datapath/databases.go
@@ -56,7 +56,7 @@
 	w      *standin.World
 	mu     sync.Mutex
 	began  time.Time
-	from   []standin.Open
+	from   []standin.DatabaseLoad
 	accept int
 	per    [][]int // by database: connections at each moment
 	total  []int
@@ -75,7 +75,7 @@
 		return err
 	}
 	w, err := standin.New(standin.Options{
-		Groups: set.Databases / set.GroupsOf, Members: set.GroupsOf, Rest: set.Databases % set.GroupsOf, Cores: set.Cores, Queue: set.Queue,
+		Groups: set.Databases / set.GroupsOf, Members: set.GroupsOf, LastGroupMembers: set.Databases % set.GroupsOf, Cores: set.Cores, Queue: set.Queue,
 		Service: set.Service, Exponential: true, Lag: set.Lag, Seed: set.Seed,
 	})
 	if err != nil {
@@ -111,7 +111,7 @@
 			err = say.Encode(struct{}{})
 		case "count":
 			n := 0
-			for _, o := range w.Open() {
+			for _, o := range w.DatabaseLoads() {
 				n += o.Connections
 			}
 			err = say.Encode(databaseReport{Connections: n, Counts: w.Counts()})
@@ -131,7 +131,7 @@
 func (b *books) begin() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.began, b.from, b.accept = time.Now(), b.w.Open(), b.w.Counts().Connections
+	b.began, b.from, b.accept = time.Now(), b.w.DatabaseLoads(), b.w.Counts().Connections
 	b.per, b.total = make([][]int, len(b.from)), nil
 }
 
@@ -148,7 +148,7 @@
 		b.mu.Lock()
 		if b.from != nil {
 			sum := 0
-			for i, o := range b.w.Open() {
+			for i, o := range b.w.DatabaseLoads() {
 				b.per[i] = append(b.per[i], o.Connections)
 				sum += o.Connections
 			}
@@ -161,7 +161,7 @@
 func (b *books) report() databaseReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.w.Open()
+	now := b.w.DatabaseLoads()
 	r := databaseReport{Counts: b.w.Counts(), Per: map[string]PerDatabase{}}
 	if b.from == nil {
 		return r
@@ -176,10 +176,10 @@
 	}
 	r.Mean = round(r.Mean, 1)
 	seconds := time.Since(b.began).Seconds()
-	for role, in := range map[string]func(standin.Open) bool{
-		"all":     func(standin.Open) bool { return true },
-		"primary": func(o standin.Open) bool { return o.Primary },
-		"replica": func(o standin.Open) bool { return !o.Primary },
+	for role, in := range map[string]func(standin.DatabaseLoad) bool{
+		"all":     func(standin.DatabaseLoad) bool { return true },
+		"primary": func(o standin.DatabaseLoad) bool { return o.Primary },
+		"replica": func(o standin.DatabaseLoad) bool { return !o.Primary },
 	} {
 		var p PerDatabase
 		var all []int
--- a/internal/datapath/datapath.go
+++ b/internal/datapath/datapath.go
@@ -273,7 +273,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	p := &plan.Plan{Seed: r.Seed, Classes: classes, Lab: plan.Lab{Gateways: 1, Told: r.Told}}
+	p := &plan.Plan{Seed: r.Seed, Classes: classes, Lab: plan.Lab{Gateways: 1, AnnouncedGateways: r.Told}}
 	config := lab.Config(p, "g1", at.Discovery, r.Seed, at.List)
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": r.MemoryMB, "sockets": r.Sockets}
 	allowed := config["settings"].(map[string]any)["Allowed"].(map[string]any)
@@ -302,18 +302,18 @@
 		r.gateway = nil
 		return err
 	}
-	event, err := r.gateway.Ready(startTime)
+	event, err := r.gateway.WaitStarted(startTime)
 	if err != nil {
 		return fmt.Errorf("the gateway %w", err)
 	}
 	r.started("gateway", r.gateway.Pid())
-	r.manage = lab.Field(event, "management")
-	if got := lab.Field(event, "sockets"); got != strconv.Itoa(r.Sockets) {
+	r.manage = lab.LogField(event, "management")
+	if got := lab.LogField(event, "sockets"); got != strconv.Itoa(r.Sockets) {
 		return fmt.Errorf("the gateway has %s descriptors, not %d", got, r.Sockets)
 	}
 	r.r.Gateway.Sockets, r.r.Gateway.MemoryMB, r.r.Gateway.ToldGateways = r.Sockets, r.MemoryMB, r.Told
 	set2 := clientSide{
-		Target: lab.Field(event, "listen"), Clients: r.Clients, Statements: r.Statements, Databases: r.Databases, GroupsOf: r.GroupsOf,
+		Target: lab.LogField(event, "listen"), Clients: r.Clients, Statements: r.Statements, Databases: r.Databases, GroupsOf: r.GroupsOf,
 		Classes: classes, Idle: r.Idle, Warm: r.Warm, For: r.For, Again: r.Again, Even: r.Even, Seed: r.Seed,
 	}
 	// What the gateway holds and does without a client.
@@ -343,7 +343,7 @@
 	}
 	_, event, _ := strings.Cut(line, " event=")
 	name, _, _ := strings.Cut(event, " ")
-	if reason := lab.Field(event, "reason"); reason != "" {
+	if reason := lab.LogField(event, "reason"); reason != "" {
 		name += " " + strings.Trim(reason, `"`)
 	}
 	r.events[name]++
@@ -491,7 +491,7 @@
 
 // figures are the gateway's own.
 func (r *run) figures() (map[string]uint64, error) {
-	text, err := lab.Ask("GET", r.manage, "/v1/metrics")
+	text, err := lab.CallManagement("GET", r.manage, "/v1/metrics")
 	return stats.Parse(text), err
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -60,12 +60,12 @@
 	told    bool          // this watch has brought an object
 	heard   bool          // some watch has
 	traffic stats.Traffic
-	failed  netloop.Sparse
+	failed  netloop.RateLimitedLog
 }
 
 // New makes a client that asks at addr. Zones are the names in the order of the settings.
 func New(loop *netloop.Loop, core Core, addr netip.AddrPort, zones []string) *Client {
-	return &Client{loop: loop, core: core, addr: addr, zones: zones, within: callTime, failed: netloop.Sparse{Most: failedLines}}
+	return &Client{loop: loop, core: core, addr: addr, zones: zones, within: callTime, failed: netloop.RateLimitedLog{MaxPerSecond: failedLines}}
 }
 
 type listing struct {
@@ -84,8 +84,8 @@
 	BornMS int64  `json:"born_ms"`
 }
 
-// Known takes the list that the gateway had before it started, which may be old.
-func (c *Client) Known(text []byte) error {
+// LoadCachedList takes the list that the gateway had before it started, which may be old.
+func (c *Client) LoadCachedList(text []byte) error {
 	if len(text) == 0 {
 		return nil
 	}
@@ -134,8 +134,8 @@
 	return policy.Draining
 }
 
-// Heard tells whether discovery has ever told a list or a change.
-func (c *Client) Heard() bool { return c.heard }
+// ListReceived tells whether discovery has ever told a list or a change.
+func (c *Client) ListReceived() bool { return c.heard }
 
 // Subscribe begins a watch, unless one is on. A call that brings nothing for the time given has failed.
 func (c *Client) Subscribe(within time.Duration) {
@@ -155,9 +155,9 @@
 	c.listen(c.askedAt + min(c.within, callTime))
 }
 
-// Move asks at another address from now on, at once. The list, its version and all
+// SetAddr asks at another address from now on, at once. The list, its version and all
 // connections to databases stay; a watch that is on at that address goes on.
-func (c *Client) Move(addr netip.AddrPort) {
+func (c *Client) SetAddr(addr netip.AddrPort) {
 	if addr == c.addr && c.nc != nil {
 		return
 	}
@@ -166,11 +166,11 @@
 	c.ask()
 }
 
-// Seq is the version of the list now.
-func (c *Client) Seq() int64 { return c.seq }
+// ListVersion is the version of the list now.
+func (c *Client) ListVersion() int64 { return c.seq }
 
-// Renew asks again at once, though a watch is on: it may tell nothing any more without being silent.
-func (c *Client) Renew() {
+// Resubscribe asks again at once, though a watch is on: it may tell nothing any more without being silent.
+func (c *Client) Resubscribe() {
 	c.drop()
 	c.ask()
 }
@@ -206,7 +206,7 @@
 func (c *Client) Connected() {
 	call := fmt.Appendf(nil, "GET /api/targets?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
 		c.seq, c.addr)
-	c.traffic.Out(len(call))
+	c.traffic.CountOut(len(call))
 	c.nc.Write(call)
 }
 
@@ -223,7 +223,7 @@
 	}
 	switch {
 	case err != nil:
-	case c.answer.Headed && c.answer.Status != 200:
+	case c.answer.HeadComplete && c.answer.Status != 200:
 		if err = fmt.Errorf("status %d", c.answer.Status); c.loop.Now()-c.askedAt >= crowdTime {
 			err = fmt.Errorf("%w: %w", err, errCrowd)
 		}
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -68,7 +68,7 @@
 
 // Parse reads a fleet file. Its error lists everything that is wrong with the file, with positions.
 func Parse(filename string, text []byte) (*File, error) {
-	reader, top, err := yamlfile.Open(filename, text, "fleet file")
+	reader, top, err := yamlfile.Parse(filename, text, "fleet file")
 	if err != nil {
 		return nil, err
 	}
@@ -76,26 +76,26 @@
 	fields := reader.Fields(top, "", "fleet", "listen", "advertise", "seeds", "dial", "period", "still", "most", "budgets", "subsets", "positions", "primaries", "audit", "fence", "words", "repeats")
 	required := func(key string) *yaml.Node {
 		if fields[key] == nil && top.Kind == yaml.MappingNode {
-			reader.Fail(top, key, "missing")
+			reader.AddError(top, key, "missing")
 		}
 		return fields[key]
 	}
 	if name, ok := reader.Text(required("fleet"), "fleet"); ok {
 		if file.Fleet = name; !ValidName(name) {
-			reader.Fail(fields["fleet"], "fleet", "%q is not a valid name: use letters, digits, dots, dashes and underscores, at most 64 characters", name)
+			reader.AddError(fields["fleet"], "fleet", "%q is not a valid name: use letters, digits, dots, dashes and underscores, at most 64 characters", name)
 		}
 	}
 	file.Listen = reader.Addr(required("listen"), "listen")
 	file.Advertise = reader.Addr(fields["advertise"], "advertise")
 	if addr := file.Listen.Addr(); fields["advertise"] == nil && addr.IsValid() && addr.IsUnspecified() {
-		reader.Fail(fields["listen"], "listen", "%s is the unspecified address; set advertise to the address where others reach this gateway", file.Listen)
+		reader.AddError(fields["listen"], "listen", "%s is the unspecified address; set advertise to the address where others reach this gateway", file.Listen)
 	}
 	if addr := file.Advertise; addr.IsValid() && (addr.Addr().IsUnspecified() || addr.Port() == 0) {
-		reader.Fail(fields["advertise"], "advertise", "%s cannot be dialled", addr)
+		reader.AddError(fields["advertise"], "advertise", "%s cannot be dialled", addr)
 	}
 	if node := fields["seeds"]; node != nil {
 		if node.Kind != yaml.SequenceNode {
-			reader.Fail(node, "seeds", "must be a list of addresses, like [127.0.0.1:7400, 127.0.0.1:7401]")
+			reader.AddError(node, "seeds", "must be a list of addresses, like [127.0.0.1:7400, 127.0.0.1:7401]")
 		} else {
 			for _, value := range node.Content {
 				file.Seeds = append(file.Seeds, reader.Addr(value, "seeds"))
@@ -104,14 +104,14 @@
 	}
 	for name, value := range reader.Fields(fields["dial"], "dial") {
 		if !ValidName(name) {
-			reader.Fail(value, "dial", "%q is not a valid gateway name", name)
+			reader.AddError(value, "dial", "%q is not a valid gateway name", name)
 		}
 		file.Dial[name] = reader.Addr(value, name)
 	}
 	duration := func(key string, dst *time.Duration, shortest, longest time.Duration) {
 		if node := fields[key]; node != nil {
-			if *dst = reader.Time(node, key); *dst < shortest || *dst > longest {
-				reader.Fail(node, key, "must be from %v to %v", shortest, longest)
+			if *dst = reader.Duration(node, key); *dst < shortest || *dst > longest {
+				reader.AddError(node, key, "must be from %v to %v", shortest, longest)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 		file.Audit = &Audit{Megabytes: 8, Keep: 4}
 		auditFields := reader.Fields(node, "audit", "file", "megabytes", "keep")
 		if value := auditFields["file"]; value == nil {
-			reader.Fail(node, "file", "missing: the path of the file to which audit records are written")
+			reader.AddError(node, "file", "missing: the path of the file to which audit records are written")
 		} else {
 			file.Audit.File, _ = reader.Text(value, "file")
 		}
@@ -140,8 +140,8 @@
 		}
 	}
 	if node := fields["repeats"]; node != nil {
-		if file.RetryBudget = reader.Share(node, "repeats"); file.RetryBudget <= 0 {
-			reader.Fail(node, "repeats", "must be above 0%% and at most 100%%, like 20%%; omit it for unlimited retries")
+		if file.RetryBudget = reader.Percentage(node, "repeats"); file.RetryBudget <= 0 {
+			reader.AddError(node, "repeats", "must be above 0%% and at most 100%%, like 20%%; omit it for unlimited retries")
 		}
 	}
 	if node := fields["words"]; node != nil {
@@ -161,27 +161,27 @@
 	budgets := &Budgets{Lease: 8 * time.Second}
 	fields := reader.Fields(node, "budgets", "holders", "connections", "lease")
 	if list := fields["holders"]; list == nil || list.Kind != yaml.SequenceNode || len(list.Content) == 0 {
-		reader.Fail(node, "holders", "must be a list of the names of all gateways that share the budgets, the same in every file")
+		reader.AddError(node, "holders", "must be a list of the names of all gateways that share the budgets, the same in every file")
 	} else {
 		for _, value := range list.Content {
 			name, _ := reader.Text(value, "holders")
 			switch {
 			case !ValidName(name):
-				reader.Fail(value, "holders", "%q is not a valid gateway name", name)
+				reader.AddError(value, "holders", "%q is not a valid gateway name", name)
 			case slices.Contains(budgets.Holders, name):
-				reader.Fail(value, "holders", "%s is listed twice", name)
+				reader.AddError(value, "holders", "%s is listed twice", name)
 			}
 			budgets.Holders = append(budgets.Holders, name)
 		}
 	}
 	if value := fields["connections"]; value == nil {
-		reader.Fail(node, "connections", "missing: how many connections all gateways together may have to one database")
+		reader.AddError(node, "connections", "missing: how many connections all gateways together may have to one database")
 	} else if budgets.Connections = reader.Count(value, "connections", 1, 1_000_000); budgets.Connections < len(budgets.Holders) {
-		reader.Fail(value, "connections", "%d is too few for %d holders: each needs at least one", budgets.Connections, len(budgets.Holders))
+		reader.AddError(value, "connections", "%d is too few for %d holders: each needs at least one", budgets.Connections, len(budgets.Holders))
 	}
 	if value := fields["lease"]; value != nil {
-		if budgets.Lease = reader.Time(value, "lease"); budgets.Lease < time.Second || budgets.Lease > time.Minute {
-			reader.Fail(value, "lease", "must be from 1s to 1m0s, and longer than the longest deadline of a request")
+		if budgets.Lease = reader.Duration(value, "lease"); budgets.Lease < time.Second || budgets.Lease > time.Minute {
+			reader.AddError(value, "lease", "must be from 1s to 1m0s, and longer than the longest deadline of a request")
 		}
 	}
 	return budgets
@@ -192,14 +192,14 @@
 	overrides := &Overrides{Retention: 7 * 24 * time.Hour}
 	fields := reader.Fields(node, "words", "dir", "keep")
 	if value := fields["dir"]; value == nil {
-		reader.Fail(node, "dir", "missing: a directory used by this gateway only, in which operator overrides are kept across restarts")
+		reader.AddError(node, "dir", "missing: a directory used by this gateway only, in which operator overrides are kept across restarts")
 	} else {
 		overrides.Dir, _ = reader.Text(value, "dir")
 	}
 	if value := fields["keep"]; value != nil {
 		seconds, ok := reader.Number(value, "keep", "7 days", map[string]float64{"s": 1, "min": 60, "h": 3600, "days": 24 * 3600})
 		if ok && (seconds < 1 || seconds > 366*24*3600) {
-			reader.Fail(value, "keep", "must be from 1 s to 366 days, the same in every file")
+			reader.AddError(value, "keep", "must be from 1 s to 366 days, the same in every file")
 		} else {
 			overrides.Retention = time.Duration(seconds * float64(time.Second))
 		}
@@ -233,14 +233,14 @@
 	if node == nil || node.Kind != yaml.MappingNode {
 		text, ok := reader.Text(node, key)
 		if ok && text != "true" && text != "false" {
-			reader.Fail(node, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", text)
+			reader.AddError(node, key, "%q is neither true nor false nor a budget like {bytes: 1500/s}", text)
 		}
 		return text == "true", 0
 	}
 	fields := reader.Fields(node, key, "bytes")
 	value := fields["bytes"]
 	if value == nil {
-		reader.Fail(node, "bytes", "missing: the rate at which %s may send, like {bytes: 1500/s}; the same in every file", key)
+		reader.AddError(node, "bytes", "missing: the rate at which %s may send, like {bytes: 1500/s}; the same in every file", key)
 		return true, 0
 	}
 	rate, ok := reader.Number(value, "bytes", "1500/s", map[string]float64{"/s": 1})
@@ -248,7 +248,7 @@
 		return true, 0
 	}
 	if rate != math.Trunc(rate) || rate < antientropy.MinBytesPerSecond || rate > antientropy.MaxBytesPerSecond {
-		reader.Fail(value, "bytes", "must be a whole number from %d/s to %d/s: less does not carry one request and one answer per second; the same in every file",
+		reader.AddError(value, "bytes", "must be a whole number from %d/s to %d/s: less does not carry one request and one answer per second; the same in every file",
 			antientropy.MinBytesPerSecond, antientropy.MaxBytesPerSecond)
 	}
 	return true, int(rate)
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -139,7 +139,7 @@
 func (call *call) Released() {
 	f := call.conn.front
 	for _, b := range call.buffers {
-		f.loop.Free(b)
+		f.loop.FreeBuffer(b)
 	}
 	call.buffers = nil
 	f.releaseLarge(call.largeBytes)
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -173,10 +173,10 @@
 	if !c.started {
 		return c.handleHello(input)
 	}
-	if c.large != nil || pgwire.LargeQuery(input) > 0 {
+	if c.large != nil || pgwire.LargeQueryLength(input) > 0 {
 		return c.collectLarge()
 	}
-	kind, body, n, err := pgwire.Next(input, pgwire.MostMessage)
+	kind, body, n, err := pgwire.Next(input, pgwire.MaxBufferedMessage)
 	if err != nil {
 		c.fatal(pgwire.CodeProtocolViolation, err.Error())
 		return false
@@ -198,22 +198,22 @@
 }
 
 func (c *conn) handleHello(input []byte) bool {
-	kind, n, err := pgwire.ParseHello(input)
+	kind, n, err := pgwire.ParseFirstPacket(input)
 	switch {
 	case err != nil:
 		c.fatal(pgwire.CodeProtocolViolation, err.Error())
-	case kind == pgwire.HelloTLS, kind == pgwire.HelloGSS:
+	case kind == pgwire.FirstPacketTLS, kind == pgwire.FirstPacketGSS:
 		c.fatal(pgwire.CodeUnsupported, "encryption is not spoken here")
-	case kind == pgwire.HelloCancel:
+	case kind == pgwire.FirstPacketCancel:
 		if key, ok := pgwire.CancelKey(input[:n]); ok {
 			c.front.cancel(key)
 		}
 		c.close(closedDone)
-	case kind == pgwire.HelloStart:
+	case kind == pgwire.FirstPacketStartup:
 		c.nc.Consume(n)
 		c.started, c.cancelKey = true, c.front.keySource.Uint64()
 		c.front.cancelKeys[c.cancelKey] = c
-		c.nc.Write(pgwire.AppendWelcome(nil, c.cancelKey))
+		c.nc.Write(pgwire.AppendStartupReply(nil, c.cancelKey))
 		return true
 	}
 	return false
@@ -238,8 +238,8 @@
 func (c *conn) handleQuery(body []byte, n int) bool {
 	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
 	c.dequeue() // the timeout of its state restarts
-	text, err := pgwire.Text(body)
-	if err == nil && pgwire.Blank(text) {
+	text, err := pgwire.ParseText(body)
+	if err == nil && pgwire.IsEmptyQuery(text) {
 		c.nc.Consume(n)
 		if c.front.starting {
 			c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is starting", "")))
@@ -247,7 +247,7 @@
 			c.reply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeCannotConnectNow, "the gateway is drained", "")))
 		} else {
 			c.front.options.Guard.CheckReady(c.front.options.Servable == nil || c.front.options.Servable())
-			c.reply(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
+			c.reply(pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 		}
 		return true
 	}
@@ -295,7 +295,7 @@
 	request := &gateway.Request{
 		Class: class, Group: policy.GroupID(head.Cluster), Session: sessionID(head.Key),
 		MinPosition: time.Duration(head.After) * time.Millisecond,
-		Deadline:    c.front.arrivalTime() + time.Duration(head.Millis)*time.Millisecond,
+		Deadline:    c.front.arrivalTime() + time.Duration(head.DeadlineMillis)*time.Millisecond,
 	}
 	if c.front.shuttingDown {
 		request.Deadline = min(request.Deadline, c.front.shutdownDeadline)
@@ -312,7 +312,7 @@
 // arrivalTime returns the earliest time at which the current input may have arrived: it waited while this process was stalled. A
 // delay of up to arrivalSlack, which the requirements allow, is not counted, nor that part of a longer one.
 func (f *Front) arrivalTime() time.Duration {
-	return f.loop.Now() - max(0, f.loop.Age()-arrivalSlack)
+	return f.loop.Now() - max(0, f.loop.MaxEventAge()-arrivalSlack)
 }
 
 // sessionID returns the number of the session that a key names: 16 hexadecimal digits, or else a hash of the key.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	maxInputBytes         = pgwire.MostMessage + 4096 // one statement and the header of the next
-	maxPipelined          = 32                        // unanswered commands of one connection
-	maxUnreadBytes        = 256 << 10                 // bytes of answers that a client has not read, or that wait for earlier ones
-	maxStreamBacklog      = 64 << 10                  // bytes of a streamed value that a client has not read
+	maxInputBytes         = pgwire.MaxBufferedMessage + 4096 // one statement and the header of the next
+	maxPipelined          = 32                               // unanswered commands of one connection
+	maxUnreadBytes        = 256 << 10                        // bytes of answers that a client has not read, or that wait for earlier ones
+	maxStreamBacklog      = 64 << 10                         // bytes of a streamed value that a client has not read
 	sweepInterval         = 100 * time.Millisecond
 	listenerRetryInterval = 20 * time.Millisecond
 	arrivalSlack          = 150*time.Millisecond - sweepInterval // allowed stall of a gateway, less the part that its loop may not notice
@@ -77,10 +77,10 @@
 	drainUntil       time.Duration // connections close after their next answers, idle ones by this time; 0: not draining
 	starting         bool          // the empty query fails: the gateway is not ready yet
 	drained          bool          // the empty query fails: the gateway is drained
-	refusedLog       netloop.Sparse
-	clientLog        netloop.Sparse
+	refusedLog       netloop.RateLimitedLog
+	clientLog        netloop.RateLimitedLog
 	lastNumber       uint64 // of the last accepted connection
-	closedCounts     *stats.Named
+	closedCounts     *stats.NamedCounters
 }
 
 // Metrics appends the counts of connections that the gateway has closed, by reason.
@@ -90,8 +90,8 @@
 func New(loop *netloop.Loop, core Core, options Options) *Front {
 	f := &Front{
 		loop: loop, core: core, options: options, classes: map[string]int{}, openIDs: map[string]struct{}{}, streaming: map[*conn]struct{}{},
-		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamed("closed", closeReasonNames[:]),
-		clientLog: netloop.Sparse{Most: clientLogsPerSecond},
+		cancelKeys: map[uint64]*conn{}, closedCounts: stats.NewNamedCounters("closed", closeReasonNames[:]),
+		clientLog: netloop.RateLimitedLog{MaxPerSecond: clientLogsPerSecond},
 	}
 	var secret [32]byte
 	_, _ = crand.Read(secret[:]) // never fails
@@ -115,7 +115,7 @@
 
 // Inherit takes over a listening socket; Open starts to accept from it.
 func (f *Front) Inherit(fd int, addr netip.AddrPort) (at netip.AddrPort, err error) {
-	if f.listener, err = f.loop.Inherit(fd, addr, f.accept); err != nil {
+	if f.listener, err = f.loop.InheritListener(fd, addr, f.accept); err != nil {
 		return netip.AddrPort{}, err
 	}
 	return f.listener.Addr, nil
@@ -159,7 +159,7 @@
 func (f *Front) accept(nc *netloop.Conn) {
 	f.lastNumber++
 	c := &conn{front: f, nc: nc, number: f.lastNumber}
-	nc.Handle(c, maxInputBytes)
+	nc.SetHandler(c, maxInputBytes)
 	nc.OnFlush(c.flushed)
 	// Clients may be limited in their number of connections, too: if idle ones were kept until the
 	// limit is reached, clients might have none left to send on. So idle ones are closed from half the limit on.
@@ -168,7 +168,7 @@
 		hasRoom = f.hasCapacity(f.options.MaxClients/2) || f.reclaimDescriptor() || hasRoom
 	}
 	if !hasRoom {
-		f.refusedLog.Printf(f.loop.Now(), "event=client_refused reason=descriptors spare=%d busy=%d", f.loop.Spare(), f.queues[stateBusy].Len())
+		f.refusedLog.Printf(f.loop.Now(), "event=client_refused reason=descriptors spare=%d busy=%d", f.loop.SpareDescriptors(), f.queues[stateBusy].Len())
 		nc.Write(pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many clients", ""))
 		c.finish(closedDescriptors)
 		return
--- a/internal/front/large.go
+++ b/internal/front/large.go
@@ -22,7 +22,7 @@
 		if slices.Contains(c.front.largeWaiting, c) {
 			return false
 		}
-		length := pgwire.LargeQuery(c.nc.Input())
+		length := pgwire.LargeQueryLength(c.nc.Input())
 		if length > c.front.options.MaxLargeStatementBytes {
 			c.fatal(pgwire.CodeTooLarge, "the statement is too large for this gateway's memory")
 			return false
@@ -34,7 +34,7 @@
 		}
 		pending = &largeStatement{size: length}
 		c.large = pending
-		c.nc.Widen(maxPieceBytes)
+		c.nc.SetMinBuffer(maxPieceBytes)
 	}
 	// A piece fills most of its buffer, however small the reads are. So the first piece holds the
 	// heading comment.
@@ -47,7 +47,7 @@
 		return false
 	}
 	c.large = nil
-	c.nc.Widen(0)
+	c.nc.SetMinBuffer(0)
 	c.queried, c.finishing = true, c.front.shuttingDown && !c.takesRemaining
 	c.dequeue()
 	statement, class, err := c.assembleStatement(pending)
@@ -62,17 +62,17 @@
 
 // assembleStatement builds the statement from its pieces, without the message header and the final NUL.
 func (c *conn) assembleStatement(large *largeStatement) (statement *pgwire.Statement, class int, err error) {
-	statement = &pgwire.Statement{Text: large.pieces[0][5:], More: slices.Clone(large.pieces[1:])}
+	statement = &pgwire.Statement{Text: large.pieces[0][5:], Rest: slices.Clone(large.pieces[1:])}
 	last := &statement.Text
-	if n := len(statement.More); n > 0 {
-		last = &statement.More[n-1]
+	if n := len(statement.Rest); n > 0 {
+		last = &statement.Rest[n-1]
 	}
 	end := len(*last) - 1
 	terminated := (*last)[end] == 0
 	*last = (*last)[:end]
 	hasNUL := func(b []byte) bool { return bytes.IndexByte(b, 0) >= 0 }
-	if !terminated || hasNUL(statement.Text) || slices.ContainsFunc(statement.More, hasNUL) {
-		return nil, 0, pgwire.ErrText
+	if !terminated || hasNUL(statement.Text) || slices.ContainsFunc(statement.Rest, hasNUL) {
+		return nil, 0, pgwire.ErrUnterminatedText
 	}
 	statement.Head, class, err = c.parseHead(statement.Text)
 	return statement, class, err
@@ -90,7 +90,7 @@
 // freeBuffers frees the pieces of a large statement and its reservation.
 func (f *Front) freeBuffers(large *largeStatement) {
 	for _, b := range large.pieces {
-		f.loop.Free(b)
+		f.loop.FreeBuffer(b)
 	}
 	f.releaseLarge(large.size)
 }
@@ -117,7 +117,7 @@
 func (f *Front) admitLarge() {
 	for len(f.largeWaiting) > 0 {
 		c := f.largeWaiting[0]
-		if f.largeBytes+pgwire.LargeQuery(c.nc.Input()) > f.options.MaxLargeStatementBytes {
+		if f.largeBytes+pgwire.LargeQueryLength(c.nc.Input()) > f.options.MaxLargeStatementBytes {
 			return
 		}
 		f.largeWaiting = f.largeWaiting[1:]
--- a/internal/front/limits.go
+++ b/internal/front/limits.go
@@ -111,7 +111,7 @@
 // hasCapacity reports whether one more client may connect under a limit. Connections to databases do
 // not count against it.
 func (f *Front) hasCapacity(maxClients int) bool {
-	return f.Clients() < maxClients && f.loop.Spare() >= f.options.Reserve
+	return f.Clients() < maxClients && f.loop.SpareDescriptors() >= f.options.Reserve
 }
 
 // reclaimDescriptor frees a descriptor: of a closing connection, else of the one that has been silent
@@ -132,7 +132,7 @@
 		if f.loop.Now()-c.progressAt < age {
 			return false
 		}
-		open := c.nc.Open()
+		open := c.nc.HasDescriptor()
 		c.nc.Poll() // input that has arrived counts
 		if c.state == state && c.queueElement == element {
 			c.close(closedDescriptors)
@@ -147,10 +147,10 @@
 // reclaimMemory frees buffers while memory is short, except those of c, which is in use: first those
 // of clients that have not sent a complete packet, oldest first. A usual request is small.
 func (f *Front) reclaimMemory(c *conn) {
-	for state := stateNew; state < stateIdle && f.loop.Pressed(); state++ {
+	for state := stateNew; state < stateIdle && f.loop.BuffersShort(); state++ {
 		for _, other := range f.connsIn(state) {
-			if other != c && other.nc.Held() > smallBufferBytes && f.loop.Pressed() {
-				f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.Held())
+			if other != c && other.nc.BufferBytes() > smallBufferBytes && f.loop.BuffersShort() {
+				f.clientLog.Printf(f.loop.Now(), "event=client_closed client=%d reason=memory held=%d", other.number, other.nc.BufferBytes())
 				other.finish(closedMemory) // a plain close with unread input would reset the connection and lose an answer that was just written
 			}
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -46,7 +46,7 @@
 func (g *Gateway) Written(attempt *Attempt) {
 	if !attempt.written {
 		attempt.written = true
-		g.counts.Of(attempt.request.Class).Tries++
+		g.counts.Class(attempt.request.Class).Attempts++
 	}
 }
 
@@ -72,7 +72,7 @@
 		}
 	}
 	if outcome == policy.OK && g.markFinished(req) {
-		g.counts.Of(req.Class).Passed++
+		g.counts.Class(req.Class).Served++
 		req.Client.Served(reply.Value)
 	}
 	if outcome.MayHaveRun() && !req.mayHaveRun {
@@ -97,7 +97,7 @@
 // latency returns the time since something was sent, without the time for which the answer may have waited for this process
 // to read it: that delay is not the host's.
 func (g *Gateway) latency(sent time.Duration) time.Duration {
-	return max(0, g.loop.Now()-g.loop.Age()-sent)
+	return max(0, g.loop.Now()-g.loop.MaxEventAge()-sent)
 }
 
 // send starts an attempt and turns its timeout into a deadline. An attempt of a finished
--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -78,17 +78,17 @@
 					env.sent = append(env.sent[:i], env.sent[i+1:]...)
 				}
 			}
-			var all stats.Class
+			var all stats.ClassCounters
 			for i := range 2 {
-				class := counts.Of(i)
-				all.Passed += class.Passed
-				all.Dropped += class.Dropped
-				all.BadGateway += class.BadGateway
+				class := counts.Class(i)
+				all.Served += class.Served
+				all.Refused += class.Refused
+				all.Failed += class.Failed
 				all.Abandoned += class.Abandoned
-				all.Tries += class.Tries
+				all.Attempts += class.Attempts
 			}
-			require.Equal(t, submitted, all.Passed+all.Dropped+all.BadGateway+all.Abandoned+uint64(g.Gauges().InProgress))
-			require.Equal(t, written, all.Tries)
+			require.Equal(t, submitted, all.Served+all.Refused+all.Failed+all.Abandoned+uint64(g.Gauges().InProgress))
+			require.Equal(t, written, all.Attempts)
 		}
 		loop.Close()
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,9 +158,9 @@
 	actionTime    time.Duration    // when the actions of the last Step began to be carried out
 	afterStep     []func()         // called when the next Step's actions are carried out
 	guard         *invariant.Guard // nil: nothing is checked
-	givenUpCounts *stats.Named
-	givenUpLog    netloop.Sparse
-	retryLog      netloop.Sparse
+	givenUpCounts *stats.NamedCounters
+	givenUpLog    netloop.RateLimitedLog
+	retryLog      netloop.RateLimitedLog
 }
 
 // New returns a gateway that accepts at most maxUnanswered unanswered requests; 0: no limit.
@@ -171,8 +171,8 @@
 	return &Gateway{
 		loop: loop, router: router, maxUnanswered: maxUnanswered, counts: counts,
 		requests: map[policy.RequestID]*Request{}, probeTimes: map[policy.HostID]time.Duration{},
-		members: map[policy.HostID]policy.Member{}, suspended: map[policy.HostID]bool{}, givenUpCounts: stats.NewNamed("given_up", reasonNames()),
-		givenUpLog: netloop.Sparse{Most: givenUpLogsPerSecond}, retryLog: netloop.Sparse{Most: retryLogsPerSecond},
+		members: map[policy.HostID]policy.Member{}, suspended: map[policy.HostID]bool{}, givenUpCounts: stats.NewNamedCounters("given_up", reasonNames()),
+		givenUpLog: netloop.RateLimitedLog{MaxPerSecond: givenUpLogsPerSecond}, retryLog: netloop.RateLimitedLog{MaxPerSecond: retryLogsPerSecond},
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // Gauges returns the current values that operators read.
 func (g *Gateway) Gauges() stats.Gauges {
-	return stats.Gauges{InProgress: g.unanswered, Known: len(g.members), Skipped: g.router.ExcludedHosts(), Lost: g.loop.Lost()}
+	return stats.Gauges{InProgress: g.unanswered, KnownDatabases: len(g.members), SkippedDatabases: g.router.ExcludedHosts(), StallTime: g.loop.StallTime()}
 }
 
 // FleetEvent passes on an event that comes from the fleet or from the connection budget rather than from a request, such as
@@ -225,7 +225,7 @@
 	now := g.loop.Now()
 	if g.unanswered >= g.maxUnanswered {
 		req.finished = true
-		g.counts.Of(req.Class).Dropped++
+		g.counts.Class(req.Class).Refused++
 		req.Client.Refused(0)
 		req.Client.Released()
 		return
@@ -250,13 +250,13 @@
 // start although the result is no longer wanted; they are cancelled even where running attempts may not be.
 func (g *Gateway) ClientGone(req *Request) {
 	if stream := req.stream; stream != nil {
-		g.endStream(req, &g.counts.Of(req.Class).Abandoned)
+		g.endStream(req, &g.counts.Class(req.Class).Abandoned)
 		g.backends.Cancel(stream)
 		return
 	}
 	req.clientGoneAt = g.loop.Now()
 	if g.markFinished(req) {
-		g.counts.Of(req.Class).Abandoned++
+		g.counts.Class(req.Class).Abandoned++
 		g.cancelUnsent(req)
 		g.events = append(g.events, policy.RequestAbandoned{Request: req.id})
 		g.release(req)
@@ -294,7 +294,7 @@
 	case req.mayHaveRun:
 		g.fail(req)
 	default:
-		g.counts.Of(req.Class).Abandoned++
+		g.counts.Class(req.Class).Abandoned++
 		req.Client.Cancelled()
 	}
 }
@@ -311,7 +311,7 @@
 }
 
 func (g *Gateway) fail(req *Request) {
-	g.counts.Of(req.Class).BadGateway++
+	g.counts.Class(req.Class).Failed++
 	req.Client.Failed()
 }
 
--- a/internal/gateway/step.go
+++ b/internal/gateway/step.go
@@ -12,7 +12,7 @@
 // Step lets the decision module decide on all collected events. It reports whether carrying
 // out the actions has led to new events.
 func (g *Gateway) Step() (again bool) {
-	if total := g.loop.Lost(); total != g.reportedPause {
+	if total := g.loop.StallTime(); total != g.reportedPause {
 		g.reportedPause = total
 		g.orderAfterPause(policy.ProcessPaused{Total: total})
 	}
@@ -62,7 +62,7 @@
 	case policy.Refuse:
 		if req := g.requests[a.Request]; req != nil && g.markFinished(req) {
 			g.recordGivenUp(req, a.Reason, true)
-			g.counts.Of(req.Class).Dropped++
+			g.counts.Class(req.Class).Refused++
 			req.Client.Refused(a.RetryAfter)
 			g.release(req)
 		}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -37,15 +37,15 @@
 
 // streamEnded is Resolved for an attempt whose value was streamed. The position it reports is still passed on.
 func (g *Gateway) streamEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
-	req, count := attempt.request, g.counts.Of(attempt.request.Class)
+	req, count := attempt.request, g.counts.Class(attempt.request.Class)
 	switch {
 	case req.stream != attempt: // the client disconnected before
 	case outcome == policy.OK:
 		g.notifyAccepted(attempt)
-		g.endStream(req, &count.Passed)
+		g.endStream(req, &count.Served)
 		req.Client.EndStream()
 	default:
-		g.endStream(req, &count.BadGateway)
+		g.endStream(req, &count.Failed)
 		req.Client.AbortStream()
 	}
 	if reply.HasPosition {
--- a/internal/hollow/feed.go
+++ b/internal/hollow/feed.go
@@ -83,10 +83,10 @@
 // first that the module uses first, writes to its primary.
 func (f *feed) stand() {
 	preferred := f.side.Preferred()
-	if f.side.Watch.Seq() == f.seq && f.side.Core.ListSize() == f.hosts && slices.Equal(preferred, f.preferred) {
+	if f.side.Watch.ListVersion() == f.seq && f.side.Core.ListSize() == f.hosts && slices.Equal(preferred, f.preferred) {
 		return
 	}
-	f.seq, f.hosts, f.preferred = f.side.Watch.Seq(), f.side.Core.ListSize(), preferred
+	f.seq, f.hosts, f.preferred = f.side.Watch.ListVersion(), f.side.Core.ListSize(), preferred
 	list := f.side.Core.Hosts()
 	slices.SortFunc(list, func(a, b policy.Member) int { return cmp.Compare(a.Host, b.Host) })
 	type group struct {
@@ -166,11 +166,11 @@
 	for _, s := range f.batch {
 		f.learned++
 		f.act(s)
-		f.side.Position(s.host, s.at)
+		f.side.ObservePosition(s.host, s.at)
 		core.FleetEvent(policy.PositionReported{Host: s.host, Position: s.at})
 		if s.write {
 			f.learnedPrimary++
-			f.side.Primary(s.host, s.at)
+			f.side.ObservePrimary(s.host, s.at)
 			core.FleetEvent(policy.PrimaryReported{Host: s.host, At: s.at})
 		}
 	}
@@ -178,7 +178,7 @@
 
 // act notes in the records what was done.
 func (f *feed) act(s statement) {
-	spans := f.side.Spans
+	spans := f.side.Audit
 	if spans == nil {
 		return
 	}
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -321,7 +321,7 @@
 func (r *run) state() State {
 	begun := threadTime()
 	s := State{
-		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.late), DeadNames: r.dead, ListSeq: r.side.Watch.Seq(), ListDatabases: r.side.Core.ListSize(),
+		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.late), DeadNames: r.dead, ListSeq: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
 		Learned: r.feed.learned, LearnedPrimary: r.feed.learnedPrimary, Short: r.feed.short, Roles: r.side.Traffic(),
 	}
 	r.late, r.dead = 0, []string{}
@@ -332,7 +332,7 @@
 		s.ViewMembers, s.ViewDigest, s.Deaths = len(v.Members), strconv.FormatUint(v.Digest, 16), l.Deaths()
 		s.Totals = stats.Traffic{OutBytes: c.SentBytes, OutMessages: c.Sent, InBytes: c.ReceivedBytes, InMessages: c.Received}
 	}
-	s.PositionsLearned, s.PositionsHeard = r.side.PositionNews()
+	s.PositionsLearned, s.PositionsHeard = r.side.PositionUpdates()
 	if ages := r.side.PositionAges(); len(ages) > 0 {
 		slices.Sort(ages)
 		s.KnownPositions = len(ages)
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -164,7 +164,7 @@
 	set, err := settings.FromJSON([]byte(testSettings))
 	require.NoError(t, err)
 	side, err := control.New(loop, control.Config{
-		Name: "g1", Discovery: netip.MustParseAddrPort("127.0.0.1:1").String(), Known: known(3), Settings: []byte(testSettings),
+		Name: "g1", Discovery: netip.MustParseAddrPort("127.0.0.1:1").String(), CachedList: known(3), Settings: []byte(testSettings),
 	}, set, nil)
 	require.NoError(t, err)
 	side.Connect(&backends{Pool: backend.New(loop, side.Core, backend.Options{}), core: side.Core})
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -14,24 +14,24 @@
 // StatusError is a call that cannot be carried out, and the status that says so.
 type StatusError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *StatusError) Error() string { return e.Why }
+func (e *StatusError) Error() string { return e.Reason }
 
 const (
-	// MostCall is how long the head of a call may be.
-	MostCall = 8 << 10
-	// MostBody is how long its body may be; nothing here reads one.
-	MostBody = 4 << 10
+	// MaxRequestHead is how long the head of a call may be.
+	MaxRequestHead = 8 << 10
+	// MaxRequestBody is how long its body may be; nothing here reads one.
+	MaxRequestBody = 4 << 10
 )
 
 // ParseRequest reads the call at the start of b. n is its length with its body; 0 without an
 // error: it has not come whole. Every error is a *StatusError.
 func ParseRequest(b []byte) (q Request, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 && len(b) > MostCall || end > MostCall {
-		return q, 0, &StatusError{431, fmt.Sprintf("the head is longer than %d bytes", MostCall)}
+	if end < 0 && len(b) > MaxRequestHead || end > MaxRequestHead {
+		return q, 0, &StatusError{431, fmt.Sprintf("the head is longer than %d bytes", MaxRequestHead)}
 	}
 	line, _, whole := bytes.Cut(b, []byte("\r\n"))
 	if whole || len(b) > 0 && b[0] <= ' ' {
@@ -70,8 +70,8 @@
 		return q, 0, err
 	case hosts > 1:
 		return q, 0, &StatusError{400, "two Host headers"}
-	case body > MostBody:
-		return q, 0, &StatusError{413, fmt.Sprintf("the body is longer than %d bytes", MostBody)}
+	case body > MaxRequestBody:
+		return q, 0, &StatusError{413, fmt.Sprintf("the body is longer than %d bytes", MaxRequestBody)}
 	}
 	if n = end + 4 + int(max(0, body)); n > len(b) {
 		return q, 0, nil
@@ -118,9 +118,9 @@
 	return len(b) > 0
 }
 
-// Segment decodes one part of a path; false where its percent signs are not followed by two
+// DecodeSegment decodes one part of a path; false where its percent signs are not followed by two
 // digits each, or where it would hold what no name here does.
-func Segment(s string) (string, bool) {
+func DecodeSegment(s string) (string, bool) {
 	var out strings.Builder
 	for i := 0; i < len(s); i++ {
 		c := s[i]
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -38,9 +38,9 @@
 		{"no slash", "GET a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
 		{"a path beyond ASCII", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n", Request{}, 400, 0},
 		{"leading line", "\r\nGET /a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
-		{"head without end", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MostCall), Request{}, 431, 0},
-		{"long line", "GET /" + strings.Repeat("y", MostCall), Request{}, 431, 0},
-		{"long whole head", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MostCall) + "\r\n\r\n", Request{}, 431, 0},
+		{"head without end", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MaxRequestHead), Request{}, 431, 0},
+		{"long line", "GET /" + strings.Repeat("y", MaxRequestHead), Request{}, 431, 0},
+		{"long whole head", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MaxRequestHead) + "\r\n\r\n", Request{}, 431, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				bad, ok := err.(*StatusError)
 				if assert.True(t, ok, "%v", err) {
 					assert.Equal(t, tt.status, bad.Status)
-					assert.NotEmpty(t, bad.Why)
+					assert.NotEmpty(t, bad.Reason)
 				}
 				return
 			}
@@ -71,12 +71,12 @@
 
 func TestSegment(t *testing.T) {
 	for in, want := range map[string]string{"s-5be2a07c": "s-5be2a07c", "a%2Fb%2fc": "a/b/c", "%25": "%", "+": "+", "a%c3%A9": "aé"} {
-		got, ok := Segment(in)
+		got, ok := DecodeSegment(in)
 		assert.True(t, ok, in)
 		assert.Equal(t, want, got)
 	}
 	for _, in := range []string{"", "%", "%4", "%zz", "a%00b", "%0a", "%7f", "% 1"} {
-		_, ok := Segment(in)
+		_, ok := DecodeSegment(in)
 		assert.False(t, ok, in)
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -22,13 +22,13 @@
 
 // Response parses one HTTP/1.1 answer in place, as it comes.
 type Response struct {
-	Headed  bool
-	Status  int
-	chunked bool
-	left    int64 // of the body or of the chunk; -1: until the connection ends
-	inChunk bool  // the data of a chunk, and then its line end, are next
-	trailer bool  // the last chunk has come
-	Done    bool
+	HeadComplete bool
+	Status       int
+	chunked      bool
+	left         int64 // of the body or of the chunk; -1: until the connection ends
+	inChunk      bool  // the data of a chunk, and then its line end, are next
+	trailer      bool  // the last chunk has come
+	Done         bool
 }
 
 // Feed parses what it can of b and hands body bytes to data. It returns how much of b
@@ -37,7 +37,7 @@
 	for !r.Done {
 		k := 0
 		switch {
-		case !r.Headed:
+		case !r.HeadComplete:
 			k, err = r.head(b[n:])
 		case !r.chunked:
 			k = r.plain(b[n:])
@@ -90,7 +90,7 @@
 	if status < 200 { // 100 Continue and its like come before the answer
 		return end + 4, nil
 	}
-	r.Headed, r.Status, r.left = true, status, -1
+	r.HeadComplete, r.Status, r.left = true, status, -1
 	err = fields(rest, func(name, value []byte) error {
 		switch {
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -52,7 +52,7 @@
 	var r Response
 	_, err := r.Feed(make([]byte, mostHead+1), nil)
 	assert.ErrorIs(t, err, errHead)
-	r = Response{Headed: true, chunked: true}
+	r = Response{HeadComplete: true, chunked: true}
 	_, err = r.Feed(make([]byte, mostChunkHead+1), nil)
 	assert.ErrorIs(t, err, errChunk)
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -68,7 +68,7 @@
 type Guard struct {
 	settings      policy.Settings
 	report        func(Violation)
-	counts        *stats.Named
+	counts        *stats.NamedCounters
 	hosts         map[policy.HostID]*host
 	newestPrimary primaryProgress
 }
@@ -95,7 +95,7 @@
 // New returns a guard for a gateway with these settings. It calls report for each violation.
 func New(settings policy.Settings, report func(Violation)) *Guard {
 	return &Guard{
-		settings: settings, report: report, counts: stats.NewNamed("violations", nameTexts[:]), hosts: map[policy.HostID]*host{},
+		settings: settings, report: report, counts: stats.NewNamedCounters("violations", nameTexts[:]), hosts: map[policy.HostID]*host{},
 	}
 }
 
--- a/internal/lab/front.go
+++ b/internal/lab/front.go
@@ -16,10 +16,10 @@
 	frontNotice = 2500 * time.Millisecond
 )
 
-// Front hands out gateways to sessions, as PROTOCOL has it: one is admitted once it has answered an empty query; one
+// Balancer hands out gateways to sessions, as PROTOCOL has it: one is admitted once it has answered an empty query; one
 // that says no to it is left at once; one that is silent is taken for dead only after some seconds. A session
 // stays with its gateway as long as that is admitted.
-type Front struct {
+type Balancer struct {
 	mu    sync.Mutex
 	doors []door
 	tell  func(i int, admitted bool)
@@ -33,9 +33,9 @@
 	good     time.Time // when it last said yes
 }
 
-// NewFront begins to check gateways; tell hears of each that is admitted or left.
-func NewFront(n int, tell func(i int, admitted bool)) *Front {
-	f := &Front{doors: make([]door, n), tell: tell, done: make(chan struct{})}
+// NewBalancer begins to check gateways; tell hears of each that is admitted or left.
+func NewBalancer(n int, tell func(i int, admitted bool)) *Balancer {
+	f := &Balancer{doors: make([]door, n), tell: tell, done: make(chan struct{})}
 	for i := range n {
 		f.wg.Add(1)
 		go f.watch(i)
@@ -43,15 +43,15 @@
 	return f
 }
 
-// Set says where a gateway's clients connect. A process that has started is admitted once it says yes.
-func (f *Front) Set(i int, addr string) {
+// SetAddr says where a gateway's clients connect. A process that has started is admitted once it says yes.
+func (f *Balancer) SetAddr(i int, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.doors[i] = door{addr: addr}
 }
 
 // Admitted counts the gateways in use.
-func (f *Front) Admitted() (n int) {
+func (f *Balancer) Admitted() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.doors {
@@ -63,7 +63,7 @@
 }
 
 // Pick is the gateway of a session; false: there is none.
-func (f *Front) Pick(session int) (string, bool) {
+func (f *Balancer) Pick(session int) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.doors)
@@ -83,12 +83,12 @@
 }
 
 // Close ends the checks.
-func (f *Front) Close() {
+func (f *Balancer) Close() {
 	close(f.done)
 	f.wg.Wait()
 }
 
-func (f *Front) watch(i int) {
+func (f *Balancer) watch(i int) {
 	defer f.wg.Done()
 	tick := time.NewTicker(frontEvery)
 	defer tick.Stop()
@@ -151,7 +151,7 @@
 		switch h[0] {
 		case pgwire.EmptyQuery:
 			return true, false
-		case pgwire.ErrorMsg:
+		case pgwire.ErrorResponse:
 			return false, true
 		}
 	}
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -14,8 +14,8 @@
 	begun time.Time
 }
 
-// Happening is one line of it.
-type Happening struct {
+// HistoryEntry is one line of it.
+type HistoryEntry struct {
 	AtMS    float64 `json:"at_ms"` // since the begin of the run
 	Kind    string  `json:"kind"`  // fault, front, log, request
 	Gateway string  `json:"gateway,omitempty"`
@@ -34,8 +34,8 @@
 	return &History{out: json.NewEncoder(w), begun: time.Now()}
 }
 
-// Begin sets the moment that is 0.
-func (h *History) Begin(at time.Time) {
+// SetStart sets the moment that is 0.
+func (h *History) SetStart(at time.Time) {
 	if h != nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 // Add writes a line.
-func (h *History) Add(e Happening) {
+func (h *History) Add(e HistoryEntry) {
 	if h == nil {
 		return
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -22,26 +22,26 @@
 
 // Lab is one run.
 type Lab struct {
-	Plan     *plan.Plan
-	Arrivals []plan.Arrival
-	Gateway  []string                   // the command of a gateway
-	Env      []string                   // more of its environment
-	Log      io.Writer                  // what gateways say; nil: nowhere
-	History  *History                   // nil: nowhere
-	Apart    []int                      // gateways that ask at a discovery of their own, see Discovery
-	Twins    []int                      // gateways of which a second process may be started, for Twin
-	Rumours  []int                      // gateways without the plan's budget of bytes, as before a change-over
-	Held     []int                      // gateways whose clients' sockets the lab holds open, so that two processes may serve side by side
-	Pushed   bool                       // gateways take discovery for an agent of their own
-	Hear     func(n *Node, line string) // each line of each gateway's log; nil: nobody listens
-	Judge    func(run.Sample)           // each request; nil: nobody listens
-	Patience time.Duration              // of clients beyond their deadlines
-	Version  int                        // of the list at first; 0: 1
+	Plan              *plan.Plan
+	Arrivals          []plan.Arrival
+	Gateway           []string                   // the command of a gateway
+	Env               []string                   // more of its environment
+	Log               io.Writer                  // what gateways say; nil: nowhere
+	History           *History                   // nil: nowhere
+	SeparateDiscovery []int                      // gateways that ask at a discovery of their own, see Discovery
+	Siblings          []int                      // gateways of which a second process may be started, for Twin
+	WithoutByteBudget []int                      // gateways without the plan's budget of bytes, as before a change-over
+	HeldSockets       []int                      // gateways whose clients' sockets the lab holds open, so that two processes may serve side by side
+	PushDiscovery     bool                       // gateways take discovery for an agent of their own
+	OnLogLine         func(n *Node, line string) // each line of each gateway's log; nil: nobody listens
+	OnSample          func(run.Sample)           // each request; nil: nobody listens
+	ClientSlack       time.Duration              // of clients beyond their deadlines
+	ListVersion       int                        // of the list at first; 0: 1
 
 	world *standin.World
 	apart map[int]*standin.Discovery
 	mesh  *Mesh
-	front *Front
+	front *Balancer
 	dir   string
 	rnd   *rand.Rand
 
@@ -65,8 +65,8 @@
 	p := l.Plan
 	opt := standin.Options{
 		Groups: p.Groups, Members: p.Lab.Members, Cores: p.Lab.Cores, Queue: p.Lab.Queue, Service: p.Lab.Service,
-		Exponential: p.Lab.Delay == "exponential", Lag: p.Lab.Lag, Cold: p.Lab.Cold, Seed: p.Seed, Bounds: map[string]time.Duration{},
-		Version: l.Version,
+		Exponential: p.Lab.Delay == "exponential", Lag: p.Lab.Lag, SlowStart: p.Lab.SlowStart, Seed: p.Seed, Bounds: map[string]time.Duration{},
+		ListVersion: l.ListVersion,
 	}
 	for _, c := range p.Classes {
 		if c.Kind == plan.BoundedRead {
@@ -83,8 +83,8 @@
 		}
 	}()
 	l.apart = map[int]*standin.Discovery{}
-	for _, i := range l.Apart {
-		if l.apart[i], err = l.world.Elsewhere(); err != nil {
+	for _, i := range l.SeparateDiscovery {
+		if l.apart[i], err = l.world.AddDiscovery(); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 		return err
 	}
 	l.dirs, l.socks = map[string]string{}, map[string]held{}
-	slots := p.Lab.Gateways + len(l.Twins)
+	slots := p.Lab.Gateways + len(l.Siblings)
 	l.nodes = make([]*Node, slots)
 	if err = l.hold(); err != nil {
 		return err
@@ -106,8 +106,8 @@
 			return err
 		}
 	}
-	l.front = NewFront(p.Lab.Gateways, func(i int, in bool) {
-		l.History.Add(Happening{Kind: "front", Gateway: l.name(i), What: map[bool]string{true: "admitted", false: "left"}[in]})
+	l.front = NewBalancer(p.Lab.Gateways, func(i int, in bool) {
+		l.History.Add(HistoryEntry{Kind: "front", Gateway: l.name(i), What: map[bool]string{true: "admitted", false: "left"}[in]})
 	})
 	for i := range p.Lab.Gateways {
 		if _, err = l.Start(i); err != nil {
@@ -159,8 +159,8 @@
 // Mesh is the links between gateways; nil without a fleet.
 func (l *Lab) Mesh() *Mesh { return l.mesh }
 
-// Front is what hands gateways out.
-func (l *Lab) Front() *Front { return l.front }
+// Balancer is what hands gateways out.
+func (l *Lab) Balancer() *Balancer { return l.front }
 
 // Play opens the lab, runs the plan's load and events, and closes it. What broke a rule is told in the report's faults.
 func (l *Lab) Play(ctx context.Context) (*run.Report, error) {
@@ -175,19 +175,19 @@
 func (l *Lab) Run(ctx context.Context) (*run.Report, error) {
 	p := l.Plan
 	rec := run.NewRecorder(p)
-	r := &run.Runner{Plan: p, Arrivals: l.Arrivals, Pick: l.front.Pick, Patience: l.Patience, Sample: func(s run.Sample) {
+	r := &run.Runner{Plan: p, Arrivals: l.Arrivals, SelectTarget: l.front.Pick, ClientSlack: l.ClientSlack, OnSample: func(s run.Sample) {
 		rec.Add(s)
-		if l.Judge != nil {
-			l.Judge(s)
+		if l.OnSample != nil {
+			l.OnSample(s)
 		}
-		l.History.Add(Happening{
-			Kind: "request", What: string(s.Outcome), Class: p.Classes[s.Arrival.Class].Name, DueMS: millis(s.Arrival.At), TookMS: millis(s.Latency), Tries: s.Tries,
+		l.History.Add(HistoryEntry{
+			Kind: "request", What: string(s.Outcome), Class: p.Classes[s.Arrival.Class].Name, DueMS: millis(s.Arrival.At), TookMS: millis(s.Latency), Tries: s.Attempts,
 		})
 	}}
 	stop := make(chan struct{})
 	var events sync.WaitGroup
 	begun := time.Now()
-	l.History.Begin(begun)
+	l.History.SetStart(begun)
 	for _, e := range p.Events {
 		events.Add(1)
 		go func() {
@@ -196,7 +196,7 @@
 				return
 			}
 			if err := l.event(e, stop); err != nil {
-				l.Fault("%v", err)
+				l.RecordFault("%v", err)
 			}
 		}()
 	}
@@ -208,32 +208,32 @@
 	}
 	for _, n := range l.processes() {
 		if !n.Alive() && !n.expected() {
-			l.Fault("gateway %s ended by itself", n.Name)
+			l.RecordFault("gateway %s ended by itself", n.Name)
 		}
 	}
 	c := l.world.Counts()
 	out := rec.Report(len(l.Arrivals), sent)
 	out.World = c
 	if c.Duplicates > 0 {
-		l.Fault("%d writes ran twice, the first: %s", c.Duplicates, strings.Join(c.TwiceIDs, " "))
+		l.RecordFault("%d writes ran twice, the first: %s", c.Duplicates, strings.Join(c.TwiceIDs, " "))
 	}
 	if c.Stale > 0 {
-		l.Fault("%d reads were answered from data too old, the first: %s", c.Stale, strings.Join(c.StaleIDs, " "))
+		l.RecordFault("%d reads were answered from data too old, the first: %s", c.Stale, strings.Join(c.StaleIDs, " "))
 	}
 	if c.Foreign > 0 {
-		l.Fault("%d statements that no client sends", c.Foreign)
+		l.RecordFault("%d statements that no client sends", c.Foreign)
 	}
 	if c.Drained > 0 {
-		l.Fault("%d statements to databases that were draining for over 2 s", c.Drained)
+		l.RecordFault("%d statements to databases that were draining for over 2 s", c.Drained)
 	}
 	if c.Fell > 0 {
-		l.Fault("%d cold databases got more than they bear, one %.2f times that", c.Fell, c.MostCold)
+		l.RecordFault("%d cold databases got more than they bear, one %.2f times that", c.Fell, c.MostCold)
 	}
-	if n := out.Total.Counts[run.BadAnswer]; n > 0 {
-		l.Fault("%d requests had no answer, or two", n)
+	if n := out.Total.Counts[run.InvalidAnswer]; n > 0 {
+		l.RecordFault("%d requests had no answer, or two", n)
 	}
 	if out.Total.Count != sent {
-		l.Fault("%d of %d requests are accounted for", out.Total.Count, sent)
+		l.RecordFault("%d of %d requests are accounted for", out.Total.Count, sent)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,8 +241,8 @@
 	return out, nil
 }
 
-// Fault notes that something went against a rule.
-func (l *Lab) Fault(format string, args ...any) {
+// RecordFault notes that something went against a rule.
+func (l *Lab) RecordFault(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
@@ -251,14 +251,14 @@
 // event has the world do something, and takes it back when its time is over.
 func (l *Lab) event(e plan.Event, stop <-chan struct{}) error {
 	faults := standin.Faults{}
-	switch e.Do {
+	switch e.Action {
 	case "roll":
 		members := l.world.Members()
-		n := int(e.Part*float64(len(members)) + 0.5)
+		n := int(e.Share*float64(len(members)) + 0.5)
 		var all sync.WaitGroup
 		failed := make(chan error, n)
 		for i, h := range members[:n] {
-			if i > 0 && !standin.Sleep(e.For/time.Duration(n), stop) {
+			if i > 0 && !standin.Sleep(e.Duration/time.Duration(n), stop) {
 				break
 			}
 			all.Add(1)
@@ -276,33 +276,33 @@
 		}
 		return nil
 	case "lag":
-		l.world.Lag(e.Part, e.Size)
-		standin.Sleep(e.For, stop)
-		l.world.Lag(1, 0)
+		l.world.SetLag(e.Share, e.Size)
+		standin.Sleep(e.Duration, stop)
+		l.world.SetLag(1, 0)
 		return nil
 	case "fail-over":
-		l.world.FailOver(e.Part)
+		l.world.FailOver(e.Share)
 		return nil
 	case "pause":
-		resume := l.world.Pause(e.Part)
-		standin.Sleep(e.For, stop)
+		resume := l.world.Pause(e.Share)
+		standin.Sleep(e.Duration, stop)
 		resume()
 		return nil
 	case "kill-gateway", "stop-gateway", "roll-gateways", "links", "partition":
 		return l.fleetEvent(e, stop)
 	case "reset-before":
-		faults.ResetBefore = e.Part
+		faults.ResetBefore = e.Share
 	case "reset-after":
-		faults.ResetAfter = e.Part
+		faults.ResetAfter = e.Share
 	case "silence":
-		faults.Silence = e.Part
+		faults.Silence = e.Share
 	case "spoil":
-		faults.Spoil = e.Part
+		faults.Malformed = e.Share
 	case "errors":
-		faults.Errors = e.Part
+		faults.Errors = e.Share
 	}
 	l.world.SetFaults(faults)
-	standin.Sleep(e.For, stop)
+	standin.Sleep(e.Duration, stop)
 	l.world.SetFaults(standin.Faults{})
 	return nil
 }
@@ -310,7 +310,7 @@
 // Config is what the platform would tell a gateway of this plan.
 func (l *Lab) Config(i int) map[string]any {
 	c := Config(l.Plan, l.name(i), l.Discovery(i).Addr, l.Plan.Seed+uint64(i)+1, l.world.List())
-	if l.Pushed {
+	if l.PushDiscovery {
 		c["settings"].(map[string]any)["Discovery"] = "push"
 	}
 	if s, ok := l.socks[l.name(i)]; ok {
@@ -347,8 +347,8 @@
 				"Probes": true, "RetryAfter": true, "TryLimit": 6},
 			"Discovery": "ask", "Domain": map[string]any{"Behind": "none", "ClassBoundUs": bounds, "ReadLevel": levels, "ShowsRole": "delayed",
 				"SessionMarks": "client"},
-			"Instances": cmp.Or(p.Lab.Told, p.Lab.Gateways), "Lanes": lanes, "Localities": []string{"a"}, "ResolutionUs": 5000, "Zone": 0,
-			"Rules": map[string]any{"AnswerSlackUs": 20000, "ColdUs": max(1, p.Lab.Cold.Microseconds()), "DrainGraceUs": 2000000, "FallMultiple": 2,
+			"Instances": cmp.Or(p.Lab.AnnouncedGateways, p.Lab.Gateways), "Lanes": lanes, "Localities": []string{"a"}, "ResolutionUs": 5000, "Zone": 0,
+			"Rules": map[string]any{"AnswerSlackUs": 20000, "ColdUs": max(1, p.Lab.SlowStart.Microseconds()), "DrainGraceUs": 2000000, "FallMultiple": 2,
 				"FallUs": 1000000, "MustAskInUs": 10000000, "StartCapacity": standin.StartCapacity},
 		},
 	}
@@ -363,7 +363,7 @@
 	case len(r.Faults) > 0:
 		return fmt.Errorf("%w: %s", ErrFaults, strings.Join(r.Faults, "; "))
 	case r.Invalid:
-		return fmt.Errorf("the generator was late by up to %.1f ms, over its bound of %v", r.Lateness[4], r.Bound)
+		return fmt.Errorf("the generator was late by up to %.1f ms, over its bound of %v", r.Lateness[4], r.LatenessBound)
 	}
 	return nil
 }
--- a/internal/lab/memory.go
+++ b/internal/lab/memory.go
@@ -19,8 +19,8 @@
 	return kb * 1024
 }
 
-// Resident is what a process holds of the machine's memory in bytes; 0: it has ended.
-func Resident(pid int) float64 {
+// ResidentMemory is what a process holds of the machine's memory in bytes; 0: it has ended.
+func ResidentMemory(pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	fields := strings.Fields(string(text))
 	if err != nil || len(fields) < 2 {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -24,11 +24,11 @@
 
 // Node is one process of a gateway.
 type Node struct {
-	Name    string
-	Clients string         // where clients connect
-	Manage  string         // the operators' address
-	Peers   netip.AddrPort // where other gateways find it; invalid without a fleet
-	Config  string         // the path of its configuration
+	Name           string
+	ClientAddr     string         // where clients connect
+	ManagementAddr string         // the operators' address
+	PeerAddr       netip.AddrPort // where other gateways find it; invalid without a fleet
+	ConfigPath     string         // the path of its configuration
 
 	*Process
 	slot   int
@@ -40,7 +40,7 @@
 // name is that of a gateway; a twin has the name of its first process.
 func (l *Lab) name(i int) string {
 	if n := l.Plan.Lab.Gateways; i >= n {
-		i = l.Twins[i-n]
+		i = l.Siblings[i-n]
 	}
 	return fmt.Sprintf("n%d", i)
 }
@@ -59,11 +59,11 @@
 	return append([]*Node(nil), l.all...)
 }
 
-// Twin starts a second process under the name of gateway Twins[k].
-func (l *Lab) Twin(k int) (*Node, error) { return l.Start(l.Plan.Lab.Gateways + k) }
+// StartSibling starts a second process under the name of gateway Twins[k].
+func (l *Lab) StartSibling(k int) (*Node, error) { return l.Start(l.Plan.Lab.Gateways + k) }
 
 // Start runs a gateway and waits until it says where it listens.
-func (l *Lab) Start(i int) (*Node, error) { return l.StartAs(i, l.Gateway) }
+func (l *Lab) Start(i int) (*Node, error) { return l.StartCommand(i, l.Gateway) }
 
 // folder is the private directory of a gateway's process. Processes that share a socket share it as well.
 func (l *Lab) folder(i int) (string, error) {
@@ -83,8 +83,8 @@
 	return l.dirs[name], nil
 }
 
-// Folder is the private directory of a gateway whose socket the lab holds, whichever process it is.
-func (l *Lab) Folder(i int) (string, error) { return l.folder(i) }
+// PrivateDir is the private directory of a gateway whose socket the lab holds, whichever process it is.
+func (l *Lab) PrivateDir(i int) (string, error) { return l.folder(i) }
 
 // held is a clients' socket that the lab holds open.
 type held struct {
@@ -94,7 +94,7 @@
 
 // hold opens the clients' sockets that the lab holds.
 func (l *Lab) hold() error {
-	for _, i := range l.Held {
+	for _, i := range l.HeldSockets {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// StartAs is Start with another command, and more of an environment.
-func (l *Lab) StartAs(i int, command []string, env ...string) (*Node, error) {
+// StartCommand is Start with another command, and more of an environment.
+func (l *Lab) StartCommand(i int, command []string, env ...string) (*Node, error) {
 	name := l.name(i)
 	dir, err := l.folder(i)
 	if err != nil {
@@ -124,7 +124,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	n := &Node{Name: name, Process: NewProcess(exec.Command(command[0], command[1:]...)), slot: i, Config: path}
+	n := &Node{Name: name, Process: NewProcess(exec.Command(command[0], command[1:]...)), slot: i, ConfigPath: path}
 	n.cmd.Env = append(append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+dir, "GW_MANAGEMENT=127.0.0.1:0"), l.Env...)
 	n.cmd.Env = append(n.cmd.Env, env...)
 	if s, ok := l.socks[name]; ok {
@@ -144,7 +144,7 @@
 	l.mu.Lock()
 	l.all = append(l.all, n)
 	l.mu.Unlock()
-	if _, err := n.Ready(startTime); err != nil {
+	if _, err := n.WaitStarted(startTime); err != nil {
 		return nil, fmt.Errorf("gateway %s %w", name, err)
 	}
 	l.mu.Lock()
@@ -152,13 +152,13 @@
 	l.mu.Unlock()
 	l.lead(name)
 	if i < l.Plan.Lab.Gateways {
-		l.front.Set(i, n.Clients)
+		l.front.SetAddr(i, n.ClientAddr)
 	}
 	return n, nil
 }
 
-// WordsDir is where a gateway keeps operators' words, whichever process it is.
-func (l *Lab) WordsDir(i int) string { return filepath.Join(l.dir, l.name(i)+"-words") }
+// OverridesDir is where a gateway keeps operators' words, whichever process it is.
+func (l *Lab) OverridesDir(i int) string { return filepath.Join(l.dir, l.name(i)+"-words") }
 
 // AuditFile is where a gateway keeps its records, whichever process it is.
 func (l *Lab) AuditFile(i int) string { return filepath.Join(l.dir, l.name(i)+"-audit.jsonl") }
@@ -170,24 +170,24 @@
 		fmt.Fprintf(l.Log, "%s/%d %s\n", n.Name, n.Pid(), line)
 		l.mu.Unlock()
 	}
-	if l.Hear != nil {
-		l.Hear(n, line)
+	if l.OnLogLine != nil {
+		l.OnLogLine(n, line)
 	}
 	_, event, _ := strings.Cut(line, " event=")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch kind, _, _ := strings.Cut(event, " "); {
 	case kind == "fleet_started":
-		n.Peers, _ = netip.ParseAddrPort(Field(event, "listen"))
+		n.PeerAddr, _ = netip.ParseAddrPort(LogField(event, "listen"))
 	case kind == "started":
-		n.Clients, n.Manage = Field(event, "listen"), Field(event, "management")
+		n.ClientAddr, n.ManagementAddr = LogField(event, "listen"), LogField(event, "management")
 	}
 	if strings.HasPrefix(event, "violation ") {
-		l.Fault("gateway %s: %s", n.Name, event)
+		l.RecordFault("gateway %s: %s", n.Name, event)
 	}
 	if strings.HasPrefix(event, "fleet_") || strings.HasPrefix(event, "policy ") {
 		n.events = append(n.events, event)
-		l.History.Add(Happening{Kind: "log", Gateway: n.Name, What: event})
+		l.History.Add(HistoryEntry{Kind: "log", Gateway: n.Name, What: event})
 	}
 }
 
@@ -199,12 +199,12 @@
 	to := netip.AddrPort{}
 	for _, n := range l.processes() {
 		n.mu.Lock()
-		if n.Name == name && n.Alive() && n.Clients != "" {
-			to = n.Peers
+		if n.Name == name && n.Alive() && n.ClientAddr != "" {
+			to = n.PeerAddr
 		}
 		n.mu.Unlock()
 	}
-	l.mesh.Lead(name, to)
+	l.mesh.Route(name, to)
 }
 
 // fleetFile is what a gateway is told of the fleet: it finds all others behind relays of its own.
@@ -215,7 +215,7 @@
 	}
 	dial := []byte("dial:\n")
 	for j := range l.nodes {
-		a := l.mesh.Dial(i, j)
+		a := l.mesh.RelayAddr(i, j)
 		if !a.IsValid() {
 			continue
 		}
@@ -231,7 +231,7 @@
 		b = append(b, "subsets: true\n"...)
 	}
 	told := "true"
-	if n := l.Plan.Lab.Bytes; n > 0 && !slices.Contains(l.Rumours, i) {
+	if n := l.Plan.Lab.MaxBytesPerSecond; n > 0 && !slices.Contains(l.WithoutByteBudget, i) {
 		told = fmt.Sprintf("{bytes: %d/s}", n)
 	}
 	if l.Plan.Lab.Positions {
@@ -240,14 +240,14 @@
 	if l.Plan.Lab.Primaries {
 		b = fmt.Appendf(b, "primaries: %s\n", told)
 	}
-	if d := l.Plan.Lab.Fence; d > 0 {
+	if d := l.Plan.Lab.FenceAfter; d > 0 {
 		b = fmt.Appendf(b, "fence: %d ms\n", d.Milliseconds())
 	}
-	if s := l.Plan.Lab.Repeats; s > 0 {
+	if s := l.Plan.Lab.RetryShare; s > 0 {
 		b = fmt.Appendf(b, "repeats: %g%%\n", s*100)
 	}
-	if d := l.Plan.Lab.Words; d > 0 {
-		b = fmt.Appendf(b, "words: {dir: %q, keep: %d s}\n", l.WordsDir(i), int(d.Seconds()))
+	if d := l.Plan.Lab.OverrideLifetime; d > 0 {
+		b = fmt.Appendf(b, "words: {dir: %q, keep: %d s}\n", l.OverridesDir(i), int(d.Seconds()))
 	}
 	if l.Plan.Lab.Audit {
 		b = fmt.Appendf(b, "audit: {file: %q}\n", l.AuditFile(i))
@@ -273,8 +273,8 @@
 	n.meant = true
 }
 
-// Events are its log lines about the fleet and the breakers, from the event's name on.
-func (n *Node) Events() []string {
+// FleetEvents are its log lines about the fleet and the breakers, from the event's name on.
+func (n *Node) FleetEvents() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.events...)
@@ -286,8 +286,8 @@
 	n.Process.Kill()
 }
 
-// Term asks it to end in order and waits until it has.
-func (n *Node) Term() error {
+// Terminate asks it to end in order and waits until it has.
+func (n *Node) Terminate() error {
 	n.mean()
 	if err := n.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -302,10 +302,12 @@
 }
 
 // Call asks the operators' address and returns what it says.
-func (n *Node) Call(method, path string) ([]byte, error) { return Ask(method, n.Manage, path) }
+func (n *Node) Call(method, path string) ([]byte, error) {
+	return CallManagement(method, n.ManagementAddr, path)
+}
 
-// Ask asks a gateway's operators' address and returns what it says.
-func Ask(method, manage, path string) ([]byte, error) {
+// CallManagement asks a gateway's operators' address and returns what it says.
+func CallManagement(method, manage, path string) ([]byte, error) {
 	q, err := http.NewRequest(method, "http://"+manage+path, nil)
 	if err != nil {
 		return nil, err
@@ -341,8 +343,8 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			_ = n.Continue()
-			_ = n.Term()
+			_ = n.Resume()
+			_ = n.Terminate()
 			<-n.end
 		}()
 	}
@@ -351,25 +353,25 @@
 
 // whom are the gateways of an event.
 func (l *Lab) whom(e plan.Event) []int {
-	if e.Some == 0 {
+	if e.GatewayShare == 0 {
 		return e.Gateways
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Plan.Lab.Gateways
-	return l.rnd.Perm(n)[:int(e.Some*float64(n)+0.5)]
+	return l.rnd.Perm(n)[:int(e.GatewayShare*float64(n)+0.5)]
 }
 
 // fleetEvent does something to gateways, or to the links between them.
 func (l *Lab) fleetEvent(e plan.Event, stop <-chan struct{}) error {
 	list := l.whom(e)
-	l.History.Add(Happening{Kind: "fault", What: e.Do, Gateway: fmt.Sprint(list)})
-	switch e.Do {
+	l.History.Add(HistoryEntry{Kind: "fault", What: e.Action, Gateway: fmt.Sprint(list)})
+	switch e.Action {
 	case "kill-gateway":
 		for _, i := range list {
 			l.Node(i).Kill()
 		}
-		if e.Back == 0 || !standin.Sleep(e.Back, stop) {
+		if e.RestartAfter == 0 || !standin.Sleep(e.RestartAfter, stop) {
 			return nil
 		}
 		var all sync.WaitGroup
@@ -385,22 +387,22 @@
 		return errors.Join(failed...)
 	case "stop-gateway":
 		for _, i := range list {
-			if err := l.Node(i).Stop(); err != nil {
+			if err := l.Node(i).Pause(); err != nil {
 				return err
 			}
 		}
-		standin.Sleep(e.For, stop)
+		standin.Sleep(e.Duration, stop)
 		for _, i := range list {
-			if err := l.Node(i).Continue(); err != nil {
+			if err := l.Node(i).Resume(); err != nil {
 				return err
 			}
 		}
 	case "roll-gateways":
 		for k, i := range list {
-			if k > 0 && !standin.Sleep(e.For/time.Duration(len(list)), stop) {
+			if k > 0 && !standin.Sleep(e.Duration/time.Duration(len(list)), stop) {
 				return nil
 			}
-			if err := l.Node(i).Term(); err != nil {
+			if err := l.Node(i).Terminate(); err != nil {
 				return err
 			}
 			if _, err := l.Start(i); err != nil {
@@ -409,14 +411,14 @@
 		}
 	case "links":
 		l.links(e, e.Link)
-		standin.Sleep(e.For, stop)
+		standin.Sleep(e.Duration, stop)
 		l.links(e, plan.Link{})
 	case "partition":
 		l.mesh.Partition(e.Sides, true)
-		standin.Sleep(e.For, stop)
+		standin.Sleep(e.Duration, stop)
 		l.mesh.Partition(e.Sides, false)
 	}
-	l.History.Add(Happening{Kind: "fault", What: "end of " + e.Do, Gateway: fmt.Sprint(list)})
+	l.History.Add(HistoryEntry{Kind: "fault", What: "end of " + e.Action, Gateway: fmt.Sprint(list)})
 	return nil
 }
 
@@ -433,8 +435,8 @@
 	for i := range l.nodes {
 		for j := range l.nodes {
 			if i != j && in(e.From, i) && in(e.To, j) {
-				l.mesh.Set(i, j, to)
-				l.mesh.Cut(i, j, to.Cut)
+				l.mesh.SetLink(i, j, to)
+				l.mesh.SetCut(i, j, to.Cut)
 			}
 		}
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Ready waits until it says that it has started, and returns what it says.
-func (p *Process) Ready(patience time.Duration) (event string, err error) {
+// WaitStarted waits until it says that it has started, and returns what it says.
+func (p *Process) WaitStarted(patience time.Duration) (event string, err error) {
 	select {
 	case event = <-p.started:
 		return event, nil
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// Stop has it stand still, Continue go on.
-func (p *Process) Stop() error {
+// Pause has it stand still, Continue go on.
+func (p *Process) Pause() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -136,11 +136,11 @@
 	return err == nil && len(list) > 0
 }
 
-// Continue is the end of Stop.
-func (p *Process) Continue() error { return p.Signal(syscall.SIGCONT) }
+// Resume is the end of Stop.
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// Field is a value of a log line.
-func Field(line, key string) string {
+// LogField is a value of a log line.
+func LogField(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return value
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -30,8 +30,8 @@
 
 // MeshCounts are datagrams, by what became of them.
 type MeshCounts struct {
-	Passed, Lost, Cut, Doubled, Late, Spoilt, Nowhere int
-	Bytes                                             int
+	Forwarded, Lost, Cut, Duplicated, Reordered, Corrupted, Unroutable int
+	Bytes                                                              int
 }
 
 type relay struct {
@@ -90,30 +90,30 @@
 	return nil, fmt.Errorf("relay: %w", err)
 }
 
-// Dial is where gateway i finds gateway j.
-func (m *Mesh) Dial(i, j int) netip.AddrPort {
+// RelayAddr is where gateway i finds gateway j.
+func (m *Mesh) RelayAddr(i, j int) netip.AddrPort {
 	if r := m.relays[i*m.n+j]; r != nil {
 		return r.addr
 	}
 	return netip.AddrPort{}
 }
 
-// Lead has the relays to a name lead to an address; an invalid one: nowhere.
-func (m *Mesh) Lead(name string, to netip.AddrPort) {
+// Route has the relays to a name lead to an address; an invalid one: nowhere.
+func (m *Mesh) Route(name string, to netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.to[name] = to
 }
 
-// Set gives the link from i to j its faults; the zero link has none.
-func (m *Mesh) Set(i, j int, l plan.Link) {
+// SetLink gives the link from i to j its faults; the zero link has none.
+func (m *Mesh) SetLink(i, j int, l plan.Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links[i*m.n+j] = l
 }
 
-// Cut takes the link from i to j away, or gives it back. Connections over it stand still.
-func (m *Mesh) Cut(i, j int, on bool) {
+// SetCut takes the link from i to j away, or gives it back. Connections over it stand still.
+func (m *Mesh) SetCut(i, j int, on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cuts[i*m.n+j] = on
@@ -130,7 +130,7 @@
 	for i := range m.n {
 		for j := range m.n {
 			if side[i] != side[j] && side[i] > 0 && side[j] > 0 {
-				m.Cut(i, j, on)
+				m.SetCut(i, j, on)
 			}
 		}
 	}
@@ -186,7 +186,7 @@
 		m.counts.Cut++
 		return
 	case !to.IsValid():
-		m.counts.Nowhere++
+		m.counts.Unroutable++
 		return
 	case m.rnd.Float64() < l.Loss:
 		m.counts.Lost++
@@ -194,13 +194,13 @@
 	}
 	b = append([]byte(nil), b...)
 	if m.rnd.Float64() < l.Corrupt {
-		m.counts.Spoilt++
+		m.counts.Corrupted++
 		b = spoil(m.rnd, b)
 	}
 	copies := 1
 	if m.rnd.Float64() < l.Duplicate {
 		copies = 2
-		m.counts.Doubled++
+		m.counts.Duplicated++
 	}
 	for range copies {
 		wait := l.Delay
@@ -208,11 +208,11 @@
 			wait += time.Duration(m.rnd.Int64N(int64(l.Jitter)))
 		}
 		if m.rnd.Float64() < l.Reorder {
-			m.counts.Late++
+			m.counts.Reordered++
 			wait += l.Delay + l.Jitter + 10*time.Millisecond
 		}
 		wait += r.queue(l, len(b))
-		m.counts.Passed++
+		m.counts.Forwarded++
 		m.counts.Bytes += len(b)
 		if wait <= 0 {
 			_, _ = r.udp.WriteToUDPAddrPort(b, to)
@@ -328,7 +328,7 @@
 			}
 			b := buf[:n]
 			if m.rnd.Float64() < l.Corrupt {
-				m.counts.Spoilt++
+				m.counts.Corrupted++
 				b[m.rnd.IntN(n)] ^= 1 << m.rnd.IntN(8)
 			}
 			m.mu.Unlock()
--- a/internal/load/plan/plan_test.go
+++ b/internal/load/plan/plan_test.go
@@ -36,7 +36,7 @@
 
 func TestGoodPlan(t *testing.T) {
 	p := parse(t, good)
-	assert.Equal(t, 26*time.Second, p.Length())
+	assert.Equal(t, 26*time.Second, p.Duration())
 	assert.Equal(t, Class{Name: "own", Kind: SessionRead, Mix: 0.1, Aim: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 2,
 		Bound: 3 * time.Second}, p.Classes[1])
 	assert.Equal(t, []string{"warm", "2", "3", "4", "5"}, []string{p.Stages[0].Name, p.Stages[1].Name, p.Stages[2].Name, p.Stages[3].Name, p.Stages[4].Name})
@@ -86,7 +86,7 @@
 func TestSchedule(t *testing.T) {
 	for _, arrivals := range []string{"even", "poisson"} {
 		p := parse(t, good+"arrivals: "+arrivals+"\n")
-		p.Follow = 0
+		p.FollowShare = 0
 		list, err := Schedule(p)
 		require.NoError(t, err)
 		again, err := Schedule(p)
@@ -115,14 +115,14 @@
 		assert.Equal(t, 2, list[len(list)/2].Stage)
 	}
 	p := parse(t, good)
-	p.Most = 100
+	p.MaxArrivals = 100
 	_, err := Schedule(p)
 	assert.ErrorContains(t, err, "raise most")
 }
 
 func TestReadsFollowWrites(t *testing.T) {
 	p := parse(t, good)
-	p.Follow = 1
+	p.FollowShare = 1
 	list, err := Schedule(p)
 	require.NoError(t, err)
 	by := map[int]Arrival{}
@@ -145,26 +145,26 @@
 
 func TestTraces(t *testing.T) {
 	p := parse(t, good)
-	p.Follow = 0
+	p.FollowShare = 0
 	list, err := Schedule(p)
 	require.NoError(t, err)
 	var b bytes.Buffer
 	require.NoError(t, WriteTrace(&b, p, list))
-	back, err := Trace(p, "t.csv", b.Bytes(), 1, 1)
+	back, err := ParseTrace(p, "t.csv", b.Bytes(), 1, 1)
 	require.NoError(t, err)
 	require.Len(t, back, len(list))
 	for i := range list {
 		assert.Equal(t, []int{list[i].Class, list[i].Group, list[i].Key}, []int{back[i].Class, back[i].Group, back[i].Key})
 		assert.InDelta(t, list[i].At.Seconds(), back[i].At.Seconds(), 2e-6)
 	}
-	half, err := Trace(p, "t.csv", b.Bytes(), 2, 0.5)
+	half, err := ParseTrace(p, "t.csv", b.Bytes(), 2, 0.5)
 	require.NoError(t, err)
 	assert.InDelta(t, len(list)/2, len(half), 5*math.Sqrt(float64(len(list))))
 	assert.InDelta(t, list[len(list)-1].At.Seconds()/2, half[len(half)-1].At.Seconds(), 0.2)
-	twice, err := Trace(p, "t.csv", b.Bytes(), 1, 2)
+	twice, err := ParseTrace(p, "t.csv", b.Bytes(), 1, 2)
 	require.NoError(t, err)
 	assert.Len(t, twice, 2*len(list))
-	lines, err := Trace(p, "t.json", []byte(`{"time":0.5,"class":"write","group":2,"key":9}`+"\n\n"+`{"time":1,"class":"own"}`), 1, 1)
+	lines, err := ParseTrace(p, "t.json", []byte(`{"time":0.5,"class":"write","group":2,"key":9}`+"\n\n"+`{"time":1,"class":"own"}`), 1, 1)
 	require.NoError(t, err)
 	assert.Equal(t, 500*time.Millisecond, lines[0].At)
 	assert.Equal(t, 9, lines[0].Key)
@@ -188,12 +188,12 @@
 		{`{"time":1,"class":"write","grop":1}`, `unknown field "grop"`},
 		{`{"time":1`, "t:1:"},
 	} {
-		_, err := Trace(p, "t", []byte(tt.text), 1, 1)
+		_, err := ParseTrace(p, "t", []byte(tt.text), 1, 1)
 		if assert.Error(t, err, tt.text) {
 			assert.Contains(t, err.Error(), tt.want, tt.text)
 		}
 	}
-	_, err := Trace(p, "t", []byte(head), 0, 1)
+	_, err := ParseTrace(p, "t", []byte(head), 0, 1)
 	assert.Error(t, err)
 }
 
--- a/internal/load/plan/schedule.go
+++ b/internal/load/plan/schedule.go
@@ -27,9 +27,9 @@
 	rnd := rand.New(rand.NewPCG(p.Seed, 0x6c6f6164))
 	var list []Arrival
 	var begun time.Duration
-	next := p.gap(rnd) / gapFirst(p.Even) // of the rate's integral, until the next arrival
+	next := p.gap(rnd) / gapFirst(p.EvenlySpaced) // of the rate's integral, until the next arrival
 	for stage, s := range p.Stages {
-		for _, l := range s.Lines {
+		for _, l := range s.Segments {
 			area := (l.From + l.To) / 2 * l.For.Seconds()
 			for done := 0.0; ; {
 				if done+next > area {
@@ -38,8 +38,8 @@
 				}
 				done += next
 				next = p.gap(rnd)
-				if len(list) >= p.Most {
-					return nil, fmt.Errorf("the stages hold more than %d arrivals; raise most", p.Most)
+				if len(list) >= p.MaxArrivals {
+					return nil, fmt.Errorf("the stages hold more than %d arrivals; raise most", p.MaxArrivals)
 				}
 				list = append(list, p.draw(rnd, begun+l.when(done), stage))
 			}
@@ -58,14 +58,14 @@
 
 // gap is how much of the rate's integral lies between two arrivals.
 func (p *Plan) gap(rnd *rand.Rand) float64 {
-	if p.Even {
+	if p.EvenlySpaced {
 		return 1
 	}
 	return rnd.ExpFloat64()
 }
 
 // when inverts the integral of the rate.
-func (l Line) when(area float64) time.Duration {
+func (l RateSegment) when(area float64) time.Duration {
 	d := l.For.Seconds()
 	slope := (l.To - l.From) / d
 	t := 0.0
@@ -96,9 +96,9 @@
 		list[i].Number = i
 	}
 	firsts := len(list)
-	for i := 0; i < firsts && read >= 0 && p.Follow > 0; i++ {
+	for i := 0; i < firsts && read >= 0 && p.FollowShare > 0; i++ {
 		a := list[i]
-		if p.Classes[a.Class].Kind != Write || rnd.Float64() >= p.Follow {
+		if p.Classes[a.Class].Kind != Write || rnd.Float64() >= p.FollowShare {
 			continue
 		}
 		a.Follows, a.Class, a.Number = a.Number, read, len(list)
@@ -106,8 +106,8 @@
 			continue
 		}
 		a.Stage = p.stageAt(a.At)
-		if list = append(list, a); len(list) > p.Most {
-			return nil, fmt.Errorf("with the reads that follow writes there are more than %d arrivals; raise most", p.Most)
+		if list = append(list, a); len(list) > p.MaxArrivals {
+			return nil, fmt.Errorf("with the reads that follow writes there are more than %d arrivals; raise most", p.MaxArrivals)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
@@ -116,7 +116,7 @@
 
 func (p *Plan) stageAt(at time.Duration) int {
 	for i, s := range p.Stages {
-		if at -= s.Length(); at < 0 {
+		if at -= s.Duration(); at < 0 {
 			return i
 		}
 	}
--- a/internal/load/plan/trace.go
+++ b/internal/load/plan/trace.go
@@ -28,10 +28,10 @@
 	Kind  string   `json:"kind"`
 }
 
-// Trace reads recorded arrivals in place of a schedule: CSV with a first line of names, or JSON lines. Time
+// ParseTrace reads recorded arrivals in place of a schedule: CSV with a first line of names, or JSON lines. Time
 // is divided by speed; of the rows a share is kept, or each comes several times, drawn from the plan's seed. The
 // trace is one stage. Everything wrong with it is told with file, line and column.
-func Trace(p *Plan, file string, text []byte, speed, rate float64) ([]Arrival, error) {
+func ParseTrace(p *Plan, file string, text []byte, speed, rate float64) ([]Arrival, error) {
 	if !(speed > 0 && speed < 1e6) || !(rate > 0 && rate <= 1000) {
 		return nil, errors.New("a trace is scaled by figures above zero")
 	}
@@ -41,11 +41,11 @@
 	} else {
 		t.csv(text)
 	}
-	if len(t.list) == 0 && len(t.r.Faults) == 0 {
-		t.r.Faults = append(t.r.Faults, file+": the trace is empty")
+	if len(t.list) == 0 && len(t.r.Errors) == 0 {
+		t.r.Errors = append(t.r.Errors, file+": the trace is empty")
 	}
-	if len(t.r.Faults) > 0 {
-		return nil, t.r.Faults
+	if len(t.r.Errors) > 0 {
+		return nil, t.r.Errors
 	}
 	return t.list, nil
 }
@@ -60,8 +60,8 @@
 }
 
 func (t *tracer) fault(line, column int, format string, args ...any) {
-	if len(t.r.Faults) < 100 {
-		t.r.Faults = append(t.r.Faults, fmt.Sprintf("%s:%d:%d: ", t.r.File, line, column)+fmt.Sprintf(format, args...))
+	if len(t.r.Errors) < 100 {
+		t.r.Errors = append(t.r.Errors, fmt.Sprintf("%s:%d:%d: ", t.r.File, line, column)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -156,8 +156,8 @@
 	default:
 		t.last = s
 		for n := t.rate; n >= 1 || n > 0 && t.rnd.Float64() < n; n-- {
-			if len(t.list) >= t.p.Most {
-				t.fault(line, at[0], "more than %d arrivals; raise most", t.p.Most)
+			if len(t.list) >= t.p.MaxArrivals {
+				t.fault(line, at[0], "more than %d arrivals; raise most", t.p.MaxArrivals)
 				return
 			}
 			t.list = append(t.list, Arrival{
--- a/internal/load/run/record.go
+++ b/internal/load/run/record.go
@@ -73,9 +73,9 @@
 	}
 	r.n++
 	c.counts[s.Outcome]++
-	c.tries += s.Tries
+	c.tries += s.Attempts
 	record(r.late, s.Lateness)
-	if s.Lateness > r.plan.Stall && len(r.bad) < mostStalls {
+	if s.Lateness > r.plan.MaxLateness && len(r.bad) < mostStalls {
 		r.bad = append(r.bad, Stall{At: s.Arrival.At, Late: s.Lateness})
 	}
 	i, worth := int(s.Arrival.At/time.Second), r.plan.Classes[s.Arrival.Class].Worth
@@ -84,7 +84,7 @@
 	}
 	r.secs[i].Offered++
 	r.secs[i].Asked += worth
-	if s.Outcome != Missed {
+	if s.Outcome != NotSent {
 		record(c.all, s.Latency)
 	}
 	if s.Outcome == InAim || s.Outcome == Late {
@@ -110,23 +110,23 @@
 
 // Report is a run as it is written down.
 type Report struct {
-	PlanID   string        `json:"plan"`
-	Schedule int           `json:"schedule"` // arrivals drawn
-	Sent     int           `json:"sent"`
-	Partial  bool          `json:"partial"` // interrupted
-	Invalid  bool          `json:"invalid"` // the generator itself was late
-	Rows     []Row         `json:"rows"`
-	Total    Row           `json:"total"`
-	Seconds  []second      `json:"seconds"`
-	Stages   []StageSpan   `json:"stages"`
-	Events   []plan.Event  `json:"events,omitempty"`
-	Lateness []float64     `json:"lateness_ms"`
-	Bound    time.Duration `json:"lateness_bound_ns"`
-	Stalls   []Stall       `json:"stalls,omitempty"`
-	Goodput  float64       `json:"goodput"` // share of the worth asked for that was served in aim
-	Faults   []string      `json:"faults,omitempty"`
-	World    any           `json:"world,omitempty"`
-	Curve    []Point       `json:"curve"`
+	PlanID        string        `json:"plan"`
+	Schedule      int           `json:"schedule"` // arrivals drawn
+	Sent          int           `json:"sent"`
+	Partial       bool          `json:"partial"` // interrupted
+	Invalid       bool          `json:"invalid"` // the generator itself was late
+	Rows          []Row         `json:"rows"`
+	Total         Row           `json:"total"`
+	Seconds       []second      `json:"seconds"`
+	Stages        []StageSpan   `json:"stages"`
+	Events        []plan.Event  `json:"events,omitempty"`
+	Lateness      []float64     `json:"lateness_ms"`
+	LatenessBound time.Duration `json:"lateness_bound_ns"`
+	Stalls        []Stall       `json:"stalls,omitempty"`
+	Goodput       float64       `json:"goodput"` // share of the worth asked for that was served in aim
+	Faults        []string      `json:"faults,omitempty"`
+	World         any           `json:"world,omitempty"`
+	Curve         []Point       `json:"curve"`
 }
 
 // Point is one of the curve of latencies by percentile.
@@ -145,14 +145,14 @@
 
 // Row is one class in one stage, or all.
 type Row struct {
-	Class   string          `json:"class"`
-	Stage   string          `json:"stage"`
-	Count   int             `json:"count"`
-	Tries   int             `json:"tries"`
-	Counts  map[Outcome]int `json:"outcomes"`
-	Latency []float64       `json:"latency_ms"` // from the intended moment, at Percentiles, of what was served
-	Service []float64       `json:"service_ms"`
-	All     []float64       `json:"all_ms"` // whatever became of it
+	Class    string          `json:"class"`
+	Stage    string          `json:"stage"`
+	Count    int             `json:"count"`
+	Attempts int             `json:"tries"`
+	Counts   map[Outcome]int `json:"outcomes"`
+	Latency  []float64       `json:"latency_ms"` // from the intended moment, at Percentiles, of what was served
+	Service  []float64       `json:"service_ms"`
+	All      []float64       `json:"all_ms"` // whatever became of it
 }
 
 // Report sums the run up.
@@ -161,15 +161,15 @@
 	defer r.mu.Unlock()
 	out := &Report{
 		PlanID: ID(r.plan, schedule), Schedule: schedule, Sent: sent, Partial: sent < schedule, Seconds: r.secs, Events: r.plan.Events,
-		Lateness: quantiles(r.late), Bound: r.plan.Stall, Stalls: r.bad,
-		Invalid: time.Duration(r.late.Max())*time.Microsecond > r.plan.Stall,
+		Lateness: quantiles(r.late), LatenessBound: r.plan.MaxLateness, Stalls: r.bad,
+		Invalid: time.Duration(r.late.Max())*time.Microsecond > r.plan.MaxLateness,
 	}
 	slices.SortFunc(out.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they came as they ended
 	latency, service, all := histogram(), histogram(), histogram()
 	total := Row{Class: "all", Stage: "all", Counts: map[Outcome]int{}}
 	at := 0.0
 	for i, s := range r.plan.Stages {
-		end := at + s.Length().Seconds()
+		end := at + s.Duration().Seconds()
 		out.Stages = append(out.Stages, StageSpan{Name: s.Name, Begin: at, End: end})
 		at = end
 		for j, class := range r.plan.Classes {
@@ -177,13 +177,13 @@
 			if c == nil {
 				continue
 			}
-			row := Row{Class: class.Name, Stage: s.Name, Tries: c.tries, Counts: c.counts, Latency: quantiles(c.latency), Service: quantiles(c.service), All: quantiles(c.all)}
+			row := Row{Class: class.Name, Stage: s.Name, Attempts: c.tries, Counts: c.counts, Latency: quantiles(c.latency), Service: quantiles(c.service), All: quantiles(c.all)}
 			for _, o := range Outcomes {
 				row.Count += c.counts[o]
 				total.Counts[o] += c.counts[o]
 			}
 			total.Count += row.Count
-			total.Tries += row.Tries
+			total.Attempts += row.Attempts
 			latency.Merge(c.latency)
 			service.Merge(c.service)
 			all.Merge(c.all)
--- a/internal/load/run/report.go
+++ b/internal/load/run/report.go
@@ -23,15 +23,15 @@
 	return fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(text, "%d", schedule)))[:16]
 }
 
-// Text writes the report for a person.
-func (r *Report) Text(w io.Writer) error {
+// WriteText writes the report for a person.
+func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	head := "class\tstage\tcount\tin aim\tlate\trefused\tfailed\tgave up\tno conn\tmissed\tp50\tp99\tp99.9\tmax\tservice p50\tp99\t\n"
 	fmt.Fprint(t, head)
 	for _, row := range append(r.Rows, r.Total) {
 		c := row.Counts
 		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", row.Class, row.Stage, row.Count,
-			100*float64(c[InAim])/float64(max(1, row.Count)), c[Late], c[Refused]+c[RefusedFor], c[Failed]+c[BadAnswer], c[GaveUp], c[NoConn], c[Missed],
+			100*float64(c[InAim])/float64(max(1, row.Count)), c[Late], c[Refused]+c[RefusedRetryAfter], c[Failed]+c[InvalidAnswer], c[GaveUp], c[NoConnection], c[NotSent],
 			row.Latency[0], row.Latency[2], row.Latency[3], row.Latency[4], row.Service[0], row.Service[2])
 	}
 	if err := t.Flush(); err != nil {
@@ -40,7 +40,7 @@
 	fmt.Fprintf(w, "\nlatencies in ms from the intended moment, of what was served; service from the real sending\n")
 	fmt.Fprintf(w, "goodput %.3f of the worth asked for; %d of %d arrivals handed out\n", r.Goodput, r.Sent, r.Schedule)
 	fmt.Fprintf(w, "the generator's own lateness: p50 %.2f ms, p99 %.2f ms, at most %.2f ms; the bound is %v\n",
-		r.Lateness[0], r.Lateness[2], r.Lateness[4], r.Bound)
+		r.Lateness[0], r.Lateness[2], r.Lateness[4], r.LatenessBound)
 	if r.Partial {
 		fmt.Fprintln(w, "PARTIAL: the run was ended early")
 	}
@@ -92,8 +92,8 @@
 // nines is where a percentile stands on the usual axis, on which 90, 99 and 99.9 are as far apart.
 func nines(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
 
-// Plots writes two pictures: latency by percentile, and service over time with stages and events.
-func (r *Report) Plots(prefix string) error {
+// WritePlots writes two pictures: latency by percentile, and service over time with stages and events.
+func (r *Report) WritePlots(prefix string) error {
 	curve := plot.New()
 	curve.Title.Text, curve.X.Label.Text, curve.Y.Label.Text = "Latency by percentile", "percentile", "ms"
 	var latency, service plotter.XYs
@@ -138,7 +138,7 @@
 		mark(s.Begin, top*1.02, s.Name)
 	}
 	for _, e := range r.Events {
-		mark(e.At.Seconds(), top*1.08, strings.TrimSpace(e.Do))
+		mark(e.At.Seconds(), top*1.08, strings.TrimSpace(e.Action))
 	}
 	if len(at.XYs) > 0 {
 		labels, err := plotter.NewLabels(at)
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -26,50 +26,50 @@
 
 // The outcomes.
 const (
-	InAim      Outcome = "in_aim"
-	Late       Outcome = "late"
-	RefusedFor Outcome = "refused_retry_after" // with a time to come back
-	Refused    Outcome = "refused"
-	Failed     Outcome = "failed"
-	GaveUp     Outcome = "gave_up"
-	NoConn     Outcome = "no_connection"
-	Missed     Outcome = "missed" // never sent: too many were outstanding
-	BadAnswer  Outcome = "bad_answer"
+	InAim             Outcome = "in_aim"
+	Late              Outcome = "late"
+	RefusedRetryAfter Outcome = "refused_retry_after" // with a time to come back
+	Refused           Outcome = "refused"
+	Failed            Outcome = "failed"
+	GaveUp            Outcome = "gave_up"
+	NoConnection      Outcome = "no_connection"
+	NotSent           Outcome = "missed" // never sent: too many were outstanding
+	InvalidAnswer     Outcome = "bad_answer"
 )
 
 // Outcomes are all, in the order of reports.
-var Outcomes = []Outcome{InAim, Late, RefusedFor, Refused, Failed, GaveUp, NoConn, Missed, BadAnswer}
+var Outcomes = []Outcome{InAim, Late, RefusedRetryAfter, Refused, Failed, GaveUp, NoConnection, NotSent, InvalidAnswer}
 
 // Sample is one request that has ended.
 type Sample struct {
-	Arrival  plan.Arrival
-	Outcome  Outcome
-	Latency  time.Duration // from the intended moment
-	Service  time.Duration // of the last try, from when it was really sent
-	Lateness time.Duration // the generator's own
-	Tries    int
-	Last     Try // the last of them
+	Arrival     plan.Arrival
+	Outcome     Outcome
+	Latency     time.Duration // from the intended moment
+	Service     time.Duration // of the last try, from when it was really sent
+	Lateness    time.Duration // the generator's own
+	Attempts    int
+	LastAttempt Attempt // the last of them
 }
 
-// Try is one request as a gateway had it.
-type Try struct {
-	Target  string    // whom it was sent to; empty: nobody
-	Begun   time.Time // when it was written
-	Ended   time.Time
-	Reused  bool // on a connection that had carried others
-	Unheard bool // the connection ended, or the client's patience, without an answer
-	ID      string
+// Attempt is one request as a gateway had it.
+type Attempt struct {
+	Target     string    // whom it was sent to; empty: nobody
+	Sent       time.Time // when it was written
+	Ended      time.Time
+	Reused     bool // on a connection that had carried others
+	Unanswered bool // the connection ended, or the client's patience, without an answer
+	ID         string
 }
 
 // Runner plays one schedule.
 type Runner struct {
-	Plan     *plan.Plan
-	Arrivals []plan.Arrival
-	Targets  []string
-	Pick     func(session int) (target string, ok bool) // whom a session is sent to; nil: one of Targets for good
-	Sample   func(Sample)                               // called from many goroutines
-	Patience time.Duration                              // beyond its deadline in which an answer is still waited for
-	Stalled  func(time.Duration)                        // before each request is handed out; for tests of the generator itself
+	Plan         *plan.Plan
+	Arrivals     []plan.Arrival
+	Targets      []string
+	SelectTarget func(session int) (target string, ok bool) // whom a session is sent to; nil: one of Targets for good
+	OnSample     func(Sample)                               // called from many goroutines
+	ClientSlack  time.Duration                              // beyond its deadline in which an answer is still waited for
+	BeforeSend   func(time.Duration)                        // before each request is handed out; for tests of the generator itself
 
 	pools   map[string]*pool
 	begun   time.Time
@@ -79,8 +79,8 @@
 	nonce   uint64
 }
 
-// Loopback tells what is wrong with a target: load is sent to addresses of this machine only.
-func Loopback(target string) error {
+// CheckLoopback tells what is wrong with a target: load is sent to addresses of this machine only.
+func CheckLoopback(target string) error {
 	a, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return fmt.Errorf("target %q: an address like 127.0.0.1:5432 is wanted", target)
@@ -94,16 +94,16 @@
 // Play sends all arrivals, or those until ctx ends, and waits for their outcomes; it returns how many were
 // handed out.
 func (r *Runner) Play(ctx context.Context) (sent int, err error) {
-	if len(r.Targets) == 0 && r.Pick == nil {
+	if len(r.Targets) == 0 && r.SelectTarget == nil {
 		return 0, errors.New("no target")
 	}
 	for _, t := range r.Targets {
-		if err := Loopback(t); err != nil {
+		if err := CheckLoopback(t); err != nil {
 			return 0, err
 		}
 	}
-	if r.Pick == nil {
-		r.Pick = func(session int) (string, bool) { return r.Targets[session%len(r.Targets)], true }
+	if r.SelectTarget == nil {
+		r.SelectTarget = func(session int) (string, bool) { return r.Targets[session%len(r.Targets)], true }
 	}
 	r.pools = map[string]*pool{}
 	defer func() {
@@ -115,22 +115,22 @@
 	r.commits = map[int]int64{}
 	r.begun = time.Now()
 	r.nonce = uint64(r.begun.UnixNano()) << 24 // ids of one run are none of another's
-	outstanding := make(chan struct{}, r.Plan.Outstanding)
+	outstanding := make(chan struct{}, r.Plan.MaxOutstanding)
 	var wg sync.WaitGroup
 	for i, a := range r.Arrivals {
 		due := r.begun.Add(a.At)
 		if !until(ctx, due) {
 			break
 		}
-		if r.Stalled != nil {
-			r.Stalled(a.At)
+		if r.BeforeSend != nil {
+			r.BeforeSend(a.At)
 		}
 		lateness := time.Since(due)
 		sent = i + 1
 		select {
 		case outstanding <- struct{}{}:
 		default:
-			r.Sample(Sample{Arrival: a, Outcome: Missed, Lateness: lateness})
+			r.OnSample(Sample{Arrival: a, Outcome: NotSent, Lateness: lateness})
 			continue
 		}
 		wg.Add(1)
@@ -139,7 +139,7 @@
 			s := r.one(a, due)
 			s.Lateness = lateness
 			<-outstanding
-			r.Sample(s)
+			r.OnSample(s)
 		}()
 	}
 	wg.Wait()
@@ -165,17 +165,17 @@
 // one is the life of a request, with its retries.
 func (r *Runner) one(a plan.Arrival, due time.Time) Sample {
 	class := &r.Plan.Classes[a.Class]
-	ctx, cancel := context.WithDeadline(context.Background(), due.Add(class.Deadline+r.Patience))
+	ctx, cancel := context.WithDeadline(context.Background(), due.Add(class.Deadline+r.ClientSlack))
 	defer cancel()
 	s := Sample{Arrival: a}
 	for {
-		s.Tries++
-		outcome, after, service, last := r.try(ctx, a, class, s.Tries > 1)
-		s.Service, s.Last = service, last
-		if s.Outcome = outcome; outcome != Refused && outcome != RefusedFor && outcome != NoConn || s.Tries > r.Plan.Retries {
+		s.Attempts++
+		outcome, after, service, last := r.try(ctx, a, class, s.Attempts > 1)
+		s.Service, s.LastAttempt = service, last
+		if s.Outcome = outcome; outcome != Refused && outcome != RefusedRetryAfter && outcome != NoConnection || s.Attempts > r.Plan.MaxRetries {
 			break
 		}
-		if !until(ctx, time.Now().Add(r.pause(after, s.Tries))) {
+		if !until(ctx, time.Now().Add(r.pause(after, s.Attempts))) {
 			break // it was refused; there is no time for another try
 		}
 	}
@@ -193,39 +193,39 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := time.Duration(float64(r.Plan.RetryPause<<min(tries-1, 5)) * (0.5 + r.rnd.Float64()))
-	if after > 0 && r.rnd.Float64() < r.Plan.Honour {
+	if after > 0 && r.rnd.Float64() < r.Plan.HonourShare {
 		d = max(d, after)
 	}
 	return d
 }
 
 // try sends the request once; service counts from when it really goes out, on a connection that is up.
-func (r *Runner) try(ctx context.Context, a plan.Arrival, class *plan.Class, again bool) (o Outcome, after, service time.Duration, last Try) {
+func (r *Runner) try(ctx context.Context, a plan.Arrival, class *plan.Class, again bool) (o Outcome, after, service time.Duration, last Attempt) {
 	p := r.pool(a.Session)
 	if p == nil {
-		return NoConn, 0, 0, last
+		return NoConnection, 0, 0, last
 	}
 	c, reused, err := p.get(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
 			return GaveUp, 0, 0, last
 		}
-		return NoConn, 0, 0, last
+		return NoConnection, 0, 0, last
 	}
-	left := time.Until(deadline(ctx)) - r.Patience
+	left := time.Until(deadline(ctx)) - r.ClientSlack
 	if left <= 0 {
 		p.put(c)
 		return GaveUp, 0, 0, last
 	}
 	text, id := r.statement(a, class, left, again)
-	last = Try{Target: p.target, Begun: time.Now(), Reused: reused, ID: id}
+	last = Attempt{Target: p.target, Sent: time.Now(), Reused: reused, ID: id}
 	results, err := c.Exec(ctx, text).ReadAll()
 	last.Ended = time.Now()
 	var said *pgconn.PgError
-	last.Unheard = err != nil && !errors.As(err, &said)
+	last.Unanswered = err != nil && !errors.As(err, &said)
 	p.put(c)
 	o, after = r.outcome(ctx, a, results, err)
-	return o, after, last.Ended.Sub(last.Begun), last
+	return o, after, last.Ended.Sub(last.Sent), last
 }
 
 // outcome is what an answer comes to.
@@ -234,7 +234,7 @@
 	switch {
 	case errors.As(err, &said) && (said.Code == "53300" || said.Code == "57P03"):
 		if ms, err := strconv.Atoi(said.Detail); err == nil && ms > 0 {
-			return RefusedFor, time.Duration(ms) * time.Millisecond
+			return RefusedRetryAfter, time.Duration(ms) * time.Millisecond
 		}
 		return Refused, 0
 	case errors.As(err, &said):
@@ -244,7 +244,7 @@
 	case err != nil:
 		return Failed, 0
 	case len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) != 1:
-		return BadAnswer, 0
+		return InvalidAnswer, 0
 	}
 	r.learn(a, string(results[0].Rows[0][0]))
 	return InAim, 0
@@ -288,15 +288,15 @@
 
 // pool finds the connections to a session's gateway; nil: there is none.
 func (r *Runner) pool(session int) *pool {
-	target, ok := r.Pick(session)
-	if !ok || Loopback(target) != nil {
+	target, ok := r.SelectTarget(session)
+	if !ok || CheckLoopback(target) != nil {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pools[target]
 	if p == nil {
-		p = &pool{target: target, slots: make(chan struct{}, r.Plan.Connections)}
+		p = &pool{target: target, slots: make(chan struct{}, r.Plan.MaxConnections)}
 		r.pools[target] = p
 	}
 	return p
--- a/internal/load/run/run_test.go
+++ b/internal/load/run/run_test.go
@@ -50,7 +50,7 @@
 	const mean = 20 * time.Millisecond
 	for _, a := range list {
 		d := time.Duration(float64(mean) * rnd.ExpFloat64())
-		rec.Add(Sample{Arrival: a, Outcome: InAim, Latency: d, Service: d, Tries: 1})
+		rec.Add(Sample{Arrival: a, Outcome: InAim, Latency: d, Service: d, Attempts: 1})
 	}
 	r := rec.Report(len(list), len(list))
 	for _, q := range r.Curve {
@@ -66,7 +66,7 @@
 		if a.At >= 5*time.Second && a.At < 6*time.Second {
 			wait = 6*time.Second - a.At
 		}
-		rec.Add(Sample{Arrival: a, Outcome: InAim, Latency: wait + time.Millisecond, Service: time.Millisecond, Tries: 1})
+		rec.Add(Sample{Arrival: a, Outcome: InAim, Latency: wait + time.Millisecond, Service: time.Millisecond, Attempts: 1})
 	}
 	r = rec.Report(len(list), len(list))
 	// One in twenty waited, evenly between nothing and a second: the 99th percentile is four fifths up.
@@ -84,12 +84,12 @@
 	defer timer.Stop()
 	time.AfterFunc(1500*time.Millisecond, func() { (<-resume)() })
 	rec := NewRecorder(p)
-	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, Sample: rec.Add}
+	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: rec.Add}
 	sent, err := r.Play(context.Background())
 	require.NoError(t, err)
 	out := rec.Report(len(list), sent)
 	assert.Equal(t, 400, out.Total.Count)
-	assert.Zero(t, out.Total.Counts[Missed]+out.Total.Counts[Failed]+out.Total.Counts[NoConn])
+	assert.Zero(t, out.Total.Counts[NotSent]+out.Total.Counts[Failed]+out.Total.Counts[NoConnection])
 	assert.GreaterOrEqual(t, out.Total.Latency[0], 10.0, "nothing is faster than the delay")
 	// A hundred of 400 came due in the half second of the stall: a tenth waited 200 ms and more. Of the sockets' twenty
 	// only were sent then, so the real sending shows far fewer.
@@ -103,12 +103,12 @@
 	_, addr := database(t, standin.Options{Cores: 1, Queue: 10000, Service: 20 * time.Millisecond})
 	p, list := parse(t, "{shape: constant, rate: 400/s, for: 2 s}", "connections: 50\noutstanding: 100\nstall: 2 s\n")
 	rec := NewRecorder(p)
-	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, Sample: rec.Add}
+	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: rec.Add}
 	sent, err := r.Play(context.Background())
 	require.NoError(t, err)
 	out := rec.Report(len(list), sent)
 	assert.Equal(t, 800, out.Total.Count, "all are accounted for")
-	assert.Greater(t, out.Total.Counts[Missed], 400)
+	assert.Greater(t, out.Total.Counts[NotSent], 400)
 	assert.Greater(t, out.Total.Latency[4], 1000.0)
 }
 
@@ -119,7 +119,7 @@
 	p, list := parse(t, "{shape: constant, rate: 100/s, for: 1 s}", "stall: 200 ms\n")
 	rec := NewRecorder(p)
 	stalled := false
-	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, Sample: rec.Add, Stalled: func(at time.Duration) {
+	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: rec.Add, BeforeSend: func(at time.Duration) {
 		if at > 300*time.Millisecond && !stalled {
 			stalled = true
 			time.Sleep(400 * time.Millisecond)
@@ -132,18 +132,18 @@
 	require.NotEmpty(t, out.Stalls)
 	assert.InDelta(t, 0.305, out.Stalls[0].At.Seconds(), 0.05)
 	assert.Equal(t, 100, out.Total.Count)
-	assert.Zero(t, out.Total.Counts[Missed])
+	assert.Zero(t, out.Total.Counts[NotSent])
 	var b bytes.Buffer
-	require.NoError(t, out.Text(&b))
+	require.NoError(t, out.WriteText(&b))
 	assert.Contains(t, b.String(), "INVALID")
 }
 
 func TestLoopbackOnly(t *testing.T) {
 	for _, target := range []string{"10.0.0.4:5432", "example:5432", "127.0.0.1", "[2001:db8::1]:1", ""} {
-		assert.Error(t, Loopback(target), target)
+		assert.Error(t, CheckLoopback(target), target)
 	}
-	assert.NoError(t, Loopback("127.8.0.1:5432"))
-	assert.NoError(t, Loopback("[::1]:5432"))
+	assert.NoError(t, CheckLoopback("127.8.0.1:5432"))
+	assert.NoError(t, CheckLoopback("[::1]:5432"))
 	p, list := parse(t, "{shape: constant, rate: 10/s, for: 1 s}", "")
 	_, err := (&Runner{Plan: p, Arrivals: list, Targets: []string{"10.0.0.4:5432"}}).Play(context.Background())
 	assert.ErrorContains(t, err, "not a loopback address")
@@ -156,7 +156,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	rec := NewRecorder(p)
-	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, Sample: func(s Sample) {
+	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: func(s Sample) {
 		rec.Add(s)
 		if s.Arrival.Number == 20 {
 			cancel()
@@ -175,7 +175,7 @@
 	report := func(d time.Duration, o Outcome) *Report {
 		rec := NewRecorder(p)
 		for i, a := range list {
-			s := Sample{Arrival: a, Outcome: InAim, Latency: d, Service: d, Tries: 1}
+			s := Sample{Arrival: a, Outcome: InAim, Latency: d, Service: d, Attempts: 1}
 			if i%10 == 0 {
 				s.Outcome = o
 			}
@@ -192,7 +192,7 @@
 	other.PlanID = "another"
 	assert.ErrorContains(t, Compare(&text, a, &other), "different plans")
 	prefix := filepath.Join(t.TempDir(), "x")
-	require.NoError(t, a.Plots(prefix))
+	require.NoError(t, a.WritePlots(prefix))
 	for _, name := range []string{"latency", "service"} {
 		info, err := os.Stat(fmt.Sprintf("%s-%s.png", prefix, name))
 		require.NoError(t, err)
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// Callers is how many may be connected at once.
-	Callers   = 12
-	callTime  = 3 * time.Second // a call is whole by then, or its caller is let go
-	leaveTime = time.Second     // an answer is read by then
-	inputMost = http1.MostCall + http1.MostBody + 512
+	// MaxConnections is how many may be connected at once.
+	MaxConnections = 12
+	callTime       = 3 * time.Second // a call is whole by then, or its caller is let go
+	leaveTime      = time.Second     // an answer is read by then
+	inputMost      = http1.MaxRequestHead + http1.MaxRequestBody + 512
 )
 
 // reasons are the phrases of the statuses in use.
@@ -36,8 +36,8 @@
 	// Suspend leaves a database out, or has it serve again, and calls then when that holds; kept tells whether a
 	// successor will know it as well. False: nobody knows the database.
 	Suspend(id string, out bool, then func(kept bool)) bool
-	// Fleet tells in JSON which other gateways are known; false: this one is in no fleet.
-	Fleet() ([]byte, bool)
+	// FleetMembers tells in JSON which other gateways are known; false: this one is in no fleet.
+	FleetMembers() ([]byte, bool)
 	// FleetState tells in JSON what operators told the whole fleet; false: this gateway is in no fleet.
 	FleetState() ([]byte, bool)
 	// FleetVersions tells in JSON who acts on which versions; false: this gateway is in no fleet.
@@ -59,13 +59,13 @@
 	loop  *netloop.Loop
 	ops   Operations
 	calls []*call // oldest first
-	bad   netloop.Sparse
+	bad   netloop.RateLimitedLog
 }
 
 // Listen begins to take calls; it returns the address in use.
 func Listen(loop *netloop.Loop, addr netip.AddrPort, ops Operations) (netip.AddrPort, error) {
 	s := &Server{loop: loop, ops: ops}
-	ln, err := loop.ListenReserved(addr, Callers, s.accept, s.makeRoom)
+	ln, err := loop.ListenReserved(addr, MaxConnections, s.accept, s.makeRoom)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("management: %w", err)
 	}
@@ -84,7 +84,7 @@
 func (s *Server) accept(nc *netloop.Conn) {
 	s.prune()
 	c := &call{s: s, nc: nc}
-	nc.Handle(c, inputMost)
+	nc.SetHandler(c, inputMost)
 	c.timer = s.loop.At(s.loop.Now()+callTime, func() { c.answer(408, "no whole call in time\n") })
 	s.calls = append(s.calls, c)
 }
@@ -93,7 +93,7 @@
 func (s *Server) prune() {
 	left := s.calls[:0]
 	for _, c := range s.calls {
-		if c.nc.Open() {
+		if c.nc.HasDescriptor() {
 			left = append(left, c)
 		}
 	}
@@ -139,8 +139,8 @@
 	}
 	q, n, err := http1.ParseRequest(c.nc.Input())
 	if bad, ok := err.(*http1.StatusError); ok {
-		c.s.bad.Printf(c.s.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Why)
-		c.answer(bad.Status, bad.Why+"\n")
+		c.s.bad.Printf(c.s.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Reason)
+		c.answer(bad.Status, bad.Reason+"\n")
 		return
 	}
 	if n > 0 {
@@ -167,7 +167,7 @@
 			c.answer(200, string(c.s.ops.Metrics(nil)))
 		}
 	case "/v1/fleet/members":
-		c.fleet(q, c.s.ops.Fleet)
+		c.fleet(q, c.s.ops.FleetMembers)
 	case "/v1/fleet/versions":
 		c.fleet(q, c.s.ops.FleetVersions)
 	case "/v1/fleet/audit":
@@ -221,7 +221,7 @@
 		if !ok || !two || verb != k.out && verb != k.in {
 			continue
 		}
-		name, ok := http1.Segment(text)
+		name, ok := http1.DecodeSegment(text)
 		switch {
 		case !ok:
 			c.answer(400, "the "+k.what+"'s name is not encoded as a path is\n")
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -37,7 +37,7 @@
 func (s *staff) FleetDrain(name string, on bool, then func(string)) bool {
 	return s.FleetSuspend("gateway "+name, on, then)
 }
-func (s *staff) Fleet() ([]byte, bool) { return []byte("{}"), s.ready == "" }
+func (s *staff) FleetMembers() ([]byte, bool) { return []byte("{}"), s.ready == "" }
 func (s *staff) Drain(on bool, then func(bool)) {
 	s.did = append(s.did, fmt.Sprintf("drain %t", on))
 	then(s.kept())
@@ -177,7 +177,7 @@
 	t.Parallel()
 	addr, _ := serve(t, &staff{}, nil)
 	var held []net.Conn
-	for range 3 * Callers {
+	for range 3 * MaxConnections {
 		c := dial(t, addr)
 		_, err := io.WriteString(c, "PUT /v1/gateway/drain HTTP/1.1\r\n")
 		require.NoError(t, err)
@@ -207,7 +207,7 @@
 	c := dial(t, addr)
 	_, err := io.WriteString(c, request("PUT", "/v1/databases/slow/suspend"))
 	require.NoError(t, err)
-	for range 2 * Callers {
+	for range 2 * MaxConnections {
 		assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK")
 	}
 	ask <- struct{}{}
--- a/internal/netloop/bench_test.go
+++ b/internal/netloop/bench_test.go
@@ -23,7 +23,7 @@
 	l, err := New(64, 0, 1<<20)
 	require.NoError(b, err)
 	defer l.Close()
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) { c.Handle(&replier{c}, 4096) })
+	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) { c.SetHandler(&replier{c}, 4096) })
 	require.NoError(b, err)
 	l.OnWake(l.Stop)
 	done := make(chan error, 1)
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -45,14 +45,16 @@
 	least    int       // how large the input buffer is at least
 }
 
-// Wanting tells whether an error of Dial says that this machine lacks something just now, and nothing of the peer.
-func Wanting(err error) bool { return errors.Is(err, ErrDescriptors) || sys.Passing(err) }
+// IsResourceShortage tells whether an error of Dial says that this machine lacks something just now, and nothing of the peer.
+func IsResourceShortage(err error) bool {
+	return errors.Is(err, ErrNoDescriptor) || sys.IsTransient(err)
+}
 
 // Dial begins to connect. A failure that is known at once is returned; later ones
 // end the connection.
 func (l *Loop) Dial(addr netip.AddrPort, h Handler, inputMost int) (*Conn, error) {
-	if l.Spare() <= 0 {
-		return nil, ErrDescriptors
+	if l.SpareDescriptors() <= 0 {
+		return nil, ErrNoDescriptor
 	}
 	fd, err := sys.Socket(family(addr), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -69,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Handle(h, inputMost)
+	c.SetHandler(h, inputMost)
 	return c, nil
 }
 
@@ -87,17 +89,17 @@
 	return c, nil
 }
 
-// Handle sets who is told of the connection and how much input it holds at most.
-func (c *Conn) Handle(h Handler, inputMost int) { c.h, c.most = h, inputMost }
+// SetHandler sets who is told of the connection and how much input it holds at most.
+func (c *Conn) SetHandler(h Handler, inputMost int) { c.h, c.most = h, inputMost }
 
 // Closed tells whether the connection is over.
 func (c *Conn) Closed() bool { return c.fd < 0 || c.linger != nil }
 
-// Open tells whether the connection still has its descriptor.
-func (c *Conn) Open() bool { return c.fd >= 0 }
+// HasDescriptor tells whether the connection still has its descriptor.
+func (c *Conn) HasDescriptor() bool { return c.fd >= 0 }
 
-// Held is how many bytes of buffers the connection holds.
-func (c *Conn) Held() int { return cap(c.in) + cap(c.out) }
+// BufferBytes is how many bytes of buffers the connection holds.
+func (c *Conn) BufferBytes() int { return cap(c.in) + cap(c.out) }
 
 // Input is what has been read and not consumed. It is good until the handler returns.
 func (c *Conn) Input() []byte { return c.in[c.r:] }
@@ -129,8 +131,8 @@
 	return b
 }
 
-// Free gives a buffer from Take back.
-func (l *Loop) Free(b []byte) { l.buffers.put(b) }
+// FreeBuffer gives a buffer from Take back.
+func (l *Loop) FreeBuffer(b []byte) { l.buffers.put(b) }
 
 // Pending is how much of what was written the kernel has not accepted; of an ended
 // connection, how much it had not accepted by then.
@@ -164,8 +166,8 @@
 	c.want()
 }
 
-// Widen has the input buffer hold so many bytes from the next read on.
-func (c *Conn) Widen(least int) { c.least = least }
+// SetMinBuffer has the input buffer hold so many bytes from the next read on.
+func (c *Conn) SetMinBuffer(least int) { c.least = least }
 
 // Write sends the parts behind all written before, gathered in one call where the kernel
 // has room, and keeps a copy of what it does not accept. An error is told by Ended, in
@@ -248,9 +250,9 @@
 	}
 }
 
-// Silent tells that nothing has come that is not consumed, not even an end: what is
+// NoInputPending tells that nothing has come that is not consumed, not even an end: what is
 // written now cannot be what the peer answers already.
-func (c *Conn) Silent() bool {
+func (c *Conn) NoInputPending() bool {
 	if c.Closed() || len(c.Input()) > 0 {
 		return false
 	}
