--- a/internal/netloop/lateness.go
+++ b/internal/netloop/lateness.go
@@ -35,15 +35,15 @@
 	a.lost += max(0, age-tolerable)
 }
 
-// Age is how long ago what this round brings may have come at most: the part of each latency that may be this process's.
-func (l *Loop) Age() time.Duration { return l.late.age }
+// MaxEventAge is how long ago what this round brings may have come at most: the part of each latency that may be this process's.
+func (l *Loop) MaxEventAge() time.Duration { return l.late.age }
 
-// Lost is how long this process has stood still or come late, all in all. It only rises; usual rounds add nothing.
-func (l *Loop) Lost() time.Duration { return l.late.lost }
+// StallTime is how long this process has stood still or come late, all in all. It only rises; usual rounds add nothing.
+func (l *Loop) StallTime() time.Duration { return l.late.lost }
 
-// Within is At, at the moment d from now, but not for what has to happen by then if this process was not there to see to it:
+// AfterRunTime is At, at the moment d from now, but not for what has to happen by then if this process was not there to see to it:
 // the time that it lost meanwhile is added.
-func (l *Loop) Within(d time.Duration, do func()) *Timer {
+func (l *Loop) AfterRunTime(d time.Duration, do func()) *Timer {
 	t, lost := l.At(l.now+d, nil), l.late.lost
 	t.do = func() {
 		if more := l.late.lost - lost; more > 0 {
--- a/internal/netloop/lateness_test.go
+++ b/internal/netloop/lateness_test.go
@@ -21,8 +21,8 @@
 	var age time.Duration
 	take := func(c *Conn) {
 		accepted++
-		c.Handle(&echo{c: c, received: func(c *Conn) {
-			got, age = got+1, l.Age()
+		c.SetHandler(&echo{c: c, received: func(c *Conn) {
+			got, age = got+1, l.MaxEventAge()
 			c.Consume(1)
 		}}, 16)
 	}
@@ -42,7 +42,7 @@
 		}
 		if atTimer == 0 && got == 0 {
 			l.At(l.Now()+time.Millisecond, func() { atTimer = got })
-			l.Within(time.Millisecond, func() { atPatient = got; l.Stop() })
+			l.AfterRunTime(time.Millisecond, func() { atPatient = got; l.Stop() })
 			for _, c := range all {
 				_, err := c.Write([]byte{1})
 				require.NoError(t, err)
@@ -51,7 +51,7 @@
 				time.Sleep(time.Millisecond) // it stands still
 			}
 		} else {
-			lost = l.Lost()
+			lost = l.StallTime()
 		}
 		return true
 	}))
@@ -95,7 +95,7 @@
 	defer l.Close()
 	var at time.Duration
 	begun := l.Now()
-	l.Within(5*time.Millisecond, func() { at = l.Now(); l.Stop() })
+	l.AfterRunTime(5*time.Millisecond, func() { at = l.Now(); l.Stop() })
 	hold := 3
 	require.NoError(t, l.Run(func() bool {
 		if hold--; hold >= 0 {
@@ -103,6 +103,6 @@
 		}
 		return hold >= 0
 	}))
-	assert.GreaterOrEqual(t, at-begun, 5*time.Millisecond+l.Lost())
-	assert.GreaterOrEqual(t, l.Lost(), 2*(30*time.Millisecond-tolerable))
+	assert.GreaterOrEqual(t, at-begun, 5*time.Millisecond+l.StallTime())
+	assert.GreaterOrEqual(t, l.StallTime(), 2*(30*time.Millisecond-tolerable))
 }
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -62,7 +62,7 @@
 
 // socketAtStart opens a socket, and waits for one as sys.AtStart does.
 func socketAtStart(family, kind int) (fd int, err error) {
-	err = sys.AtStart(func() (err error) {
+	err = sys.RetryAtStart(func() (err error) {
 		fd, err = sys.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		return err
 	})
@@ -81,9 +81,9 @@
 	return ln, err
 }
 
-// Inherit takes over a listening socket that the process was started with, which other processes
+// InheritListener takes over a listening socket that the process was started with, which other processes
 // may hold as well. It accepts nothing before Start.
-func (l *Loop) Inherit(fd int, addr netip.AddrPort, take func(*Conn)) (*Listener, error) {
+func (l *Loop) InheritListener(fd int, addr netip.AddrPort, take func(*Conn)) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, shared: true}
 	ln.accept = func() queue { return ln.take(take) }
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
@@ -126,7 +126,7 @@
 // take accepts what waits in the queue, so many in a round.
 func (ln *Listener) take(take func(*Conn)) queue {
 	for range acceptMost {
-		if ln.reserve == 0 && ln.loop.Spare() <= 0 || ln.reserve > 0 && ln.held >= ln.reserve && !ln.room() {
+		if ln.reserve == 0 && ln.loop.SpareDescriptors() <= 0 || ln.reserve > 0 && ln.held >= ln.reserve && !ln.room() {
 			ln.rest()
 			return queueFails
 		}
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -27,9 +27,9 @@
 
 // Errors that end a connection, besides those of the system.
 var (
-	ErrPeerClosed  = errors.New("peer closed the connection")
-	ErrDescriptors = errors.New("no descriptor to spare")
-	ErrLinger      = errors.New("peer kept a closed connection open")
+	ErrPeerClosed   = errors.New("peer closed the connection")
+	ErrNoDescriptor = errors.New("no descriptor to spare")
+	ErrLinger       = errors.New("peer kept a closed connection open")
 )
 
 // Loop is the epoll loop. Use New.
@@ -81,18 +81,18 @@
 // Clock is the moment now; Now is that at which the round began.
 func (l *Loop) Clock() time.Duration { return l.epoch + time.Since(l.base) }
 
-// SetLimit changes how many descriptors may be open, those reserved by listeners included. What
+// SetDescriptorLimit changes how many descriptors may be open, those reserved by listeners included. What
 // is open stays open.
-func (l *Loop) SetLimit(descriptors int) { l.limit = descriptors - l.reserved }
+func (l *Loop) SetDescriptorLimit(descriptors int) { l.limit = descriptors - l.reserved }
 
-// SetBuffers changes how many bytes of buffers there may be.
-func (l *Loop) SetBuffers(bytes int) { l.buffers.most = bytes }
+// SetBufferLimit changes how many bytes of buffers there may be.
+func (l *Loop) SetBufferLimit(bytes int) { l.buffers.most = bytes }
 
-// Spare is how many more descriptors may be opened.
-func (l *Loop) Spare() int { return l.limit - l.open }
+// SpareDescriptors is how many more descriptors may be opened.
+func (l *Loop) SpareDescriptors() int { return l.limit - l.open }
 
-// Pressed tells that buffers run short: a quarter of what they may hold is left.
-func (l *Loop) Pressed() bool { return l.buffers.held > l.buffers.most*3/4 }
+// BuffersShort tells that buffers run short: a quarter of what they may hold is left.
+func (l *Loop) BuffersShort() bool { return l.buffers.held > l.buffers.most*3/4 }
 
 // Lingering is how many connections were finished and not yet closed by their peers.
 func (l *Loop) Lingering() int { return l.lingering }
--- a/internal/netloop/memory_test.go
+++ b/internal/netloop/memory_test.go
@@ -31,7 +31,7 @@
 	var hoards []*hoard
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) {
 		h := &hoard{nc: c}
-		c.Handle(h, each)
+		c.SetHandler(h, each)
 		hoards = append(hoards, h)
 	})
 	require.NoError(t, err)
--- a/internal/netloop/netloop_test.go
+++ b/internal/netloop/netloop_test.go
@@ -35,7 +35,7 @@
 	conns = &[]*echo{}
 	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) {
 		e := &echo{c: c, received: received}
-		c.Handle(e, most)
+		c.SetHandler(e, most)
 		*conns = append(*conns, e)
 	})
 	require.NoError(t, err)
@@ -137,9 +137,9 @@
 	answered(all[3])
 	stop()
 	assert.Len(t, *conns, 4)
-	assert.GreaterOrEqual(t, l.Spare(), 0)
+	assert.GreaterOrEqual(t, l.SpareDescriptors(), 0)
 	_, err := l.Dial(netip.MustParseAddrPort(addr), &echo{}, 1)
-	assert.True(t, err == nil || l.Spare() == 0)
+	assert.True(t, err == nil || l.SpareDescriptors() == 0)
 }
 
 // What came behind the kernel's last word is taken in before a connection is let go, or a
@@ -241,18 +241,18 @@
 	var got []string
 	large := 0
 	slow := time.Duration(0)
-	spare := loop.Spare()
-	a, err := loop.ListenPackets(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(_ netip.AddrPort, b []byte) {
+	spare := loop.SpareDescriptors()
+	a, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(_ netip.AddrPort, b []byte) {
 		got = append(got, string(b))
 		for begun := time.Now(); time.Since(begun) < slow; {
 		}
 	}, func(netip.AddrPort) { large++ })
 	require.NoError(t, err)
-	b, err := loop.ListenPackets(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(netip.AddrPort, []byte) {}, nil)
+	b, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(netip.AddrPort, []byte) {}, nil)
 	require.NoError(t, err)
-	assert.Equal(t, spare-2, loop.Spare())
+	assert.Equal(t, spare-2, loop.SpareDescriptors())
 	assert.True(t, b.Send(a.Addr, []byte("one")))
-	assert.True(t, b.Send(a.Addr, make([]byte, MostPacket+1)))
+	assert.True(t, b.Send(a.Addr, make([]byte, MaxDatagramBytes+1)))
 	assert.True(t, b.Send(a.Addr, nil))
 	assert.False(t, b.Send(netip.MustParseAddrPort("[::1]:9"), nil), "of another family")
 	late := loop.At(loop.Now()+10*time.Second, loop.Stop)
@@ -262,7 +262,7 @@
 			slow = 15 * time.Millisecond
 			b.Send(a.Addr, []byte("slow"))
 		}
-		if a.Rests() > 0 && len(got) == 3 {
+		if a.PauseCount() > 0 && len(got) == 3 {
 			b.Send(a.Addr, []byte("after"))
 		}
 		if len(got) >= 4 {
@@ -274,6 +274,6 @@
 	a.Close()
 	a.Close()
 	b.Close()
-	assert.Equal(t, spare, loop.Spare())
+	assert.Equal(t, spare, loop.SpareDescriptors())
 	assert.False(t, b.Send(a.Addr, nil))
 }
--- a/internal/netloop/packets.go
+++ b/internal/netloop/packets.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// MostPacket is the largest datagram that is read.
-	MostPacket   = 2048
-	packetsMost  = 64                     // read from one socket in a round
-	packetWindow = 100 * time.Millisecond // see Packets.share
+	// MaxDatagramBytes is the largest datagram that is read.
+	MaxDatagramBytes = 2048
+	packetsMost      = 64                     // read from one socket in a round
+	packetWindow     = 100 * time.Millisecond // see Packets.share
 )
 
-// Packets is a UDP socket. What comes faster than it may be worked on waits in the kernel, which drops what does
+// UDPSocket is a UDP socket. What comes faster than it may be worked on waits in the kernel, which drops what does
 // not fit there.
-type Packets struct {
+type UDPSocket struct {
 	loop  *Loop
 	fd    int // -1: closed
 	take  func(from netip.AddrPort, b []byte)
@@ -32,14 +32,14 @@
 	Addr  netip.AddrPort // where it is bound, the port found where 0 was asked for
 }
 
-// ListenPackets opens a UDP socket at addr. Each datagram is handed to take, and is good until take returns; of one
+// ListenUDP opens a UDP socket at addr. Each datagram is handed to take, and is good until take returns; of one
 // over MostPacket bytes only large is told. No more than share of the loop's time is spent in them.
-func (l *Loop) ListenPackets(addr netip.AddrPort, share float64, take func(netip.AddrPort, []byte), large func(netip.AddrPort)) (*Packets, error) {
+func (l *Loop) ListenUDP(addr netip.AddrPort, share float64, take func(netip.AddrPort, []byte), large func(netip.AddrPort)) (*UDPSocket, error) {
 	fd, err := socketAtStart(family(addr), unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	p := &Packets{loop: l, fd: fd, take: take, large: large, share: share}
+	p := &UDPSocket{loop: l, fd: fd, take: take, large: large, share: share}
 	err = unix.Bind(fd, sockaddr(addr))
 	var bound unix.Sockaddr
 	if err == nil {
@@ -58,12 +58,12 @@
 }
 
 // ready reads what has come, within the share.
-func (p *Packets) ready() {
+func (p *UDPSocket) ready() {
 	begun := time.Now()
 	if begun.Sub(p.began) >= packetWindow {
 		p.began, p.spent = begun, 0
 	}
-	var b [MostPacket + 1]byte
+	var b [MaxDatagramBytes + 1]byte
 	for range packetsMost {
 		n, from, err := unix.Recvfrom(p.fd, b[:], 0)
 		if err == unix.EINTR {
@@ -75,7 +75,7 @@
 		if err != nil {
 			break // or what an earlier datagram met (ECONNREFUSED): the socket is still good
 		}
-		if n > MostPacket {
+		if n > MaxDatagramBytes {
 			p.large(sys.AddrPort(from))
 		} else {
 			p.take(sys.AddrPort(from), b[:n])
@@ -91,20 +91,20 @@
 	}
 }
 
-// Emptied is when all that had come was last read: what comes later was not there then.
-func (p *Packets) Emptied() time.Duration { return p.empty }
+// EmptiedTime is when all that had come was last read: what comes later was not there then.
+func (p *UDPSocket) EmptiedTime() time.Duration { return p.empty }
 
-// Rests is how often the socket was left alone, as its share was used up.
-func (p *Packets) Rests() uint64 { return p.rests }
+// PauseCount is how often the socket was left alone, as its share was used up.
+func (p *UDPSocket) PauseCount() uint64 { return p.rests }
 
-func (p *Packets) watch(interest uint32) {
+func (p *UDPSocket) watch(interest uint32) {
 	if p.fd >= 0 {
 		_ = p.loop.watch(p.fd, interest)
 	}
 }
 
 // Send sends one datagram. It is not kept where the kernel has no room for it: false.
-func (p *Packets) Send(to netip.AddrPort, b []byte) bool {
+func (p *UDPSocket) Send(to netip.AddrPort, b []byte) bool {
 	if p.fd < 0 || p.Addr.Addr().Is4() != to.Addr().Is4() {
 		return false
 	}
@@ -117,7 +117,7 @@
 }
 
 // Close gives the socket back.
-func (p *Packets) Close() {
+func (p *UDPSocket) Close() {
 	if p.fd >= 0 {
 		p.loop.release(p.fd)
 		p.fd = -1
--- a/internal/netloop/start_test.go
+++ b/internal/netloop/start_test.go
@@ -22,7 +22,7 @@
 			return err
 		},
 		"datagrams": func() error {
-			_, err := loop.ListenPackets(any, 1, func(netip.AddrPort, []byte) {}, func(netip.AddrPort) {})
+			_, err := loop.ListenUDP(any, 1, func(netip.AddrPort, []byte) {}, func(netip.AddrPort) {})
 			return err
 		},
 	} {
--- a/internal/netloop/watch.go
+++ b/internal/netloop/watch.go
@@ -18,7 +18,7 @@
 	gen      int32
 	conn     *Conn
 	ln       *Listener
-	udp      *Packets
+	udp      *UDPSocket
 	interest uint32 // what epoll is to tell of it
 	added    bool   // epoll knows it
 	retrying bool   // epoll is going to be asked again
--- a/internal/peer/fence.go
+++ b/internal/peer/fence.go
@@ -8,7 +8,7 @@
 
 // CheckFence must be called before the decisions of each loop round: after a pause the process must not act on stale state.
 func (l *Links) CheckFence() {
-	if l.fence != nil && l.fence.NotePause(l.loop.Now(), l.loop.Lost()) {
+	if l.fence != nil && l.fence.NotePause(l.loop.Now(), l.loop.StallTime()) {
 		l.applyFence()
 	}
 }
--- a/internal/peer/overrides.go
+++ b/internal/peer/overrides.go
@@ -33,7 +33,7 @@
 	set       *state.Overrides
 	syncStart time.Duration // when waiting for the overrides of others began
 	onChange  func(host string, active bool)
-	changeLog netloop.Sparse
+	changeLog netloop.RateLimitedLog
 	store     *wordstore.Store // nil: overrides are not stored
 	callbacks chan func()      // from the store's goroutine, to be run on the loop
 	pending   []*pendingOverride
@@ -62,7 +62,7 @@
 func (l *Links) newOverrides() *overrides {
 	own, _ := l.machine.Self()
 	s := &overrides{
-		links: l, changeLog: netloop.Sparse{Most: maxOverrideLinesPerSecond},
+		links: l, changeLog: netloop.RateLimitedLog{MaxPerSecond: maxOverrideLinesPerSecond},
 		set: state.NewOverrides(own.Name, fmt.Sprintf("%s@%x", own.Name, own.Session), rand.Uint64()),
 	}
 	s.set.ExpectPeers(len(l.file.Seeds))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -44,7 +44,7 @@
 	file           *fleet.File
 	codec          *codec
 	machine        *membership.Machine
-	udp            *netloop.Packets
+	udp            *netloop.UDPSocket
 	listener       *netloop.Listener
 	timer          *netloop.Timer
 	sibling        bool
@@ -57,10 +57,10 @@
 	counts         Counts
 	traffic        traffic
 	senders        map[netip.AddrPort]*rateWindow
-	invalidLog     netloop.Sparse
-	suspectLog     netloop.Sparse
-	memberLog      netloop.Sparse // its limit lets the start of a fleet be logged whole, but not a flood of invalid members
-	viewVersion    uint64         // of the view logged last
+	invalidLog     netloop.RateLimitedLog
+	suspectLog     netloop.RateLimitedLog
+	memberLog      netloop.RateLimitedLog // its limit lets the start of a fleet be logged whole, but not a flood of invalid members
+	viewVersion    uint64                 // of the view logged last
 	budgets        *Budgets
 	versions       *versions // nil: versions are not shared
 	overrides      *overrides
@@ -92,7 +92,7 @@
 	}
 	l := &Links{
 		loop: loop, file: file, codec: c, inbound: map[uint64]*stream{}, senders: map[netip.AddrPort]*rateWindow{},
-		memberLog: netloop.Sparse{Most: maxMemberLinesPerSecond},
+		memberLog: netloop.RateLimitedLog{MaxPerSecond: maxMemberLinesPerSecond},
 	}
 	err = l.bind(file.Listen)
 	if errors.Is(err, unix.EADDRINUSE) {
@@ -134,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		udp, err := l.loop.ListenPackets(listener.Addr, datagramLoopShare, l.receiveDatagram, l.receiveOversized)
+		udp, err := l.loop.ListenUDP(listener.Addr, datagramLoopShare, l.receiveDatagram, l.receiveOversized)
 		if err == nil {
 			l.listener, l.udp = listener, udp
 			return nil
@@ -457,7 +457,7 @@
 func (l *Links) accept(conn *netloop.Conn) {
 	l.lastStreamID++
 	st := &stream{links: l, conn: conn, id: l.lastStreamID}
-	conn.Handle(st, maxFrame)
+	conn.SetHandler(st, maxFrame)
 	l.inbound[st.id] = st
 	l.inboundOrder = append(l.inboundOrder, st)
 	st.timer = l.loop.At(l.loop.Now()+streamTimeout, st.fail)
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -126,7 +126,7 @@
 	line("dropped.malformed", counts.Malformed)
 	line("dropped.large", counts.Oversized)
 	line("dropped.rate", counts.RateLimited)
-	line("rests", l.udp.Rests())
+	line("rests", l.udp.PauseCount())
 	all := l.Traffic()
 	for _, role := range slices.Sorted(maps.Keys(all)) {
 		if all[role] != (stats.Traffic{}) { // a role that is off has no lines
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -15,12 +15,12 @@
 type traffic [len(roleNames)]stats.Traffic
 
 // countSent counts a sent envelope, with prefix bytes before it.
-func (t *traffic) countSent(b []byte, prefix int) { t[b[3]].Out(len(b) + prefix) }
+func (t *traffic) countSent(b []byte, prefix int) { t[b[3]].CountOut(len(b) + prefix) }
 
 // countReceived counts a received envelope. The channel is known only of a valid one.
 func (t *traffic) countReceived(channel byte, size int) {
 	if int(channel) < len(t) {
-		t[channel].In(size)
+		t[channel].CountIn(size)
 	}
 }
 
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -87,7 +87,7 @@
 	if s.links.audit != nil {
 		s.links.audit.recorder.Clock().Observe(s.links.loop.Now(), msg.Timestamp)
 	}
-	if s.links.fence != nil && s.links.udp.Emptied() < s.links.fence.PauseEnd() {
+	if s.links.fence != nil && s.links.udp.EmptiedTime() < s.links.fence.PauseEnd() {
 		return nil // it was queued during a pause of this process and is outdated
 	}
 	s.tracker.Receive(s.links.loop.Now(), msg)
--- a/internal/pgwire/head.go
+++ b/internal/pgwire/head.go
@@ -14,13 +14,13 @@
 
 // Head is what the comment before a statement tells. The texts lie in the statement.
 type Head struct {
-	ID, Class []byte
-	Millis    int64 // how long the client waits, from when it sent the request
-	Cluster   int64
-	After     int64 // a position in Unix milliseconds; 0: none
-	Key       []byte
-	waitAt    int // where the digits of d stand in the statement
-	waitEnd   int
+	ID, Class      []byte
+	DeadlineMillis int64 // how long the client waits, from when it sent the request
+	Cluster        int64
+	After          int64 // a position in Unix milliseconds; 0: none
+	Key            []byte
+	waitAt         int // where the digits of d stand in the statement
+	waitEnd        int
 }
 
 // Errors of heads.
@@ -90,7 +90,7 @@
 		which, h.Class = 1, value
 	case "d":
 		which, h.waitAt, h.waitEnd = 2, from+eq+1, to
-		h.Millis, err = number(value, math.MaxInt32)
+		h.DeadlineMillis, err = number(value, math.MaxInt32)
 	case "cluster":
 		which = 3
 		h.Cluster, err = number(value, math.MaxInt32)
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Around returns the parts of the statement before and behind the digits of d.
-func (h *Head) Around(text []byte) (before, behind []byte) {
+// SplitAtDeadline returns the parts of the statement before and behind the digits of d.
+func (h *Head) SplitAtDeadline(text []byte) (before, behind []byte) {
 	return text[:h.waitAt], text[h.waitEnd:]
 }
 
@@ -146,13 +146,13 @@
 type Statement struct {
 	Text []byte
 	Head Head
-	More [][]byte // what follows Text, of one that came in pieces
+	Rest [][]byte // what follows Text, of one that came in pieces
 }
 
 // Length is that of the whole text.
 func (s *Statement) Length() int {
 	n := len(s.Text)
-	for _, b := range s.More {
+	for _, b := range s.Rest {
 		n += len(b)
 	}
 	return n
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -10,14 +10,14 @@
 	"strconv"
 )
 
-// MostValue is the largest value that is collected whole; a statement carries it as hex.
-// Databases answer with up to 4 MiB, and more than MostAnswer is none of theirs.
+// MaxBufferedValue is the largest value that is collected whole; a statement carries it as hex.
+// Databases answer with up to 4 MiB, and more than MaxServerMessage is none of theirs.
 const (
-	MostValue   = 64 << 10
-	MostMessage = 2*MostValue + 16<<10
-	MostQuery   = 2*(4<<20) + 16<<10 // one over MostMessage is collected in pieces
-	MostAnswer  = 16 << 20
-	mostStartup = 10_000 // as PostgreSQL itself bounds it
+	MaxBufferedValue   = 64 << 10
+	MaxBufferedMessage = 2*MaxBufferedValue + 16<<10
+	MaxQuery           = 2*(4<<20) + 16<<10 // one over MostMessage is collected in pieces
+	MaxServerMessage   = 16 << 20
+	mostStartup        = 10_000 // as PostgreSQL itself bounds it
 )
 
 // Codes of ErrorResponse.
@@ -25,7 +25,7 @@
 	CodeTooManyConnections = "53300" // refused, or turned away: it never ran
 	CodeCannotConnectNow   = "57P03"
 	CodeReadOnly           = "25006" // a write at a server that is no primary
-	CodeTooFarBehind       = "72000" // a read at a replica that lags
+	CodeReplicaTooStale    = "72000" // a read at a replica that lags
 	CodeProtocolViolation  = "08P01"
 	CodeUnsupported        = "0A000"
 	CodeUnknownOutcome     = "40003" // a statement that may have run
@@ -42,7 +42,7 @@
 	CommandComplete = 'C'
 	DataRow         = 'D'
 	EmptyQuery      = 'I'
-	ErrorMsg        = 'E'
+	ErrorResponse   = 'E'
 	Notice          = 'N'
 	ParameterStatus = 'S'
 	Query           = 'Q'
@@ -53,10 +53,10 @@
 
 // Errors of framing.
 var (
-	ErrLength  = errors.New("message length out of bounds")
-	ErrVersion = errors.New("protocol version is not 3")
-	ErrText    = errors.New("text is not terminated")
-	ErrAnswer  = errors.New("no database says this")
+	ErrLength           = errors.New("message length out of bounds")
+	ErrVersion          = errors.New("protocol version is not 3")
+	ErrUnterminatedText = errors.New("text is not terminated")
+	ErrInvalidAnswer    = errors.New("no database says this")
 )
 
 // Next splits the first message off b. n is its length with its head; 0: it has not
@@ -75,13 +75,13 @@
 	return b[0], b[5 : 1+size], 1 + size, nil
 }
 
-// LargeQuery is the length with its head of a Query that begins b, is longer than MostMessage and not too
+// LargeQueryLength is the length with its head of a Query that begins b, is longer than MostMessage and not too
 // long; else 0.
-func LargeQuery(b []byte) int {
+func LargeQueryLength(b []byte) int {
 	if len(b) < 5 || b[0] != Query {
 		return 0
 	}
-	if n := int(int32(binary.BigEndian.Uint32(b[1:]))); n > MostMessage && n <= MostQuery {
+	if n := int(int32(binary.BigEndian.Uint32(b[1:]))); n > MaxBufferedMessage && n <= MaxQuery {
 		return 1 + n
 	}
 	return 0
@@ -89,7 +89,7 @@
 
 // answerMost is how long the messages of an answer may be.
 var answerMost = [256]int{
-	AuthRequest: 8, BackendKey: 12, CommandComplete: 68, DataRow: MostAnswer, ErrorMsg: 16 << 10, Notice: 16 << 10,
+	AuthRequest: 8, BackendKey: 12, CommandComplete: 68, DataRow: MaxServerMessage, ErrorResponse: 16 << 10, Notice: 16 << 10,
 	ParameterStatus: 16 << 10, Ready: 5, RowDescription: 1 << 10,
 }
 
@@ -98,7 +98,7 @@
 // come, and a request that waited for it would lose the time for another attempt.
 func NextAnswer(b []byte) (kind byte, body []byte, n int, err error) {
 	if len(b) > 0 && answerMost[b[0]] == 0 {
-		return b[0], nil, 0, fmt.Errorf("%w: message %q", ErrAnswer, b[0])
+		return b[0], nil, 0, fmt.Errorf("%w: message %q", ErrInvalidAnswer, b[0])
 	}
 	if len(b) < 5 {
 		return 0, nil, 0, nil
@@ -110,22 +110,22 @@
 		// The row's head tells its length a second time.
 		size, row := int64(binary.BigEndian.Uint32(b[1:])), int64(binary.BigEndian.Uint32(b[7:]))
 		if binary.BigEndian.Uint16(b[5:]) != 1 || size != 4+2+4+row {
-			return kind, nil, 0, fmt.Errorf("%w: a row of %d bytes in a message of %d", ErrAnswer, row, size)
+			return kind, nil, 0, fmt.Errorf("%w: a row of %d bytes in a message of %d", ErrInvalidAnswer, row, size)
 		}
 	}
 	if n > 0 && !wellFormed(kind, body) {
-		return kind, nil, 0, fmt.Errorf("%w: malformed message %q", ErrAnswer, kind)
+		return kind, nil, 0, fmt.Errorf("%w: malformed message %q", ErrInvalidAnswer, kind)
 	}
 	return kind, body, n, nil
 }
 
-// LargeRow is the length with its head of a row that begins b and is too large to be collected, once so
+// LargeRowLength is the length with its head of a row that begins b and is too large to be collected, once so
 // much of it has come that NextAnswer has checked its lengths; else 0.
-func LargeRow(b []byte) int {
+func LargeRowLength(b []byte) int {
 	if len(b) < 11 || b[0] != DataRow {
 		return 0
 	}
-	if n := 1 + int(binary.BigEndian.Uint32(b[1:])); n > 11+MostValue {
+	if n := 1 + int(binary.BigEndian.Uint32(b[1:])); n > 11+MaxBufferedValue {
 		return n
 	}
 	return 0
@@ -138,15 +138,15 @@
 	case BackendKey:
 		return len(body) == 8
 	case CommandComplete:
-		text, err := Text(body)
+		text, err := ParseText(body)
 		return err == nil && len(text) > 0 && bytes.IndexFunc(text, func(r rune) bool { return r < ' ' || r > '~' }) < 0
 	case DataRow:
-		value, ok := Column(body)
+		value, ok := ParseSingleColumn(body)
 		return ok && value != nil
-	case ErrorMsg:
+	case ErrorResponse:
 		return codeLike(ErrorCode(body)) && bytes.HasSuffix(body, []byte{0, 0})
 	case ParameterStatus:
-		_, _, err := Pair(body)
+		_, _, err := ParseParameterStatus(body)
 		return err == nil
 	case Ready:
 		return len(body) == 1 && bytes.IndexByte([]byte("ITE"), body[0]) >= 0
@@ -164,41 +164,41 @@
 	return len(b) == 5 && bytes.IndexFunc(b, other) < 0
 }
 
-// Hello is what a client's first packet asks for.
-type Hello uint8
+// FirstPacket is what a client's first packet asks for.
+type FirstPacket uint8
 
 // The kinds of first packet.
 const (
-	HelloPartial Hello = iota // not whole yet
-	HelloStart
-	HelloTLS
-	HelloGSS
-	HelloCancel
+	FirstPacketIncomplete FirstPacket = iota // not whole yet
+	FirstPacketStartup
+	FirstPacketTLS
+	FirstPacketGSS
+	FirstPacketCancel
 )
 
-// ParseHello reads a first packet, which has a length but no type.
-func ParseHello(b []byte) (kind Hello, n int, err error) {
+// ParseFirstPacket reads a first packet, which has a length but no type.
+func ParseFirstPacket(b []byte) (kind FirstPacket, n int, err error) {
 	if len(b) < 4 {
-		return HelloPartial, 0, nil
+		return FirstPacketIncomplete, 0, nil
 	}
 	size := int(int32(binary.BigEndian.Uint32(b)))
 	if size < 8 || size > mostStartup {
-		return HelloPartial, 0, fmt.Errorf("%w: %d bytes in the first packet", ErrLength, size)
+		return FirstPacketIncomplete, 0, fmt.Errorf("%w: %d bytes in the first packet", ErrLength, size)
 	}
 	if len(b) < size {
-		return HelloPartial, 0, nil
+		return FirstPacketIncomplete, 0, nil
 	}
 	switch code := binary.BigEndian.Uint32(b[4:]); {
 	case code == 80877102:
-		return HelloCancel, size, nil
+		return FirstPacketCancel, size, nil
 	case code == 80877103:
-		return HelloTLS, size, nil
+		return FirstPacketTLS, size, nil
 	case code == 80877104:
-		return HelloGSS, size, nil
+		return FirstPacketGSS, size, nil
 	case code>>16 != 3:
-		return HelloPartial, 0, fmt.Errorf("%w but %d.%d", ErrVersion, code>>16, code&0xffff)
+		return FirstPacketIncomplete, 0, fmt.Errorf("%w but %d.%d", ErrVersion, code>>16, code&0xffff)
 	}
-	return HelloStart, size, nil
+	return FirstPacketStartup, size, nil
 }
 
 // CancelKey is the key in a whole packet that asks to cancel; false: it holds none.
@@ -248,8 +248,8 @@
 	return b
 }
 
-// AppendWelcome adds what a server answers to a startup packet. With the key a client may cancel from another connection.
-func AppendWelcome(b []byte, key uint64) []byte {
+// AppendStartupReply adds what a server answers to a startup packet. With the key a client may cancel from another connection.
+func AppendStartupReply(b []byte, key uint64) []byte {
 	b = append(b, AuthRequest, 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, p := range [][2]string{
 		{"server_version", "15.0 (lilaccove)"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
@@ -264,8 +264,8 @@
 // AppendReady adds ReadyForQuery, outside a transaction.
 func AppendReady(b []byte) []byte { return append(b, Ready, 0, 0, 0, 5, 'I') }
 
-// AppendEmpty adds EmptyQueryResponse.
-func AppendEmpty(b []byte) []byte { return append(b, EmptyQuery, 0, 0, 0, 4) }
+// AppendEmptyQuery adds EmptyQueryResponse.
+func AppendEmptyQuery(b []byte) []byte { return append(b, EmptyQuery, 0, 0, 0, 4) }
 
 // AppendError adds an ErrorResponse; detail may be empty.
 func AppendError(b []byte, severity, code, message, detail string) []byte {
@@ -273,14 +273,14 @@
 	if detail != "" {
 		texts = append(texts, "D"+detail)
 	}
-	return appendTexts(b, ErrorMsg, append(texts, "")...)
+	return appendTexts(b, ErrorResponse, append(texts, "")...)
 }
 
 // AppendQuery adds a simple query.
 func AppendQuery(b []byte, text string) []byte { return appendTexts(b, Query, text) }
 
-// QueryHead is the head of a Query message whose body, with its zero, has so many bytes.
-func QueryHead(body int) [5]byte {
+// QueryHeader is the head of a Query message whose body, with its zero, has so many bytes.
+func QueryHeader(body int) [5]byte {
 	h := [5]byte{Query}
 	binary.BigEndian.PutUint32(h[1:], uint32(body+4))
 	return h
@@ -289,8 +289,8 @@
 // ErrorCode is the code of an ErrorResponse, from its body; empty if there is none.
 func ErrorCode(body []byte) []byte { return errorField(body, 'C') }
 
-// ErrorText is its message.
-func ErrorText(body []byte) []byte { return errorField(body, 'M') }
+// ErrorMessage is its message.
+func ErrorMessage(body []byte) []byte { return errorField(body, 'M') }
 
 func errorField(body []byte, field byte) []byte {
 	for len(body) > 0 && body[0] != 0 {
@@ -306,18 +306,18 @@
 	return nil
 }
 
-// Pair reads a ParameterStatus.
-func Pair(body []byte) (name, value []byte, err error) {
+// ParseParameterStatus reads a ParameterStatus.
+func ParseParameterStatus(body []byte) (name, value []byte, err error) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	value, rest, ok2 := bytes.Cut(rest, []byte{0})
 	if !ok || !ok2 || len(rest) > 0 {
-		return nil, nil, ErrText
+		return nil, nil, ErrUnterminatedText
 	}
 	return name, value, nil
 }
 
-// Column reads a DataRow of one column, as the platform's rows are.
-func Column(body []byte) (value []byte, ok bool) {
+// ParseSingleColumn reads a DataRow of one column, as the platform's rows are.
+func ParseSingleColumn(body []byte) (value []byte, ok bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
@@ -328,16 +328,16 @@
 	return body[6:], size >= 0 && len(body) == 6+int(size)
 }
 
-// Text is the text of a Query, from its body.
-func Text(body []byte) ([]byte, error) {
+// ParseText is the text of a Query, from its body.
+func ParseText(body []byte) ([]byte, error) {
 	if n := len(body); n == 0 || bytes.IndexByte(body, 0) != n-1 {
-		return nil, ErrText
+		return nil, ErrUnterminatedText
 	}
 	return body[:len(body)-1], nil
 }
 
-// Blank tells an empty query: nothing but white space and semicolons.
-func Blank(text []byte) bool { return len(bytes.Trim(text, " \t\r\n\f\v;")) == 0 }
+// IsEmptyQuery tells an empty query: nothing but white space and semicolons.
+func IsEmptyQuery(text []byte) bool { return len(bytes.Trim(text, " \t\r\n\f\v;")) == 0 }
 
 // AppendMillis adds a number of milliseconds.
 func AppendMillis(b []byte, ms int64) []byte { return strconv.AppendInt(b, ms, 10) }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -25,11 +25,11 @@
 		{"too long, told by the head", "Q\x7f\xff\xff\xff", 0, ErrLength},
 	}
 	for _, tt := range tests {
-		_, body, n, err := Next([]byte(tt.in), MostMessage)
+		_, body, n, err := Next([]byte(tt.in), MaxBufferedMessage)
 		assert.ErrorIs(t, err, tt.err, tt.name)
 		assert.Equal(t, tt.n, n, tt.name)
 		if n > 0 {
-			text, err := Text(body)
+			text, err := ParseText(body)
 			assert.NoError(t, err, tt.name)
 			assert.Equal(t, "SELECT 1", string(text), tt.name)
 		}
@@ -83,22 +83,22 @@
 	start := string(Startup("api", "ledger"))
 	tests := []struct {
 		name, in string
-		kind     Hello
+		kind     FirstPacket
 		err      error
 	}{
-		{"startup", start, HelloStart, nil},
-		{"cut off", start[:9], HelloPartial, nil},
-		{"head cut off", start[:3], HelloPartial, nil},
-		{"TLS", "\x00\x00\x00\x08\x04\xd2\x16\x2f", HelloTLS, nil},
-		{"GSS", "\x00\x00\x00\x08\x04\xd2\x16\x30", HelloGSS, nil},
-		{"cancel", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x02", HelloCancel, nil},
-		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00", HelloPartial, ErrVersion},
-		{"too short", "\x00\x00\x00\x04\x00\x03\x00\x00", HelloPartial, ErrLength},
-		{"too long", "\x00\x01\x00\x00\x00\x03\x00\x00", HelloPartial, ErrLength},
-		{"an HTTP request", "GET / HTTP/1.1\r\n", HelloPartial, ErrLength},
+		{"startup", start, FirstPacketStartup, nil},
+		{"cut off", start[:9], FirstPacketIncomplete, nil},
+		{"head cut off", start[:3], FirstPacketIncomplete, nil},
+		{"TLS", "\x00\x00\x00\x08\x04\xd2\x16\x2f", FirstPacketTLS, nil},
+		{"GSS", "\x00\x00\x00\x08\x04\xd2\x16\x30", FirstPacketGSS, nil},
+		{"cancel", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x02", FirstPacketCancel, nil},
+		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00", FirstPacketIncomplete, ErrVersion},
+		{"too short", "\x00\x00\x00\x04\x00\x03\x00\x00", FirstPacketIncomplete, ErrLength},
+		{"too long", "\x00\x01\x00\x00\x00\x03\x00\x00", FirstPacketIncomplete, ErrLength},
+		{"an HTTP request", "GET / HTTP/1.1\r\n", FirstPacketIncomplete, ErrLength},
 	}
 	for _, tt := range tests {
-		kind, _, err := ParseHello([]byte(tt.in))
+		kind, _, err := ParseFirstPacket([]byte(tt.in))
 		assert.ErrorIs(t, err, tt.err, tt.name)
 		assert.Equal(t, tt.kind, kind, tt.name)
 	}
@@ -109,7 +109,7 @@
 	h, err := ParseHead([]byte("/* id=9b1f,c=order,d=480,cluster=2,after=1767225600123,k=x,r=1 */" + rest))
 	require.NoError(t, err)
 	assert.Equal(t, "9b1f order 7f3a", string(h.ID)+" "+string(h.Class)+" "+string(h.Key))
-	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{h.Millis, h.Cluster, h.After})
+	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{h.DeadlineMillis, h.Cluster, h.After})
 
 	tests := []struct{ name, in, want string }{
 		{"no comment", "SELECT 1", "no heading comment"},
@@ -140,17 +140,17 @@
 	} {
 		h, err := ParseHead([]byte(text))
 		require.NoError(t, err, text)
-		before, behind := h.Around([]byte(text))
+		before, behind := h.SplitAtDeadline([]byte(text))
 		digits := text[len(before) : len(text)-len(behind)]
-		assert.Equal(t, string(AppendMillis(nil, h.Millis)), digits, text)
+		assert.Equal(t, string(AppendMillis(nil, h.DeadlineMillis)), digits, text)
 		assert.True(t, strings.HasSuffix(string(before), "d="), text)
 	}
 }
 
 func TestErrorFields(t *testing.T) {
-	_, body, _, _ := Next(AppendError(nil, "ERROR", "53300", "busy", "250"), MostMessage)
+	_, body, _, _ := Next(AppendError(nil, "ERROR", "53300", "busy", "250"), MaxBufferedMessage)
 	assert.Equal(t, "53300", string(ErrorCode(body)))
-	assert.Equal(t, "busy", string(ErrorText(body)))
+	assert.Equal(t, "busy", string(ErrorMessage(body)))
 	assert.Equal(t, "250", string(errorField(body, 'D')))
 	for _, bad := range []string{"", "C53300", "\x00", "S\x00M"} {
 		assert.Empty(t, ErrorCode([]byte(bad)), bad)
@@ -169,7 +169,7 @@
 		{"\x00", "", false},
 	}
 	for _, tt := range tests {
-		got, ok := Column([]byte(tt.in))
+		got, ok := ParseSingleColumn([]byte(tt.in))
 		assert.Equal(t, tt.ok, ok, "%q", tt.in)
 		if ok {
 			assert.Equal(t, tt.want, string(got))
@@ -183,19 +183,19 @@
 	f.Add(AppendError(nil, "ERROR", "53300", "m", "d"))
 	f.Add(Startup("api", "ledger"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		_, n, err := ParseHello(in)
+		_, n, err := ParseFirstPacket(in)
 		assert.True(t, err != nil || n <= len(in))
 		_, body, n, err := Next(in, 1<<16)
 		assert.True(t, err != nil || n <= len(in))
 		ErrorCode(body)
-		_, _ = Column(body)
-		_, _, _ = Pair(body)
-		text, err := Text(body)
+		_, _ = ParseSingleColumn(body)
+		_, _, _ = ParseParameterStatus(body)
+		text, err := ParseText(body)
 		if err != nil {
 			text = in
 		}
 		if h, err := ParseHead(text); err == nil {
-			before, behind := h.Around(text)
+			before, behind := h.SplitAtDeadline(text)
 			assert.Less(t, len(before)+len(behind), len(text))
 		}
 	})
@@ -203,14 +203,14 @@
 
 func TestCancelKey(t *testing.T) {
 	packet := CancelRequest(0x0102030405060708)
-	kind, n, err := ParseHello(packet)
+	kind, n, err := ParseFirstPacket(packet)
 	assert.NoError(t, err)
-	assert.Equal(t, HelloCancel, kind)
+	assert.Equal(t, FirstPacketCancel, kind)
 	key, ok := CancelKey(packet[:n])
 	assert.True(t, ok)
 	assert.Equal(t, uint64(0x0102030405060708), key)
 	_, ok = CancelKey(packet[:12])
 	assert.False(t, ok)
-	welcome := AppendWelcome(nil, key)
+	welcome := AppendStartupReply(nil, key)
 	assert.Contains(t, string(welcome), "K\x00\x00\x00\x0c\x01\x02\x03\x04\x05\x06\x07\x08")
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -117,11 +117,11 @@
 		defer both.Done()
 		r.start(list)
 	}()
-	h.Tell("terminating", time.Time{})
+	h.Announce("terminating", time.Time{})
 	r.changed()
 	both.Wait()
 	if e.For > 0 && standin.Sleep(e.For, r.stop) {
-		h.Tell("in_service", time.Time{})
+		h.Announce("in_service", time.Time{})
 		r.changed()
 	}
 }
@@ -130,14 +130,14 @@
 func (r *Run) changed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.changes = append(r.changes, &change{seq: int64(r.world.Version()), at: time.Now(), had: map[string]bool{}})
+	r.changes = append(r.changes, &change{seq: int64(r.world.ListVersion()), at: time.Now(), had: map[string]bool{}})
 }
 
 // databases has discovery say something of all databases of a zone.
 func (r *Run) databases(zone, health string) (n int) {
 	for _, h := range r.world.Members() {
 		if h.Site == zone {
-			h.Tell(health, time.Time{})
+			h.Announce(health, time.Time{})
 			n++
 		}
 	}
@@ -174,8 +174,8 @@
 	set := func(on bool) {
 		for _, a := range c.sides[0] {
 			for _, b := range c.sides[1] {
-				r.relay.Cut(a, b, on)
-				r.relay.Cut(b, a, on)
+				r.relay.SetCut(a, b, on)
+				r.relay.SetCut(b, a, on)
 			}
 		}
 	}
--- a/internal/scale/files.go
+++ b/internal/scale/files.go
@@ -27,20 +27,20 @@
 	var b bytes.Buffer
 	own := "127.0.0.1:0"
 	if r != nil {
-		own = r.Listen(g).String()
+		own = r.ListenAddr(g).String()
 	}
 	fmt.Fprintf(&b, "fleet: scale\nlisten: %s\n", own)
 	if r != nil {
-		fmt.Fprintf(&b, "advertise: %s\nseeds:\n", r.Advertise(g))
+		fmt.Fprintf(&b, "advertise: %s\nseeds:\n", r.AdvertiseAddr(g))
 		for s := range min(seeds+1, p.Gateways) {
 			if s != g {
-				fmt.Fprintf(&b, "  - %s\n", r.Dial(p.zone(g), s))
+				fmt.Fprintf(&b, "  - %s\n", r.DialAddr(p.zone(g), s))
 			}
 		}
 		fmt.Fprintf(&b, "dial:\n")
 		for o := range p.Gateways {
 			if o != g {
-				fmt.Fprintf(&b, "  %s: %s\n", p.Name(o), r.Dial(p.zone(g), o))
+				fmt.Fprintf(&b, "  %s: %s\n", p.Name(o), r.DialAddr(p.zone(g), o))
 			}
 		}
 	}
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -128,7 +128,7 @@
 	report := func(late, relay time.Duration, overflowed uint64) *Report {
 		r := &Run{Plan: parse(t, small, NoOverride()), begun: at(0), ended: at(30), gates: fleetOf(2)}
 		r.late = []float64{float64(late) / 1e6}
-		r.seconds = []second{{at: at(1), late: wan.Lateness{N: 1, P99: relay}, relay: wan.Counts{Overflowed: overflowed}}}
+		r.seconds = []second{{at: at(1), late: wan.Lateness{Count: 1, P99: relay}, relay: wan.Counts{Overflowed: overflowed}}}
 		return r.report(false)
 	}
 	good := report(19*time.Millisecond, 19*time.Millisecond, 0)
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -132,7 +132,7 @@
 
 // Parse reads a plan, and what flags say instead of it. Everything that is wrong with it is told at once, with its place.
 func Parse(file string, text []byte, o Override) (*Plan, error) {
-	base, top, err := yamlfile.Open(file, text, "plan")
+	base, top, err := yamlfile.Parse(file, text, "plan")
 	if err != nil {
 		return nil, err
 	}
@@ -167,12 +167,12 @@
 			p.Load.Statements = r.Rate(l["statements"], "statements")
 		}
 		if l["skew"] != nil {
-			p.Load.Skew = r.Plain(l["skew"], "skew")
+			p.Load.Skew = r.Float(l["skew"], "skew")
 		}
 	}
 	for key, to := range map[string]*time.Duration{"pace": &p.Pace, "settle": &p.Settle, "for": &p.For} {
 		if f[key] != nil {
-			*to = r.Time(f[key], key)
+			*to = r.Duration(f[key], key)
 		}
 	}
 	r.regions(p, f["regions"], top)
@@ -262,11 +262,11 @@
 
 func (r *reader) regions(p *Plan, n, top *yaml.Node) {
 	if n == nil {
-		r.Fail(top, "regions", "missing; name each region with its zones, like {north: [n1, n2], south: [s1]}")
+		r.AddError(top, "regions", "missing; name each region with its zones, like {north: [n1, n2], south: [s1]}")
 		return
 	}
 	if n.Kind != yaml.MappingNode || len(n.Content) == 0 {
-		r.Fail(n, "regions", "each region with its zones is wanted, like {north: [n1, n2], south: [s1]}")
+		r.AddError(n, "regions", "each region with its zones is wanted, like {north: [n1, n2], south: [s1]}")
 		return
 	}
 	r.Fields(n, "regions") // duplicates
@@ -274,11 +274,11 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
 		if !fleet.ValidName(k.Value) {
-			r.Fail(k, "regions", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", k.Value)
+			r.AddError(k, "regions", "%q is no name; letters, digits, dots, dashes and underscores, 64 at most", k.Value)
 		}
 		region := Region{Name: k.Value}
 		if v.Kind != yaml.SequenceNode || len(v.Content) == 0 {
-			r.Fail(v, k.Value, "the region has no zones; list at least one, like [n1]")
+			r.AddError(v, k.Value, "the region has no zones; list at least one, like [n1]")
 			continue
 		}
 		for _, z := range v.Content {
@@ -286,11 +286,11 @@
 			switch was, twice := in[name]; {
 			case !ok:
 			case !fleet.ValidName(name):
-				r.Fail(z, k.Value, "%q is no name of a zone", name)
+				r.AddError(z, k.Value, "%q is no name of a zone", name)
 			case twice && was == k.Value:
-				r.Fail(z, k.Value, "zone %s stands twice", name)
+				r.AddError(z, k.Value, "zone %s stands twice", name)
 			case twice:
-				r.Fail(z, k.Value, "zone %s is in region %s already; it can be in one only", name, was)
+				r.AddError(z, k.Value, "zone %s is in region %s already; it can be in one only", name, was)
 			default:
 				in[name] = k.Value
 				region.Zones = append(region.Zones, name)
@@ -298,8 +298,8 @@
 		}
 		p.Regions = append(p.Regions, region)
 	}
-	if len(in) > wan.MostZones {
-		r.Fail(n, "regions", "%d zones; up to %d would do", len(in), wan.MostZones)
+	if len(in) > wan.MaxZones {
+		r.AddError(n, "regions", "%d zones; up to %d would do", len(in), wan.MaxZones)
 	}
 }
 
@@ -307,16 +307,16 @@
 	rtt := r.Fields(f["rtt"], "rtt", "within", "between", "jitter")
 	for key, to := range map[string]*float64{"within": &p.RTT.Within, "between": &p.RTT.Between} {
 		if rtt[key] != nil {
-			*to = r.Time(rtt[key], key).Seconds()
+			*to = r.Duration(rtt[key], key).Seconds()
 		}
 	}
 	if rtt["jitter"] != nil {
-		p.Jitter = r.Time(rtt["jitter"], "jitter")
+		p.Jitter = r.Duration(rtt["jitter"], "jitter")
 	}
 	loss := r.Fields(f["loss"], "loss", "within", "between")
 	for key, to := range map[string]*float64{"within": &p.Loss.Within, "between": &p.Loss.Between} {
 		if loss[key] != nil {
-			*to = r.Share(loss[key], key)
+			*to = r.Percentage(loss[key], key)
 		}
 	}
 }
@@ -327,7 +327,7 @@
 		p.Allowance.BytesOut, _ = r.Number(f["bytes_out"], "bytes_out", "5 kB/s", map[string]float64{"B/s": 1, "kB/s": 1e3, "MB/s": 1e6})
 	}
 	if f["core"] != nil {
-		p.Allowance.Core = r.Share(f["core"], "core")
+		p.Allowance.Core = r.Percentage(f["core"], "core")
 	}
 	if f["memory"] != nil {
 		p.Allowance.MemoryMB, _ = r.Number(f["memory"], "memory", "256 MB", map[string]float64{"MB": 1, "GB": 1000})
@@ -340,15 +340,15 @@
 func (r *reader) limits(p *Plan, n *yaml.Node) {
 	f := r.Fields(n, "limits", "memory", "processes", "lateness")
 	if f["memory"] != nil {
-		if p.Limits.Memory = r.Share(f["memory"], "memory"); p.Limits.Memory > 0.5 {
-			r.Fail(f["memory"], "memory", "up to half of the machine's would do")
+		if p.Limits.Memory = r.Percentage(f["memory"], "memory"); p.Limits.Memory > 0.5 {
+			r.AddError(f["memory"], "memory", "up to half of the machine's would do")
 		}
 	}
 	if f["processes"] != nil {
 		p.Limits.Processes = r.Count(f["processes"], "processes", 2, 300)
 	}
 	if f["lateness"] != nil {
-		p.Limits.Lateness = r.Time(f["lateness"], "lateness")
+		p.Limits.Lateness = r.Duration(f["lateness"], "lateness")
 	}
 }
 
@@ -361,19 +361,19 @@
 		return top
 	}
 	if p.Real > p.Gateways {
-		r.Fail(at("real"), "real", "%d of %d gateways", p.Real, p.Gateways)
+		r.AddError(at("real"), "real", "%d of %d gateways", p.Real, p.Gateways)
 	}
 	if n := len(p.Zones()); n > p.Gateways {
-		r.Fail(at("gateways"), "gateways", "%d for %d zones: each wants one at least", p.Gateways, n)
+		r.AddError(at("gateways"), "gateways", "%d for %d zones: each wants one at least", p.Gateways, n)
 	}
 	if p.RTT.Between < p.RTT.Within && len(p.Regions) > 1 {
-		r.Fail(at("rtt"), "rtt", "%v between regions, less than %v within one", seconds(p.RTT.Between), seconds(p.RTT.Within))
+		r.AddError(at("rtt"), "rtt", "%v between regions, less than %v within one", seconds(p.RTT.Between), seconds(p.RTT.Within))
 	}
 	if n := p.Processes(); n > p.Limits.Processes {
-		r.Fail(at("hollow_per_process"), "hollow_per_process", "%d processes in all, over the bound of %d; put more gateways into one", n, p.Limits.Processes)
+		r.AddError(at("hollow_per_process"), "hollow_per_process", "%d processes in all, over the bound of %d; put more gateways into one", n, p.Limits.Processes)
 	}
 	if p.For < windowSeconds*time.Second {
-		r.Fail(at("for"), "for", "%v; windows of %d s are measured, so that is the least", p.For, windowSeconds)
+		r.AddError(at("for"), "for", "%v; windows of %d s are measured, so that is the least", p.For, windowSeconds)
 	}
 	r.names = map[string]int{}
 	for g := range p.Gateways {
@@ -389,42 +389,42 @@
 		return
 	}
 	if n.Kind != yaml.SequenceNode {
-		r.Fail(n, "events", "a list is wanted")
+		r.AddError(n, "events", "a list is wanted")
 		return
 	}
 	for _, v := range n.Content {
 		f := r.Fields(v, "event", "at", "do", "gateways", "zone", "back", "every", "for", "sides", "groups")
 		e := Event{line: v, Count: 1, Groups: 1}
 		if e.Do, _ = r.Text(f["do"], "do"); eventKeys[e.Do] == nil {
-			r.Fail(v, "do", "%q is not one of %s", e.Do, strings.Join(slices.Sorted(maps.Keys(eventKeys)), ", "))
+			r.AddError(v, "do", "%q is not one of %s", e.Do, strings.Join(slices.Sorted(maps.Keys(eventKeys)), ", "))
 			continue
 		}
 		for i := 0; i+1 < len(v.Content); i += 2 {
 			if k := v.Content[i]; k.Value != "at" && k.Value != "do" && f[k.Value] != nil && !slices.Contains(eventKeys[e.Do], k.Value) {
-				r.Fail(k, k.Value, "an event of kind %s does not use it", e.Do)
+				r.AddError(k, k.Value, "an event of kind %s does not use it", e.Do)
 			}
 		}
 		for key, to := range map[string]*time.Duration{"at": &e.At, "back": &e.Back, "every": &e.Every, "for": &e.For} {
 			if f[key] != nil {
-				*to = r.Time(f[key], key)
+				*to = r.Duration(f[key], key)
 			}
 		}
 		if f["at"] == nil {
-			r.Fail(v, "at", "missing")
+			r.AddError(v, "at", "missing")
 		} else if e.At+e.For > p.For {
-			r.Fail(f["at"], "at", "the event lasts until %v, the run %v; make for longer", e.At+e.For, p.For)
+			r.AddError(f["at"], "at", "the event lasts until %v, the run %v; make for longer", e.At+e.For, p.For)
 		}
 		if e.For == 0 && (e.Do == doZone || e.Do == doCut) {
-			r.Fail(v, "for", "missing; an event of kind %s wants it", e.Do)
+			r.AddError(v, "for", "missing; an event of kind %s wants it", e.Do)
 		}
 		r.whom(p, &e, f["gateways"])
 		if f["groups"] != nil {
 			e.Groups = r.Count(f["groups"], "groups", 1, (p.Databases+p.Group-1)/p.Group)
 		}
 		if e.Zone, _ = r.Text(f["zone"], "zone"); e.Zone != "" && !slices.Contains(p.Zones(), e.Zone) {
-			r.Fail(f["zone"], "zone", "%q is unknown; one of %s is meant, perhaps", e.Zone, strings.Join(p.Zones(), ", "))
+			r.AddError(f["zone"], "zone", "%q is unknown; one of %s is meant, perhaps", e.Zone, strings.Join(p.Zones(), ", "))
 		} else if e.Zone == "" && e.Do == doZone {
-			r.Fail(v, "zone", "missing; an event of kind %s wants it", e.Do)
+			r.AddError(v, "zone", "missing; an event of kind %s wants it", e.Do)
 		}
 		if e.Do == doCut {
 			r.sides(p, &e, f["sides"], v)
@@ -444,7 +444,7 @@
 		for _, v := range n.Content {
 			name, ok := r.Text(v, "gateways")
 			if _, known := r.names[name]; ok && !known {
-				r.Fail(v, "gateways", "%q is unknown; they are named %s to %s", name, p.Name(0), p.Name(p.Gateways-1))
+				r.AddError(v, "gateways", "%q is unknown; they are named %s to %s", name, p.Name(0), p.Name(p.Gateways-1))
 			}
 			e.Gateways = append(e.Gateways, name)
 		}
@@ -458,13 +458,13 @@
 		if n == nil {
 			n = event
 		}
-		r.Fail(n, "sides", "two lists of regions are wanted, like [[north], [south, west]]")
+		r.AddError(n, "sides", "two lists of regions are wanted, like [[north], [south, west]]")
 		return
 	}
 	in := map[string]bool{}
 	for i, side := range n.Content {
 		if side.Kind != yaml.SequenceNode || len(side.Content) == 0 {
-			r.Fail(side, "sides", "a list of regions is wanted, like [north]")
+			r.AddError(side, "sides", "a list of regions is wanted, like [north]")
 			continue
 		}
 		for _, v := range side.Content {
@@ -474,10 +474,10 @@
 				for _, region := range p.Regions {
 					known = append(known, region.Name)
 				}
-				r.Fail(v, "sides", "region %q is unknown; the plan has %s", name, strings.Join(known, ", "))
+				r.AddError(v, "sides", "region %q is unknown; the plan has %s", name, strings.Join(known, ", "))
 			}
 			if in[name] {
-				r.Fail(v, "sides", "region %s stands twice", name)
+				r.AddError(v, "sides", "region %s stands twice", name)
 			}
 			in[name] = true
 			e.Sides[i] = append(e.Sides[i], name)
@@ -493,7 +493,7 @@
 	f := r.Fields(n, "fleet")
 	for _, key := range without {
 		if f[key] == nil {
-			r.Fail(n, "fleet", "%q is to be left out, and not there", key)
+			r.AddError(n, "fleet", "%q is to be left out, and not there", key)
 		}
 	}
 	if n == nil {
@@ -501,10 +501,10 @@
 	}
 	for _, key := range ownKeys {
 		if f[key] != nil {
-			r.Fail(f[key], key, "the run sets it for each gateway")
+			r.AddError(f[key], key, "the run sets it for each gateway")
 		}
 	}
-	if n.Kind != yaml.MappingNode || len(r.Faults) > 0 {
+	if n.Kind != yaml.MappingNode || len(r.Errors) > 0 {
 		return
 	}
 	part := *n
@@ -522,9 +522,9 @@
 	if err == nil {
 		_, err = fleet.Parse("fleet", text)
 	}
-	faults, ok := err.(yamlfile.Faults)
+	faults, ok := err.(yamlfile.Errors)
 	if err != nil && !ok {
-		faults = yamlfile.Faults{err.Error()}
+		faults = yamlfile.Errors{err.Error()}
 	}
 	for _, fault := range faults {
 		// The place is that of the file which was made: the key tells where it stands here.
@@ -532,7 +532,7 @@
 		key, _, _ := strings.Cut(what, ": ")
 		at := n
 		find(n, key, &at)
-		r.Fail(at, "fleet", "%s", what)
+		r.AddError(at, "fleet", "%s", what)
 	}
 }
 
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -53,7 +53,7 @@
 	if err := p.Launch(n.heard, func() { n.over(p) }); err != nil {
 		return err
 	}
-	if _, err := p.Ready(readyTime); err != nil {
+	if _, err := p.WaitStarted(readyTime); err != nil {
 		return fmt.Errorf("gateway %s %w", n.gate.name, err)
 	}
 	return nil
@@ -77,13 +77,13 @@
 	defer n.mu.Unlock()
 	switch kind, _, _ := strings.Cut(event, " "); kind {
 	case "started":
-		n.clients, n.manage = lab.Field(event, "listen"), lab.Field(event, "management")
-		n.run.front.Set(n.gate.number, n.clients)
+		n.clients, n.manage = lab.LogField(event, "listen"), lab.LogField(event, "management")
+		n.run.front.SetAddr(n.gate.number, n.clients)
 	case "fleet_view":
-		n.digest = lab.Field(event, "digest")
+		n.digest = lab.LogField(event, "digest")
 	case "fleet_member":
-		if lab.Field(event, "state") == "dead" {
-			n.dead = append(n.dead, lab.Field(event, "name"))
+		if lab.LogField(event, "state") == "dead" {
+			n.dead = append(n.dead, lab.LogField(event, "name"))
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		if text, err := ask(manage, "/v1/metrics"); err == nil {
 			on = true
 			figures := stats.Parse([]byte(text))
-			s.Roles = stats.Roles(figures)
+			s.Roles = stats.TrafficByRole(figures)
 			s.ViewMembers = int(figures["fleet_view_members"])
 		}
 		u, _ = used(p.Pid())
@@ -201,14 +201,14 @@
 	err    error
 }
 
-func startClients(p *Plan, list []*real, front *lab.Front) (*clients, error) {
+func startClients(p *Plan, list []*real, front *lab.Balancer) (*clients, error) {
 	if p.Clients <= 0 {
 		return nil, nil
 	}
 	length := p.Settle + p.For + time.Minute
 	l := &plan.Plan{
-		Seed: p.Seed, Groups: (p.Databases + p.Group - 1) / p.Group, Keys: 1000, Sessions: 20 * len(list), Follow: 0.2, FollowAfter: 300 * time.Millisecond,
-		Honour: 1, Connections: 50, Outstanding: 5000, Stall: time.Second, Most: 10_000_000,
+		Seed: p.Seed, Groups: (p.Databases + p.Group - 1) / p.Group, Keys: 1000, Sessions: 20 * len(list), FollowShare: 0.2, FollowAfter: 300 * time.Millisecond,
+		HonourShare: 1, MaxConnections: 50, MaxOutstanding: 5000, MaxLateness: time.Second, MaxArrivals: 10_000_000,
 		Classes: []plan.Class{
 			{Name: "browse", Kind: plan.BoundedRead, Mix: 0.7, Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 1, Bound: 3 * time.Second},
 			{Name: "own", Kind: plan.SessionRead, Mix: 0.1, Aim: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 2},
@@ -216,14 +216,14 @@
 		},
 	}
 	rate := p.Clients * float64(len(list))
-	l.Stages = []plan.Stage{{Name: "all", Lines: []plan.Line{{From: rate, To: rate, For: length}}}}
+	l.Stages = []plan.Stage{{Name: "all", Segments: []plan.RateSegment{{From: rate, To: rate, For: length}}}}
 	arrivals, err := plan.Schedule(l)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &clients{cancel: cancel, done: make(chan struct{}), rec: run.NewRecorder(l), n: len(arrivals)}
-	r := &run.Runner{Plan: l, Arrivals: arrivals, Sample: c.rec.Add, Pick: front.Pick}
+	r := &run.Runner{Plan: l, Arrivals: arrivals, OnSample: c.rec.Add, SelectTarget: front.Pick}
 	go func() {
 		defer close(c.done)
 		c.sent, c.err = r.Play(ctx)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -188,7 +188,7 @@
 		if n := world.Stale; n > 0 {
 			out.fail("%d reads were answered from data too old", n)
 		}
-		if n := c.Total.Counts[run.BadAnswer]; n > 0 {
+		if n := c.Total.Counts[run.InvalidAnswer]; n > 0 {
 			out.fail("%d requests had no answer, or two", n)
 		}
 	}
@@ -338,7 +338,7 @@
 			out.Discovery.Early = max(out.Discovery.Early, calls)
 		} else if !s.at.After(r.ended) {
 			out.Discovery.Calls = max(out.Discovery.Calls, calls)
-			if s.late.N > 0 {
+			if s.late.Count > 0 {
 				relay = append(relay, float64(s.late.P99)/1e6)
 			}
 			out.Discovery.Watches = s.watches
@@ -443,11 +443,11 @@
 	}
 	fmt.Fprintf(w, "\ndiscovery: at most %.0f calls a second (%.0f while the fleet settled), %d watches\n", o.Discovery.Calls, o.Discovery.Early, o.Discovery.Watches)
 	fmt.Fprintf(w, "relay: %d datagrams passed, %d lost, %d cut, %d unsent, %d foreign, %d overflowed; %d connections\n",
-		o.Relay.Passed, o.Relay.Lost, o.Relay.Cut, o.Relay.Unsent, o.Relay.Foreign, o.Relay.Overflowed, o.Relay.Streams)
+		o.Relay.Forwarded, o.Relay.Lost, o.Relay.Cut, o.Relay.Unsent, o.Relay.Misaddressed, o.Relay.Overflowed, o.Relay.Streams)
 	fmt.Fprintf(w, "%.0f MB in %d processes\n", o.MemoryMB, o.Processes)
 	if c := o.Clients; c != nil {
 		n := c.Total.Counts
-		fmt.Fprintf(w, "clients of the real gateways: %d sent, %d in aim, %d late, %d refused, %d failed\n", c.Sent, n[run.InAim], n[run.Late], n[run.Refused]+n[run.RefusedFor], n[run.Failed]+n[run.BadAnswer])
+		fmt.Fprintf(w, "clients of the real gateways: %d sent, %d in aim, %d late, %d refused, %d failed\n", c.Sent, n[run.InAim], n[run.Late], n[run.Refused]+n[run.RefusedRetryAfter], n[run.Failed]+n[run.InvalidAnswer])
 	}
 	if o.Partial {
 		fmt.Fprintln(w, "PARTIAL: the run was ended early")
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -41,7 +41,7 @@
 	procs []*process
 	in    map[string]*process // by gateway
 	reals []*real
-	front *lab.Front
+	front *lab.Balancer
 	load  *clients
 	stop  chan struct{}
 
@@ -90,7 +90,7 @@
 	r.rnd = rand.New(rand.NewPCG(p.Seed, 0x7363616c))
 	r.stop = make(chan struct{})
 	r.in, r.byName = map[string]*process{}, map[string]*gate{}
-	r.front = lab.NewFront(p.Real, nil)
+	r.front = lab.NewBalancer(p.Real, nil)
 	defer r.close()
 	if err := r.open(ctx); err != nil {
 		return nil, err
@@ -184,12 +184,12 @@
 			if p.Region(zones[a]) != p.Region(zones[b]) {
 				l = wan.Link{Delay: seconds(p.RTT.Between / 2), Jitter: p.Jitter, Loss: p.Loss.Between}
 			}
-			r.relay.Set(a, b, l)
+			r.relay.SetLink(a, b, l)
 		}
 	}
 	groups := (p.Databases + p.Group - 1) / p.Group
 	r.world, err = standin.New(standin.Options{
-		Groups: groups, Members: p.Group, Most: p.Databases, Sites: p.sites(), Unheard: p.Real == 0, Cores: 4, Queue: 100,
+		Groups: groups, Members: p.Group, MaxDatabases: p.Databases, Sites: p.sites(), NoListeners: p.Real == 0, Cores: 4, Queue: 100,
 		Service: 2 * time.Millisecond, Lag: 10 * time.Millisecond, Seed: p.Seed, Bounds: map[string]time.Duration{"browse": 3 * time.Second},
 	})
 	if err != nil {
@@ -439,7 +439,7 @@
 		}
 		late = r.relay.Lateness(late)
 		calls := r.world.Discovery().Calls()
-		s := second{at: time.Now(), asked: calls.Asked, watches: calls.Watches, relay: r.relay.Counts(), late: late}
+		s := second{at: time.Now(), asked: calls.Requests, watches: calls.Watches, relay: r.relay.Counts(), late: late}
 		for _, pid := range r.pids() {
 			if u, ok := used(pid); ok {
 				s.rss += u.rss
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,16 +17,16 @@
 
 // Settings is all that the program reads of them.
 type Settings struct {
-	Policy      policy.Settings
-	Zero        time.Duration // where the simulator's positions count from
-	Classes     []string      // their names, in the order of Policy.Classes
-	Zones       []string
-	ConnIdle    time.Duration // databases close connections that stood idle so long
-	DialTimeout time.Duration
-	AnswerSlack time.Duration
-	MaxOpen     int  // requests at once; 0: no limit
-	ProbeReport bool // probes bring load reports
-	Peers       bool // gateways may talk to each other
+	Policy        policy.Settings
+	PositionEpoch time.Duration // where the simulator's positions count from
+	Classes       []string      // their names, in the order of Policy.Classes
+	Zones         []string
+	ConnIdle      time.Duration // databases close connections that stood idle so long
+	DialTimeout   time.Duration
+	AnswerSlack   time.Duration
+	MaxOpen       int  // requests at once; 0: no limit
+	ProbeReport   bool // probes bring load reports
+	Peers         bool // gateways may talk to each other
 }
 
 var levels = map[string]policy.ReadLevel{
@@ -184,15 +184,15 @@
 func read(value map[string]string) (Settings, error) {
 	s := &reader{value: value}
 	set := Settings{
-		Policy:      s.policy(),
-		Zero:        time.Duration(s.num("Domain.ZeroUs") * float64(time.Microsecond)),
-		Zones:       s.list("Localities"),
-		ConnIdle:    s.time("Allowed.ConnIdleUs"),
-		DialTimeout: s.time("Allowed.DialTimeoutUs"),
-		AnswerSlack: s.time("Rules.AnswerSlackUs"),
-		MaxOpen:     s.count("Allowed.MaxOpen"),
-		Peers:       s.bool("Allowed.Peers"),
-		ProbeReport: value["Report.Fields"] != "" && value["Report.Source"] != "none",
+		Policy:        s.policy(),
+		PositionEpoch: time.Duration(s.num("Domain.ZeroUs") * float64(time.Microsecond)),
+		Zones:         s.list("Localities"),
+		ConnIdle:      s.time("Allowed.ConnIdleUs"),
+		DialTimeout:   s.time("Allowed.DialTimeoutUs"),
+		AnswerSlack:   s.time("Rules.AnswerSlackUs"),
+		MaxOpen:       s.count("Allowed.MaxOpen"),
+		Peers:         s.bool("Allowed.Peers"),
+		ProbeReport:   value["Report.Fields"] != "" && value["Report.Source"] != "none",
 	}
 	for i := range set.Policy.Classes {
 		set.Classes = append(set.Classes, value[fmt.Sprintf("Lanes.%d.Name", i)])
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -23,7 +23,7 @@
 
 // client connects to a gateway and greets it.
 func (s *soak) client(i int) (*client, error) {
-	c, err := net.DialTimeout("tcp", s.lab.Node(i).Clients, badClientTime)
+	c, err := net.DialTimeout("tcp", s.lab.Node(i).ClientAddr, badClientTime)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Trouble is one thing that goes wrong for a while.
-type Trouble struct {
+// Fault is one thing that goes wrong for a while.
+type Fault struct {
 	Number   int           `json:"number"`
 	Name     string        `json:"name"`
 	At       time.Duration `json:"at_ns"`
-	For      time.Duration `json:"for_ns"`
+	Duration time.Duration `json:"for_ns"`
 	Gateways []int         `json:"on,omitempty"` // whom it is done to; none: databases, discovery or clients
 }
 
-// Names are all troubles that may be drawn.
-func Names() (list []string) {
+// FaultNames are all troubles that may be drawn.
+func FaultNames() (list []string) {
 	for name := range kinds {
 		list = append(list, name)
 	}
@@ -40,7 +40,7 @@
 )
 
 // Draw is the schedule of a seed: waves of two or three troubles that overlap. It does not depend on how a run goes.
-func Draw(seed uint64, gateways int, length time.Duration, names []string) (list []Trouble) {
+func Draw(seed uint64, gateways int, length time.Duration, names []string) (list []Fault) {
 	rnd := rand.New(rand.NewPCG(seed, 0x736f616b))
 	span := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rnd.Int64N(int64(to-from)))
@@ -48,7 +48,7 @@
 	for at := span(quietLeast, quietMost); at < length-calmAtEnd-lastMost; at += span(waveLeast, waveMost) {
 		kindsOfWave := rnd.Perm(len(names))
 		for _, k := range kindsOfWave[:min(2+rnd.IntN(2), len(names))] {
-			t := Trouble{Number: len(list) + 1, Name: names[k], At: at + span(0, waveSpread), For: span(lastLeast, lastMost)}
+			t := Fault{Number: len(list) + 1, Name: names[k], At: at + span(0, waveSpread), Duration: span(lastLeast, lastMost)}
 			if n := kinds[t.Name].gateways; n > 0 {
 				t.Gateways = rnd.Perm(gateways)[:min(n, gateways)]
 			}
@@ -58,11 +58,11 @@
 	return list
 }
 
-// Overlaps is how many pairs of troubles were under way together.
-func Overlaps(list []Trouble) (n int) {
+// CountOverlaps is how many pairs of troubles were under way together.
+func CountOverlaps(list []Fault) (n int) {
 	for i, a := range list {
 		for _, b := range list[i+1:] {
-			if a.At < b.At+b.For && b.At < a.At+a.For {
+			if a.At < b.At+b.Duration && b.At < a.At+a.Duration {
 				n++
 			}
 		}
@@ -70,12 +70,12 @@
 	return n
 }
 
-// Only keeps the troubles with these numbers, to shrink a schedule that fails; none: all are kept.
-func Only(list []Trouble, numbers []int) ([]Trouble, error) {
+// Select keeps the troubles with these numbers, to shrink a schedule that fails; none: all are kept.
+func Select(list []Fault, numbers []int) ([]Fault, error) {
 	if len(numbers) == 0 {
 		return list, nil
 	}
-	var kept []Trouble
+	var kept []Fault
 	for _, n := range numbers {
 		if n < 1 || n > len(list) {
 			return nil, fmt.Errorf("there is no trouble %d: the seed draws %d", n, len(list))
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -17,14 +17,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed, gateways := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 40).Draw(t, "gateways")
 		length := time.Duration(rapid.IntRange(15, 120).Draw(t, "seconds")) * time.Second
-		list := Draw(seed, gateways, length, Names())
-		assert.Equal(t, list, Draw(seed, gateways, length, Names()))
+		list := Draw(seed, gateways, length, FaultNames())
+		assert.Equal(t, list, Draw(seed, gateways, length, FaultNames()))
 		assert.GreaterOrEqual(t, len(list), 2)
-		assert.Positive(t, Overlaps(list))
+		assert.Positive(t, CountOverlaps(list))
 		for k, x := range list {
 			assert.Equal(t, k+1, x.Number)
 			assert.GreaterOrEqual(t, x.At, quietLeast)
-			assert.LessOrEqual(t, x.At+x.For, length-calmAtEnd+waveSpread)
+			assert.LessOrEqual(t, x.At+x.Duration, length-calmAtEnd+waveSpread)
 			assert.Contains(t, kinds, x.Name)
 			for _, g := range x.Gateways {
 				assert.Less(t, g, gateways)
@@ -34,14 +34,14 @@
 }
 
 func TestOnly(t *testing.T) {
-	list := Draw(1, 24, time.Minute, Names())
-	all, err := Only(list, nil)
+	list := Draw(1, 24, time.Minute, FaultNames())
+	all, err := Select(list, nil)
 	require.NoError(t, err)
 	assert.Equal(t, list, all)
-	some, err := Only(list, []int{2, 1})
+	some, err := Select(list, []int{2, 1})
 	require.NoError(t, err)
-	assert.Equal(t, []Trouble{list[1], list[0]}, some)
-	_, err = Only(list, []int{len(list) + 1})
+	assert.Equal(t, []Fault{list[1], list[0]}, some)
+	_, err = Select(list, []int{len(list) + 1})
 	assert.ErrorContains(t, err, "the seed draws")
 }
 
@@ -50,8 +50,8 @@
 func TestJudge(t *testing.T) {
 	now := time.Now()
 	try := func(reused bool, from, to time.Duration) run.Sample {
-		return run.Sample{Outcome: run.Failed, Last: run.Try{
-			Target: "127.0.0.1:1", ID: "r", Reused: reused, Unheard: true, Begun: now.Add(from), Ended: now.Add(to),
+		return run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{
+			Target: "127.0.0.1:1", ID: "r", Reused: reused, Unanswered: true, Sent: now.Add(from), Ended: now.Add(to),
 		}}
 	}
 	for name, c := range map[string]struct {
@@ -67,19 +67,19 @@
 		"a close between requests":     {sample: try(true, 0, time.Millisecond), crossed: 1},
 		"no close between requests":    {sample: try(true, 0, time.Second), lost: 1},
 		"a new connection that closes": {sample: try(false, 0, time.Millisecond), lost: 1},
-		"an answer that says failed":   {sample: run.Sample{Outcome: run.Failed, Last: run.Try{Target: "127.0.0.1:1"}}},
-		"a gateway that nobody knows":  {sample: run.Sample{Outcome: run.GaveUp, Last: run.Try{Target: "127.0.0.1:2", Unheard: true}}},
+		"an answer that says failed":   {sample: run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{Target: "127.0.0.1:1"}}},
+		"a gateway that nobody knows":  {sample: run.Sample{Outcome: run.GaveUp, LastAttempt: run.Attempt{Target: "127.0.0.1:2", Unanswered: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := newJudge()
-			j.started(&lab.Node{Name: "n0", Clients: "127.0.0.1:1"})
+			j.started(&lab.Node{Name: "n0", ClientAddr: "127.0.0.1:1"})
 			if !c.excused.from.IsZero() {
 				j.excused["n0"] = []span{c.excused}
 			}
 			j.request(c.sample)
 			assert.Equal(t, c.lost, j.requests.Lost)
 			assert.Equal(t, c.lost, j.outside["lost"])
-			assert.Equal(t, c.crossed, j.requests.Crossed)
+			assert.Equal(t, c.crossed, j.requests.CrossedClose)
 		})
 	}
 }
@@ -87,8 +87,8 @@
 // What gateways tell of themselves and what is seen from outside stand beside each other.
 func TestReportErr(t *testing.T) {
 	assert.NoError(t, (&Report{Valid: true}).Err())
-	assert.ErrorContains(t, (&Report{Invalid: "late"}).Err(), "INVALID")
-	assert.ErrorContains(t, (&Report{Valid: true, Violations: map[string]Count{"lost": {Outside: 1}}}).Err(), "violations")
+	assert.ErrorContains(t, (&Report{InvalidReason: "late"}).Err(), "INVALID")
+	assert.ErrorContains(t, (&Report{Valid: true, Violations: map[string]ViolationCount{"lost": {Outside: 1}}}).Err(), "violations")
 	j := newJudge()
 	j.heard(&lab.Node{Name: "n0"}, `1 event=violation name=to_draining request="r"`)
 	j.heard(&lab.Node{Name: "n0"}, `1 event=retried request="r"`)
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -41,7 +41,7 @@
 func (j *judge) started(n *lab.Node) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.gateway[n.Clients] = n.Name
+	j.gateway[n.ClientAddr] = n.Name
 }
 
 // excuse begins a time in which a gateway need not answer; the function returned ends it.
@@ -75,7 +75,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.inside[lab.Field(event, "name")]++
+	j.inside[lab.LogField(event, "name")]++
 	j.example("%s %s", n.Name, event)
 }
 
@@ -105,35 +105,35 @@
 	switch s.Outcome {
 	case run.InAim, run.Late:
 		r.Served++
-	case run.Refused, run.RefusedFor, run.NoConn:
+	case run.Refused, run.RefusedRetryAfter, run.NoConnection:
 		r.Refused++
-	case run.Missed:
+	case run.NotSent:
 		r.Unsent++
-	case run.BadAnswer:
+	case run.InvalidAnswer:
 		j.outside["bad_answer"]++
-		j.example("bad_answer: request %s at %s", s.Last.ID, j.gateway[s.Last.Target])
+		j.example("bad_answer: request %s at %s", s.LastAttempt.ID, j.gateway[s.LastAttempt.Target])
 	default:
-		if !s.Last.Unheard {
+		if !s.LastAttempt.Unanswered {
 			r.Failed++
 			return
 		}
-		j.unheard(s.Last)
+		j.unheard(s.LastAttempt)
 	}
 }
 
 // unheard judges a request that had no answer.
-func (j *judge) unheard(t run.Try) {
+func (j *judge) unheard(t run.Attempt) {
 	r, gateway := &j.requests, j.gateway[t.Target]
 	r.Unanswered++
-	switch took := t.Ended.Sub(t.Begun); {
+	switch took := t.Ended.Sub(t.Sent); {
 	case t.Target == "" || gateway == "":
-	case j.isExcused(gateway, t.Begun, t.Ended):
+	case j.isExcused(gateway, t.Sent, t.Ended):
 	case t.Reused && took < closeCrosses:
-		r.Crossed++ // a close between requests, which the client tries again
+		r.CrossedClose++ // a close between requests, which the client tries again
 	default:
 		r.Lost++
 		j.outside["lost"]++
 		j.example("lost: request %s at %s, begun at %s, ended after %v, on a connection that was used: %t",
-			t.ID, gateway, t.Begun.Format("15:04:05.000"), took.Round(time.Millisecond), t.Reused)
+			t.ID, gateway, t.Sent.Format("15:04:05.000"), took.Round(time.Millisecond), t.Reused)
 	}
 }
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -22,17 +22,17 @@
 // restartPause is how long a gateway is away between two processes.
 const restartPause = 200 * time.Millisecond
 
-func (s *soak) kill(t Trouble) error {
+func (s *soak) kill(t Fault) error {
 	return s.each(t, func(i int) error {
 		defer s.judge.excuse(s.lab.Node(i).Name)()
 		s.lab.Node(i).Kill()
-		standin.Sleep(t.For/2, s.stop)
+		standin.Sleep(t.Duration/2, s.stop)
 		return s.start(i)
 	})
 }
 
 // end ends a process in order. What it has read it owes; nothing is excused but the time in which nobody listens.
-func (s *soak) end(t Trouble) error {
+func (s *soak) end(t Fault) error {
 	return s.each(t, func(i int) error {
 		s.term(s.lab.Node(i))
 		standin.Sleep(restartPause, s.stop)
@@ -40,15 +40,15 @@
 	})
 }
 
-func (s *soak) standStill(t Trouble) error {
+func (s *soak) standStill(t Fault) error {
 	return s.each(t, func(i int) error {
 		node := s.lab.Node(i)
 		defer s.judge.excuse(node.Name)()
-		if err := node.Stop(); err != nil {
+		if err := node.Pause(); err != nil {
 			return err
 		}
-		standin.Sleep(t.For, s.stop)
-		if err := node.Continue(); err != nil {
+		standin.Sleep(t.Duration, s.stop)
+		if err := node.Resume(); err != nil {
 			return err
 		}
 		standin.Sleep(restartPause, s.stop) // what it stood still with is answered late
@@ -57,12 +57,12 @@
 }
 
 // reload moves a gateway from one address of discovery to the other and back, signals in quick succession.
-func (s *soak) reload(t Trouble) error {
-	s.lab.World().Disturb()
+func (s *soak) reload(t Fault) error {
+	s.lab.World().NoteWatchDisturbance()
 	for _, i := range t.Gateways {
 		node := s.lab.Node(i)
 		for k := range 5 {
-			text, err := os.ReadFile(node.Config)
+			text, err := os.ReadFile(node.ConfigPath)
 			if errors.Is(err, fs.ErrNotExist) {
 				break // another trouble has taken its folder away
 			}
@@ -77,7 +77,7 @@
 			if text, err = json.Marshal(config); err != nil {
 				return err
 			}
-			if err := os.WriteFile(node.Config, text, 0o600); errors.Is(err, fs.ErrNotExist) {
+			if err := os.WriteFile(node.ConfigPath, text, 0o600); errors.Is(err, fs.ErrNotExist) {
 				break
 			} else if err != nil {
 				return err
@@ -85,17 +85,17 @@
 			if err := node.Signal(syscall.SIGHUP); err != nil {
 				return err
 			}
-			standin.Sleep(t.For/20, s.stop)
+			standin.Sleep(t.Duration/20, s.stop)
 		}
 	}
 	return nil
 }
 
 // heldOf is a gateway whose socket the lab holds, in a trouble's place for one.
-func (s *soak) heldOf(t Trouble) int { return s.lab.Held[t.Gateways[0]%len(s.lab.Held)] }
+func (s *soak) heldOf(t Fault) int { return s.lab.HeldSockets[t.Gateways[0]%len(s.lab.HeldSockets)] }
 
 // beside starts a second process of a gateway whose socket the lab holds, waits until it is ready, and does something to both.
-func (s *soak) beside(t Trouble, do func(i int, old, next *lab.Node) error) error {
+func (s *soak) beside(t Fault, do func(i int, old, next *lab.Node) error) error {
 	i := s.heldOf(t)
 	if !s.take(i) {
 		return nil
@@ -112,12 +112,12 @@
 
 // term ends a process in order; one that does not end in time is a violation.
 func (s *soak) term(n *lab.Node) {
-	if err := n.Term(); err != nil {
+	if err := n.Terminate(); err != nil {
 		s.judge.violated("no_end", 1, "%v", err)
 	}
 }
 
-func (s *soak) upgrade(t Trouble) error {
+func (s *soak) upgrade(t Fault) error {
 	return s.beside(t, func(_ int, old, _ *lab.Node) error {
 		s.term(old)
 		return nil
@@ -125,14 +125,14 @@
 }
 
 // successorKilled kills the process beside an old one that has begun to leave to it.
-func (s *soak) successorKilled(t Trouble) error {
+func (s *soak) successorKilled(t Fault) error {
 	return s.beside(t, func(i int, old, next *lab.Node) error {
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			s.term(old)
 		}()
-		standin.Sleep(t.For/10, s.stop)
+		standin.Sleep(t.Duration/10, s.stop)
 		defer s.judge.excuse(old.Name)()
 		next.Kill()
 		err := s.start(i)
@@ -142,11 +142,11 @@
 }
 
 // systemCalls has a gateway's process followed by one whose system calls fail for a while.
-func (s *soak) systemCalls(t Trouble) error {
-	if s.opt.Faulty == "" {
+func (s *soak) systemCalls(t Fault) error {
+	if s.opt.FaultyProgram == "" {
 		return nil
 	}
-	faults := systemFaults(rand.New(rand.NewPCG(s.opt.Seed, uint64(t.Number))), t.For)
+	faults := systemFaults(rand.New(rand.NewPCG(s.opt.Seed, uint64(t.Number))), t.Duration)
 	return s.each(t, func(i int) error {
 		s.term(s.lab.Node(i))
 		return s.startFaulty(t, i, map[string]any{"seed": s.opt.Seed, "faults": faults})
@@ -154,7 +154,7 @@
 }
 
 // startFaulty runs a gateway anew whose system calls go by a plan.
-func (s *soak) startFaulty(t Trouble, i int, plan map[string]any) error {
+func (s *soak) startFaulty(t Fault, i int, plan map[string]any) error {
 	path := filepath.Join(s.folder, fmt.Sprintf("faults-%d-%d.json", t.Number, i))
 	text, err := json.Marshal(plan)
 	if err == nil {
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.startAs(i, []string{s.opt.Faulty}, "LILACCOVE_FAULTS="+path)
+	_, err = s.startAs(i, []string{s.opt.FaultyProgram}, "LILACCOVE_FAULTS="+path)
 	return err
 }
 
@@ -171,8 +171,8 @@
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, -800 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second, time.Hour}
 
 // clockStep has a gateway killed, or ended, and started again with its wall clock off for good.
-func (s *soak) clockStep(t Trouble) error {
-	if s.opt.Faulty == "" {
+func (s *soak) clockStep(t Fault) error {
+	if s.opt.FaultyProgram == "" {
 		return nil
 	}
 	step := clockSteps[t.Number%len(clockSteps)]
@@ -189,13 +189,13 @@
 
 // folderAway takes the private directory of a gateway away while an operator leaves a database out there, and starts a second
 // process when it is back. A yes that the operator had holds in that one, too.
-func (s *soak) folderAway(t Trouble) error {
+func (s *soak) folderAway(t Fault) error {
 	i := s.heldOf(t)
 	if !s.take(i) {
 		return nil
 	}
 	defer s.giveBack(i)
-	dir, err := s.lab.Folder(i)
+	dir, err := s.lab.PrivateDir(i)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		return err
 	}
 	_, refused := old.Call("PUT", "/v1/databases/"+id+"/suspend")
-	standin.Sleep(t.For/4, s.stop)
+	standin.Sleep(t.Duration/4, s.stop)
 	if err := os.Rename(dir+"-away", dir); err != nil {
 		return err
 	}
@@ -248,20 +248,20 @@
 	return list
 }
 
-func (s *soak) drainGateway(t Trouble) error {
+func (s *soak) drainGateway(t Fault) error {
 	return s.each(t, func(i int) error {
 		node := s.lab.Node(i)
 		if _, err := node.Call("PUT", "/v1/gateway/drain"); err != nil {
 			return err
 		}
-		standin.Sleep(t.For, s.stop)
+		standin.Sleep(t.Duration, s.stop)
 		_, err := node.Call("PUT", "/v1/gateway/activate")
 		return err
 	})
 }
 
 // partition cuts some gateways off from the others.
-func (s *soak) partition(t Trouble) error {
+func (s *soak) partition(t Fault) error {
 	side := map[int]bool{}
 	for _, i := range t.Gateways {
 		side[i] = true
@@ -273,14 +273,14 @@
 		}
 	}
 	s.lab.Mesh().Partition([][]int{t.Gateways, rest}, true)
-	standin.Sleep(t.For, s.stop)
+	standin.Sleep(t.Duration, s.stop)
 	s.lab.Mesh().Partition([][]int{t.Gateways, rest}, false)
 	return nil
 }
 
-func (s *soak) lossyLinks(t Trouble) error {
+func (s *soak) lossyLinks(t Fault) error {
 	s.links(plan.Link{Loss: 0.15, Duplicate: 0.1, Reorder: 0.2, Corrupt: 0.02, Delay: 20 * time.Millisecond, Jitter: 30 * time.Millisecond})
-	standin.Sleep(t.For, s.stop)
+	standin.Sleep(t.Duration, s.stop)
 	s.links(plan.Link{})
 	return nil
 }
@@ -289,7 +289,7 @@
 	for i := range s.opt.Gateways {
 		for j := range s.opt.Gateways {
 			if i != j {
-				s.lab.Mesh().Set(i, j, l)
+				s.lab.Mesh().SetLink(i, j, l)
 			}
 		}
 	}
@@ -304,7 +304,7 @@
 // startAs is start with another program. A process that does not start in time is one that crashed.
 func (s *soak) startAs(i int, command []string, env ...string) (*lab.Node, error) {
 	begun := time.Now()
-	n, err := s.lab.StartAs(i, command, env...)
+	n, err := s.lab.StartCommand(i, command, env...)
 	if err != nil {
 		s.judge.violated("no_start", 1, "%v", err)
 		return nil, nil
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,15 +20,15 @@
 
 // Options are a soak's.
 type Options struct {
-	Gateways  int           `json:"gateways"`
-	Databases int           `json:"databases"`
-	For       time.Duration `json:"for_ns"`
-	Seed      uint64        `json:"seed"`
-	Troubles  []string      `json:"-"` // that may be drawn; none: all
-	Only      []int         `json:"-"` // numbers of the troubles drawn that are played; none: all
-	Program   string        `json:"-"` // the gateway's
-	Faulty    string        `json:"-"` // the gateway's, built with the tag faults; empty: no system calls fail
-	Log       io.Writer     `json:"-"` // what gateways say; nil: nowhere
+	Gateways      int           `json:"gateways"`
+	Databases     int           `json:"databases"`
+	Duration      time.Duration `json:"for_ns"`
+	Seed          uint64        `json:"seed"`
+	FaultNames    []string      `json:"-"` // that may be drawn; none: all
+	OnlyFaults    []int         `json:"-"` // numbers of the troubles drawn that are played; none: all
+	Program       string        `json:"-"` // the gateway's
+	FaultyProgram string        `json:"-"` // the gateway's, built with the tag faults; empty: no system calls fail
+	Log           io.Writer     `json:"-"` // what gateways say; nil: nowhere
 }
 
 // Bounds of a run.
@@ -45,20 +45,20 @@
 
 // Requests are how many there were, by what became of them.
 type Requests struct {
-	Sent       int `json:"sent"`
-	Served     int `json:"served"`
-	Refused    int `json:"refused"`
-	Failed     int `json:"failed"`
-	Unanswered int `json:"unanswered"` // whoever's fault: those of gateways that were killed are among them
-	Lost       int `json:"lost"`       // unanswered by a gateway that lived on
-	Crossed    int `json:"crossed"`    // on a resting connection that was closed at that moment
-	Unsent     int `json:"unsent"`     // too many were outstanding
-	Duplicate  int `json:"duplicate"`
-	Stale      int `json:"stale"`
+	Sent         int `json:"sent"`
+	Served       int `json:"served"`
+	Refused      int `json:"refused"`
+	Failed       int `json:"failed"`
+	Unanswered   int `json:"unanswered"` // whoever's fault: those of gateways that were killed are among them
+	Lost         int `json:"lost"`       // unanswered by a gateway that lived on
+	CrossedClose int `json:"crossed"`    // on a resting connection that was closed at that moment
+	Unsent       int `json:"unsent"`     // too many were outstanding
+	Duplicate    int `json:"duplicate"`
+	Stale        int `json:"stale"`
 }
 
-// Count is how often an invariant was violated, as seen from outside and as gateways told themselves.
-type Count struct {
+// ViolationCount is how often an invariant was violated, as seen from outside and as gateways told themselves.
+type ViolationCount struct {
 	Outside int `json:"outside"`
 	Inside  int `json:"inside"`
 }
@@ -72,21 +72,21 @@
 
 // Report is a run as it is written down.
 type Report struct {
-	Seed         uint64           `json:"seed"`
-	Gateways     int              `json:"gateways"`
-	Databases    int              `json:"databases"`
-	Pushed       bool             `json:"pushed"` // lists are pushed to an agent of each gateway
-	Valid        bool             `json:"valid"`
-	Invalid      string           `json:"invalid,omitempty"` // why not
-	ProcessesMax int              `json:"processes_max"`
-	MemoryMBMax  int              `json:"memory_mb_max"`
-	Troubles     []Trouble        `json:"troubles"`
-	Overlaps     int              `json:"overlaps"`
-	Violations   map[string]Count `json:"violations"`
-	Examples     []string         `json:"examples,omitempty"`
-	Requests     Requests         `json:"requests"`
-	Restarts     int              `json:"restarts"`
-	ReadyS       Percentiles      `json:"ready_s"`
+	Seed          uint64                    `json:"seed"`
+	Gateways      int                       `json:"gateways"`
+	Databases     int                       `json:"databases"`
+	Pushed        bool                      `json:"pushed"` // lists are pushed to an agent of each gateway
+	Valid         bool                      `json:"valid"`
+	InvalidReason string                    `json:"invalid,omitempty"` // why not
+	ProcessesMax  int                       `json:"processes_max"`
+	MemoryMBMax   int                       `json:"memory_mb_max"`
+	Faults        []Fault                   `json:"troubles"`
+	Overlaps      int                       `json:"overlaps"`
+	Violations    map[string]ViolationCount `json:"violations"`
+	Examples      []string                  `json:"examples,omitempty"`
+	Requests      Requests                  `json:"requests"`
+	Restarts      int                       `json:"restarts"`
+	ReadySeconds  Percentiles               `json:"ready_s"`
 }
 
 // Err tells what the exit status says: nil where the run is valid and nothing was violated.
@@ -95,7 +95,7 @@
 	case len(r.Violations) > 0:
 		return fmt.Errorf("seed %d: %d kinds of violations", r.Seed, len(r.Violations))
 	case !r.Valid:
-		return fmt.Errorf("seed %d: INVALID: %s", r.Seed, r.Invalid)
+		return fmt.Errorf("seed %d: INVALID: %s", r.Seed, r.InvalidReason)
 	}
 	return nil
 }
@@ -134,28 +134,28 @@
   write: {kind: write, mix: 25%%, aim: 600 ms, deadline: 2500 ms}
 stages: [{shape: constant, rate: %d/s, for: %d s}]
 lab: {gateways: %d, members: %d, cores: 4, queue: 60, service: 8 ms, lag: 10 ms, cold: 3 s, fleet: true, positions: true, primaries: true, words: 1 min}
-`, opt.Seed%(1<<40), max(1, opt.Databases/groupSize), 12*opt.Gateways, ownLateness.Milliseconds(), max(20, rate*opt.Gateways/12), int(opt.For/time.Second), opt.Gateways, groupSize)
+`, opt.Seed%(1<<40), max(1, opt.Databases/groupSize), 12*opt.Gateways, ownLateness.Milliseconds(), max(20, rate*opt.Gateways/12), int(opt.Duration/time.Second), opt.Gateways, groupSize)
 	return plan.Parse("soak", []byte(text))
 }
 
 // Run plays a soak.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	if opt.Gateways < 4 || opt.Databases < groupSize || opt.For < 5*time.Second {
+	if opt.Gateways < 4 || opt.Databases < groupSize || opt.Duration < 5*time.Second {
 		return nil, errors.New("a soak takes 4 gateways, 4 databases and 5 s at least")
 	}
 	if opt.Gateways+heldGateways > processesMost {
 		return nil, fmt.Errorf("%d gateways are too many: %d processes are the most", opt.Gateways, processesMost)
 	}
-	if len(opt.Troubles) == 0 {
-		opt.Troubles = Names()
+	if len(opt.FaultNames) == 0 {
+		opt.FaultNames = FaultNames()
 	}
-	for _, name := range opt.Troubles {
+	for _, name := range opt.FaultNames {
 		if _, known := kinds[name]; !known {
-			return nil, fmt.Errorf("there is no trouble %q; these are: %s", name, strings.Join(Names(), ", "))
+			return nil, fmt.Errorf("there is no trouble %q; these are: %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
-	drawn := Draw(opt.Seed, opt.Gateways, opt.For, opt.Troubles)
-	played, err := Only(drawn, opt.Only)
+	drawn := Draw(opt.Seed, opt.Gateways, opt.Duration, opt.FaultNames)
+	played, err := Select(drawn, opt.OnlyFaults)
 	if err != nil {
 		return nil, err
 	}
@@ -173,11 +173,11 @@
 	}
 	defer os.RemoveAll(s.folder)
 	s.lab = &lab.Lab{
-		Plan: p, Arrivals: arrivals, Gateway: []string{opt.Program}, Log: opt.Log, Pushed: opt.Seed%3 == 0,
-		Hear: s.judge.heard, Judge: s.judge.request, Patience: patience, Version: firstVersion,
+		Plan: p, Arrivals: arrivals, Gateway: []string{opt.Program}, Log: opt.Log, PushDiscovery: opt.Seed%3 == 0,
+		OnLogLine: s.judge.heard, OnSample: s.judge.request, ClientSlack: patience, ListVersion: firstVersion,
 	}
 	for i := range heldGateways {
-		s.lab.Held = append(s.lab.Held, i)
+		s.lab.HeldSockets = append(s.lab.HeldSockets, i)
 	}
 	if err := s.lab.Open(); err != nil {
 		s.lab.Close()
@@ -188,8 +188,8 @@
 }
 
 // play runs load and troubles in a lab that is open, and judges.
-func (s *soak) play(ctx context.Context, troubles []Trouble) (*Report, error) {
-	elsewhere, err := s.lab.World().Elsewhere()
+func (s *soak) play(ctx context.Context, troubles []Fault) (*Report, error) {
+	elsewhere, err := s.lab.World().AddDiscovery()
 	if err != nil {
 		return nil, err
 	}
@@ -252,7 +252,7 @@
 }
 
 // report writes the run down.
-func (s *soak) report(load *run.Report, troubles []Trouble) *Report {
+func (s *soak) report(load *run.Report, troubles []Fault) *Report {
 	world := s.lab.World().Counts()
 	for name, n := range map[string]int{
 		"duplicate": world.Duplicates, "stale": world.Stale, "foreign": world.Foreign, "to_draining": world.Drained, "cold_fell": world.Fell,
@@ -272,16 +272,16 @@
 		s.invalid = fmt.Sprintf("the generator was late by up to %.0f ms", load.Lateness[len(load.Lateness)-1])
 	}
 	r := &Report{
-		Seed: s.opt.Seed, Gateways: s.opt.Gateways, Databases: s.opt.Databases, Pushed: s.lab.Pushed, Valid: s.invalid == "", Invalid: s.invalid,
-		ProcessesMax: s.processes, MemoryMBMax: s.memory, Troubles: troubles, Overlaps: Overlaps(troubles),
-		Violations: map[string]Count{}, Examples: s.judge.examples, Requests: s.judge.requests, Restarts: s.restarts, ReadyS: percentiles(s.readyTimes),
+		Seed: s.opt.Seed, Gateways: s.opt.Gateways, Databases: s.opt.Databases, Pushed: s.lab.PushDiscovery, Valid: s.invalid == "", InvalidReason: s.invalid,
+		ProcessesMax: s.processes, MemoryMBMax: s.memory, Faults: troubles, Overlaps: CountOverlaps(troubles),
+		Violations: map[string]ViolationCount{}, Examples: s.judge.examples, Requests: s.judge.requests, Restarts: s.restarts, ReadySeconds: percentiles(s.readyTimes),
 	}
 	r.Requests.Duplicate, r.Requests.Stale = world.Duplicates, world.Stale
 	for name, n := range s.judge.outside {
-		r.Violations[name] = Count{Outside: n, Inside: s.judge.inside[name]}
+		r.Violations[name] = ViolationCount{Outside: n, Inside: s.judge.inside[name]}
 	}
 	for name, n := range s.judge.inside {
-		r.Violations[name] = Count{Outside: s.judge.outside[name], Inside: n}
+		r.Violations[name] = ViolationCount{Outside: s.judge.outside[name], Inside: n}
 	}
 	return r
 }
@@ -300,11 +300,11 @@
 	defer s.work.Done()
 	most := lab.MachineMemory() / memoryPart
 	for {
-		processes, bytes := 0, lab.Resident(os.Getpid())
+		processes, bytes := 0, lab.ResidentMemory(os.Getpid())
 		for i := range s.opt.Gateways {
 			if n := s.lab.Node(i); n.Alive() {
 				processes++
-				bytes += lab.Resident(n.Pid())
+				bytes += lab.ResidentMemory(n.Pid())
 			}
 		}
 		s.mu.Lock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -31,7 +31,7 @@
 	for _, seed := range []uint64{1, 3} {
 		var logs bytes.Buffer
 		r, err := Run(context.Background(), Options{
-			Gateways: 8, Databases: 8, For: 14 * time.Second, Seed: seed, Program: plain, Faulty: faulty, Log: &logs,
+			Gateways: 8, Databases: 8, Duration: 14 * time.Second, Seed: seed, Program: plain, FaultyProgram: faulty, Log: &logs,
 		})
 		require.NoError(t, err)
 		assert.Empty(t, r.Violations, "seed %d\n%s", seed, strings.Join(r.Examples, "\n"))
@@ -39,7 +39,7 @@
 		assert.Positive(t, r.Overlaps)
 		assert.Greater(t, r.Requests.Served, r.Requests.Sent/2)
 		if !r.Valid {
-			t.Logf("seed %d: INVALID: %s", seed, r.Invalid)
+			t.Logf("seed %d: INVALID: %s", seed, r.InvalidReason)
 		}
 		if t.Failed() {
 			t.Log(logs.String())
@@ -48,12 +48,12 @@
 }
 
 func TestBadOptions(t *testing.T) {
-	good := Options{Gateways: 8, Databases: 8, For: 10 * time.Second}
+	good := Options{Gateways: 8, Databases: 8, Duration: 10 * time.Second}
 	for says, change := range map[string]func(o *Options){
 		"at least":             func(o *Options) { o.Gateways = 1 },
 		"too many":             func(o *Options) { o.Gateways = 299 },
-		"there is no trouble ": func(o *Options) { o.Troubles = []string{"storm"} },
-		"the seed draws":       func(o *Options) { o.Only = []int{9999} },
+		"there is no trouble ": func(o *Options) { o.FaultNames = []string{"storm"} },
+		"the seed draws":       func(o *Options) { o.OnlyFaults = []int{9999} },
 	} {
 		o := good
 		change(&o)
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -9,7 +9,7 @@
 // kind is how one trouble is done.
 type kind struct {
 	gateways int // to how many; 0: to none of them
-	do       func(s *soak, t Trouble) error
+	do       func(s *soak, t Fault) error
 }
 
 // kinds are all troubles by their names.
@@ -40,7 +40,7 @@
 		"replicas-lag":        {0, (*soak).replicasLag},
 		"resets":              {0, answers(standin.Faults{ResetBefore: 0.15, ResetAfter: 0.15})},
 		"silence":             {0, answers(standin.Faults{Silence: 0.12})},
-		"spoilt-answers":      {0, answers(standin.Faults{Spoil: 0.12, Errors: 0.12})},
+		"spoilt-answers":      {0, answers(standin.Faults{Malformed: 0.12, Errors: 0.12})},
 		"discovery-silent":    {0, (*soak).discoverySilent},
 		"discovery-down":      {0, (*soak).discoveryDown},
 		"discovery-spoilt":    {0, (*soak).discoverySpoilt},
@@ -72,7 +72,7 @@
 }
 
 // each does something to each gateway of a trouble that no other trouble has just now, side by side.
-func (s *soak) each(t Trouble, do func(i int) error) error {
+func (s *soak) each(t Fault, do func(i int) error) error {
 	results := make(chan error, len(t.Gateways))
 	n := 0
 	for _, i := range t.Gateways {
@@ -95,9 +95,9 @@
 }
 
 // clients is a trouble in which bad clients come to gateways, one after the other.
-func clients(do func(c *client)) func(s *soak, t Trouble) error {
-	return func(s *soak, t Trouble) error {
-		until := time.Now().Add(t.For)
+func clients(do func(c *client)) func(s *soak, t Fault) error {
+	return func(s *soak, t Fault) error {
+		until := time.Now().Add(t.Duration)
 		done := make(chan struct{})
 		for _, i := range t.Gateways {
 			go func() {
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -89,7 +89,7 @@
 		return "", false
 	}
 	n := int(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 1 || n > pgwire.MostQuery {
+	if n < 1 || n > pgwire.MaxQuery {
 		return "", false
 	}
 	h.w.mu.Lock()
@@ -126,8 +126,8 @@
 		return false
 	}
 	if !strings.HasPrefix(text, "/*") {
-		if pgwire.Blank([]byte(text)) {
-			return write(c, pgwire.AppendReady(pgwire.AppendEmpty(nil)))
+		if pgwire.IsEmptyQuery([]byte(text)) {
+			return write(c, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 		}
 		return write(c, Row("1", "")) // a probe: it tells that the process runs
 	}
@@ -180,7 +180,7 @@
 	if !failed || w.draw(0.5) {
 		h.run(head, isWrite, arrived)
 	}
-	reset, silent, spoilt := w.draw(f.ResetAfter), w.draw(f.Silence), w.draw(f.Spoil)
+	reset, silent, spoilt := w.draw(f.ResetAfter), w.draw(f.Silence), w.draw(f.Malformed)
 	now := time.Now()
 	note := h.note(now)
 	position := h.position(now)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -57,9 +57,9 @@
 	return e
 }
 
-// Stick has this discovery go on telling the list as it is now, to all who ask or watch, or the truth again: those who
+// Freeze has this discovery go on telling the list as it is now, to all who ask or watch, or the truth again: those who
 // watch are let go, as they have missed something.
-func (d *Discovery) Stick(on bool) {
+func (d *Discovery) Freeze(on bool) {
 	w := d.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,8 +98,8 @@
 	w.pass(b)
 }
 
-// Mute has the watches that are on now say nothing any more, though their connections stay open.
-func (w *World) Mute() {
+// SilenceWatches has the watches that are on now say nothing any more, though their connections stay open.
+func (w *World) SilenceWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.disturbed = time.Now()
@@ -162,8 +162,8 @@
 	after, _ := strconv.Atoi(q.URL.Query().Get("after"))
 	ch := make(chan []byte, 256)
 	d.w.mu.Lock()
-	d.calls.Asked++
-	d.calls.After = q.URL.Query().Get("after")
+	d.calls.Requests++
+	d.calls.LastAfter = q.URL.Query().Get("after")
 	slow, turned := d.w.slow, d.w.crowd > 0 && d.w.rnd.Float64() < d.w.crowd
 	d.w.mu.Unlock()
 	Sleep(slow, d.stop)
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -8,9 +8,9 @@
 	"lilaccove/internal/pgwire"
 )
 
-// Script has f answer clients' statements in place of the database, on the connection's own goroutine; nil: the
+// SetScript has f answer clients' statements in place of the database, on the connection's own goroutine; nil: the
 // database answers again. Probes and greetings stay as they are.
-func (h *Host) Script(f func(c net.Conn, text string)) {
+func (h *Host) SetScript(f func(c net.Conn, text string)) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.script = f
@@ -57,15 +57,15 @@
 	write(c, Row(value, string(note)))
 }
 
-// Admit tells whether the database lets anybody in; at first it does.
-func (h *Host) Admit(yes bool) {
+// SetAdmitting tells whether the database lets anybody in; at first it does.
+func (h *Host) SetAdmitting(yes bool) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.shut = !yes
 }
 
-// Late has connections come up only after so long.
-func (h *Host) Late(d time.Duration) {
+// DelayGreeting has connections come up only after so long.
+func (h *Host) DelayGreeting(d time.Duration) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.late = d
@@ -82,7 +82,7 @@
 		write(c, pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
 		return false
 	}
-	return write(c, pgwire.AppendWelcome(nil, 0))
+	return write(c, pgwire.AppendStartupReply(nil, 0))
 }
 
 // Dials is how many connections were greeted or turned away.
@@ -99,15 +99,15 @@
 	return h.hangups
 }
 
-// Fall has this replica be so far behind.
-func (h *Host) Fall(lag time.Duration) {
+// SetLag has this replica be so far behind.
+func (h *Host) SetLag(lag time.Duration) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.lag = lag
 }
 
-// Claim has this replica take writes as well, as after a split: there are two primaries, and discovery does not know.
-func (h *Host) Claim() {
+// ClaimPrimary has this replica take writes as well, as after a split: there are two primaries, and discovery does not know.
+func (h *Host) ClaimPrimary() {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.primary = true
@@ -153,8 +153,8 @@
 	}
 }
 
-// Tell has discovery say this of the database: its health, and when it started (zero: long ago).
-func (h *Host) Tell(health string, born time.Time) {
+// Announce has discovery say this of the database: its health, and when it started (zero: long ago).
+func (h *Host) Announce(health string, born time.Time) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	if h.health == "in_service" && health != h.health {
@@ -164,16 +164,16 @@
 	h.w.tell(h)
 }
 
-// Move has discovery say that the database is found at another address.
-func (h *Host) Move(dial string) {
+// AnnounceAddr has discovery say that the database is found at another address.
+func (h *Host) AnnounceAddr(dial string) {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	h.dial = dial
 	h.w.tell(h)
 }
 
-// Elsewhere starts discovery at one more address; the old one goes on.
-func (w *World) Elsewhere() (*Discovery, error) {
+// AddDiscovery starts discovery at one more address; the old one goes on.
+func (w *World) AddDiscovery() (*Discovery, error) {
 	d, err := newDiscovery(w)
 	if err == nil {
 		w.mu.Lock()
@@ -183,24 +183,24 @@
 	return d, err
 }
 
-// Down has discovery refuse all calls, until it is called with false.
-func (w *World) Down(yes bool) {
+// SetDiscoveryDown has discovery refuse all calls, until it is called with false.
+func (w *World) SetDiscoveryDown(yes bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down = yes
 	w.disturbed = time.Now()
 }
 
-// Slow has calls to discovery take so long, and a share of them end with a refusal behind that, until it is called with zeros.
-func (w *World) Slow(d time.Duration, crowd float64) {
+// SlowDiscovery has calls to discovery take so long, and a share of them end with a refusal behind that, until it is called with zeros.
+func (w *World) SlowDiscovery(d time.Duration, crowd float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slow, w.crowd = d, crowd
 	w.disturbed = time.Now()
 }
 
-// Restore has discovery come back as from a backup: watches end, and its versions are far lower than those that it told.
-func (w *World) Restore() {
+// RestoreDiscovery has discovery come back as from a backup: watches end, and its versions are far lower than those that it told.
+func (w *World) RestoreDiscovery() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.seq -= restoreBehind
@@ -211,8 +211,8 @@
 	}
 }
 
-// Disturb tells that gateways may lose their watches about now, for other reasons than those of this world.
-func (w *World) Disturb() {
+// NoteWatchDisturbance tells that gateways may lose their watches about now, for other reasons than those of this world.
+func (w *World) NoteWatchDisturbance() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.disturbed = time.Now()
@@ -227,16 +227,16 @@
 	return 0
 }
 
-// Say sends a line as it is to all that watch.
-func (w *World) Say(line string) {
+// SendToWatches sends a line as it is to all that watch.
+func (w *World) SendToWatches(line string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.disturbed = time.Now()
 	w.pass([]byte(line))
 }
 
-// Version is that of the list.
-func (w *World) Version() int {
+// ListVersion is that of the list.
+func (w *World) ListVersion() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seq
@@ -244,9 +244,9 @@
 
 // Calls are what a discovery's callers did.
 type Calls struct {
-	Asked   int    // calls, those refused with them
-	Watches int    // that are on
-	After   string // the version that the last caller had
+	Requests  int    // calls, those refused with them
+	Watches   int    // that are on
+	LastAfter string // the version that the last caller had
 }
 
 // Calls are those so far.
@@ -259,11 +259,13 @@
 // Addr is where the database listens, whatever discovery says.
 func (h *Host) Addr() string { return h.ln.Addr().String() }
 
-// HangUp closes all connections to the database, as a process that restarts does; new ones are taken.
-func (h *Host) HangUp() { h.each(func(c net.Conn) { c.Close() }) }
+// CloseConnections closes all connections to the database, as a process that restarts does; new ones are taken.
+func (h *Host) CloseConnections() { h.each(func(c net.Conn) { c.Close() }) }
 
-// Blurt says something on all connections that nobody has asked for.
-func (h *Host) Blurt(text string) { h.each(func(c net.Conn) { _, _ = c.Write([]byte(text)) }) }
+// SendUnrequested says something on all connections that nobody has asked for.
+func (h *Host) SendUnrequested(text string) {
+	h.each(func(c net.Conn) { _, _ = c.Write([]byte(text)) })
+}
 
 func (h *Host) each(do func(c net.Conn)) {
 	h.w.mu.Lock()
@@ -273,8 +275,8 @@
 	}
 }
 
-// Replica tells whether the database is in service and no primary.
-func (h *Host) Replica() bool {
+// IsReplica tells whether the database is in service and no primary.
+func (h *Host) IsReplica() bool {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	return !h.primary && h.health == "in_service"
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -25,21 +25,21 @@
 
 // Options are the world.
 type Options struct {
-	Groups, Members int
-	Group           int           // the number of the first group
-	Rest            int           // databases of one more group, smaller than the others
-	Names           []string      // of the databases, group by group; those beyond are numbered
-	Sites           []string      // their zones, likewise; "a" for those beyond
-	Most            int           // databases at most: the last group is smaller; 0: all groups are whole
-	Unheard         bool          // they are listed and listen nowhere: for gateways that call none
-	Cores, Queue    int           // of a database: statements at work, and those that wait
-	Service         time.Duration // mean time of a statement
-	Exponential     bool          // drawn, else always the mean
-	Lag             time.Duration // of replicas
-	Cold            time.Duration // how long a new database takes to get from a quarter of its speed to all
-	Bounds          map[string]time.Duration
-	Version         int // of the list at first; 0: 1. Restore takes restoreBehind off it
-	Seed            uint64
+	Groups, Members  int
+	FirstGroup       int           // the number of the first group
+	LastGroupMembers int           // databases of one more group, smaller than the others
+	Names            []string      // of the databases, group by group; those beyond are numbered
+	Sites            []string      // their zones, likewise; "a" for those beyond
+	MaxDatabases     int           // databases at most: the last group is smaller; 0: all groups are whole
+	NoListeners      bool          // they are listed and listen nowhere: for gateways that call none
+	Cores, Queue     int           // of a database: statements at work, and those that wait
+	Service          time.Duration // mean time of a statement
+	Exponential      bool          // drawn, else always the mean
+	Lag              time.Duration // of replicas
+	SlowStart        time.Duration // how long a new database takes to get from a quarter of its speed to all
+	Bounds           map[string]time.Duration
+	ListVersion      int // of the list at first; 0: 1. Restore takes restoreBehind off it
+	Seed             uint64
 }
 
 // Faults are shares of the answers that go wrong. All are zero at first.
@@ -47,7 +47,7 @@
 	ResetBefore float64 // the connection ends before the statement has been read whole
 	ResetAfter  float64 // the statement runs, then the connection ends
 	Silence     float64 // it runs, and nothing is said
-	Spoil       float64 // it runs, and the answer cannot be read
+	Malformed   float64 // it runs, and the answer cannot be read
 	Errors      float64 // XX000; half of those have run
 }
 
@@ -124,25 +124,25 @@
 
 // New starts a world.
 func New(opt Options) (*World, error) {
-	w := &World{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x73746e64)), watch: map[chan []byte]*Discovery{}, muted: map[chan []byte]bool{}, tried: map[string]bool{}, ran: map[string]int{}, seq: max(1, opt.Version), done: make(chan struct{})}
+	w := &World{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x73746e64)), watch: map[chan []byte]*Discovery{}, muted: map[chan []byte]bool{}, tried: map[string]bool{}, ran: map[string]int{}, seq: max(1, opt.ListVersion), done: make(chan struct{})}
 	for g := range opt.Groups {
 		for m := range opt.Members {
-			if opt.Most > 0 && len(w.hosts) == opt.Most {
+			if opt.MaxDatabases > 0 && len(w.hosts) == opt.MaxDatabases {
 				break
 			}
-			if _, err := w.add(opt.Group+g, m == 0, time.Time{}); err != nil {
+			if _, err := w.add(opt.FirstGroup+g, m == 0, time.Time{}); err != nil {
 				w.Close()
 				return nil, err
 			}
 		}
 	}
-	for m := range opt.Rest {
-		if _, err := w.add(opt.Group+opt.Groups, m == 0, time.Time{}); err != nil {
+	for m := range opt.LastGroupMembers {
+		if _, err := w.add(opt.FirstGroup+opt.Groups, m == 0, time.Time{}); err != nil {
 			w.Close()
 			return nil, err
 		}
 	}
-	if _, err := w.Elsewhere(); err != nil {
+	if _, err := w.AddDiscovery(); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 // add starts a database.
 func (w *World) add(group int, primary bool, born time.Time) (*Host, error) {
 	var ln net.Listener
-	if !w.opt.Unheard {
+	if !w.opt.NoListeners {
 		var err error
 		if ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, fmt.Errorf("stand-in: %w", err)
@@ -223,8 +223,8 @@
 	return list
 }
 
-// Lag has a share of the replicas fall behind.
-func (w *World) Lag(part float64, lag time.Duration) {
+// SetLag has a share of the replicas fall behind.
+func (w *World) SetLag(part float64, lag time.Duration) {
 	for _, h := range w.some(part) {
 		w.mu.Lock()
 		h.lag = max(lag, w.opt.Lag)
@@ -253,16 +253,16 @@
 	}
 }
 
-// Withhold has the watches that are on now hear of no change any more, though they are not silent: a list that
+// WithholdChanges has the watches that are on now hear of no change any more, though they are not silent: a list that
 // stays old without a sign. Who asks again is told all.
-func (w *World) Withhold() {
+func (w *World) WithholdChanges() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(w.watch)
 }
 
-// Grow adds a replica to a group.
-func (w *World) Grow(group int) error {
+// AddReplica adds a replica to a group.
+func (w *World) AddReplica(group int) error {
 	h, err := w.add(group, false, time.Now())
 	if err == nil {
 		w.mu.Lock()
@@ -309,9 +309,9 @@
 		primary := h.primary
 		w.mu.Unlock()
 		if h.Group == group && primary {
-			before := w.Version()
+			before := w.ListVersion()
 			w.handOver(h)
-			return w.Version() != before
+			return w.ListVersion() != before
 		}
 	}
 	return false
@@ -400,21 +400,21 @@
 
 // warmth is the share of its speed that a database has.
 func (h *Host) warmth(now time.Time) float64 {
-	if age := now.Sub(h.born); !h.born.IsZero() && age < h.w.opt.Cold {
-		return StartCapacity + (1-StartCapacity)*float64(age)/float64(h.w.opt.Cold)
+	if age := now.Sub(h.born); !h.born.IsZero() && age < h.w.opt.SlowStart {
+		return StartCapacity + (1-StartCapacity)*float64(age)/float64(h.w.opt.SlowStart)
 	}
 	return 1
 }
 
-// Cold tells whether the database has not reached its full speed since it started.
-func (h *Host) Cold() bool {
+// IsCold tells whether the database has not reached its full speed since it started.
+func (h *Host) IsCold() bool {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	return h.warmth(time.Now()) < 1
 }
 
-// Begun is how many statements of clients have come to the database.
-func (h *Host) Begun() int {
+// StatementCount is how many statements of clients have come to the database.
+func (h *Host) StatementCount() int {
 	h.w.mu.Lock()
 	defer h.w.mu.Unlock()
 	return h.begun
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -65,7 +65,7 @@
 
 // A world can list databases that listen nowhere, in zones of their own, and change a primary so that discovery tells it.
 func TestScaleListWithoutListeners(t *testing.T) {
-	w, err := New(Options{Groups: 2, Members: 4, Most: 5, Unheard: true, Sites: []string{"x", "y"}})
+	w, err := New(Options{Groups: 2, Members: 4, MaxDatabases: 5, NoListeners: true, Sites: []string{"x", "y"}})
 	require.NoError(t, err)
 	defer w.Close()
 	list := w.Members()
@@ -76,10 +76,10 @@
 		assert.Nil(t, h.ln)
 	}
 	assert.Contains(t, string(w.List()), `"dial":"127.0.0.1:9","site":"y"`)
-	before := w.Version()
+	before := w.ListVersion()
 	assert.True(t, w.ChangePrimary(0))
-	assert.Equal(t, before+1, w.Version())
+	assert.Equal(t, before+1, w.ListVersion())
 	assert.False(t, w.ChangePrimary(1), "it has one member")
 	assert.False(t, list[0].primary)
-	assert.Equal(t, before+1, w.Version())
+	assert.Equal(t, before+1, w.ListVersion())
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Class counts one class of requests.
-type Class struct {
-	Passed     uint64 // served
-	Dropped    uint64 // refused
-	BadGateway uint64 // failed
-	Abandoned  uint64 // their clients left first
-	Tries      uint64 // attempts written whole to databases
+// ClassCounters counts one class of requests.
+type ClassCounters struct {
+	Served    uint64 // served
+	Refused   uint64 // refused
+	Failed    uint64 // failed
+	Abandoned uint64 // their clients left first
+	Attempts  uint64 // attempts written whole to databases
 }
 
 // Counters are those of all classes, by number.
 type Counters struct {
 	names   []string
-	classes []Class
-	strays  Class // of a class that nobody named; never shown
+	classes []ClassCounters
+	strays  ClassCounters // of a class that nobody named; never shown
 }
 
 // New makes counters at zero for the classes.
 func New(names []string) *Counters {
-	return &Counters{names: names, classes: make([]Class, len(names))}
+	return &Counters{names: names, classes: make([]ClassCounters, len(names))}
 }
 
-// Of is where a class is counted.
-func (c *Counters) Of(class int) *Class {
+// Class is where a class is counted.
+func (c *Counters) Class(class int) *ClassCounters {
 	if class < 0 || class >= len(c.classes) {
 		return &c.strays
 	}
@@ -40,8 +40,8 @@
 
 // Gauges are what holds at the moment.
 type Gauges struct {
-	InProgress, Known, Skipped int
-	Lost                       time.Duration // for which this process stood still or came late, since its start
+	InProgress, KnownDatabases, SkippedDatabases int
+	StallTime                                    time.Duration // for which this process stood still or came late, since its start
 }
 
 // Append adds all figures, a line each.
@@ -55,15 +55,15 @@
 	}
 	for i, name := range c.names {
 		k := &c.classes[i]
-		line("passed", name, k.Passed)
-		line("dropped", name, k.Dropped)
-		line("bad_gateway", name, k.BadGateway)
-		line("upstream_tries", name, k.Tries)
+		line("passed", name, k.Served)
+		line("dropped", name, k.Refused)
+		line("bad_gateway", name, k.Failed)
+		line("upstream_tries", name, k.Attempts)
 	}
 	line("in_progress", "", uint64(max(0, g.InProgress)))
-	line("known_databases", "", uint64(max(0, g.Known)))
-	line("skipped_databases", "", uint64(max(0, g.Skipped)))
-	line("lost_ms", "", uint64(g.Lost.Milliseconds()))
+	line("known_databases", "", uint64(max(0, g.KnownDatabases)))
+	line("skipped_databases", "", uint64(max(0, g.SkippedDatabases)))
+	line("lost_ms", "", uint64(g.StallTime.Milliseconds()))
 	return b
 }
 
@@ -75,14 +75,14 @@
 	InMessages  uint64 `json:"in_messages"`
 }
 
-// Out counts a message that was sent.
-func (t *Traffic) Out(bytes int) {
+// CountOut counts a message that was sent.
+func (t *Traffic) CountOut(bytes int) {
 	t.OutBytes += uint64(bytes)
 	t.OutMessages++
 }
 
-// In counts a message that has come.
-func (t *Traffic) In(bytes int) {
+// CountIn counts a message that has come.
+func (t *Traffic) CountIn(bytes int) {
 	t.InBytes += uint64(bytes)
 	t.InMessages++
 }
@@ -117,8 +117,8 @@
 	return all
 }
 
-// Roles are the roles of the fleet among such figures.
-func Roles(figures map[string]uint64) map[string]Traffic {
+// TrafficByRole are the roles of the fleet among such figures.
+func TrafficByRole(figures map[string]uint64) map[string]Traffic {
 	all := map[string]Traffic{}
 	for name := range figures {
 		role, ok := strings.CutSuffix(name, "_out_bytes")
--- a/internal/sys/sys.go
+++ b/internal/sys/sys.go
@@ -17,9 +17,9 @@
 	unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EDQUOT, unix.EIO, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.EINTR,
 }
 
-// Passing tells whether an error says what this machine lacks for a moment, a descriptor, memory, a port or room on a disk, and
+// IsTransient tells whether an error says what this machine lacks for a moment, a descriptor, memory, a port or room on a disk, and
 // nothing of the file or the peer that was meant.
-func Passing(err error) bool {
+func IsTransient(err error) bool {
 	var number unix.Errno
 	return errors.As(err, &number) && slices.Contains(passing, number)
 }
@@ -40,12 +40,12 @@
 	startPause = 20 * time.Millisecond // between two tries
 )
 
-// AtStart calls do again and again while it fails for what this machine lacks for a moment, for two seconds at most: a process
+// RetryAtStart calls do again and again while it fails for what this machine lacks for a moment, for two seconds at most: a process
 // that starts should not end for that. It blocks.
-func AtStart(do func() error) error {
+func RetryAtStart(do func() error) error {
 	for late := time.Now().Add(startTime); ; time.Sleep(startPause) {
 		err := do()
-		if !Passing(err) || time.Now().After(late) {
+		if !IsTransient(err) || time.Now().After(late) {
 			return err
 		}
 	}
--- a/internal/wan/lateness.go
+++ b/internal/wan/lateness.go
@@ -28,15 +28,15 @@
 
 // Lateness is by how much datagrams were passed on later than they were due, the time included for which they waited unread.
 type Lateness struct {
-	N               uint64
-	Mean, P99, Most time.Duration // P99 is rounded up to 0.1 ms
-	parts           []uint64
-	sum             int64
+	Count          uint64
+	Mean, P99, Max time.Duration // P99 is rounded up to 0.1 ms
+	parts          []uint64
+	sum            int64
 }
 
 // Lateness is that of all datagrams since an earlier one was taken; the zero one: since the begin. One goroutine may ask.
 func (r *Relay) Lateness(since Lateness) Lateness {
-	l := Lateness{parts: make([]uint64, latenessParts+1), sum: r.late.sum.Load(), Most: time.Duration(r.late.most.Swap(0))}
+	l := Lateness{parts: make([]uint64, latenessParts+1), sum: r.late.sum.Load(), Max: time.Duration(r.late.most.Swap(0))}
 	was := func(i int) uint64 {
 		if since.parts == nil {
 			return 0
@@ -45,15 +45,15 @@
 	}
 	for i := range l.parts {
 		l.parts[i] = r.late.parts[i].Load()
-		l.N += l.parts[i] - was(i)
+		l.Count += l.parts[i] - was(i)
 	}
-	if l.N == 0 {
+	if l.Count == 0 {
 		return l
 	}
-	l.Mean = time.Duration(uint64(l.sum-since.sum) / l.N)
+	l.Mean = time.Duration(uint64(l.sum-since.sum) / l.Count)
 	seen := uint64(0)
 	for i := range l.parts {
-		if seen += l.parts[i] - was(i); seen*100 >= l.N*99 {
+		if seen += l.parts[i] - was(i); seen*100 >= l.Count*99 {
 			l.P99 = time.Duration(i+1) * latenessGrain
 			break
 		}
--- a/internal/wan/stream.go
+++ b/internal/wan/stream.go
@@ -66,7 +66,7 @@
 	if !r.sleep(there.Delay + back.Delay) {
 		return
 	}
-	d, err := net.DialTimeout("tcp4", r.Listen(g).String(), time.Second)
+	d, err := net.DialTimeout("tcp4", r.ListenAddr(g).String(), time.Second)
 	if err != nil {
 		return
 	}
--- a/internal/wan/wan.go
+++ b/internal/wan/wan.go
@@ -24,8 +24,8 @@
 
 // Bounds of one relay.
 const (
-	MostZones    = 64
-	MostGateways = 250 * 250
+	MaxZones    = 64
+	MaxGateways = 250 * 250
 )
 
 // The second byte of addresses.
@@ -45,9 +45,9 @@
 
 // Counts are datagrams by what became of them, and connections.
 type Counts struct {
-	Passed, Lost, Cut, Foreign, Large, Unsent, Bytes uint64
-	Overflowed                                       uint64 // came faster than the relay read: the kernel dropped them
-	Streams, StreamsCut                              uint64
+	Forwarded, Lost, Cut, Misaddressed, Oversized, Unsent, Bytes uint64
+	Overflowed                                                   uint64 // came faster than the relay read: the kernel dropped them
+	Streams, StreamsCut                                          uint64
 }
 
 // Relay is the network.
@@ -87,8 +87,8 @@
 
 // Open starts a relay for gateways, of each of which the zone is given.
 func Open(zones int, of []int, seed uint64) (*Relay, error) {
-	if zones < 1 || zones > MostZones || len(of) > MostGateways {
-		return nil, fmt.Errorf("relay: %d zones and %d gateways; 1 to %d and up to %d would do", zones, len(of), MostZones, MostGateways)
+	if zones < 1 || zones > MaxZones || len(of) > MaxGateways {
+		return nil, fmt.Errorf("relay: %d zones and %d gateways; 1 to %d and up to %d would do", zones, len(of), MaxZones, MaxGateways)
 	}
 	for g, z := range of {
 		if z < 0 || z >= zones {
@@ -186,40 +186,40 @@
 	return family - ofZones, family >= ofZones && family < ofZones+r.zones
 }
 
-// Listen is where gateway g is to listen for others.
-func (r *Relay) Listen(g int) netip.AddrPort {
+// ListenAddr is where gateway g is to listen for others.
+func (r *Relay) ListenAddr(g int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(address(ofGateways, g)), r.own)
 }
 
-// Dial is where a gateway in a zone finds gateway g.
-func (r *Relay) Dial(zone, g int) netip.AddrPort {
+// DialAddr is where a gateway in a zone finds gateway g.
+func (r *Relay) DialAddr(zone, g int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(address(ofZones+zone, g)), r.port)
 }
 
-// Advertise is where gateways of any zone find g. A connection there has no delay and is never cut, as nothing tells from which
+// AdvertiseAddr is where gateways of any zone find g. A connection there has no delay and is never cut, as nothing tells from which
 // zone it comes.
-func (r *Relay) Advertise(g int) netip.AddrPort {
+func (r *Relay) AdvertiseAddr(g int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(address(ofAny, g)), r.port)
 }
 
-// Set says what happens on the way from one zone to another from now on. What is on its way already arrives as it was.
-func (r *Relay) Set(from, to int, l Link) { r.links[from*r.zones+to].Store(&l) }
+// SetLink says what happens on the way from one zone to another from now on. What is on its way already arrives as it was.
+func (r *Relay) SetLink(from, to int, l Link) { r.links[from*r.zones+to].Store(&l) }
 
 // Link is what happens there now.
 func (r *Relay) Link(from, to int) Link { return *r.links[from*r.zones+to].Load() }
 
-// Cut takes the way from one zone to another away, or gives it back.
-func (r *Relay) Cut(from, to int, on bool) {
+// SetCut takes the way from one zone to another away, or gives it back.
+func (r *Relay) SetCut(from, to int, on bool) {
 	l := r.Link(from, to)
 	l.Cut = on
-	r.Set(from, to, l)
+	r.SetLink(from, to, l)
 }
 
 // Counts are what has happened so far.
 func (r *Relay) Counts() Counts {
 	n := func(kind int) uint64 { return r.counts[kind].Load() }
 	return Counts{
-		Passed: n(passed), Lost: n(lost), Cut: n(cut), Foreign: n(foreign), Large: n(large), Unsent: n(unsent), Bytes: n(bytesPassed),
+		Forwarded: n(passed), Lost: n(lost), Cut: n(cut), Misaddressed: n(foreign), Oversized: n(large), Unsent: n(unsent), Bytes: n(bytesPassed),
 		Overflowed: r.overflowed(), Streams: n(streamsPassed), StreamsCut: n(streamsCut),
 	}
 }
--- a/internal/wan/wan_test.go
+++ b/internal/wan/wan_test.go
@@ -25,7 +25,7 @@
 	t.Cleanup(r.Close)
 	var list []socket
 	for g := range of {
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.Listen(g)))
+		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.ListenAddr(g)))
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		_ = c.SetReadBuffer(4 << 20)
@@ -59,40 +59,40 @@
 	r, s := open(t, 2, []int{0, 0, 1}, 1)
 	for round := range 3 {
 		for g := range 2 {
-			s[g].say(r.Dial(0, 2), fmt.Sprint(g, round))
+			s[g].say(r.DialAddr(0, 2), fmt.Sprint(g, round))
 			text, from := s[2].hear(soon)
 			assert.Equal(t, fmt.Sprint(g, round), text)
-			assert.Equal(t, r.Listen(g).Addr(), from.Addr(), "the source tells who sent it")
+			assert.Equal(t, r.ListenAddr(g).Addr(), from.Addr(), "the source tells who sent it")
 		}
 	}
-	s[0].say(r.Advertise(2), "any")
+	s[0].say(r.AdvertiseAddr(2), "any")
 	text, from := s[2].hear(soon)
 	assert.Equal(t, "any", text)
-	assert.Equal(t, r.Listen(0).Addr(), from.Addr())
+	assert.Equal(t, r.ListenAddr(0).Addr(), from.Addr())
 	// Who names the address of another zone, or is none of the gateways, is not passed on.
-	s[0].say(r.Dial(1, 2), "wrong zone")
-	c, err := net.Dial("udp4", r.Dial(0, 2).String())
+	s[0].say(r.DialAddr(1, 2), "wrong zone")
+	c, err := net.Dial("udp4", r.DialAddr(0, 2).String())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("stranger"))
 	require.NoError(t, err)
 	text, _ = s[2].hear(quiet)
 	assert.Empty(t, text)
-	assert.Equal(t, uint64(2), r.Counts().Foreign)
-	assert.Equal(t, uint64(7), r.Counts().Passed)
+	assert.Equal(t, uint64(2), r.Counts().Misaddressed)
+	assert.Equal(t, uint64(7), r.Counts().Forwarded)
 }
 
 // Each ordered pair has its own delay, and what goes the other way or elsewhere has none of it.
 func TestScaleRelayDelays(t *testing.T) {
 	r, s := open(t, 2, []int{0, 1, 0}, 1)
 	const delay, jitter = 200 * time.Millisecond, 50 * time.Millisecond
-	r.Set(0, 1, Link{Delay: delay})
+	r.SetLink(0, 1, Link{Delay: delay})
 	begun := time.Now()
 	for i := range 50 {
-		s[0].say(r.Dial(0, 1), fmt.Sprint(i))
+		s[0].say(r.DialAddr(0, 1), fmt.Sprint(i))
 	}
-	s[1].say(r.Dial(1, 0), "back")
-	s[0].say(r.Dial(0, 2), "beside")
+	s[1].say(r.DialAddr(1, 0), "back")
+	s[0].say(r.DialAddr(0, 2), "beside")
 	text, _ := s[0].hear(soon)
 	assert.Equal(t, "back", text)
 	text, _ = s[2].hear(soon)
@@ -103,10 +103,10 @@
 		require.Equal(t, fmt.Sprint(i), text, "equal delays keep the order")
 		require.GreaterOrEqual(t, time.Since(begun), delay)
 	}
-	r.Set(0, 1, Link{Delay: delay, Jitter: jitter})
+	r.SetLink(0, 1, Link{Delay: delay, Jitter: jitter})
 	begun = time.Now()
 	for i := range 200 {
-		s[0].say(r.Dial(0, 1), fmt.Sprint(i))
+		s[0].say(r.DialAddr(0, 1), fmt.Sprint(i))
 	}
 	sent, order, last := time.Now(), true, -1
 	for range 200 {
@@ -119,20 +119,20 @@
 	}
 	assert.False(t, order, "each has a jitter of its own")
 	late := r.Lateness(Lateness{})
-	assert.Equal(t, uint64(252), late.N)
-	assert.Less(t, time.Since(sent), delay+jitter+late.Most+soon/10, "and none waits for longer than it and what the relay owns to")
+	assert.Equal(t, uint64(252), late.Count)
+	assert.Less(t, time.Since(sent), delay+jitter+late.Max+soon/10, "and none waits for longer than it and what the relay owns to")
 }
 
 // lose sends so many numbers and returns those that come.
 func lose(t *testing.T, seed uint64, n int) (there, back []uint32, lost uint64) {
 	r, s := open(t, 2, []int{0, 1}, seed)
-	r.Set(0, 1, Link{Loss: 0.3})
+	r.SetLink(0, 1, Link{Loss: 0.3})
 	var b [4]byte
 	// read takes in what comes until all that was said so far is accounted for, however long this machine takes.
 	read := func(s socket, said, before uint64) (got []uint32) {
 		for late := time.Now().Add(soon); ; {
 			c := r.Counts()
-			if c.Passed+c.Lost+c.Overflowed >= said && c.Passed-before == uint64(len(got)) || time.Now().After(late) {
+			if c.Forwarded+c.Lost+c.Overflowed >= said && c.Forwarded-before == uint64(len(got)) || time.Now().After(late) {
 				return got
 			}
 			if text, _ := s.hear(quiet); text != "" {
@@ -142,12 +142,12 @@
 	}
 	for i := range n {
 		binary.BigEndian.PutUint32(b[:], uint32(i))
-		s[0].say(r.Dial(0, 1), string(b[:]))
+		s[0].say(r.DialAddr(0, 1), string(b[:]))
 	}
 	there = read(s[1], uint64(n), 0)
 	for i := range n {
 		binary.BigEndian.PutUint32(b[:], uint32(i))
-		s[1].say(r.Dial(1, 0), string(b[:]))
+		s[1].say(r.DialAddr(1, 0), string(b[:]))
 	}
 	back = read(s[0], uint64(2*n), uint64(len(there)))
 	assert.Zero(t, r.Counts().Overflowed)
@@ -168,19 +168,19 @@
 
 func TestScaleRelayCuts(t *testing.T) {
 	r, s := open(t, 3, []int{0, 1, 2}, 1)
-	r.Set(0, 1, Link{Delay: time.Millisecond})
-	r.Cut(0, 1, true)
-	s[0].say(r.Dial(0, 1), "lost")
-	s[1].say(r.Dial(1, 0), "back")
-	s[0].say(r.Dial(0, 2), "beside")
+	r.SetLink(0, 1, Link{Delay: time.Millisecond})
+	r.SetCut(0, 1, true)
+	s[0].say(r.DialAddr(0, 1), "lost")
+	s[1].say(r.DialAddr(1, 0), "back")
+	s[0].say(r.DialAddr(0, 2), "beside")
 	text, _ := s[0].hear(soon)
 	assert.Equal(t, "back", text)
 	text, _ = s[2].hear(soon)
 	assert.Equal(t, "beside", text)
 	text, _ = s[1].hear(quiet)
 	assert.Empty(t, text)
-	r.Cut(0, 1, false)
-	s[0].say(r.Dial(0, 1), "healed")
+	r.SetCut(0, 1, false)
+	s[0].say(r.DialAddr(0, 1), "healed")
 	text, _ = s[1].hear(soon)
 	assert.Equal(t, "healed", text, "and what came during the cut does not come after it")
 	assert.Equal(t, time.Millisecond, r.Link(0, 1).Delay)
@@ -191,13 +191,13 @@
 func TestScaleRelayStreams(t *testing.T) {
 	r, _ := open(t, 2, []int{0, 1}, 1)
 	const there, back = 100 * time.Millisecond, 50 * time.Millisecond
-	r.Set(0, 1, Link{Delay: there})
-	r.Set(1, 0, Link{Delay: back})
-	ln, err := net.Listen("tcp4", r.Listen(1).String())
+	r.SetLink(0, 1, Link{Delay: there})
+	r.SetLink(1, 0, Link{Delay: back})
+	ln, err := net.Listen("tcp4", r.ListenAddr(1).String())
 	require.NoError(t, err)
 	defer ln.Close()
 	begun := time.Now()
-	c, err := net.Dial("tcp4", r.Dial(0, 1).String())
+	c, err := net.Dial("tcp4", r.DialAddr(0, 1).String())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("hello"))
@@ -218,13 +218,13 @@
 	assert.Equal(t, "world", string(b))
 	assert.GreaterOrEqual(t, time.Since(begun), back)
 
-	r.Cut(0, 1, true)
+	r.SetCut(0, 1, true)
 	_, err = c.Write([]byte("still"))
 	require.NoError(t, err)
 	require.NoError(t, d.SetReadDeadline(time.Now().Add(there+quiet)))
 	_, err = io.ReadFull(d, b)
 	assert.Error(t, err, "cut")
-	r.Cut(0, 1, false)
+	r.SetCut(0, 1, false)
 	require.NoError(t, d.SetReadDeadline(time.Now().Add(soon)))
 	_, err = io.ReadFull(d, b)
 	require.NoError(t, err)
@@ -253,11 +253,11 @@
 	require.NoError(b, err)
 	defer r.Close()
 	for i := range 11 * 11 {
-		r.Set(i/11, i%11, Link{Delay: 60 * time.Millisecond})
+		r.SetLink(i/11, i%11, Link{Delay: 60 * time.Millisecond})
 	}
 	var list []*net.UDPConn
 	for g := range of {
-		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.Listen(g)))
+		c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.ListenAddr(g)))
 		require.NoError(b, err)
 		defer c.Close()
 		go func() {
@@ -278,12 +278,12 @@
 		if i%600 == 0 {
 			time.Sleep(time.Until(begun.Add(time.Duration(i) * time.Second / rate)))
 		}
-		_, _ = list[i%110].WriteToUDPAddrPort(text, r.Dial(i%11, (i*7+i/110)%110))
+		_, _ = list[i%110].WriteToUDPAddrPort(text, r.DialAddr(i%11, (i*7+i/110)%110))
 	}
 	time.Sleep(100 * time.Millisecond)
 	late, c := r.Lateness(Lateness{}), r.Counts()
 	b.ReportMetric(float64(late.P99.Microseconds()), "p99-late-us")
-	b.ReportMetric(float64(late.Most.Microseconds()), "most-late-us")
+	b.ReportMetric(float64(late.Max.Microseconds()), "most-late-us")
 	b.ReportMetric(float64(c.Overflowed), "dropped")
-	b.ReportMetric(float64(c.Passed), "passed")
+	b.ReportMetric(float64(c.Forwarded), "passed")
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,9 +18,9 @@
 type ItemKind uint8
 
 const (
-	Start ItemKind = iota // a router comes up
-	Stop                  // a router was killed
-	Happened
+	RouterStart ItemKind = iota // a router comes up
+	RouterStop                  // a router was killed
+	RouterEvent
 )
 
 // Item is one event of a batch, for one router.
@@ -119,7 +119,7 @@
 			if f.err == nil && !known {
 				return b, fmt.Errorf("unknown message %q", f.name())
 			}
-			if it.Event != nil || it.Kind != Happened {
+			if it.Event != nil || it.Kind != RouterEvent {
 				b.Items = append(b.Items, it)
 			}
 		}
@@ -165,17 +165,17 @@
 
 // item parses one message for one router; known is false for a strange name.
 func (r *Reader) item(f *fields, router int) (it Item, known bool) {
-	it = Item{Kind: Happened, Router: router}
+	it = Item{Kind: RouterEvent, Router: router}
 	switch f.name() {
 	case "PROVISION":
-		it.Kind, it.Seed = Start, f.int(1)
+		it.Kind, it.Seed = RouterStart, f.int(1)
 		set, err := settings.FromPairs(f.part[min(2, len(f.part)):])
 		if err != nil {
 			f.fail("%v", err)
 		}
-		it.Settings, r.zero[router] = set.Policy, set.Zero
+		it.Settings, r.zero[router] = set.Policy, set.PositionEpoch
 	case "RETIRE":
-		it.Kind = Stop
+		it.Kind = RouterStop
 	case "VIEW":
 		m := policy.ListUpdate{Kind: word(f, 2, listKinds)}
 		if m.Kind != policy.ListFailed {
@@ -275,8 +275,8 @@
 // Reply encodes the actions that answer one batch.
 type Reply struct{ buf strings.Builder }
 
-// Router starts the actions of one router.
-func (w *Reply) Router(n int) { fmt.Fprintf(&w.buf, "FOR\t%d\n", n) }
+// BeginRouter starts the actions of one router.
+func (w *Reply) BeginRouter(n int) { fmt.Fprintf(&w.buf, "FOR\t%d\n", n) }
 
 // Failed reports that the decision code of the current router broke down.
 func (w *Reply) Failed(text string) { fmt.Fprintf(&w.buf, "GIVE_IN\t%s\n", oneLine(text)) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,7 +56,7 @@
 	if e := b.Items[4].Event.(policy.TimerFired); e.ID != 9 {
 		t.Errorf("elapsed %+v", e)
 	}
-	if b.Items[6].Kind != Stop || len(b.Items) != 7 {
+	if b.Items[6].Kind != RouterStop || len(b.Items) != 7 {
 		t.Errorf("items %+v", b.Items)
 	}
 	if _, err := r.Next(); err != io.EOF {
@@ -89,7 +89,7 @@
 
 func TestReply(t *testing.T) {
 	var w Reply
-	w.Router(3)
+	w.BeginRouter(3)
 	for _, a := range []policy.Action{
 		policy.Send{Request: "q", Host: "h", Timeout: 80 * time.Millisecond},
 		policy.Refuse{Request: "q", RetryAfter: time.Second}, policy.Fail{Request: "q"},
