--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -443,7 +443,7 @@
 	}
 	fmt.Fprintf(w, "\ndiscovery: at most %.0f calls a second (%.0f while the fleet settled), %d watches\n", o.Discovery.Calls, o.Discovery.Early, o.Discovery.Watches)
 	fmt.Fprintf(w, "relay: %d datagrams passed, %d lost, %d cut, %d unsent, %d foreign, %d overflowed; %d connections\n",
-		o.Relay.Forwarded, o.Relay.Lost, o.Relay.Cut, o.Relay.Unsent, o.Relay.Misaddressed, o.Relay.Overflowed, o.Relay.Streams)
+		o.Relay.Passed, o.Relay.Lost, o.Relay.Cut, o.Relay.Unsent, o.Relay.Foreign, o.Relay.Overflowed, o.Relay.Streams)
 	fmt.Fprintf(w, "%.0f MB in %d processes\n", o.MemoryMB, o.Processes)
 	if c := o.Clients; c != nil {
 		n := c.Total.Counts
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -87,7 +87,7 @@
 	}
 	assert.Positive(t, got.Relay.Cut)
 	assert.Positive(t, got.Relay.Lost)
-	assert.Zero(t, got.Relay.Misaddressed)
+	assert.Zero(t, got.Relay.Foreign)
 	assert.Equal(t, 1+3+3, got.Processes)
 	require.NotNil(t, got.RealOnes)
 	assert.Greater(t, got.Clients.Total.Counts[run.InAim], got.Clients.Total.Count*3/4, "though three of three gateways went away for a while")
--- a/internal/wan/wan.go
+++ b/internal/wan/wan.go
@@ -45,9 +45,9 @@
 
 // Counts are datagrams by what became of them, and connections.
 type Counts struct {
-	Forwarded, Lost, Cut, Misaddressed, Oversized, Unsent, Bytes uint64
-	Overflowed                                                   uint64 // came faster than the relay read: the kernel dropped them
-	Streams, StreamsCut                                          uint64
+	Passed, Lost, Cut, Foreign, Large, Unsent, Bytes uint64
+	Overflowed                                       uint64 // came faster than the relay read: the kernel dropped them
+	Streams, StreamsCut                              uint64
 }
 
 // Relay is the network.
@@ -219,7 +219,7 @@
 func (r *Relay) Counts() Counts {
 	n := func(kind int) uint64 { return r.counts[kind].Load() }
 	return Counts{
-		Forwarded: n(passed), Lost: n(lost), Cut: n(cut), Misaddressed: n(foreign), Oversized: n(large), Unsent: n(unsent), Bytes: n(bytesPassed),
+		Passed: n(passed), Lost: n(lost), Cut: n(cut), Foreign: n(foreign), Large: n(large), Unsent: n(unsent), Bytes: n(bytesPassed),
 		Overflowed: r.overflowed(), Streams: n(streamsPassed), StreamsCut: n(streamsCut),
 	}
 }
--- a/internal/wan/wan_test.go
+++ b/internal/wan/wan_test.go
@@ -78,8 +78,8 @@
 	require.NoError(t, err)
 	text, _ = s[2].hear(quiet)
 	assert.Empty(t, text)
-	assert.Equal(t, uint64(2), r.Counts().Misaddressed)
-	assert.Equal(t, uint64(7), r.Counts().Forwarded)
+	assert.Equal(t, uint64(2), r.Counts().Foreign)
+	assert.Equal(t, uint64(7), r.Counts().Passed)
 }
 
 // Each ordered pair has its own delay, and what goes the other way or elsewhere has none of it.
@@ -132,7 +132,7 @@
 	read := func(s socket, said, before uint64) (got []uint32) {
 		for late := time.Now().Add(soon); ; {
 			c := r.Counts()
-			if c.Forwarded+c.Lost+c.Overflowed >= said && c.Forwarded-before == uint64(len(got)) || time.Now().After(late) {
+			if c.Passed+c.Lost+c.Overflowed >= said && c.Passed-before == uint64(len(got)) || time.Now().After(late) {
 				return got
 			}
 			if text, _ := s.hear(quiet); text != "" {
@@ -285,5 +285,5 @@
 	b.ReportMetric(float64(late.P99.Microseconds()), "p99-late-us")
 	b.ReportMetric(float64(late.Max.Microseconds()), "most-late-us")
 	b.ReportMetric(float64(c.Overflowed), "dropped")
-	b.ReportMetric(float64(c.Forwarded), "passed")
+	b.ReportMetric(float64(c.Passed), "passed")
 }
