--- a/internal/netloop/bench_test.go
+++ b/internal/netloop/bench_test.go
@@ -8,36 +8,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replier writes back what it reads.
-type replier struct{ nc *Conn }
+// echoHandler writes back what it reads.
+type echoHandler struct{ conn *Conn }
 
-func (e *replier) Connected()  {}
-func (e *replier) Ended(error) {}
-func (e *replier) Received() {
-	e.nc.Write(e.nc.Input())
-	e.nc.Consume(len(e.nc.Input()))
+func (e *echoHandler) Connected()  {}
+func (e *echoHandler) Ended(error) {}
+func (e *echoHandler) Received() {
+	e.conn.Write(e.conn.Input())
+	e.conn.Consume(len(e.conn.Input()))
 }
 
-// BenchmarkRoundTrip is one request and its answer over a socket: epoll_wait, read, write.
+// BenchmarkRoundTrip measures a request and its answer over a socket: epoll_wait, read, write.
 func BenchmarkRoundTrip(b *testing.B) {
-	l, err := New(64, 0, 1<<20)
+	loop, err := New(64, 0, 1<<20)
 	require.NoError(b, err)
-	defer l.Close()
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) { c.SetHandler(&replier{c}, 4096) })
+	defer loop.Close()
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) { c.SetHandler(&echoHandler{c}, 4096) })
 	require.NoError(b, err)
-	l.OnWake(l.Stop)
+	loop.OnWake(loop.Stop)
 	done := make(chan error, 1)
-	go func() { done <- l.Run(func() bool { return false }) }()
-	c, err := net.Dial("tcp", ln.Addr.String())
+	go func() { done <- loop.Run(func() bool { return false }) }()
+	client, err := net.Dial("tcp", listener.Addr.String())
 	require.NoError(b, err)
-	defer c.Close()
+	defer client.Close()
 	message := make([]byte, 64)
 	for b.Loop() {
-		_, err := c.Write(message)
+		_, err := client.Write(message)
 		require.NoError(b, err)
-		_, err = c.Read(message)
+		_, err = client.Read(message)
 		require.NoError(b, err)
 	}
-	l.Wake()
+	loop.Wake()
 	require.NoError(b, <-done)
 }
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -11,247 +11,248 @@
 	"lilaccove/internal/sys"
 )
 
-// starveTime is the pause before a connection is read again for which there was no buffer.
-const starveTime = 5 * time.Millisecond
+// noBufferRetryDelay is the pause before a connection for which no buffer was available is read again.
+const noBufferRetryDelay = 5 * time.Millisecond
 
-// Handler is told what happens to a connection. After Ended it hears no more.
+// Handler receives the events of a connection. No method is called after Ended.
 type Handler interface {
-	Connected()      // a dialled connection is up
-	Received()       // Input has more
-	Ended(err error) // the peer or the network ended it; not called after Close
+	Connected()      // an outgoing connection is established
+	Received()       // Input has new data
+	Ended(err error) // the peer or the network closed the connection; not called after Close
 }
 
-// Conn is one non-blocking connection.
+// Conn is a non-blocking TCP connection.
 type Conn struct {
-	loop     *Loop
-	fd       int // -1: closed
-	gen      int32
-	h        Handler
-	interest uint32
-	up       bool
-	in       []byte // read, from r on not yet consumed
-	r        int
-	most     int       // Input holds so much at most; reading stops there until some is consumed
-	out      []byte    // accepted by Write, not yet by the kernel
-	sent     int       // of out
-	lost     int       // was pending when the connection ended
-	linger   *Timer    // closed by us, waits for the peer to read the rest
-	handing  bool      // Received is running: the input buffer stays
-	of       *Listener // whose own descriptors it is one of; nil: it is one of the loop's
-	flushed  func()    // see OnFlush
-	paused   bool      // nothing is read
-	starved  bool      // nothing is read for a moment, for want of a buffer
-	accepted bool      // the peer has dialled
-	least    int       // how large the input buffer is at least
+	loop           *Loop
+	fd             int // -1: closed
+	generation     int32
+	handler        Handler
+	interest       uint32
+	connected      bool
+	in             []byte // bytes read; Input is what follows the first consumed ones
+	consumed       int
+	maxInput       int       // maximum length of Input; reading stops there until some is consumed
+	out            []byte    // accepted by Write, not yet by the kernel
+	sent           int       // bytes of out that the kernel has accepted
+	unsentAtClose  int       // bytes that were pending when the connection was closed
+	linger         *Timer    // set by Finish: closes the connection if the peer doesn't in time
+	inReceived     bool      // the handler's Received is running: the input buffer must not be freed
+	reservedBy     *Listener // whose reserved descriptors include fd; nil: fd counts against the loop's limit
+	onFlush        func()    // see OnFlush
+	paused         bool      // reading is stopped by Pause
+	awaitingBuffer bool      // reading is stopped until a buffer may be available
+	accepted       bool      // incoming, from a Listener
+	minBuffer      int       // minimum size of the input buffer, in bytes
 }
 
-// IsResourceShortage tells whether an error of Dial says that this machine lacks something just now, and nothing of the peer.
+// IsResourceShortage reports whether an error of Dial means a temporary shortage of resources on this
+// machine, and nothing about the peer.
 func IsResourceShortage(err error) bool {
 	return errors.Is(err, ErrNoDescriptor) || sys.IsTransient(err)
 }
 
-// Dial begins to connect. A failure that is known at once is returned; later ones
-// end the connection.
-func (l *Loop) Dial(addr netip.AddrPort, h Handler, inputMost int) (*Conn, error) {
+// Dial starts to connect. It returns errors that are known at once; later ones are reported by Handler.Ended.
+func (l *Loop) Dial(addr netip.AddrPort, handler Handler, maxInput int) (*Conn, error) {
 	if l.SpareDescriptors() <= 0 {
 		return nil, ErrNoDescriptor
 	}
-	fd, err := sys.Socket(family(addr), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := sys.Socket(addressFamily(addr), unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	l.open++
-	err = sys.Connect(fd, sockaddr(addr))
+	l.openDescriptors++
+	err = sys.Connect(fd, socketAddress(addr))
 	if err != nil && err != unix.EINPROGRESS && err != unix.EINTR {
 		unix.Close(fd)
-		l.open--
+		l.openDescriptors--
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	c, err := l.adopt(fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP)
+	c, err := l.addConn(fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP)
 	if err != nil {
 		return nil, err
 	}
-	c.SetHandler(h, inputMost)
+	c.SetHandler(handler, maxInput)
 	return c, nil
 }
 
-func (l *Loop) adopt(fd int, interest uint32) (*Conn, error) {
-	// Answers are small and each is written whole: none is to wait for another.
+func (l *Loop) addConn(fd int, interest uint32) (*Conn, error) {
+	// Messages are small and each is written whole: Nagle's algorithm would only delay them.
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	// A peer that vanished while idle is noticed in the end and gives its descriptor back.
+	// Keepalive detects a peer that vanished while idle, so that its descriptor is freed in the end.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
 	c := &Conn{loop: l, fd: fd, interest: interest}
 	if err := l.register(fd, interest, slot{conn: c}); err != nil {
 		unix.Close(fd)
-		l.open--
+		l.openDescriptors--
 		return nil, err
 	}
 	return c, nil
 }
 
-// SetHandler sets who is told of the connection and how much input it holds at most.
-func (c *Conn) SetHandler(h Handler, inputMost int) { c.h, c.most = h, inputMost }
+// SetHandler sets the handler and the maximum length of Input.
+func (c *Conn) SetHandler(handler Handler, maxInput int) { c.handler, c.maxInput = handler, maxInput }
 
-// Closed tells whether the connection is over.
+// Closed reports whether Close or Finish was called or the connection has ended.
 func (c *Conn) Closed() bool { return c.fd < 0 || c.linger != nil }
 
-// HasDescriptor tells whether the connection still has its descriptor.
+// HasDescriptor reports whether the connection still occupies a descriptor, as it does after Finish.
 func (c *Conn) HasDescriptor() bool { return c.fd >= 0 }
 
-// BufferBytes is how many bytes of buffers the connection holds.
+// BufferBytes returns the capacity of the connection's buffers.
 func (c *Conn) BufferBytes() int { return cap(c.in) + cap(c.out) }
 
-// Input is what has been read and not consumed. It is good until the handler returns.
-func (c *Conn) Input() []byte { return c.in[c.r:] }
+// Input returns the bytes that were read and not consumed. The slice is valid until the handler returns.
+func (c *Conn) Input() []byte { return c.in[c.consumed:] }
 
 // Consume drops the first n bytes of the input.
 func (c *Conn) Consume(n int) {
-	c.r += n
-	if c.r >= len(c.in) {
-		c.in, c.r = c.in[:0], 0
-		if !c.handing {
+	c.consumed += n
+	if c.consumed >= len(c.in) {
+		c.in, c.consumed = c.in[:0], 0
+		if !c.inReceived {
 			c.loop.buffers.put(c.in)
 			c.in = nil
 		}
 	}
-	c.want()
+	c.updateInterest()
 }
 
-// Take consumes the first n bytes and hands them over for good. A buffer that holds
-// nothing else goes as it is; otherwise the bytes are copied. It is given back by Free.
+// Take consumes the first n bytes and passes their ownership to the caller, who returns them with FreeBuffer.
+// If they are all that the buffer holds, the buffer itself is returned, otherwise a copy.
 func (c *Conn) Take(n int) []byte {
-	if c.r == 0 && n == len(c.in) {
-		b := c.in
+	if c.consumed == 0 && n == len(c.in) {
+		buffer := c.in
 		c.in = nil
-		c.want()
-		return b
+		c.updateInterest()
+		return buffer
 	}
-	b := c.loop.buffers.add(nil, c.in[c.r:c.r+n])
+	b := c.loop.buffers.appendTo(nil, c.in[c.consumed:c.consumed+n])
 	c.Consume(n)
 	return b
 }
 
-// FreeBuffer gives a buffer from Take back.
+// FreeBuffer returns a buffer obtained from Take to the pool.
 func (l *Loop) FreeBuffer(b []byte) { l.buffers.put(b) }
 
-// Pending is how much of what was written the kernel has not accepted; of an ended
-// connection, how much it had not accepted by then.
-func (c *Conn) Pending() int { return len(c.out) - c.sent + c.lost }
+// Pending returns how many written bytes the kernel has not accepted; of a closed connection, how many it had
+// not accepted by then.
+func (c *Conn) Pending() int { return len(c.out) - c.sent + c.unsentAtClose }
 
-// OnFlush has do called whenever the kernel has taken the last byte of what Write had to keep.
-func (c *Conn) OnFlush(do func()) { c.flushed = do }
+// OnFlush sets a function that is called whenever the kernel has accepted the last of the bytes that Write
+// had queued.
+func (c *Conn) OnFlush(callback func()) { c.onFlush = callback }
 
-// Pause stops reading: what comes waits with the peer. Input may hold some already.
+// Pause stops reading: further data stays in the kernel and with the peer. Input may still hold some.
 func (c *Conn) Pause() {
 	c.paused = true
-	c.want()
+	c.updateInterest()
 }
 
-// starve reads on in a moment: there is no buffer to spare just now, and what has come waits with the system. The connection
-// may be owed an answer, so it is not ended for that.
-func (c *Conn) starve() {
-	if c.starved {
+// waitForBuffer stops reading for a moment because no buffer is available; the data stays in the kernel. The
+// connection isn't closed for that, since a request on it may still be waiting for its answer.
+func (c *Conn) waitForBuffer() {
+	if c.awaitingBuffer {
 		return
 	}
-	c.starved = true
-	c.loop.At(c.loop.now+starveTime, func() {
-		c.starved = false
-		c.want()
+	c.awaitingBuffer = true
+	c.loop.At(c.loop.now+noBufferRetryDelay, func() {
+		c.awaitingBuffer = false
+		c.updateInterest()
 	})
 }
 
-// Resume reads on.
+// Resume starts reading again after Pause.
 func (c *Conn) Resume() {
 	c.paused = false
-	c.want()
+	c.updateInterest()
 }
 
-// SetMinBuffer has the input buffer hold so many bytes from the next read on.
-func (c *Conn) SetMinBuffer(least int) { c.least = least }
+// SetMinBuffer sets the minimum size of the input buffer, from the next read on.
+func (c *Conn) SetMinBuffer(bytes int) { c.minBuffer = bytes }
 
-// Write sends the parts behind all written before, gathered in one call where the kernel
-// has room, and keeps a copy of what it does not accept. An error is told by Ended, in
-// a later round: the caller is not called back from within its own call.
+// Write sends the parts in order, after all that was written before, with one system call if the kernel
+// accepts them, and queues a copy of what it doesn't accept. An error is reported by Handler.Ended in a later
+// round, so that the caller isn't called back from within its own call.
 func (c *Conn) Write(parts ...[]byte) {
 	if c.Closed() {
 		return
 	}
-	total, n := 0, 0
-	for _, p := range parts {
-		total += len(p)
+	total, written := 0, 0
+	for _, part := range parts {
+		total += len(part)
 	}
-	if c.up && c.Pending() == 0 && total > 0 {
+	if c.connected && c.Pending() == 0 && total > 0 {
 		var err error
 		for {
-			if n, err = sys.Writev(c.fd, parts); err != unix.EINTR {
+			if written, err = sys.Writev(c.fd, parts); err != unix.EINTR {
 				break
 			}
 		}
-		n = max(n, 0) // on an error all is kept; epoll reports what broke
+		written = max(written, 0) // after an error all is queued; epoll reports the failure
 	}
-	if n < total {
-		c.keep(parts, n)
+	if written < total {
+		c.queueOutput(parts, written)
 	}
-	c.want()
+	c.updateInterest()
 }
 
-func (c *Conn) keep(parts [][]byte, skip int) {
+func (c *Conn) queueOutput(parts [][]byte, skip int) {
 	if c.Pending() == 0 {
 		c.out, c.sent = c.out[:0], 0
 	}
-	for _, p := range parts {
-		k := min(skip, len(p))
-		skip -= k
-		if len(p) > k {
-			c.out = c.loop.buffers.add(c.out, p[k:])
+	for _, part := range parts {
+		skipped := min(skip, len(part))
+		skip -= skipped
+		if len(part) > skipped {
+			c.out = c.loop.buffers.appendTo(c.out, part[skipped:])
 		}
 	}
 }
 
-// ready handles what epoll tells of the connection.
-func (c *Conn) ready(events uint32) {
-	if !c.up {
+// handleEvents handles the events that epoll reported for the connection.
+func (c *Conn) handleEvents(events uint32) {
+	if !c.connected {
 		if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) == 0 {
 			return
 		}
 		if err := c.socketError(); err != nil {
-			c.end(err)
+			c.closeWithError(err)
 			return
 		}
-		c.up = true
-		c.h.Connected()
+		c.connected = true
+		c.handler.Connected()
 		if c.fd < 0 {
 			return
 		}
 	}
 	if events&unix.EPOLLOUT != 0 && c.Pending() > 0 {
 		if err := c.flush(); err != nil {
-			// What the peer said before it closed is still to be read.
+			// Data that the peer sent before it closed is still to be read.
 			_ = c.read(true)
-			c.end(err)
+			c.closeWithError(err)
 			return
 		}
 	}
 	if c.fd >= 0 && events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		if err := c.read(events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0); err != nil {
-			c.end(err)
+			c.closeWithError(err)
 			return
 		}
 	}
 	if c.fd >= 0 {
-		if c.starved {
-			events &^= unix.EPOLLRDHUP // what came before the end is still to be read
+		if c.awaitingBuffer {
+			events &^= unix.EPOLLRDHUP // data sent before the peer closed is still to be read
 		}
 		if c.interest&unix.EPOLLIN == 0 && events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-			c.end(ErrPeerClosed) // reading has stopped: its input is full
+			c.closeWithError(ErrPeerClosed) // reading has stopped because the input is full
 			return
 		}
-		c.want()
+		c.updateInterest()
 	}
 }
 
-// NoInputPending tells that nothing has come that is not consumed, not even an end: what is
-// written now cannot be what the peer answers already.
+// NoInputPending reports whether there is nothing to read, in Input or in the kernel, not even an end of
+// file: then nothing that the peer has sent can be an answer to what is written next.
 func (c *Conn) NoInputPending() bool {
 	if c.Closed() || len(c.Input()) > 0 {
 		return false
@@ -261,10 +262,10 @@
 	return err == unix.EAGAIN
 }
 
-// Poll takes in at once what has come, as if epoll had told of it.
+// Poll reads at once what has arrived, as if epoll had reported it.
 func (c *Conn) Poll() {
-	if !c.Closed() && c.up && c.interest&unix.EPOLLIN != 0 {
-		c.ready(unix.EPOLLIN)
+	if !c.Closed() && c.connected && c.interest&unix.EPOLLIN != 0 {
+		c.handleEvents(unix.EPOLLIN)
 	}
 }
 
@@ -293,31 +294,32 @@
 	c.out, c.sent = nil, 0
 	if c.linger != nil {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
-	} else if c.flushed != nil {
-		c.flushed()
+	} else if c.onFlush != nil {
+		c.onFlush()
 	}
 	return nil
 }
 
-// read takes in what has come and hands it on before an end that came behind it. Where the peer has ended, all is read at
-// once: what it said is not to be acted on for a round before its end is known.
-func (c *Conn) read(ended bool) error {
-	for n := 0; n < readMost || ended; n++ {
+// read reads what has arrived and passes it to the handler before it reports an end of file that follows. If
+// the peer has closed its side, everything is read at once, so that the handler doesn't act on data for a
+// round without knowing of the end.
+func (c *Conn) read(peerClosed bool) error {
+	for reads := 0; reads < maxReadsPerRound || peerClosed; reads++ {
 		if c.linger != nil {
 			if more, err := c.discard(); err != nil || !more {
 				return err
 			}
 			continue
 		}
-		room := c.space()
-		if room == nil {
-			if len(c.Input()) >= c.most {
+		space := c.readSpace()
+		if space == nil {
+			if len(c.Input()) >= c.maxInput {
 				return nil
 			}
-			c.starve()
+			c.waitForBuffer()
 			return nil
 		}
-		n, err := sys.Read(c.fd, room)
+		n, err := sys.Read(c.fd, space)
 		switch {
 		case err == unix.EINTR:
 			continue
@@ -330,28 +332,28 @@
 			return ErrPeerClosed
 		}
 		c.in = c.in[:len(c.in)+n]
-		c.handing = true
-		c.h.Received()
-		c.handing = false
+		c.inReceived = true
+		c.handler.Received()
+		c.inReceived = false
 		if c.fd < 0 {
 			return nil
 		}
 		if c.Consume(0); c.paused {
 			return nil
 		}
-		if n < len(room) && !ended {
-			return nil // level-triggered: an end behind it is told in the next round
+		if n < len(space) && !peerClosed {
+			return nil // level-triggered: an end of file that follows is reported in the next round
 		}
 	}
 	return nil
 }
 
-// waste is never written to: MSG_TRUNC has the kernel drop what came, so that a peer who
-// goes on sending after its end costs neither memory nor copies.
-var waste [256 << 10]byte
+// discardBuffer is never written to: with MSG_TRUNC the kernel drops the data, so that a peer that goes on
+// sending after its connection was finished costs neither memory nor copies.
+var discardBuffer [256 << 10]byte
 
 func (c *Conn) discard() (more bool, err error) {
-	n, _, err := unix.Recvfrom(c.fd, waste[:], unix.MSG_TRUNC)
+	n, _, err := unix.Recvfrom(c.fd, discardBuffer[:], unix.MSG_TRUNC)
 	switch {
 	case err == unix.EAGAIN:
 		return false, nil
@@ -365,44 +367,44 @@
 	return true, nil
 }
 
-// space is where the next read goes; nil if the input is full or memory is short: a read
-// into no room returns nothing, which would pass for the peer's close.
-func (c *Conn) space() []byte {
-	if len(c.in) == 0 && cap(c.in) < c.least {
+// readSpace returns the space for the next read, or nil if the input is full or memory is short: a read of
+// zero bytes would look like an end of file.
+func (c *Conn) readSpace() []byte {
+	if len(c.in) == 0 && cap(c.in) < c.minBuffer {
 		c.loop.buffers.put(c.in)
 		c.in = nil
 	}
 	if c.in == nil {
-		if c.accepted && c.loop.buffers.scarce() {
+		if c.accepted && c.loop.buffers.nearlyFull() {
 			return nil
 		}
-		if c.in = c.loop.buffers.get(max(1, c.least)); c.in == nil {
+		if c.in = c.loop.buffers.get(max(1, c.minBuffer)); c.in == nil {
 			return nil
 		}
 	}
-	if c.r > 0 {
-		c.in = c.in[:copy(c.in, c.in[c.r:])]
-		c.r = 0
+	if c.consumed > 0 {
+		c.in = c.in[:copy(c.in, c.in[c.consumed:])]
+		c.consumed = 0
 	}
-	if len(c.in) == cap(c.in) && len(c.in) < c.most && !(c.accepted && c.loop.buffers.scarce()) {
+	if len(c.in) == cap(c.in) && len(c.in) < c.maxInput && !(c.accepted && c.loop.buffers.nearlyFull()) {
 		c.in = c.loop.buffers.grow(c.in)
 	}
-	if end := min(cap(c.in), c.most); end > len(c.in) {
+	if end := min(cap(c.in), c.maxInput); end > len(c.in) {
 		return c.in[len(c.in):end]
 	}
 	return nil
 }
 
-// want tells epoll what the connection waits for.
-func (c *Conn) want() {
-	if c.fd < 0 || !c.up {
+// updateInterest sets the events that epoll reports according to the state of the connection.
+func (c *Conn) updateInterest() {
+	if c.fd < 0 || !c.connected {
 		return
 	}
 	interest := uint32(unix.EPOLLRDHUP)
 	switch {
-	case (c.paused || c.starved) && c.linger == nil:
-		interest = 0 // an end of the peer's may stand behind much that is not read yet
-	case len(c.Input()) < c.most || c.linger != nil:
+	case (c.paused || c.awaitingBuffer) && c.linger == nil:
+		interest = 0 // the peer's end of file may follow a lot of unread data
+	case len(c.Input()) < c.maxInput || c.linger != nil:
 		interest |= unix.EPOLLIN
 	}
 	if c.Pending() > 0 {
@@ -415,7 +417,7 @@
 	_ = c.loop.watch(c.fd, interest)
 }
 
-// Close ends the connection at once; what is pending is lost.
+// Close closes the connection at once; pending output is lost.
 func (c *Conn) Close() {
 	if c.fd < 0 {
 		return
@@ -425,112 +427,115 @@
 		c.loop.lingering--
 	}
 	c.loop.release(c.fd)
-	if c.of != nil {
-		c.of.held--
-		c.loop.open++
+	if c.reservedBy != nil {
+		c.reservedBy.usedReserved--
+		c.loop.openDescriptors++
 	}
-	c.fd, c.lost = -1, c.Pending()
+	c.fd, c.unsentAtClose = -1, c.Pending()
 	c.loop.buffers.put(c.in)
 	c.loop.buffers.put(c.out)
-	c.in, c.out, c.r, c.sent = nil, nil, 0, 0
+	c.in, c.out, c.consumed, c.sent = nil, nil, 0, 0
 }
 
-// Finish ends the connection once the peer has what was written: a plain close with
-// unread input would reset it and take the last answer along. The handler hears no
-// more. A peer that has not closed by the given moment is cut off.
-func (c *Conn) Finish(until time.Duration) {
+// Finish closes the connection once the peer has received what was written: a plain close with unread input
+// would send a reset and could destroy the last answer. The handler is not called any more. If the peer
+// hasn't closed its side by the deadline, the connection is closed.
+func (c *Conn) Finish(deadline time.Duration) {
 	if c.Closed() {
 		return
 	}
-	c.h = ended{}
+	c.handler = discardHandler{}
 	c.loop.lingering++
-	c.linger = c.loop.At(until, c.Close)
+	c.linger = c.loop.At(deadline, c.Close)
 	c.loop.buffers.put(c.in)
-	c.in, c.r = nil, 0
+	c.in, c.consumed = nil, 0
 	if c.Pending() == 0 {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
-	c.want()
+	c.updateInterest()
 }
 
-// CloseWrite ends the sending: the peer finds an end behind what was written. What it says is still read.
+// CloseWrite closes the sending side: the peer finds an end of file after what was written. Input is still
+// read.
 func (c *Conn) CloseWrite() {
 	if c.fd >= 0 {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
-type ended struct{}
+type discardHandler struct{}
 
-func (ended) Connected()  {}
-func (ended) Received()   {}
-func (ended) Ended(error) {}
+func (discardHandler) Connected()  {}
+func (discardHandler) Received()   {}
+func (discardHandler) Ended(error) {}
 
-func (c *Conn) end(err error) {
+func (c *Conn) closeWithError(err error) {
 	if c.fd < 0 {
 		return
 	}
-	h := c.h
+	handler := c.handler
 	c.Close()
-	h.Ended(err)
+	handler.Ended(err)
 }
 
-// pool keeps buffers of a few sizes and bounds how much all of them hold.
-type pool struct {
-	most, held int
-	free       [sizes][][]byte
+// bufferPool recycles buffers of a few sizes and bounds the memory that all of them take.
+type bufferPool struct {
+	limit, allocated int // bytes
+	free             [sizeClasses][][]byte
 }
 
 const (
-	smallest = 2 << 10
-	sizes    = 9 // 2 KiB to 512 KiB
-	keepMost = 64
+	minBufferBytes  = 2 << 10
+	sizeClasses     = 9  // 2 KiB to 512 KiB
+	maxFreeSmallest = 64 // free buffers kept of the smallest size; half as many of each next size
 )
 
-// scarce tells that the last eighth is in use. It is for what this process has asked for: peers who send without being asked
-// must not keep it from reading answers.
-func (p *pool) scarce() bool { return p.held >= p.most*7/8 }
+// nearlyFull reports whether at most an eighth of the limit is left. That part is reserved for connections
+// that this process has opened: unsolicited input from clients must not keep it from reading answers.
+func (p *bufferPool) nearlyFull() bool { return p.allocated >= p.limit*7/8 }
 
-func class(n int) int {
-	k := 0
-	for smallest<<k < n && k < sizes-1 {
-		k++
+// sizeClass returns the index of the smallest size that holds n bytes, or of the largest size.
+func sizeClass(n int) int {
+	index := 0
+	for minBufferBytes<<index < n && index < sizeClasses-1 {
+		index++
 	}
-	return k
+	return index
 }
 
-// get returns an empty buffer for n bytes; nil if there is no memory to spare.
-func (p *pool) get(n int) []byte {
-	k := class(n)
-	size := smallest << k
-	if p.held+size > p.most {
+// get returns an empty buffer with capacity for n bytes, or for the largest size if n exceeds it; nil if the
+// limit doesn't allow it.
+func (p *bufferPool) get(n int) []byte {
+	class := sizeClass(n)
+	size := minBufferBytes << class
+	if p.allocated+size > p.limit {
 		return nil
 	}
-	p.held += size
-	if list := p.free[k]; len(list) > 0 {
+	p.allocated += size
+	if list := p.free[class]; len(list) > 0 {
 		b := list[len(list)-1]
-		p.free[k] = list[:len(list)-1]
+		p.free[class] = list[:len(list)-1]
 		return b
 	}
 	return make([]byte, 0, size)
 }
 
-func (p *pool) put(b []byte) {
+func (p *bufferPool) put(b []byte) {
 	if cap(b) == 0 {
 		return
 	}
-	k := class(cap(b))
-	if smallest<<k != cap(b) {
-		return // made outside the bound, see add
+	class := sizeClass(cap(b))
+	if minBufferBytes<<class != cap(b) {
+		return // allocated outside the limit, see appendTo
 	}
-	p.held -= smallest << k
-	if len(p.free[k]) < keepMost>>k {
-		p.free[k] = append(p.free[k], b[:0])
+	p.allocated -= minBufferBytes << class
+	if len(p.free[class]) < maxFreeSmallest>>class {
+		p.free[class] = append(p.free[class], b[:0])
 	}
 }
 
-// grow moves b to a buffer of the next size; without memory for it, b stays.
-func (p *pool) grow(b []byte) []byte {
+// grow moves b to a buffer of the next size, or returns b if there is no memory for it.
+func (p *bufferPool) grow(b []byte) []byte {
 	next := p.get(cap(b) + 1)
 	if next == nil || cap(next) <= cap(b) {
 		return b
@@ -540,9 +545,9 @@
 	return next
 }
 
-// add appends to a buffer whose size its writer bounds. What is over the largest size
-// or finds no memory to spare gets an odd capacity, by which put knows it.
-func (p *pool) add(b, more []byte) []byte {
+// appendTo appends to a buffer whose size its writer bounds. A buffer over the largest size, or over the limit,
+// is allocated outside the pool with an odd capacity, by which put recognizes it.
+func (p *bufferPool) appendTo(b, more []byte) []byte {
 	need := len(b) + len(more)
 	if need <= cap(b) {
 		return append(b, more...)
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -11,44 +11,43 @@
 )
 
 const (
-	acceptMost = 64                    // connections taken from one listener in a round
-	backlog    = 4096                  // connections that the system keeps in a queue
-	restTime   = 20 * time.Millisecond // before a call is made again that failed for want of something
+	maxAcceptsPerCall = 64                    // connections accepted from one listener per round
+	acceptBacklog     = 4096                  // length of the kernel's queue of connections to accept
+	acceptRetryDelay  = 20 * time.Millisecond // pause after accept failed for a shortage
 )
 
 // Listener accepts connections.
 type Listener struct {
-	loop    *Loop
-	fd      int
-	accept  func() queue
-	shared  bool           // other processes hold it, too
-	reserve int            // descriptors for its connections alone; 0: they come from the loop's
-	held    int            // of reserve
-	room    func() bool    // frees one of them
-	Addr    netip.AddrPort // where it listens, the port found where 0 was asked for
+	loop         *Loop
+	fd           int
+	accept       func() queueState
+	shared       bool           // inherited, so other processes may accept from it as well
+	maxReserved  int            // descriptors reserved for its connections; 0: they count against the loop's limit
+	usedReserved int            // of maxReserved
+	evict        func() bool    // closes one of its connections to make a descriptor available
+	Addr         netip.AddrPort // local address, with the actual port if port 0 was requested
 }
 
-// Listen accepts connections at addr; each is handed to take, which must set its
-// handler, or may close it.
-func (l *Loop) Listen(addr netip.AddrPort, take func(*Conn)) (*Listener, error) {
-	fd, err := socketAtStart(family(addr), unix.SOCK_STREAM)
+// Listen accepts connections at addr and passes each to onAccept, which must set its handler or close it.
+func (l *Loop) Listen(addr netip.AddrPort, onAccept func(*Conn)) (*Listener, error) {
+	fd, err := openSocketAtStart(addressFamily(addr), unix.SOCK_STREAM)
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	// A gateway that starts again finds connections of its predecessor in TIME_WAIT.
+	// After a restart connections of the predecessor may still be in TIME_WAIT.
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil {
-		err = unix.Bind(fd, sockaddr(addr))
+		err = unix.Bind(fd, socketAddress(addr))
 	}
 	if err == nil {
-		err = unix.Listen(fd, backlog)
+		err = unix.Listen(fd, acceptBacklog)
 	}
 	var bound unix.Sockaddr
 	if err == nil {
 		bound, err = unix.Getsockname(fd)
 	}
 	ln := &Listener{loop: l, fd: fd, Addr: sys.AddrPort(bound)}
-	ln.accept = func() queue { return ln.take(take) }
+	ln.accept = func() queueState { return ln.acceptQueued(onAccept) }
 	if err == nil {
 		err = ln.Start()
 	}
@@ -56,12 +55,13 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen at %s: %w", addr, err)
 	}
-	l.open++
+	l.openDescriptors++
 	return ln, nil
 }
 
-// socketAtStart opens a socket, and waits for one as sys.AtStart does.
-func socketAtStart(family, kind int) (fd int, err error) {
+// openSocketAtStart opens a non-blocking socket, with retries during a shortage as [sys.RetryAtStart] makes
+// them.
+func openSocketAtStart(family, kind int) (fd int, err error) {
 	err = sys.RetryAtStart(func() (err error) {
 		fd, err = sys.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		return err
@@ -69,24 +69,25 @@
 	return fd, err
 }
 
-// ListenReserved is Listen with so many descriptors set aside for the connections, which are read
-// before all others. When all are in use room must free one, or the newcomer waits.
-func (l *Loop) ListenReserved(addr netip.AddrPort, most int, take func(*Conn), room func() bool) (*Listener, error) {
-	ln, err := l.Listen(addr, take)
+// ListenReserved is like Listen, but reserves descriptors for the listener's connections, which are served
+// before all others in a round. When all are in use evict must close one of these connections, otherwise a
+// new one waits.
+func (l *Loop) ListenReserved(addr netip.AddrPort, maxReserved int, onAccept func(*Conn), evict func() bool) (*Listener, error) {
+	ln, err := l.Listen(addr, onAccept)
 	if err == nil {
-		ln.reserve, ln.room = most, room
-		l.reserved += most
-		l.limit -= most
+		ln.maxReserved, ln.evict = maxReserved, evict
+		l.reservedDescriptors += maxReserved
+		l.maxDescriptors -= maxReserved
 	}
 	return ln, err
 }
 
-// InheritListener takes over a listening socket that the process was started with, which other processes
-// may hold as well. It accepts nothing before Start.
-func (l *Loop) InheritListener(fd int, addr netip.AddrPort, take func(*Conn)) (*Listener, error) {
+// InheritListener takes over a listening socket that was passed to this process at its start and that other
+// processes may hold as well. It accepts nothing before Start.
+func (l *Loop) InheritListener(fd int, addr netip.AddrPort, onAccept func(*Conn)) (*Listener, error) {
 	ln := &Listener{loop: l, fd: fd, shared: true}
-	ln.accept = func() queue { return ln.take(take) }
-	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+	ln.accept = func() queueState { return ln.acceptQueued(onAccept) }
+	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	var bound unix.Sockaddr
 	if err == nil {
 		bound, err = unix.Getsockname(fd)
@@ -95,12 +96,12 @@
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
-	case listens == 0:
+	case listening == 0:
 		return nil, fmt.Errorf("descriptor %d does not listen", fd)
 	case ln.Addr.Addr() != addr.Addr() || addr.Port() != 0 && ln.Addr.Port() != addr.Port():
 		return nil, fmt.Errorf("descriptor %d listens at %s, not at %s", fd, ln.Addr, addr)
 	}
-	// The flag is shared with all who hold the socket: it is set, and never taken back.
+	// The flag is shared with all processes that hold the socket, so it is set and never cleared.
 	if err := unix.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
@@ -111,100 +112,101 @@
 // Start begins to accept.
 func (ln *Listener) Start() error { return ln.loop.register(ln.fd, unix.EPOLLIN, slot{ln: ln}) }
 
-// Pause stops accepting and keeps the socket, so that Start can begin again.
+// Pause stops accepting but keeps the socket open, so that Start can resume.
 func (ln *Listener) Pause() { ln.loop.unwatch(ln.fd) }
 
-// queue is what is known of the connections that wait in a listener's queue.
-type queue int
+// queueState is what is known of the connections in a listener's accept queue.
+type queueState int
 
 const (
-	queueMore  queue = iota // there may be more
-	queueEmpty              // all were taken
-	queueFails              // they cannot be taken just now
+	queueMore    queueState = iota // there may be more
+	queueEmpty                     // all were accepted
+	queueBlocked                   // accepting fails for now
 )
 
-// take accepts what waits in the queue, so many in a round.
-func (ln *Listener) take(take func(*Conn)) queue {
-	for range acceptMost {
-		if ln.reserve == 0 && ln.loop.SpareDescriptors() <= 0 || ln.reserve > 0 && ln.held >= ln.reserve && !ln.room() {
-			ln.rest()
-			return queueFails
+// acceptQueued accepts connections from the queue, a bounded number per call.
+func (ln *Listener) acceptQueued(onAccept func(*Conn)) queueState {
+	for range maxAcceptsPerCall {
+		if ln.maxReserved == 0 && ln.loop.SpareDescriptors() <= 0 || ln.maxReserved > 0 && ln.usedReserved >= ln.maxReserved && !ln.evict() {
+			ln.suspendAccept()
+			return queueBlocked
 		}
 		fd, err := sys.Accept(ln.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			ln.hand(fd, take)
+			ln.addAccepted(fd, onAccept)
 		case unix.EAGAIN:
 			return queueEmpty
 		case unix.EINTR, unix.ECONNABORTED:
 		case unix.EPROTO, unix.ENETDOWN, unix.ENETUNREACH, unix.EHOSTDOWN, unix.EHOSTUNREACH, unix.ENONET, unix.ENOPROTOOPT, unix.EOPNOTSUPP:
-			// accept tells what has become of one connection; others may wait behind it
+			// the error concerns one connection only; others may be queued after it
 		default:
-			ln.rest()
-			return queueFails
+			ln.suspendAccept()
+			return queueBlocked
 		}
 	}
 	return queueMore
 }
 
-// hand gives a connection that was accepted to whom it is for.
-func (ln *Listener) hand(fd int, take func(*Conn)) {
-	ln.loop.open++
-	c, err := ln.loop.adopt(fd, unix.EPOLLIN|unix.EPOLLRDHUP)
+// addAccepted registers an accepted connection and passes it to onAccept.
+func (ln *Listener) addAccepted(fd int, onAccept func(*Conn)) {
+	ln.loop.openDescriptors++
+	c, err := ln.loop.addConn(fd, unix.EPOLLIN|unix.EPOLLRDHUP)
 	if err != nil {
 		return
 	}
-	c.up, c.accepted = true, true
-	if ln.reserve > 0 {
-		c.of = ln
-		ln.held++
-		ln.loop.open--
+	c.connected, c.accepted = true, true
+	if ln.maxReserved > 0 {
+		c.reservedBy = ln
+		ln.usedReserved++
+		ln.loop.openDescriptors--
 	}
-	take(c)
+	onAccept(c)
 }
 
-// rest leaves new connections in the queue for a moment: epoll would go on reporting
-// them, and the loop would spin, while there is no descriptor for them.
-func (ln *Listener) rest() {
-	ln.watch(0)
-	ln.loop.At(ln.loop.now+restTime, func() { ln.watch(unix.EPOLLIN) })
+// suspendAccept leaves new connections in the queue for a moment: without a descriptor for them epoll would
+// report them again and again, and the loop would spin.
+func (ln *Listener) suspendAccept() {
+	ln.setInterest(0)
+	ln.loop.At(ln.loop.now+acceptRetryDelay, func() { ln.setInterest(unix.EPOLLIN) })
 }
 
-// watch sets what epoll tells of the queue; one that is paused or closed is left alone.
-func (ln *Listener) watch(interest uint32) {
+// setInterest sets the events that epoll reports for the listener, unless it is paused or closed.
+func (ln *Listener) setInterest(interest uint32) {
 	if ln.fd >= 0 && ln.loop.slots[ln.fd].ln == ln {
 		_ = ln.loop.watch(ln.fd, interest)
 	}
 }
 
-// Drain takes what is still in the queue: the machine has accepted those connections, and requests may have been
-// written to them. It tells whether that was all; if not, it is to be called again. A shared queue is left to those who
-// share it.
+// Drain accepts what is still in the queue: the kernel has completed those connections, and their clients may
+// have sent requests already. It reports whether the queue is empty; if not, call it again. A shared queue is
+// left to the processes that share it.
 func (ln *Listener) Drain() (empty bool) {
 	if ln.shared || ln.fd < 0 {
 		return true
 	}
-	for range backlog / acceptMost {
+	for range acceptBacklog / maxAcceptsPerCall {
 		switch ln.accept() {
 		case queueEmpty:
 			return true
-		case queueFails:
+		case queueBlocked:
 			return false
 		}
 	}
 	return false
 }
 
-// Closed tells whether it listens no more.
+// Closed reports whether the listener is closed.
 func (ln *Listener) Closed() bool { return ln.fd < 0 }
 
-// Close stops listening. What Drain has not taken is reset, unless others share the queue.
+// Close stops listening. Connections that Drain hasn't accepted are reset, unless other processes share the
+// queue.
 func (ln *Listener) Close() {
 	if ln.fd < 0 {
 		return
 	}
 	ln.loop.release(ln.fd)
 	ln.fd = -1
-	ln.loop.reserved -= ln.reserve
-	ln.loop.limit += ln.reserve
+	ln.loop.reservedDescriptors -= ln.maxReserved
+	ln.loop.maxDescriptors += ln.maxReserved
 }
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -1,10 +1,8 @@
-// Package netloop is one epoll loop with non-blocking connections, a heap of
-// timers, bounded buffers and a count of descriptors. One goroutine runs the
-// loop and owns all that hangs on it; nothing here is locked.
+// Package netloop is an epoll event loop with non-blocking connections, timers, bounded buffers and a limit
+// on descriptors. One goroutine runs the loop and owns everything that belongs to it; there are no locks.
 //
-// Moments are durations since the Unix epoch. The system's clock is read once,
-// at the start; from then on the monotonic clock moves the time, so that a step
-// of the system's clock moves no deadline.
+// Times are durations since the Unix epoch. The system clock is read once, at the start; from then on
+// only the monotonic clock is used, so that a step of the system clock moves no deadline.
 package netloop
 
 import (
@@ -20,133 +18,143 @@
 )
 
 const (
-	perRound   = 256 // events taken from the kernel at once
-	readMost   = 4   // reads from one connection in a round: a fast peer holds up nobody
-	gatherMost = 64  // times that the kernel is asked again before a timer that is due
+	eventsPerPoll        = 256 // events taken from the kernel with one call
+	maxReadsPerRound     = 4   // reads from one connection per round, so that a fast peer doesn't hold up the others
+	maxPollsBeforeTimers = 64  // extra calls of epoll_wait before timers that are due may fire
 )
 
-// Errors that end a connection, besides those of the system.
+// Errors that end a connection, besides those of the operating system.
 var (
 	ErrPeerClosed   = errors.New("peer closed the connection")
 	ErrNoDescriptor = errors.New("no descriptor to spare")
 	ErrLinger       = errors.New("peer kept a closed connection open")
 )
 
-// Loop is the epoll loop. Use New.
+// Loop is an epoll event loop, made by New.
 type Loop struct {
-	ep, wake  int
-	base      time.Time
-	epoch     time.Duration
-	now       time.Duration
-	slots     []slot // by descriptor
-	gen       int32
-	timers    timers
-	open      int
-	limit     int
-	reserved  int // by listeners with descriptors of their own; not in limit, nor in open
-	buffers   pool
-	stopped   bool
-	lingering int
-	onWake    []func()
-	late      lateness
-	events    [perRound]unix.EpollEvent
+	epollFD, wakeFD     int
+	startTime           time.Time
+	startWallClock      time.Duration
+	now                 time.Duration
+	slots               []slot // indexed by descriptor
+	lastGeneration      int32
+	timers              timerHeap
+	openDescriptors     int
+	maxDescriptors      int
+	reservedDescriptors int // reserved by listeners; counted neither in maxDescriptors nor in openDescriptors
+	buffers             bufferPool
+	stopped             bool
+	lingering           int
+	onWake              []func()
+	lag                 eventLoopLag
+	events              [eventsPerPoll]unix.EpollEvent
 }
 
-// New makes a loop that may hold so many descriptors and so many bytes of buffers.
-// The descriptors that are open at that time count, too: taken tells how many.
-func New(descriptors, taken, buffered int) (*Loop, error) {
-	l := &Loop{base: time.Now(), limit: descriptors, open: taken, buffers: pool{most: buffered}}
-	l.epoch = sys.WallClock()
-	l.tick()
+// New returns a loop that may have so many descriptors open and allocate so many bytes of buffers. The limit
+// includes the descriptors that the process has open already; alreadyOpen is their number.
+func New(descriptors, alreadyOpen, maxBufferBytes int) (*Loop, error) {
+	l := &Loop{
+		startTime:       time.Now(),
+		maxDescriptors:  descriptors,
+		openDescriptors: alreadyOpen,
+		buffers:         bufferPool{limit: maxBufferBytes},
+	}
+	l.startWallClock = sys.WallClock()
+	l.updateNow()
 	var err error
-	if l.ep, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if l.epollFD, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if l.wake, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		unix.Close(l.ep)
+	if l.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		unix.Close(l.epollFD)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l.open += 2
-	if err := l.register(l.wake, unix.EPOLLIN, slot{}); err != nil {
+	l.openDescriptors += 2
+	if err := l.register(l.wakeFD, unix.EPOLLIN, slot{}); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// Now is the moment at which the round began.
+// Now returns the time at which the current round began.
 func (l *Loop) Now() time.Duration { return l.now }
 
-func (l *Loop) tick() { l.now = l.Clock() }
+func (l *Loop) updateNow() { l.now = l.Clock() }
 
-// Clock is the moment now; Now is that at which the round began.
-func (l *Loop) Clock() time.Duration { return l.epoch + time.Since(l.base) }
+// Clock returns the current time; Now returns the time at which the round began.
+func (l *Loop) Clock() time.Duration { return l.startWallClock + time.Since(l.startTime) }
 
-// SetDescriptorLimit changes how many descriptors may be open, those reserved by listeners included. What
-// is open stays open.
-func (l *Loop) SetDescriptorLimit(descriptors int) { l.limit = descriptors - l.reserved }
+// SetDescriptorLimit changes how many descriptors may be open, including those reserved by listeners.
+// Descriptors over the new limit stay open.
+func (l *Loop) SetDescriptorLimit(descriptors int) {
+	l.maxDescriptors = descriptors - l.reservedDescriptors
+}
 
-// SetBufferLimit changes how many bytes of buffers there may be.
-func (l *Loop) SetBufferLimit(bytes int) { l.buffers.most = bytes }
+// SetBufferLimit changes how many bytes of buffers may be allocated.
+func (l *Loop) SetBufferLimit(bytes int) { l.buffers.limit = bytes }
 
-// SpareDescriptors is how many more descriptors may be opened.
-func (l *Loop) SpareDescriptors() int { return l.limit - l.open }
+// SpareDescriptors returns how many more descriptors may be opened.
+func (l *Loop) SpareDescriptors() int { return l.maxDescriptors - l.openDescriptors }
 
-// BuffersShort tells that buffers run short: a quarter of what they may hold is left.
-func (l *Loop) BuffersShort() bool { return l.buffers.held > l.buffers.most*3/4 }
+// BuffersShort reports whether more than three quarters of the buffer limit are in use.
+func (l *Loop) BuffersShort() bool { return l.buffers.allocated > l.buffers.limit*3/4 }
 
-// Lingering is how many connections were finished and not yet closed by their peers.
+// Lingering returns the number of connections on which Finish was called and that are not closed yet.
 func (l *Loop) Lingering() int { return l.lingering }
 
-// Stop ends Run after the round.
+// Stop makes Run return after the current round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// OnWake adds to what Wake leads to, on the loop's goroutine.
-func (l *Loop) OnWake(do func()) { l.onWake = append(l.onWake, do) }
+// OnWake adds a function that is called on the loop's goroutine after Wake.
+func (l *Loop) OnWake(callback func()) { l.onWake = append(l.onWake, callback) }
 
-// Wake may be called from any goroutine: it is how a signal gets into the loop.
+// Wake wakes the loop. It may be called from any goroutine, a signal handler's for example.
 func (l *Loop) Wake() {
 	one := [8]byte{1}
 	for {
-		if _, err := unix.Write(l.wake, one[:]); err != unix.EINTR {
+		if _, err := unix.Write(l.wakeFD, one[:]); err != unix.EINTR {
 			return
 		}
 	}
 }
 
-// Run gathers all that is ready, then calls step, until Stop. Step may ask for another
-// round at once by returning true.
+// Run handles events and timers and then calls step, in rounds, until Stop. If step returns true the next
+// round starts without waiting.
 func (l *Loop) Run(step func() (again bool)) error {
-	again := true // what was prepared before the first round does not wait for a timer
+	again := true // work prepared before the first round doesn't wait for a timer
 	for !l.stopped {
-		called, due := l.Clock(), l.due()
-		n, err := l.poll(l.patience(again))
-		l.tick()
+		callTime, nextTimer := l.Clock(), l.nextTimer()
+		n, err := l.poll(l.pollTimeout(again))
+		l.updateNow()
 		if err != nil {
 			return err
 		}
-		l.late.look(called, l.now, due)
-		l.gather(n)
-		// Timers judge by what has not come. After a gap more may be ready than one call brings, and a stop may have come
-		// between the call and the look at the clock.
-		for k := 0; (n == perRound || k == 0 && l.overdue()) && k < gatherMost && l.due() > 0 && l.due() <= l.now; k++ {
+		l.lag.observe(callTime, l.now, nextTimer)
+		l.dispatchAll(n)
+		// Timers conclude from what has not arrived, so all that has is read first. After a stall more may be
+		// ready than one call returns, and the process may have been stopped between the call and the reading
+		// of the clock.
+		for polls := 0; (n == eventsPerPoll || polls == 0 && l.overdue()) && polls < maxPollsBeforeTimers &&
+			l.nextTimer() > 0 && l.nextTimer() <= l.now; polls++ {
 			if n, err = l.poll(0); err != nil {
 				return err
 			}
-			l.gather(n)
+			l.dispatchAll(n)
 		}
-		l.late.whole = n < perRound
-		l.fire()
+		l.lag.complete = n < eventsPerPoll
+		l.fireTimers()
 		again = step()
 	}
 	return nil
 }
 
-// poll waits in epoll. A wait that is cut short is asked again at once what is ready: one that a stop (SIGSTOP) fell into
-// ends so when the process goes on, whatever has come meanwhile, and timers must not judge before that is read.
-func (l *Loop) poll(patience int) (n int, err error) {
-	n, err = sys.EpollWait(l.ep, l.events[:], patience)
+// poll calls epoll_wait. After an interrupted wait it asks again at once for ready events: a wait during
+// which the process was stopped (SIGSTOP) ends that way when the process continues, whatever has arrived
+// meanwhile, and timers must not fire before that is read.
+func (l *Loop) poll(timeout int) (n int, err error) {
+	n, err = sys.EpollWait(l.epollFD, l.events[:], timeout)
 	for err == unix.EINTR {
-		n, err = sys.EpollWait(l.ep, l.events[:], 0)
+		n, err = sys.EpollWait(l.epollFD, l.events[:], 0)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("epoll_wait: %w", err)
@@ -154,153 +162,156 @@
 	return n, nil
 }
 
-// gather hands on what epoll told. Who has descriptors of its own goes first: a crowd of others holds it up for a call
-// at most.
-func (l *Loop) gather(n int) {
-	for _, first := range []bool{true, false} {
+// dispatchAll handles n events. Those of listeners with reserved descriptors, and of their connections, come
+// first, so that a crowd of others delays them by one call of epoll_wait at most.
+func (l *Loop) dispatchAll(n int) {
+	for _, reserved := range []bool{true, false} {
 		for i := range max(n, 0) {
-			if e := &l.events[i]; l.reserves(e) == first {
-				l.dispatch(e)
+			if event := &l.events[i]; l.isReserved(event) == reserved {
+				l.dispatch(event)
 			}
 		}
 	}
 }
 
-// due is the moment of the earliest timer; 0: there is none.
-func (l *Loop) due() time.Duration {
+// nextTimer returns the time of the earliest timer, 0 if there is none.
+func (l *Loop) nextTimer() time.Duration {
 	if len(l.timers) == 0 {
 		return 0
 	}
-	return l.timers[0].at
+	return l.timers[0].when
 }
 
-// overdue tells that a timer should have fired long ago, if there is one: this process was not there.
-func (l *Loop) overdue() bool { return l.now-l.due() > tolerable }
+// overdue reports whether the earliest timer is late by more than the tolerable lag, which shows that this
+// process was stalled.
+func (l *Loop) overdue() bool { return l.now-l.nextTimer() > tolerableLag }
 
-// patience is how many milliseconds the next round may wait for events: until the
-// next timer, rounded up, so that the loop does not spin through its last millisecond.
-func (l *Loop) patience(again bool) int {
+// pollTimeout returns how many milliseconds the next round may wait for events: until the next timer, rounded
+// up so that the loop doesn't spin through the last millisecond.
+func (l *Loop) pollTimeout(again bool) int {
 	if again || l.stopped {
 		return 0
 	}
 	if len(l.timers) == 0 {
 		return -1
 	}
-	left := l.timers[0].at - l.Clock()
+	left := l.timers[0].when - l.Clock()
 	return int(min(max(0, left+time.Millisecond-1)/time.Millisecond, 60_000))
 }
 
-func (l *Loop) dispatch(e *unix.EpollEvent) {
-	if int(e.Fd) == l.wake {
+func (l *Loop) dispatch(event *unix.EpollEvent) {
+	if int(event.Fd) == l.wakeFD {
 		var b [8]byte
-		_, _ = unix.Read(l.wake, b[:])
-		for _, do := range l.onWake {
-			do()
+		_, _ = unix.Read(l.wakeFD, b[:])
+		for _, callback := range l.onWake {
+			callback()
 		}
 		return
 	}
-	s := l.slots[e.Fd]
+	owner := l.slots[event.Fd]
 	switch {
-	case s.gen != e.Pad: // closed earlier in this round
-	case s.conn != nil:
-		s.conn.ready(e.Events)
-	case s.ln != nil:
-		s.ln.accept()
-	case s.udp != nil:
-		s.udp.ready()
+	case owner.generation != event.Pad: // closed earlier in this round
+	case owner.conn != nil:
+		owner.conn.handleEvents(event.Events)
+	case owner.ln != nil:
+		owner.ln.accept()
+	case owner.udp != nil:
+		owner.udp.handleReadable()
 	}
 }
 
-func (l *Loop) reserves(e *unix.EpollEvent) bool {
-	s := l.slots[e.Fd]
-	return s.gen == e.Pad && (s.ln != nil && s.ln.reserve > 0 || s.conn != nil && s.conn.of != nil)
+// isReserved reports whether an event is for a listener with reserved descriptors or for one of its connections.
+func (l *Loop) isReserved(event *unix.EpollEvent) bool {
+	owner := l.slots[event.Fd]
+	return owner.generation == event.Pad &&
+		(owner.ln != nil && owner.ln.maxReserved > 0 || owner.conn != nil && owner.conn.reservedBy != nil)
 }
 
-// release closes a descriptor; that takes it out of epoll as well.
+// release closes a descriptor, which also removes it from epoll.
 func (l *Loop) release(fd int) {
 	if fd < len(l.slots) {
 		l.slots[fd] = slot{}
 	}
 	unix.Close(fd)
-	l.open--
+	l.openDescriptors--
 }
 
 // Close closes every descriptor of the loop.
 func (l *Loop) Close() {
-	for fd, s := range l.slots {
-		if s.conn != nil || s.ln != nil || s.udp != nil {
+	for fd, owner := range l.slots {
+		if owner.conn != nil || owner.ln != nil || owner.udp != nil {
 			l.release(fd)
 		}
 	}
-	unix.Close(l.wake)
-	unix.Close(l.ep)
+	unix.Close(l.wakeFD)
+	unix.Close(l.epollFD)
 }
 
-// Timer is a moment at which something is to be done. Stop may be called at any time.
+// Timer is a function scheduled for a time. Stop may be called at any time.
 type Timer struct {
-	at    time.Duration
-	do    func()
-	index int // in the heap; -1: fired or stopped
-	loop  *Loop
+	when     time.Duration
+	callback func()
+	index    int // in the heap; -1: fired or stopped
+	loop     *Loop
 }
 
-// At has do called in the first round that begins at or after the moment.
-func (l *Loop) At(at time.Duration, do func()) *Timer {
-	t := &Timer{at: at, do: do, loop: l}
+// At schedules a call of callback for the first round that begins at the given time or later.
+func (l *Loop) At(when time.Duration, callback func()) *Timer {
+	t := &Timer{when: when, callback: callback, loop: l}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// again has a timer that is firing fire at a later moment.
-func (l *Loop) again(t *Timer, at time.Duration) {
-	t.at = at
+// rearm schedules a timer that is firing for a later time.
+func (l *Loop) rearm(t *Timer, when time.Duration) {
+	t.when = when
 	heap.Push(&l.timers, t)
 }
 
-// Stop keeps a timer from firing; a nil timer is none.
+// Stop cancels the timer, if it hasn't fired. A nil timer is allowed.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-func (l *Loop) fire() {
-	for len(l.timers) > 0 && l.timers[0].at <= l.now {
-		heap.Pop(&l.timers).(*Timer).do()
+func (l *Loop) fireTimers() {
+	for len(l.timers) > 0 && l.timers[0].when <= l.now {
+		heap.Pop(&l.timers).(*Timer).callback()
 	}
 }
 
-type timers []*Timer
+type timerHeap []*Timer
 
-func (h timers) Len() int           { return len(h) }
-func (h timers) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timers) Swap(i, j int) {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].when < h[j].when }
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
-func (h *timers) Push(x any) {
-	t := x.(*Timer)
-	t.index = len(*h)
-	*h = append(*h, t)
+func (h *timerHeap) Push(x any) {
+	timer := x.(*Timer)
+	timer.index = len(*h)
+	*h = append(*h, timer)
 }
-func (h *timers) Pop() any {
+func (h *timerHeap) Pop() any {
 	n := len(*h) - 1
-	t := (*h)[n]
+	timer := (*h)[n]
 	(*h)[n], *h = nil, (*h)[:n]
-	t.index = -1
-	return t
+	timer.index = -1
+	return timer
 }
 
-func family(a netip.AddrPort) int {
-	if a.Addr().Is4() {
+func addressFamily(addr netip.AddrPort) int {
+	if addr.Addr().Is4() {
 		return unix.AF_INET
 	}
 	return unix.AF_INET6
 }
 
-func sockaddr(a netip.AddrPort) unix.Sockaddr {
-	if a.Addr().Is4() {
-		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
+func socketAddress(addr netip.AddrPort) unix.Sockaddr {
+	if addr.Addr().Is4() {
+		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: addr.Addr().As4()}
 	}
-	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
+	return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: addr.Addr().As16()}
 }
--- a/internal/netloop/memory_test.go
+++ b/internal/netloop/memory_test.go
@@ -11,35 +11,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hoard keeps what it reads, until it is told to give it up.
-type hoard struct {
-	nc    *Conn
-	got   int
-	ended error
+// hoarder leaves its input to the test to consume.
+type hoarder struct {
+	conn     *Conn
+	received int
+	ended    error
 }
 
-func (h *hoard) Connected()    {}
-func (h *hoard) Received()     { h.got = len(h.nc.Input()) }
-func (h *hoard) Ended(e error) { h.ended = e }
+func (h *hoarder) Connected()      {}
+func (h *hoarder) Received()       { h.received = len(h.conn.Input()) }
+func (h *hoarder) Ended(err error) { h.ended = err }
 
-// Peers that fill the buffers are not read for a while and not closed, and leave some for what this process has asked for.
-func TestBuffersThatRunOutCloseNothing(t *testing.T) {
-	const buffers, each, peers = 256 << 10, 32 << 10, 16
-	l, err := New(128, 0, buffers)
+// Clients whose unconsumed input fills the buffer pool are not read for a while, but not closed, and the part
+// of the pool that is reserved for outgoing connections stays usable.
+func TestFullBufferPoolClosesNoConnection(t *testing.T) {
+	const bufferLimit, inputBytes, peers = 256 << 10, 32 << 10, 16
+	loop, err := New(128, 0, bufferLimit)
 	require.NoError(t, err)
-	defer l.Close()
-	var hoards []*hoard
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) {
-		h := &hoard{nc: c}
-		c.SetHandler(h, each)
-		hoards = append(hoards, h)
+	defer loop.Close()
+	var hoarders []*hoarder
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) {
+		h := &hoarder{conn: c}
+		c.SetHandler(h, inputBytes)
+		hoarders = append(hoarders, h)
 	})
 	require.NoError(t, err)
 	for range peers {
-		c, err := net.Dial("tcp", ln.Addr.String())
+		c, err := net.Dial("tcp", listener.Addr.String())
 		require.NoError(t, err)
 		defer c.Close()
-		_, err = c.Write(bytes.Repeat([]byte("x"), each))
+		_, err = c.Write(bytes.Repeat([]byte("x"), inputBytes))
 		require.NoError(t, err)
 	}
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,43 +51,45 @@
 			_, _ = c.Write([]byte("answer"))
 		}
 	}()
-	asked := &hoard{}
-	asked.nc, err = l.Dial(netip.MustParseAddrPort(server.Addr().String()), asked, each)
+	outgoing := &hoarder{}
+	outgoing.conn, err = loop.Dial(netip.MustParseAddrPort(server.Addr().String()), outgoing, inputBytes)
 	require.NoError(t, err)
 
-	all := func() (got int) {
-		for _, h := range hoards {
-			got += h.got
+	totalReceived := func() (total int) {
+		for _, h := range hoarders {
+			total += h.received
 		}
-		return got
+		return total
 	}
-	run := func(until func() bool) {
-		deadline := l.Clock() + 10*time.Second
+	runUntil := func(done func() bool) {
+		deadline := loop.Clock() + 10*time.Second
 		tick := func() {}
-		tick = func() { l.At(l.Now()+time.Millisecond, tick) }
+		tick = func() { loop.At(loop.Now()+time.Millisecond, tick) }
 		tick()
-		l.stopped = false
-		require.NoError(t, l.Run(func() bool {
-			if until() || l.Now() > deadline {
-				l.Stop()
+		loop.stopped = false
+		require.NoError(t, loop.Run(func() bool {
+			if done() || loop.Now() > deadline {
+				loop.Stop()
 			}
 			return false
 		}))
 	}
-	run(func() bool { return len(hoards) == peers && asked.got == len("answer") && all() >= buffers/2 })
-	assert.Equal(t, len("answer"), asked.got, "an answer is read though the buffers are full")
-	assert.Less(t, all(), peers*each)
-	freed := 0
-	run(func() bool {
-		for _, h := range hoards {
+	runUntil(func() bool {
+		return len(hoarders) == peers && outgoing.received == len("answer") && totalReceived() >= bufferLimit/2
+	})
+	assert.Equal(t, len("answer"), outgoing.received, "an answer is read though the buffers are full")
+	assert.Less(t, totalReceived(), peers*inputBytes)
+	consumed := 0
+	runUntil(func() bool {
+		for _, h := range hoarders {
 			assert.NoError(t, h.ended)
-			if h.got > 0 {
-				freed += len(h.nc.Input())
-				h.got = 0
-				h.nc.Consume(len(h.nc.Input()))
+			if h.received > 0 {
+				consumed += len(h.conn.Input())
+				h.received = 0
+				h.conn.Consume(len(h.conn.Input()))
 			}
 		}
-		return freed >= peers*each
+		return consumed >= peers*inputBytes
 	})
-	assert.Equal(t, peers*each, freed, "all is read in the end")
+	assert.Equal(t, peers*inputBytes, consumed, "all is read in the end")
 }
--- a/internal/netloop/netloop_test.go
+++ b/internal/netloop/netloop_test.go
@@ -12,94 +12,94 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo writes back what it reads and keeps how it ended.
-type echo struct {
-	c        *Conn
-	received func(*Conn)
-	ended    error
-	over     bool
+// recorder calls a function for received data and records how the connection ended.
+type recorder struct {
+	conn       *Conn
+	onReceived func(*Conn)
+	ended      error
+	isEnded    bool
 }
 
-func (e *echo) Connected() {}
-func (e *echo) Received()  { e.received(e.c) }
-func (e *echo) Ended(err error) {
-	e.ended, e.over = err, true
+func (r *recorder) Connected() {}
+func (r *recorder) Received()  { r.onReceived(r.conn) }
+func (r *recorder) Ended(err error) {
+	r.ended, r.isEnded = err, true
 }
 
-// serve runs a loop with one listener beside the test; stop ends it and waits.
-func serve(t *testing.T, descriptors, most int, received func(*Conn)) (addr string, l *Loop, conns *[]*echo, stop func()) {
-	l, err := New(descriptors, 0, 64<<20)
+// serve runs a loop with one listener on another goroutine; stop stops it and waits for its end.
+func serve(t *testing.T, descriptors, maxInput int, onReceived func(*Conn)) (addr string, loop *Loop, conns *[]*recorder, stop func()) {
+	loop, err := New(descriptors, 0, 64<<20)
 	require.NoError(t, err)
-	conns = &[]*echo{}
-	ln, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(c *Conn) {
-		e := &echo{c: c, received: received}
-		c.SetHandler(e, most)
-		*conns = append(*conns, e)
+	conns = &[]*recorder{}
+	listener, err := loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(conn *Conn) {
+		r := &recorder{conn: conn, onReceived: onReceived}
+		conn.SetHandler(r, maxInput)
+		*conns = append(*conns, r)
 	})
 	require.NoError(t, err)
 	done := make(chan error, 1)
-	go func() { done <- l.Run(func() bool { return false }) }()
-	l.OnWake(l.Stop)
+	go func() { done <- loop.Run(func() bool { return false }) }()
+	loop.OnWake(loop.Stop)
 	stopped := false
 	stop = func() {
 		if !stopped {
 			stopped = true
-			l.Wake()
+			loop.Wake()
 			assert.NoError(t, <-done)
 		}
 	}
-	t.Cleanup(func() { stop(); l.Close() })
-	return ln.Addr.String(), l, conns, stop
+	t.Cleanup(func() { stop(); loop.Close() })
+	return listener.Addr.String(), loop, conns, stop
 }
 
 func dial(t *testing.T, addr string) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// A peer that reads late gets every byte, in order, though the kernel took only a part
-// of each write at a time; meanwhile another peer is served.
-func TestPartialWritesKeepTheirOrder(t *testing.T) {
-	big := bytes.Repeat([]byte("0123456789abcdef"), 1<<19) // 8 MiB
+// A peer that reads slowly receives every byte in order although the kernel accepts only a part of each
+// write; meanwhile another peer is served.
+func TestPartialWritesKeepOrder(t *testing.T) {
+	payload := bytes.Repeat([]byte("0123456789abcdef"), 1<<19) // 8 MiB
 	addr, _, _, stop := serve(t, 64, 1<<10, func(c *Conn) {
 		n := len(c.Input())
-		c.Write(c.Input()[:1], big, c.Input()[:1])
+		c.Write(c.Input()[:1], payload, c.Input()[:1])
 		c.Consume(n)
 	})
-	slow, quick := dial(t, addr), dial(t, addr)
+	slow, fast := dial(t, addr), dial(t, addr)
 	_, _ = slow.Write([]byte("a"))
-	_, _ = quick.Write([]byte("b"))
-	for _, c := range []net.Conn{quick, slow} {
-		got := make([]byte, len(big)+2)
+	_, _ = fast.Write([]byte("b"))
+	for _, c := range []net.Conn{fast, slow} {
+		got := make([]byte, len(payload)+2)
 		_, err := io.ReadFull(c, got)
 		require.NoError(t, err)
 		assert.Equal(t, got[0], got[len(got)-1])
-		assert.True(t, bytes.Equal(big, got[1:len(got)-1]))
+		assert.True(t, bytes.Equal(payload, got[1:len(got)-1]))
 	}
 	stop()
 }
 
-// Input is bounded: what a handler does not consume stops the reading, not the loop.
-func TestUnreadInputStopsTheReading(t *testing.T) {
+// Input is bounded: if the handler doesn't consume it, reading stops, but not the loop.
+func TestUnconsumedInputStopsReading(t *testing.T) {
 	addr, _, conns, stop := serve(t, 64, 8<<10, func(*Conn) {})
 	c := dial(t, addr)
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
 	_, err := c.Write(make([]byte, 64<<20))
 	assert.Error(t, err, "the kernel's buffers fill up and the writer waits")
 	stop()
-	assert.Len(t, (*conns)[0].c.Input(), 8<<10)
+	assert.Len(t, (*conns)[0].conn.Input(), 8<<10)
 }
 
-// Finish gives the last answer a chance: with unread input a plain close would reset it.
-func TestFinishDeliversTheLastAnswer(t *testing.T) {
-	addr, l, conns, stop := serve(t, 64, 1<<10, func(c *Conn) {
+// Finish delivers the last answer: a plain close with unread input would send a reset.
+func TestFinishDeliversLastAnswer(t *testing.T) {
+	addr, loop, conns, stop := serve(t, 64, 1<<10, func(c *Conn) {
 		c.Write([]byte("bye"))
-		c.Finish(c.loop.Now() + patience)
+		c.Finish(c.loop.Now() + testTimeout)
 	})
 	c := dial(t, addr)
 	_, err := c.Write(make([]byte, 100<<10))
@@ -109,171 +109,171 @@
 	assert.Equal(t, "bye", string(got))
 	c.Close()
 	stop()
-	assert.False(t, (*conns)[0].over, "it asked for the end itself")
-	assert.LessOrEqual(t, l.Lingering(), 1)
+	assert.False(t, (*conns)[0].isEnded, "Ended is not called after Finish")
+	assert.LessOrEqual(t, loop.Lingering(), 1)
 }
 
-// Running out of descriptors leaves connections in the queue and is no failure.
-func TestDescriptorsAreBounded(t *testing.T) {
-	addr, l, conns, stop := serve(t, 5, 1<<10, func(c *Conn) {
+// At the descriptor limit connections stay in the accept queue and are accepted later.
+func TestDescriptorLimit(t *testing.T) {
+	addr, loop, conns, stop := serve(t, 5, 1<<10, func(c *Conn) {
 		c.Write(c.Input())
 		c.Consume(len(c.Input()))
 	})
-	var all []net.Conn
-	for range 4 { // two fit beside the loop's own three
+	var clients []net.Conn
+	for range 4 { // two fit beside the loop's own three descriptors
 		c := dial(t, addr)
 		_, _ = c.Write([]byte("x"))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	answered := func(c net.Conn) {
+	assertEcho := func(c net.Conn) {
 		_, err := io.ReadFull(c, make([]byte, 1))
 		assert.NoError(t, err)
 	}
-	answered(all[0])
-	answered(all[1])
-	all[0].Close()
-	all[1].Close()
-	answered(all[2])
-	answered(all[3])
+	assertEcho(clients[0])
+	assertEcho(clients[1])
+	clients[0].Close()
+	clients[1].Close()
+	assertEcho(clients[2])
+	assertEcho(clients[3])
 	stop()
 	assert.Len(t, *conns, 4)
-	assert.GreaterOrEqual(t, l.SpareDescriptors(), 0)
-	_, err := l.Dial(netip.MustParseAddrPort(addr), &echo{}, 1)
-	assert.True(t, err == nil || l.SpareDescriptors() == 0)
+	assert.GreaterOrEqual(t, loop.SpareDescriptors(), 0)
+	_, err := loop.Dial(netip.MustParseAddrPort(addr), &recorder{}, 1)
+	assert.True(t, err == nil || loop.SpareDescriptors() == 0)
 }
 
-// What came behind the kernel's last word is taken in before a connection is let go, or a
-// request that its client has written would be lost with it.
-func TestPollTakesInWhatNoRoundHasRead(t *testing.T) {
+// Poll reads data that epoll has not reported yet. Otherwise a request that the client has already written
+// would be lost when its connection is closed.
+func TestPollReadsUnreportedData(t *testing.T) {
 	var other *Conn
-	lates, got := make(chan net.Conn, 1), make(chan bool, 1)
+	otherClients, answered := make(chan net.Conn, 1), make(chan bool, 1)
 	addr, _, _, stop := serve(t, 64, 1<<10, func(c *Conn) {
-		word := string(c.Input())
-		c.Consume(len(word))
-		switch word {
+		command := string(c.Input())
+		c.Consume(len(command))
+		switch command {
 		case "other":
 			other = c
 			c.Write([]byte("x"))
 		case "late":
 			c.Write([]byte("y"))
 		case "poll":
-			late := <-lates
-			_, _ = late.Write([]byte("late"))
-			for until := time.Now().Add(patience); other.Pending() == 0 && time.Now().Before(until); {
+			otherClient := <-otherClients
+			_, _ = otherClient.Write([]byte("late"))
+			for deadline := time.Now().Add(testTimeout); other.Pending() == 0 && time.Now().Before(deadline); {
 				other.Poll()
-				_ = late.SetReadDeadline(time.Now().Add(time.Millisecond))
-				if n, _ := late.Read(make([]byte, 1)); n == 1 {
-					got <- true
+				_ = otherClient.SetReadDeadline(time.Now().Add(time.Millisecond))
+				if n, _ := otherClient.Read(make([]byte, 1)); n == 1 {
+					answered <- true
 					return
 				}
 			}
-			got <- false
+			answered <- false
 		}
 	})
-	late := dial(t, addr)
-	_, _ = late.Write([]byte("other"))
-	_, err := io.ReadFull(late, make([]byte, 1))
+	otherClient := dial(t, addr)
+	_, _ = otherClient.Write([]byte("other"))
+	_, err := io.ReadFull(otherClient, make([]byte, 1))
 	require.NoError(t, err)
-	lates <- late
+	otherClients <- otherClient
 	c := dial(t, addr)
 	_, _ = c.Write([]byte("poll"))
-	assert.True(t, <-got)
+	assert.True(t, <-answered)
 	stop()
 }
 
 func TestTimersFireInOrderAndStop(t *testing.T) {
-	l, err := New(16, 0, 1<<20)
+	loop, err := New(16, 0, 1<<20)
 	require.NoError(t, err)
-	defer l.Close()
-	var got []int
-	now := l.Now()
-	for i, after := range []time.Duration{30, 10, 20} {
-		l.At(now+after*time.Millisecond, func() { got = append(got, i) })
+	defer loop.Close()
+	var fired []int
+	now := loop.Now()
+	for i, delay := range []time.Duration{30, 10, 20} {
+		loop.At(now+delay*time.Millisecond, func() { fired = append(fired, i) })
 	}
-	gone := l.At(now+15*time.Millisecond, func() { got = append(got, -1) })
-	gone.Stop()
-	gone.Stop()
-	l.At(now+40*time.Millisecond, l.Stop)
-	require.NoError(t, l.Run(func() bool { return false }))
-	assert.Equal(t, []int{1, 2, 0}, got)
-	var none *Timer
-	none.Stop()
+	stopped := loop.At(now+15*time.Millisecond, func() { fired = append(fired, -1) })
+	stopped.Stop()
+	stopped.Stop()
+	loop.At(now+40*time.Millisecond, loop.Stop)
+	require.NoError(t, loop.Run(func() bool { return false }))
+	assert.Equal(t, []int{1, 2, 0}, fired)
+	var nilTimer *Timer
+	nilTimer.Stop()
 }
 
-// The list known before the start, and the first question to discovery, waited a second for
-// the first timer.
-func TestFirstRoundComesAtOnce(t *testing.T) {
-	l, err := New(16, 0, 1<<20)
+// The list known before the start, and the first request to discovery, used to wait a second for the first
+// timer.
+func TestFirstRoundDoesNotWait(t *testing.T) {
+	loop, err := New(16, 0, 1<<20)
 	require.NoError(t, err)
-	defer l.Close()
-	late := false
-	l.At(l.Now()+time.Second, func() { late = true })
-	require.NoError(t, l.Run(func() bool {
-		l.Stop()
+	defer loop.Close()
+	timerFired := false
+	loop.At(loop.Now()+time.Second, func() { timerFired = true })
+	require.NoError(t, loop.Run(func() bool {
+		loop.Stop()
 		return false
 	}))
-	assert.False(t, late)
+	assert.False(t, timerFired)
 }
 
-func TestPoolBoundsWhatIsHeld(t *testing.T) {
-	p := pool{most: 8 << 10}
-	a, b := p.get(1), p.get(3000)
-	assert.Equal(t, 2<<10, cap(a))
-	assert.Equal(t, 4<<10, cap(b))
-	assert.Nil(t, p.get(4000), "over the bound")
-	a = p.grow(a)
-	assert.Equal(t, 2<<10, cap(a), "no memory to grow: it stays")
-	p.put(b)
-	a = p.add(append(a, "xy"...), make([]byte, 3000))
-	assert.Len(t, a, 3002)
-	assert.Equal(t, 4<<10, p.held)
-	big := p.add(nil, make([]byte, 100<<10)) // over the bound, but its writer needs it
-	p.put(big)
-	p.put(a)
-	assert.Zero(t, p.held)
+func TestBufferPoolLimit(t *testing.T) {
+	pool := bufferPool{limit: 8 << 10}
+	small, medium := pool.get(1), pool.get(3000)
+	assert.Equal(t, 2<<10, cap(small))
+	assert.Equal(t, 4<<10, cap(medium))
+	assert.Nil(t, pool.get(4000), "over the limit")
+	small = pool.grow(small)
+	assert.Equal(t, 2<<10, cap(small), "no memory to grow: it stays")
+	pool.put(medium)
+	small = pool.appendTo(append(small, "xy"...), make([]byte, 3000))
+	assert.Len(t, small, 3002)
+	assert.Equal(t, 4<<10, pool.allocated)
+	large := pool.appendTo(nil, make([]byte, 100<<10)) // over the limit, but its writer needs it
+	pool.put(large)
+	pool.put(small)
+	assert.Zero(t, pool.allocated)
 }
 
-// Datagrams come whole and in bounds; one that is too large is only told, and the share of the time is kept.
-func TestPackets(t *testing.T) {
+// Datagrams arrive whole; one that is too large is only reported, and the time share is enforced.
+func TestUDPSocket(t *testing.T) {
 	loop, err := New(64, 0, 1<<20)
 	require.NoError(t, err)
 	defer loop.Close()
-	var got []string
-	large := 0
-	slow := time.Duration(0)
+	var received []string
+	oversized := 0
+	processingTime := time.Duration(0)
 	spare := loop.SpareDescriptors()
-	a, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(_ netip.AddrPort, b []byte) {
-		got = append(got, string(b))
-		for begun := time.Now(); time.Since(begun) < slow; {
+	receiver, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(_ netip.AddrPort, b []byte) {
+		received = append(received, string(b))
+		for start := time.Now(); time.Since(start) < processingTime; {
 		}
-	}, func(netip.AddrPort) { large++ })
+	}, func(netip.AddrPort) { oversized++ })
 	require.NoError(t, err)
-	b, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(netip.AddrPort, []byte) {}, nil)
+	sender, err := loop.ListenUDP(netip.MustParseAddrPort("127.0.0.1:0"), 0.1, func(netip.AddrPort, []byte) {}, nil)
 	require.NoError(t, err)
 	assert.Equal(t, spare-2, loop.SpareDescriptors())
-	assert.True(t, b.Send(a.Addr, []byte("one")))
-	assert.True(t, b.Send(a.Addr, make([]byte, MaxDatagramBytes+1)))
-	assert.True(t, b.Send(a.Addr, nil))
-	assert.False(t, b.Send(netip.MustParseAddrPort("[::1]:9"), nil), "of another family")
-	late := loop.At(loop.Now()+10*time.Second, loop.Stop)
-	defer late.Stop()
+	assert.True(t, sender.Send(receiver.Addr, []byte("one")))
+	assert.True(t, sender.Send(receiver.Addr, make([]byte, MaxDatagramBytes+1)))
+	assert.True(t, sender.Send(receiver.Addr, nil))
+	assert.False(t, sender.Send(netip.MustParseAddrPort("[::1]:9"), nil), "of another family")
+	deadline := loop.At(loop.Now()+10*time.Second, loop.Stop)
+	defer deadline.Stop()
 	require.NoError(t, loop.Run(func() bool {
-		if len(got) == 2 && large == 1 {
-			slow = 15 * time.Millisecond
-			b.Send(a.Addr, []byte("slow"))
+		if len(received) == 2 && oversized == 1 {
+			processingTime = 15 * time.Millisecond
+			sender.Send(receiver.Addr, []byte("slow"))
 		}
-		if a.PauseCount() > 0 && len(got) == 3 {
-			b.Send(a.Addr, []byte("after"))
+		if receiver.PauseCount() > 0 && len(received) == 3 {
+			sender.Send(receiver.Addr, []byte("after"))
 		}
-		if len(got) >= 4 {
+		if len(received) >= 4 {
 			loop.Stop()
 		}
 		return false
 	}))
-	assert.Equal(t, []string{"one", "", "slow", "after"}, got[:4])
-	a.Close()
-	a.Close()
-	b.Close()
+	assert.Equal(t, []string{"one", "", "slow", "after"}, received[:4])
+	receiver.Close()
+	receiver.Close()
+	sender.Close()
 	assert.Equal(t, spare, loop.SpareDescriptors())
-	assert.False(t, b.Send(a.Addr, nil))
+	assert.False(t, sender.Send(receiver.Addr, nil))
 }
--- a/internal/netloop/watch.go
+++ b/internal/netloop/watch.go
@@ -9,25 +9,25 @@
 	"lilaccove/internal/sys"
 )
 
-// watchRetry is the pause before epoll is asked again for what it had no memory for.
-const watchRetry = 5 * time.Millisecond
+// epollRetryDelay is the pause before an epoll_ctl that failed for lack of memory is repeated.
+const epollRetryDelay = 5 * time.Millisecond
 
-// slot is what a descriptor stands for. The generation tells an event of a closed
-// descriptor from one of the descriptor that has its number now.
+// slot is the owner of a descriptor. The generation distinguishes an event of a closed descriptor from one of
+// the descriptor that has its number now.
 type slot struct {
-	gen      int32
-	conn     *Conn
-	ln       *Listener
-	udp      *UDPSocket
-	interest uint32 // what epoll is to tell of it
-	added    bool   // epoll knows it
-	retrying bool   // epoll is going to be asked again
+	generation int32
+	conn       *Conn
+	ln         *Listener
+	udp        *UDPSocket
+	interest   uint32 // events that epoll is to report
+	registered bool   // registered with epoll
+	retrying   bool   // a retry of epoll_ctl is scheduled
 }
 
-// register has epoll watch a descriptor that is new.
+// register adds a new descriptor to epoll.
 func (l *Loop) register(fd int, interest uint32, s slot) error {
-	l.gen++
-	s.gen = l.gen
+	l.lastGeneration++
+	s.generation = l.lastGeneration
 	for len(l.slots) <= fd {
 		l.slots = append(l.slots, slot{})
 	}
@@ -39,45 +39,45 @@
 	return err
 }
 
-// watch sets what epoll tells of a descriptor. Where the kernel has no memory for that just now it is asked again: a
-// connection that was accepted must not be dropped for it, nor stay deaf.
+// watch sets the events that epoll reports for a descriptor. If the kernel lacks memory it is retried: an
+// accepted connection must be neither dropped for that nor left without events.
 func (l *Loop) watch(fd int, interest uint32) error {
 	s := &l.slots[fd]
 	s.interest = interest
 	op := unix.EPOLL_CTL_ADD
-	if s.added {
+	if s.registered {
 		op = unix.EPOLL_CTL_MOD
 	}
-	event := unix.EpollEvent{Events: interest, Fd: int32(fd), Pad: s.gen}
-	switch err := sys.EpollCtl(l.ep, op, fd, &event); err {
+	event := unix.EpollEvent{Events: interest, Fd: int32(fd), Pad: s.generation}
+	switch err := sys.EpollCtl(l.epollFD, op, fd, &event); err {
 	case nil:
-		s.added = true
+		s.registered = true
 		return nil
 	case unix.ENOMEM, unix.ENOSPC:
-		l.watchLater(fd)
+		l.scheduleWatch(fd)
 		return nil
 	default:
 		return fmt.Errorf("epoll_ctl: %w", err)
 	}
 }
 
-func (l *Loop) watchLater(fd int) {
+func (l *Loop) scheduleWatch(fd int) {
 	s := &l.slots[fd]
 	if s.retrying {
 		return
 	}
 	s.retrying = true
-	gen := s.gen
-	l.At(l.now+watchRetry, func() {
-		if s := &l.slots[fd]; s.gen == gen {
+	generation := s.generation
+	l.At(l.now+epollRetryDelay, func() {
+		if s := &l.slots[fd]; s.generation == generation {
 			s.retrying = false
 			_ = l.watch(fd, s.interest)
 		}
 	})
 }
 
-// unwatch has epoll tell nothing of a descriptor any more, which stays open.
+// unwatch removes a descriptor from epoll and leaves it open.
 func (l *Loop) unwatch(fd int) {
 	l.slots[fd] = slot{}
-	_ = sys.EpollCtl(l.ep, unix.EPOLL_CTL_DEL, fd, nil)
+	_ = sys.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, fd, nil)
 }
