--- a/internal/sys/faults.go
+++ b/internal/sys/faults.go
@@ -14,63 +14,63 @@
 	"golang.org/x/sys/unix"
 )
 
-// PlanVariable names the file with the plan, in JSON.
+// PlanVariable is the environment variable with the path of the plan, a JSON file.
 const PlanVariable = "LILACCOVE_FAULTS"
 
-// Plan is what goes wrong in a process, and when.
+// Plan lists the faults to inject into a process.
 type Plan struct {
 	Seed       uint64  `json:"seed"`
-	WallStepMS int64   `json:"wall_step_ms"` // by which the wall clock of this process differs
+	WallStepMS int64   `json:"wall_step_ms"` // offset of this process's wall clock
 	Faults     []Fault `json:"faults"`
 }
 
-// Fault is one way in which a call goes wrong: it fails with an error, or takes a delay and goes on, or moves few bytes.
+// Fault makes a call fail with an error, delays its return, or limits the bytes it transfers.
 type Fault struct {
-	Call    string  `json:"call"`     // accept, socket, connect, read, write, epoll_add, epoll_mod, epoll_wait, create, open, write_file, sync, rename
-	Error   string  `json:"error"`    // its name, such as EMFILE; empty: it does not fail
-	Short   int     `json:"short"`    // bytes moved at most; 0: all
-	DelayMS int64   `json:"delay_ms"` // behind the call
-	Share   float64 `json:"share"`    // of the calls; 0: all
-	Peer    string  `json:"peer"`     // ADDRESS:PORT of who is at the other end, for connect, read and write; empty: anybody
-	File    string  `json:"file"`     // the last part of the path, for open, write_file, sync and rename (the new one); empty: any
-	FromMS  int64   `json:"from_ms"`  // since the start of the process
-	ForMS   int64   `json:"for_ms"`   // 0: to the end
-	Most    int     `json:"most"`     // times; 0: without bound
-
-	number unix.Errno
-	met    int
+	Call       string  `json:"call"`     // accept, socket, connect, read, write, epoll_add, epoll_mod, epoll_wait, create, open, write_file, sync, rename
+	Error      string  `json:"error"`    // name of an errno, such as EMFILE; empty: the call doesn't fail
+	MaxBytes   int     `json:"short"`    // maximum of bytes transferred; 0: all
+	DelayMS    int64   `json:"delay_ms"` // after the call
+	Fraction   float64 `json:"share"`    // fraction of the calls that are affected; 0: all
+	Peer       string  `json:"peer"`     // ADDRESS:PORT of the peer, for connect, read and write; empty: any
+	File       string  `json:"file"`     // base name of the path, for open, write_file, sync and rename (the new path); empty: any
+	FromMS     int64   `json:"from_ms"`  // since the start of the process
+	DurationMS int64   `json:"for_ms"`   // 0: until the end
+	MaxCount   int     `json:"most"`     // how many calls are affected; 0: no limit
+
+	errno unix.Errno
+	count int
 }
 
 var (
-	begun  = time.Now()
-	plan   = load(os.Getenv(PlanVariable))
-	random = rand.New(rand.NewPCG(plan.Seed, 0x6661756c7473))
-	mutex  sync.Mutex // files are written beside the loop
+	processStart = time.Now()
+	plan         = loadPlan(os.Getenv(PlanVariable))
+	random       = rand.New(rand.NewPCG(plan.Seed, 0x6661756c7473))
+	mutex        sync.Mutex // files are written on other goroutines than the loop's
 )
 
-// load reads the plan; without one nothing goes wrong.
-func load(path string) (p Plan) {
+// loadPlan reads the plan; without a path it returns one without faults.
+func loadPlan(path string) (plan Plan) {
 	if path == "" {
-		return p
+		return plan
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, &p)
+		err = json.Unmarshal(content, &plan)
 	}
-	for i := range p.Faults {
-		if f := &p.Faults[i]; err == nil && f.Error != "" {
-			f.number, err = number(f.Error)
+	for i := range plan.Faults {
+		if fault := &plan.Faults[i]; err == nil && fault.Error != "" {
+			fault.errno, err = errnoByName(fault.Error)
 		}
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %s: %v\n", PlanVariable, path, err)
 		os.Exit(2)
 	}
-	return p
+	return plan
 }
 
-// number finds an error by its name.
-func number(name string) (unix.Errno, error) {
+// errnoByName returns the errno of a name.
+func errnoByName(name string) (unix.Errno, error) {
 	for n := unix.Errno(1); n < 200; n++ {
 		if unix.ErrnoName(n) == name {
 			return n, nil
@@ -79,15 +79,15 @@
 	return 0, fmt.Errorf("unknown error %q", name)
 }
 
-// target is what a call is made on.
-type target struct {
-	peer func() unix.Sockaddr // the other end of a socket, asked for only where it matters; nil: there is none
-	file string               // a path
+// callTarget is the socket or file that a call concerns.
+type callTarget struct {
+	peer func() unix.Sockaddr // returns the peer's address, called only if a fault depends on it; nil: there is no peer
+	file string               // path
 }
 
-// socket is a target with the other end of an open socket.
-func socket(fd int) target {
-	return target{peer: func() unix.Sockaddr {
+// socketTarget returns the target for a connected socket.
+func socketTarget(fd int) callTarget {
+	return callTarget{peer: func() unix.Sockaddr {
 		to, err := unix.Getpeername(fd)
 		if err != nil {
 			return nil
@@ -96,83 +96,83 @@
 	}}
 }
 
-// meets tells whether a fault is for a call on a target.
-func (f *Fault) meets(on target) bool {
-	if f.File != "" && f.File != filepath.Base(on.file) {
+// matches reports whether a fault applies to calls on a target.
+func (f *Fault) matches(target callTarget) bool {
+	if f.File != "" && f.File != filepath.Base(target.file) {
 		return false
 	}
 	if f.Peer == "" {
 		return true
 	}
-	if on.peer == nil {
+	if target.peer == nil {
 		return false
 	}
-	return AddrPort(on.peer()).String() == f.Peer
+	return AddrPort(target.peer()).String() == f.Peer
 }
 
-// drawn is the fault that meets a call on a target now; nil: none does.
-func drawn(call string, on target) *Fault {
+// pickFault returns the fault to inject into a call that is made now, or nil, and counts it.
+func pickFault(call string, target callTarget) *Fault {
 	mutex.Lock()
 	defer mutex.Unlock()
-	now := time.Since(begun).Milliseconds()
+	now := time.Since(processStart).Milliseconds()
 	for i := range plan.Faults {
-		f := &plan.Faults[i]
+		fault := &plan.Faults[i]
 		switch {
-		case f.Call != call, now < f.FromMS, f.ForMS > 0 && now >= f.FromMS+f.ForMS, !f.meets(on):
-		case f.Most > 0 && f.met >= f.Most, f.Share > 0 && random.Float64() >= f.Share:
+		case fault.Call != call, now < fault.FromMS, fault.DurationMS > 0 && now >= fault.FromMS+fault.DurationMS, !fault.matches(target):
+		case fault.MaxCount > 0 && fault.count >= fault.MaxCount, fault.Fraction > 0 && random.Float64() >= fault.Fraction:
 		default:
-			f.met++
-			return f
+			fault.count++
+			return fault
 		}
 	}
 	return nil
 }
 
-// fails is the error that a call ends with in place of being made; nil: it is to be made.
-func (f *Fault) fails() error {
-	if f == nil || f.number == 0 {
+// err returns the error with which the call fails instead of being made; nil: the call is made.
+func (f *Fault) err() error {
+	if f == nil || f.errno == 0 {
 		return nil
 	}
-	return f.number
+	return f.errno
 }
 
-// delays waits where the fault is a delay behind the call.
-func (f *Fault) delays() {
+// delay sleeps for the fault's delay, after the call.
+func (f *Fault) delay() {
 	if f != nil && f.DelayMS > 0 {
 		time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
 	}
 }
 
-// cut is the part of b that a call moves.
-func (f *Fault) cut(b []byte) []byte {
-	if f != nil && f.Short > 0 {
-		return b[:min(len(b), f.Short)]
+// truncate returns the part of b that a call transfers.
+func (f *Fault) truncate(b []byte) []byte {
+	if f != nil && f.MaxBytes > 0 {
+		return b[:min(len(b), f.MaxBytes)]
 	}
 	return b
 }
 
-// Accept takes a connection from a listener's queue.
+// Accept accepts a connection from a listening socket.
 func Accept(fd, flags int) (int, error) {
-	f := drawn("accept", target{})
-	if err := f.fails(); err != nil {
+	fault := pickFault("accept", callTarget{})
+	if err := fault.err(); err != nil {
 		return -1, err
 	}
 	accepted, _, err := unix.Accept4(fd, flags)
-	f.delays()
+	fault.delay()
 	return accepted, err
 }
 
-// Socket opens one.
+// Socket opens a socket.
 func Socket(family, kind, protocol int) (int, error) {
-	if err := drawn("socket", target{}).fails(); err != nil {
+	if err := pickFault("socket", callTarget{}).err(); err != nil {
 		return -1, err
 	}
 	return unix.Socket(family, kind, protocol)
 }
 
-// Connect begins to connect a socket.
+// Connect starts to connect a socket.
 func Connect(fd int, to unix.Sockaddr) error {
-	if err := drawn("connect", target{peer: func() unix.Sockaddr { return to }}).fails(); err != nil {
+	if err := pickFault("connect", callTarget{peer: func() unix.Sockaddr { return to }}).err(); err != nil {
 		return err
 	}
 	return unix.Connect(fd, to)
@@ -180,40 +180,40 @@
 
 // Read reads from a socket.
 func Read(fd int, b []byte) (int, error) {
-	f := drawn("read", socket(fd))
-	if err := f.fails(); err != nil {
+	fault := pickFault("read", socketTarget(fd))
+	if err := fault.err(); err != nil {
 		return -1, err
 	}
-	n, err := unix.Read(fd, f.cut(b))
-	f.delays()
+	n, err := unix.Read(fd, fault.truncate(b))
+	fault.delay()
 	return n, err
 }
 
 // Write writes to a socket.
 func Write(fd int, b []byte) (int, error) {
-	f := drawn("write", socket(fd))
-	if err := f.fails(); err != nil {
+	fault := pickFault("write", socketTarget(fd))
+	if err := fault.err(); err != nil {
 		return -1, err
 	}
-	return unix.Write(fd, f.cut(b))
+	return unix.Write(fd, fault.truncate(b))
 }
 
-// Writev writes the parts to a socket, one behind the other.
+// Writev writes the parts to a socket, in order.
 func Writev(fd int, parts [][]byte) (int, error) {
-	f := drawn("write", socket(fd))
-	if err := f.fails(); err != nil {
+	fault := pickFault("write", socketTarget(fd))
+	if err := fault.err(); err != nil {
 		return -1, err
 	}
-	if f != nil && f.Short > 0 {
-		return unix.Write(fd, f.cut(parts[0]))
+	if fault != nil && fault.MaxBytes > 0 {
+		return unix.Write(fd, fault.truncate(parts[0]))
 	}
 	return unix.Writev(fd, parts)
 }
 
-// EpollCtl changes what epoll watches.
+// EpollCtl changes the events that epoll reports.
 func EpollCtl(epoll, op, fd int, event *unix.EpollEvent) error {
 	call := map[int]string{unix.EPOLL_CTL_ADD: "epoll_add", unix.EPOLL_CTL_MOD: "epoll_mod"}[op]
-	if err := drawn(call, target{}).fails(); err != nil {
+	if err := pickFault(call, callTarget{}).err(); err != nil {
 		return err
 	}
 	return unix.EpollCtl(epoll, op, fd, event)
@@ -221,23 +221,23 @@
 
 // EpollWait waits for events.
 func EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
-	f := drawn("epoll_wait", target{})
-	if err := f.fails(); err != nil {
+	fault := pickFault("epoll_wait", callTarget{})
+	if err := fault.err(); err != nil {
 		return -1, err
 	}
 	n, err := unix.EpollWait(epoll, events, milliseconds)
-	f.delays()
+	fault.delay()
 	return n, err
 }
 
-// WallClock is the time of the system's clock, which may be stepped, since the Unix epoch.
+// WallClock returns the system clock's time since the Unix epoch. The clock may be stepped.
 func WallClock() time.Duration {
 	return time.Duration(time.Now().UnixNano()) + time.Duration(plan.WallStepMS)*time.Millisecond
 }
 
-// CreateTemp makes a new file with a name of its own.
+// CreateTemp creates a file with a unique name.
 func CreateTemp(dir, pattern string) (*os.File, error) {
-	if err := drawn("create", target{file: dir}).fails(); err != nil {
+	if err := pickFault("create", callTarget{file: dir}).err(); err != nil {
 		return nil, &os.PathError{Op: "open", Path: dir, Err: err}
 	}
 	return os.CreateTemp(dir, pattern)
@@ -245,15 +245,15 @@
 
 // ReadFile reads a whole file.
 func ReadFile(path string) ([]byte, error) {
-	if err := drawn("open", target{file: path}).fails(); err != nil {
+	if err := pickFault("open", callTarget{file: path}).err(); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
 	}
 	return os.ReadFile(path)
 }
 
-// OpenFile opens a file, or makes it.
+// OpenFile opens a file; the flags may ask to create it.
 func OpenFile(path string, flags int, mode os.FileMode) (*os.File, error) {
-	if err := drawn("open", target{file: path}).fails(); err != nil {
+	if err := pickFault("open", callTarget{file: path}).err(); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
 	}
 	return os.OpenFile(path, flags, mode)
@@ -261,25 +261,25 @@
 
 // WriteFile writes to an open file.
 func WriteFile(f *os.File, b []byte) (int, error) {
-	fault := drawn("write_file", target{file: f.Name()})
-	if err := fault.fails(); err != nil {
-		n, _ := f.Write(b[:len(b)/2]) // a disk that is full takes what there was room for
+	fault := pickFault("write_file", callTarget{file: f.Name()})
+	if err := fault.err(); err != nil {
+		n, _ := f.Write(b[:len(b)/2]) // a full disk takes a part of the data
 		return n, &os.PathError{Op: "write", Path: f.Name(), Err: err}
 	}
 	return f.Write(b)
 }
 
-// Sync has a file's content reach the disk.
+// Sync flushes a file's content to the disk.
 func Sync(f *os.File) error {
-	if err := drawn("sync", target{file: f.Name()}).fails(); err != nil {
+	if err := pickFault("sync", callTarget{file: f.Name()}).err(); err != nil {
 		return &os.PathError{Op: "sync", Path: f.Name(), Err: err}
 	}
 	return f.Sync()
 }
 
-// Rename puts a file in another's place.
+// Rename renames a file and replaces the one that has the new name.
 func Rename(from, to string) error {
-	if err := drawn("rename", target{file: to}).fails(); err != nil {
+	if err := pickFault("rename", callTarget{file: to}).err(); err != nil {
 		return &os.LinkError{Op: "rename", Old: from, New: to, Err: err}
 	}
 	return os.Rename(from, to)
--- a/internal/sys/sys.go
+++ b/internal/sys/sys.go
@@ -1,6 +1,6 @@
-// Package sys is the system calls of the event loop and of the files that processes of a gateway read and share. A usual build
-// calls the system directly. A build with the tag faults has the calls fail by a plan instead (faults.go), so that real
-// processes meet errors which the system gives rarely.
+// Package sys wraps the system calls of the event loop and of the files that a gateway's processes read and
+// share. A usual build calls the system directly. A build with the tag faults injects failures according to a
+// plan (faults.go), so that real processes can be tested against errors that are rare otherwise.
 package sys
 
 import (
@@ -12,21 +12,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// passing are errors that say what a machine lacks just now.
-var passing = []unix.Errno{
+// transientErrors indicate a shortage of resources on this machine.
+var transientErrors = []unix.Errno{
 	unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EDQUOT, unix.EIO, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.EINTR,
 }
 
-// IsTransient tells whether an error says what this machine lacks for a moment, a descriptor, memory, a port or room on a disk, and
-// nothing of the file or the peer that was meant.
+// IsTransient reports whether an error means a temporary shortage on this machine (of descriptors, memory,
+// ports or disk space), and nothing about the file or peer concerned.
 func IsTransient(err error) bool {
-	var number unix.Errno
-	return errors.As(err, &number) && slices.Contains(passing, number)
+	var errno unix.Errno
+	return errors.As(err, &errno) && slices.Contains(transientErrors, errno)
 }
 
-// AddrPort is a socket's address; the zero value where it is of no family of IP.
-func AddrPort(to unix.Sockaddr) netip.AddrPort {
-	switch to := to.(type) {
+// AddrPort converts a socket address; it returns the zero value if the address is not of an IP family.
+func AddrPort(address unix.Sockaddr) netip.AddrPort {
+	switch to := address.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(to.Addr), uint16(to.Port))
 	case *unix.SockaddrInet6:
@@ -36,16 +36,16 @@
 }
 
 const (
-	startTime  = 2 * time.Second       // for which a process that starts waits for what the machine lacks
-	startPause = 20 * time.Millisecond // between two tries
+	startRetryTime  = 2 * time.Second       // how long a starting process retries during a shortage
+	startRetryDelay = 20 * time.Millisecond // between two attempts
 )
 
-// RetryAtStart calls do again and again while it fails for what this machine lacks for a moment, for two seconds at most: a process
-// that starts should not end for that. It blocks.
+// RetryAtStart calls do until it succeeds or fails for another reason than a transient shortage, for two
+// seconds at most, so that a process doesn't exit at its start for a shortage. It blocks.
 func RetryAtStart(do func() error) error {
-	for late := time.Now().Add(startTime); ; time.Sleep(startPause) {
+	for deadline := time.Now().Add(startRetryTime); ; time.Sleep(startRetryDelay) {
 		err := do()
-		if !IsTransient(err) || time.Now().After(late) {
+		if !IsTransient(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
