--- a/internal/stats/named.go
+++ b/internal/stats/named.go
@@ -2,29 +2,29 @@
 
 import "strconv"
 
-// NamedCounters counts what happened under a few names, such as reasons.
+// NamedCounters counts events by name, by reason for example.
 type NamedCounters struct {
 	prefix string
 	names  []string
 	counts []uint64
 }
 
-// NewNamedCounters makes counters at zero; a figure's name is the prefix, a dot, and one of the names.
+// NewNamedCounters returns counters at zero; a metric's name is the prefix, a dot, and one of the names.
 func NewNamedCounters(prefix string, names []string) *NamedCounters {
 	return &NamedCounters{prefix: prefix, names: names, counts: make([]uint64, len(names))}
 }
 
-// Add counts one; a number that has no name is not counted.
+// Add increments the counter of the name with index i; an index without a name is ignored.
 func (n *NamedCounters) Add(i int) {
 	if i >= 0 && i < len(n.counts) {
 		n.counts[i]++
 	}
 }
 
-// Count is what was counted under one of the names.
+// Count returns the counter of the name with index i.
 func (n *NamedCounters) Count(i int) uint64 { return n.counts[i] }
 
-// Append adds all figures, a line each.
+// Append appends all metrics, one per line.
 func (n *NamedCounters) Append(b []byte) []byte {
 	for i, name := range n.names {
 		b = append(append(append(append(b, "edge_gw."...), n.prefix...), '.'), name...)
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats counts what the operators read: by class, from the start of the process.
-// Nothing here is locked; the loop's goroutine counts and reads.
+// Package stats keeps the counters and gauges that operators read, since the start of the process. There are
+// no locks: the loop's goroutine counts and reads.
 package stats
 
 import (
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// ClassCounters counts one class of requests.
+// ClassCounters counts the requests of one class.
 type ClassCounters struct {
-	Served    uint64 // served
-	Refused   uint64 // refused
-	Failed    uint64 // failed
-	Abandoned uint64 // their clients left first
-	Attempts  uint64 // attempts written whole to databases
+	Served    uint64
+	Refused   uint64
+	Failed    uint64
+	Abandoned uint64 // the client closed its connection first
+	Attempts  uint64 // written completely to a database
 }
 
-// Counters are those of all classes, by number.
+// Counters holds the counters of all classes, by index.
 type Counters struct {
 	names   []string
 	classes []ClassCounters
-	strays  ClassCounters // of a class that nobody named; never shown
+	unknown ClassCounters // requests of an unknown class; not exported as a metric
 }
 
-// New makes counters at zero for the classes.
+// New returns counters at zero for the classes.
 func New(names []string) *Counters {
 	return &Counters{names: names, classes: make([]ClassCounters, len(names))}
 }
 
-// Class is where a class is counted.
+// Class returns the counters of a class.
 func (c *Counters) Class(class int) *ClassCounters {
 	if class < 0 || class >= len(c.classes) {
-		return &c.strays
+		return &c.unknown
 	}
 	return &c.classes[class]
 }
 
-// Gauges are what holds at the moment.
+// Gauges are the current values of the gateway's gauges.
 type Gauges struct {
 	InProgress, KnownDatabases, SkippedDatabases int
-	StallTime                                    time.Duration // for which this process stood still or came late, since its start
+	StallTime                                    time.Duration // for which this process was stalled, since its start
 }
 
-// Append adds all figures, a line each.
-func (c *Counters) Append(b []byte, g Gauges) []byte {
-	line := func(name, class string, value uint64) {
+// Append appends all metrics, one per line.
+func (c *Counters) Append(b []byte, gauges Gauges) []byte {
+	appendLine := func(name, class string, value uint64) {
 		b = append(append(b, "edge_gw."...), name...)
 		if class != "" {
 			b = append(append(b, '.'), class...)
@@ -54,20 +54,20 @@
 		b = append(strconv.AppendUint(append(b, '='), value, 10), '\n')
 	}
 	for i, name := range c.names {
-		k := &c.classes[i]
-		line("passed", name, k.Served)
-		line("dropped", name, k.Refused)
-		line("bad_gateway", name, k.Failed)
-		line("upstream_tries", name, k.Attempts)
+		counters := &c.classes[i]
+		appendLine("passed", name, counters.Served)
+		appendLine("dropped", name, counters.Refused)
+		appendLine("bad_gateway", name, counters.Failed)
+		appendLine("upstream_tries", name, counters.Attempts)
 	}
-	line("in_progress", "", uint64(max(0, g.InProgress)))
-	line("known_databases", "", uint64(max(0, g.KnownDatabases)))
-	line("skipped_databases", "", uint64(max(0, g.SkippedDatabases)))
-	line("lost_ms", "", uint64(g.StallTime.Milliseconds()))
+	appendLine("in_progress", "", uint64(max(0, gauges.InProgress)))
+	appendLine("known_databases", "", uint64(max(0, gauges.KnownDatabases)))
+	appendLine("skipped_databases", "", uint64(max(0, gauges.SkippedDatabases)))
+	appendLine("lost_ms", "", uint64(gauges.StallTime.Milliseconds()))
 	return b
 }
 
-// Traffic counts what one role sends and takes in: bytes as they go over the socket, and whole messages.
+// Traffic counts what one role sends and receives: bytes on the socket, and whole messages.
 type Traffic struct {
 	OutBytes    uint64 `json:"out_bytes"`
 	OutMessages uint64 `json:"out_messages"`
@@ -81,53 +81,53 @@
 	t.OutMessages++
 }
 
-// CountIn counts a message that has come.
+// CountIn counts a message that was received.
 func (t *Traffic) CountIn(bytes int) {
 	t.InBytes += uint64(bytes)
 	t.InMessages++
 }
 
-// Plus is the sum of both.
-func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.OutBytes + o.OutBytes, t.OutMessages + o.OutMessages, t.InBytes + o.InBytes, t.InMessages + o.InMessages}
+// Plus returns the sum of both.
+func (t Traffic) Plus(other Traffic) Traffic {
+	return Traffic{t.OutBytes + other.OutBytes, t.OutMessages + other.OutMessages, t.InBytes + other.InBytes, t.InMessages + other.InMessages}
 }
 
-// Append adds the figures of a role of the fleet, a line each.
+// Append appends the metrics of a role of the fleet, one per line.
 func (t Traffic) Append(b []byte, role string) []byte {
-	for _, x := range []struct {
+	for _, metric := range []struct {
 		name string
 		n    uint64
 	}{{"out_bytes", t.OutBytes}, {"out_messages", t.OutMessages}, {"in_bytes", t.InBytes}, {"in_messages", t.InMessages}} {
-		b = append(append(append(append(append(b, "edge_gw.fleet_"...), role...), '_'), x.name...), '=')
-		b = append(strconv.AppendUint(b, x.n, 10), '\n')
+		b = append(append(append(append(append(b, "edge_gw.fleet_"...), role...), '_'), metric.name...), '=')
+		b = append(strconv.AppendUint(b, metric.n, 10), '\n')
 	}
 	return b
 }
 
-// Parse reads the figures that Append and others have written: by name, without what all names begin with.
+// Parse reads metrics as the Append methods write them. The returned names lack the common prefix.
 func Parse(text []byte) map[string]uint64 {
-	all := map[string]uint64{}
+	metrics := map[string]uint64{}
 	for line := range bytes.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(string(line)), "=")
-		name, ours := strings.CutPrefix(name, "edge_gw.")
-		if n, err := strconv.ParseUint(value, 10, 64); err == nil && ours {
-			all[name] = n
+		name, found := strings.CutPrefix(name, "edge_gw.")
+		if n, err := strconv.ParseUint(value, 10, 64); err == nil && found {
+			metrics[name] = n
 		}
 	}
-	return all
+	return metrics
 }
 
-// TrafficByRole are the roles of the fleet among such figures.
-func TrafficByRole(figures map[string]uint64) map[string]Traffic {
-	all := map[string]Traffic{}
-	for name := range figures {
-		role, ok := strings.CutSuffix(name, "_out_bytes")
-		role, fleet := strings.CutPrefix(role, "fleet_")
-		if !ok || !fleet {
+// TrafficByRole returns the traffic of each role of the fleet that the metrics contain.
+func TrafficByRole(metrics map[string]uint64) map[string]Traffic {
+	roles := map[string]Traffic{}
+	for name := range metrics {
+		role, hasSuffix := strings.CutSuffix(name, "_out_bytes")
+		role, hasPrefix := strings.CutPrefix(role, "fleet_")
+		if !hasSuffix || !hasPrefix {
 			continue
 		}
-		of := func(what string) uint64 { return figures["fleet_"+role+"_"+what] }
-		all[role] = Traffic{of("out_bytes"), of("out_messages"), of("in_bytes"), of("in_messages")}
+		metric := func(suffix string) uint64 { return metrics["fleet_"+role+"_"+suffix] }
+		roles[role] = Traffic{metric("out_bytes"), metric("out_messages"), metric("in_bytes"), metric("in_messages")}
 	}
-	return all
+	return roles
 }
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,5 +1,5 @@
-// Package yamlfile reads files of settings in YAML with the place of everything that is wrong in them. It has no
-// input or output besides the bytes of a file.
+// Package yamlfile reads settings from YAML and reports all errors with their positions. It does no I/O:
+// callers pass the content of the file.
 package yamlfile
 
 import (
@@ -14,19 +14,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Parse parses a file; what tells what kind it is.
-func Parse(file string, text []byte, what string) (*Reader, *yaml.Node, error) {
+// Parse parses a file. The description names the kind of file in errors.
+func Parse(fileName string, text []byte, description string) (*Reader, *yaml.Node, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		return nil, nil, Errors{file + ": " + strings.TrimPrefix(err.Error(), "yaml: ")}
+		return nil, nil, Errors{fileName + ": " + strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if len(doc.Content) == 0 {
-		return nil, nil, Errors{file + ": the " + what + " is empty"}
+		return nil, nil, Errors{fileName + ": the " + description + " is empty"}
 	}
-	return &Reader{File: file}, doc.Content[0], nil
+	return &Reader{File: fileName}, doc.Content[0], nil
 }
 
-// Err is all that is wrong, or nil.
+// Err returns all errors found so far, or nil.
 func (r *Reader) Err() error {
 	if len(r.Errors) == 0 {
 		return nil
@@ -34,156 +34,156 @@
 	return r.Errors
 }
 
-// Errors are all that is wrong with a plan, in the order of the file.
+// Errors lists all errors of a file, in the order of the file.
 type Errors []string
 
-func (f Errors) Error() string { return strings.Join(f, "\n") }
+func (e Errors) Error() string { return strings.Join(e, "\n") }
 
-// Reader walks a YAML tree and keeps what is wrong with its place.
+// Reader decodes values of a YAML tree and collects errors with their positions.
 type Reader struct {
 	File   string
 	Errors Errors
 }
 
-// AddError keeps what is wrong with a node.
-func (r *Reader) AddError(n *yaml.Node, key, format string, args ...any) {
-	at := r.File
-	if n != nil {
-		at = fmt.Sprintf("%s:%d:%d", r.File, n.Line, n.Column)
+// AddError records an error at the position of a node, which may be nil.
+func (r *Reader) AddError(node *yaml.Node, key, format string, args ...any) {
+	position := r.File
+	if node != nil {
+		position = fmt.Sprintf("%s:%d:%d", r.File, node.Line, node.Column)
 	}
 	if key != "" {
 		key += ": "
 	}
-	r.Errors = append(r.Errors, at+": "+key+fmt.Sprintf(format, args...))
+	r.Errors = append(r.Errors, position+": "+key+fmt.Sprintf(format, args...))
 }
 
-// Fields reads a mapping, each key once and only those known.
-func (r *Reader) Fields(n *yaml.Node, where string, known ...string) map[string]*yaml.Node {
-	got := map[string]*yaml.Node{}
-	if n == nil {
-		return got
+// Fields reads a mapping and rejects duplicate keys and, if known names are given, all others.
+func (r *Reader) Fields(node *yaml.Node, key string, known ...string) map[string]*yaml.Node {
+	fields := map[string]*yaml.Node{}
+	if node == nil {
+		return fields
 	}
-	if n.Kind != yaml.MappingNode {
-		r.AddError(n, where, "a mapping of names to values is wanted")
-		return got
+	if node.Kind != yaml.MappingNode {
+		r.AddError(node, key, "a mapping of names to values is wanted")
+		return fields
 	}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		k, v := n.Content[i], n.Content[i+1]
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		name, value := node.Content[i], node.Content[i+1]
 		switch {
-		case v.Kind == yaml.AliasNode || k.Kind == yaml.AliasNode || k.Tag == "!!merge":
-			r.AddError(k, k.Value, "aliases are not read")
-		case len(known) > 0 && !slices.Contains(known, k.Value):
-			r.AddError(k, k.Value, "unknown; one of %s is meant, perhaps", strings.Join(known, ", "))
-		case got[k.Value] != nil:
-			r.AddError(k, k.Value, "stands twice")
+		case value.Kind == yaml.AliasNode || name.Kind == yaml.AliasNode || name.Tag == "!!merge":
+			r.AddError(name, name.Value, "aliases are not read")
+		case len(known) > 0 && !slices.Contains(known, name.Value):
+			r.AddError(name, name.Value, "unknown; one of %s is meant, perhaps", strings.Join(known, ", "))
+		case fields[name.Value] != nil:
+			r.AddError(name, name.Value, "stands twice")
 		default:
-			got[k.Value] = v
+			fields[name.Value] = value
 		}
 	}
-	return got
+	return fields
 }
 
-// Text reads a single value; false: there is none.
-func (r *Reader) Text(n *yaml.Node, key string) (string, bool) {
-	if n == nil {
+// Text reads a scalar; false: there is none.
+func (r *Reader) Text(node *yaml.Node, key string) (string, bool) {
+	if node == nil {
 		return "", false
 	}
-	if n.Kind != yaml.ScalarNode {
-		r.AddError(n, key, "a single value is wanted")
+	if node.Kind != yaml.ScalarNode {
+		r.AddError(node, key, "a single value is wanted")
 		return "", false
 	}
-	return strings.TrimSpace(n.Value), true
+	return strings.TrimSpace(node.Value), true
 }
 
-// Number splits a figure from its unit.
-func (r *Reader) Number(n *yaml.Node, key, example string, units map[string]float64) (float64, bool) {
-	s, ok := r.Text(n, key)
+// Number reads a number with one of the units and returns it multiplied by the unit's factor.
+func (r *Reader) Number(node *yaml.Node, key, example string, units map[string]float64) (float64, bool) {
+	text, ok := r.Text(node, key)
 	if !ok {
 		return 0, false
 	}
-	end := strings.IndexFunc(s, func(c rune) bool { return !(c >= '0' && c <= '9' || c == '.') })
+	end := strings.IndexFunc(text, func(c rune) bool { return !(c >= '0' && c <= '9' || c == '.') })
 	if end < 0 {
-		end = len(s)
+		end = len(text)
 	}
-	x, err := strconv.ParseFloat(s[:end], 64)
-	unit := strings.TrimSpace(s[end:])
+	number, err := strconv.ParseFloat(text[:end], 64)
+	unit := strings.TrimSpace(text[end:])
 	factor, known := units[unit]
 	switch {
-	case strings.HasPrefix(s, "-"):
-		r.AddError(n, key, "%q is below zero", s)
-	case err != nil || math.IsInf(x, 0) || math.IsNaN(x):
-		r.AddError(n, key, "%q is no figure; write it like %s", s, example)
+	case strings.HasPrefix(text, "-"):
+		r.AddError(node, key, "%q is below zero", text)
+	case err != nil || math.IsInf(number, 0) || math.IsNaN(number):
+		r.AddError(node, key, "%q is no figure; write it like %s", text, example)
 	case !known && unit == "":
-		r.AddError(n, key, "%q has no unit; write it like %s", s, example)
+		r.AddError(node, key, "%q has no unit; write it like %s", text, example)
 	case !known:
-		r.AddError(n, key, "%q: unknown unit %q; write it like %s", s, unit, example)
+		r.AddError(node, key, "%q: unknown unit %q; write it like %s", text, unit, example)
 	default:
-		return x * factor, true
+		return number * factor, true
 	}
 	return 0, false
 }
 
-// Duration reads a time with its unit, a day at most.
-func (r *Reader) Duration(n *yaml.Node, key string) time.Duration {
-	x, _ := r.Number(n, key, "500 ms", map[string]float64{"us": 1e-6, "ms": 1e-3, "s": 1, "min": 60})
-	if x > 24*3600 {
-		r.AddError(n, key, "longer than a day")
+// Duration reads a duration with its unit, of a day at most.
+func (r *Reader) Duration(node *yaml.Node, key string) time.Duration {
+	seconds, _ := r.Number(node, key, "500 ms", map[string]float64{"us": 1e-6, "ms": 1e-3, "s": 1, "min": 60})
+	if seconds > 24*3600 {
+		r.AddError(node, key, "longer than a day")
 		return 0
 	}
-	return time.Duration(math.Round(x * float64(time.Second)))
+	return time.Duration(math.Round(seconds * float64(time.Second)))
 }
 
-// Percentage reads a figure in percent, as a part of 1.
-func (r *Reader) Percentage(n *yaml.Node, key string) float64 {
-	x, ok := r.Number(n, key, "62%", map[string]float64{"%": 0.01})
-	if ok && x > 1+1e-9 {
-		r.AddError(n, key, "over 100%%")
+// Percentage reads a percentage and returns it as a fraction of 1.
+func (r *Reader) Percentage(node *yaml.Node, key string) float64 {
+	fraction, ok := r.Number(node, key, "62%", map[string]float64{"%": 0.01})
+	if ok && fraction > 1+1e-9 {
+		r.AddError(node, key, "over 100%%")
 	}
-	return x
+	return fraction
 }
 
-// Rate reads a figure a second or a minute; it returns it a second.
-func (r *Reader) Rate(n *yaml.Node, key string) float64 {
-	x, ok := r.Number(n, key, "390/s", map[string]float64{"/s": 1, "/min": 1.0 / 60})
-	if ok && x > 1e6 {
-		r.AddError(n, key, "over a million a second")
+// Rate reads a rate per second or per minute and returns it per second.
+func (r *Reader) Rate(node *yaml.Node, key string) float64 {
+	perSecond, ok := r.Number(node, key, "390/s", map[string]float64{"/s": 1, "/min": 1.0 / 60})
+	if ok && perSecond > 1e6 {
+		r.AddError(node, key, "over a million a second")
 	}
-	return x
+	return perSecond
 }
 
-// Float reads a figure without a unit.
-func (r *Reader) Float(n *yaml.Node, key string) float64 {
-	x, _ := r.Number(n, key, "2", map[string]float64{"": 1})
-	return x
+// Float reads a number without a unit.
+func (r *Reader) Float(node *yaml.Node, key string) float64 {
+	number, _ := r.Number(node, key, "2", map[string]float64{"": 1})
+	return number
 }
 
 // Count reads a whole number.
-func (r *Reader) Count(n *yaml.Node, key string, least, most int) int {
-	x, ok := r.Number(n, key, "100", map[string]float64{"": 1})
-	if ok && (x != math.Trunc(x) || x < float64(least) || x > float64(most)) {
-		r.AddError(n, key, "a whole number from %d to %d is wanted", least, most)
+func (r *Reader) Count(node *yaml.Node, key string, minimum, maximum int) int {
+	number, ok := r.Number(node, key, "100", map[string]float64{"": 1})
+	if ok && (number != math.Trunc(number) || number < float64(minimum) || number > float64(maximum)) {
+		r.AddError(node, key, "a whole number from %d to %d is wanted", minimum, maximum)
 	}
-	return int(x)
+	return int(number)
 }
 
-// Bool reads true or false; false where there is none.
-func (r *Reader) Bool(n *yaml.Node, key string) bool {
-	s, ok := r.Text(n, key)
-	if ok && s != "true" && s != "false" {
-		r.AddError(n, key, "%q is neither true nor false", s)
+// Bool reads true or false; a missing value is false.
+func (r *Reader) Bool(node *yaml.Node, key string) bool {
+	text, ok := r.Text(node, key)
+	if ok && text != "true" && text != "false" {
+		r.AddError(node, key, "%q is neither true nor false", text)
 	}
-	return s == "true"
+	return text == "true"
 }
 
-// Addr reads an address with its port.
-func (r *Reader) Addr(n *yaml.Node, key string) (a netip.AddrPort) {
-	s, ok := r.Text(n, key)
+// Addr reads an IP address with its port.
+func (r *Reader) Addr(node *yaml.Node, key string) (addr netip.AddrPort) {
+	text, ok := r.Text(node, key)
 	if !ok {
-		return a
+		return addr
 	}
-	a, err := netip.ParseAddrPort(s)
+	addr, err := netip.ParseAddrPort(text)
 	if err != nil {
-		r.AddError(n, key, "%q is no address; write it like 127.0.0.1:7400", s)
+		r.AddError(node, key, "%q is no address; write it like 127.0.0.1:7400", text)
 	}
-	return a
+	return addr
 }
