--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -15,7 +15,7 @@
 	"lilaccove/policy"
 )
 
-// Config is the object at GW_CONFIG.
+// Config is the gateway's configuration: the JSON object in the file that GW_CONFIG names.
 type Config struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -27,44 +27,45 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// Limits are what the machine gives the process.
+// Limits are the resources that the machine gives the process.
 type Limits struct {
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64 `json:"sockets"`
 }
 
-// A reload waits for what the system lacks for the moment in which the configuration is read.
+// A reload that fails for a transient lack of system resources is retried at this interval, for this time.
 const (
-	readPause = 50 * time.Millisecond
-	readMost  = 2 * time.Second
+	reloadRetryInterval = 50 * time.Millisecond
+	reloadRetryTime     = 2 * time.Second
 )
 
-// Load reads the configuration at the start; the plain variables go before what it says.
+// Load reads the configuration at startup. The environment variables GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_MANAGEMENT
+// override its fields.
 func Load(env func(string) string) (Config, error) {
 	var cfg Config
-	if err := sys.RetryAtStart(func() error { return read(env, &cfg) }); err != nil {
+	if err := sys.RetryAtStart(func() error { return readConfigFile(env, &cfg) }); err != nil {
 		return cfg, err
 	}
-	for name, to := range map[string]*string{
+	for name, target := range map[string]*string{
 		"GW_NAME": &cfg.Name, "GW_LISTEN": &cfg.Listen, "GW_DISCOVERY": &cfg.Discovery,
 		"GW_MANAGEMENT": &cfg.Management,
 	} {
-		if v := env(name); v != "" {
-			*to = v
+		if value := env(name); value != "" {
+			*target = value
 		}
 	}
 	return cfg, nil
 }
 
-// read fills to from the file at GW_CONFIG.
-func read(env func(string) string, to any) error {
+// readConfigFile decodes the file that GW_CONFIG names into target.
+func readConfigFile(env func(string) string, target any) error {
 	path := env("GW_CONFIG")
 	if path == "" {
 		return fmt.Errorf("GW_CONFIG is not set")
 	}
-	text, err := sys.ReadFile(path)
+	content, err := sys.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, to)
+		err = json.Unmarshal(content, target)
 	}
 	if err != nil {
 		return fmt.Errorf("GW_CONFIG: %w", err)
@@ -72,53 +73,55 @@
 	return nil
 }
 
-// LoadFleet reads the fleet file, if one is named.
-func LoadFleet(path string, env func(string) string, set settings.Settings) (*fleet.File, error) {
+// LoadFleet reads the fleet file at path, or else at GW_FLEET. Without either it returns nil.
+func LoadFleet(path string, env func(string) string, cfg settings.Settings) (*fleet.File, error) {
 	if path = cmp.Or(path, env("GW_FLEET")); path == "" {
 		return nil, nil
 	}
-	if !set.Peers {
-		return nil, fmt.Errorf("fleet file %s: the settings forbid that gateways talk to each other (Allowed.Peers is not true); start without the file", path)
+	if !cfg.Peers {
+		return nil, fmt.Errorf("fleet file %s: the settings do not allow gateways to contact each other (Allowed.Peers is not true); start without the file", path)
 	}
-	var text []byte
+	var content []byte
 	err := sys.RetryAtStart(func() (err error) {
-		text, err = sys.ReadFile(path)
+		content, err = sys.ReadFile(path)
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("fleet file: %w", err)
 	}
-	return fleet.Parse(path, text)
+	return fleet.Parse(path, content)
 }
 
-// zone is the name of the gateway's.
-func zone(set settings.Settings) string {
-	if i := set.Policy.Zone; i >= 0 && i < len(set.Zones) {
-		return set.Zones[i]
+// zoneName returns the name of the gateway's zone.
+func zoneName(cfg settings.Settings) string {
+	if i := cfg.Policy.Zone; i >= 0 && i < len(cfg.Zones) {
+		return cfg.Zones[i]
 	}
 	return ""
 }
 
-// digest is a short one of a text.
-func digest(text []byte) string { return fmt.Sprintf("%x", sha256.Sum256(text))[:16] }
+// shortDigest returns the first 16 hexadecimal digits of the text's SHA-256.
+func shortDigest(text []byte) string { return fmt.Sprintf("%x", sha256.Sum256(text))[:16] }
 
-// sameSettings is a digest of the settings without what is each gateway's own, so that equal ones are equal.
-func sameSettings(text json.RawMessage) string {
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
+// sharedSettingsDigest returns a digest of the settings without those that differ by design between the gateways of a
+// fleet, so that gateways with the same settings have the same digest.
+func sharedSettingsDigest(text json.RawMessage) string {
+	var values map[string]any
+	if err := json.Unmarshal(text, &values); err != nil {
 		return ""
 	}
-	delete(all, "SlotNo")
-	delete(all, "Zone")
-	same, err := json.Marshal(all) // keys are sorted
+	delete(values, "SlotNo")
+	delete(values, "Zone")
+	encoded, err := json.Marshal(values) // keys are sorted
 	if err != nil {
 		return ""
 	}
-	return digest(same)
+	return shortDigest(encoded)
 }
 
-// build names the program: the revision that it was built from, where the build told it.
-func build() string {
+// buildRevision returns the revision that the program was built from, or the module's version if the build did not record
+// one.
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
@@ -131,26 +134,26 @@
 	return info.Main.Version
 }
 
-// adapt fits the settings to real sockets.
-func adapt(set settings.Settings) policy.Settings {
-	p := set.Policy
-	p.IndependentClock = true
-	if p.ListSource == policy.ListPushed {
-		p.ListSource = policy.ListFromService // the settings do not say: here no list comes unasked
-	}
-	p.Classes = append([]policy.Class(nil), p.Classes...)
-	for i, c := range p.Classes {
-		if c.Level == policy.Recent && c.Bound > 2*set.DialTimeout {
-			// The bound counts from the send's last byte, which may have to wait for
-			// a connection as long as one may take to come up.
-			p.Classes[i].Bound -= set.DialTimeout
+// adaptSettings adjusts the settings of the decision module for use with real sockets.
+func adaptSettings(cfg settings.Settings) policy.Settings {
+	adapted := cfg.Policy
+	adapted.IndependentClock = true
+	if adapted.ListSource == policy.ListPushed {
+		adapted.ListSource = policy.ListFromService // without a service that pushes, the list must be requested
+	}
+	adapted.Classes = append([]policy.Class(nil), adapted.Classes...)
+	for i, c := range adapted.Classes {
+		if c.Level == policy.Recent && c.Bound > 2*cfg.DialTimeout {
+			// The bound counts from the request's last byte, which may have to wait until a connection is
+			// established, for up to the dial timeout.
+			adapted.Classes[i].Bound -= cfg.DialTimeout
 		}
 	}
-	return p
+	return adapted
 }
 
-// seed makes a number of the hexadecimal text; any other text will do, too.
-func seed(text string) int64 {
+// parseSeed parses a hexadecimal seed. For any other text it returns a seed from the clock.
+func parseSeed(text string) int64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return int64(n)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control builds what a gateway knows and decides by, without clients and connections to databases: the decision
-// module, the list, and its ties to the others of its fleet. The program adds both ends; hollow gateways add neither.
+// Package control builds the control side of a gateway: the decision module, the watch of discovery's list, and the links
+// to the other gateways of its fleet. It has neither clients nor connections to databases: the program adds both, hollow
+// gateways add none.
 package control
 
 import (
@@ -21,68 +22,70 @@
 	"lilaccove/policy"
 )
 
-// Side is the control side of one gateway. Everything runs on the loop's goroutine. Use New, then Connect, then Join.
+// Side is the control side of one gateway. All its methods run on the loop's goroutine. Call New, then Connect, then Join.
 type Side struct {
 	Loop          *netloop.Loop
 	Core          *gateway.Gateway
 	Watch         *discovery.Client
 	Counts        *stats.Counters
 	Guard         *invariant.Guard
-	DiscoveryAddr netip.AddrPort      // where discovery was told to be
-	Links         *peer.Links         // to the fleet; nil: without a fleet file
-	Audit         *peer.AuditRecorder // what was done; only with links
+	DiscoveryAddr netip.AddrPort      // discovery's address in the configuration at startup
+	Links         *peer.Links         // to the other gateways; nil without a fleet file
+	Audit         *peer.AuditRecorder // nil without a fleet file
 
-	cfg       Config
-	set       settings.Settings
-	party     *fleet.File
-	alone     map[string]bool // databases left out by a word to this gateway alone; only with links
-	drain     func(on bool)
-	changed   []func() // what follows from a new list
-	positions *peer.Positions
-	primaries *peer.Positions
-	subsets   *subsets
-	broken    netloop.RateLimitedLog
+	cfg            Config
+	settings       settings.Settings
+	fleetFile      *fleet.File
+	localOverrides map[string]bool // databases suspended on this gateway only; used only with a fleet file
+	onDrain        func(on bool)
+	onListChange   []func() // called after each change of the list
+	positions      *peer.Positions
+	primaries      *peer.Positions
+	subsets        *subsets
+	violationLog   netloop.RateLimitedLog
 }
 
-// violationLines are in the log in a second at most; the figures count all.
-const violationLines = 20
+// maxViolationLinesPerSecond limits the log lines only: the metrics count every violation.
+const maxViolationLinesPerSecond = 20
 
-// violated logs what must never be.
-func (s *Side) violated(v invariant.Violation) {
-	s.broken.Printf(s.Loop.Now(), "event=violation name=%s request=%q client=%d database=%s list=%d transition=%s by_ms=%d",
-		v.Name, v.Request, v.Client, v.Database, s.Watch.ListVersion(), v.Transition, v.Excess.Milliseconds())
+// logViolation logs the violation of an invariant.
+func (s *Side) logViolation(violation invariant.Violation) {
+	s.violationLog.Printf(s.Loop.Now(), "event=violation name=%s request=%q client=%d database=%s list=%d transition=%s by_ms=%d",
+		violation.Name, violation.Request, violation.Client, violation.Database, s.Watch.ListVersion(), violation.Transition,
+		violation.Excess.Milliseconds())
 }
 
-// New makes one by a configuration, its settings as they were read, and a fleet file; nil: in no fleet.
-func New(loop *netloop.Loop, cfg Config, set settings.Settings, party *fleet.File) (*Side, error) {
-	ask, err := netip.ParseAddrPort(cfg.Discovery)
+// New builds a control side from a configuration, its decoded settings and a fleet file, which is nil outside a fleet.
+func New(loop *netloop.Loop, cfg Config, decoded settings.Settings, fleetFile *fleet.File) (*Side, error) {
+	discoveryAddr, err := netip.ParseAddrPort(cfg.Discovery)
 	if err != nil {
 		return nil, fmt.Errorf("GW_DISCOVERY: %w", err)
 	}
-	router, err := policy.New(adapt(set), seed(cfg.Seed))
+	router, err := policy.New(adaptSettings(decoded), parseSeed(cfg.Seed))
 	if err != nil {
 		return nil, err
 	}
-	s := &Side{Loop: loop, DiscoveryAddr: ask, Counts: stats.New(set.Classes), cfg: cfg, set: set, party: party, alone: map[string]bool{},
-		broken: netloop.RateLimitedLog{MaxPerSecond: violationLines}}
-	s.Core = gateway.New(loop, router, set.MaxOpen, s.Counts)
-	s.Watch = discovery.New(loop, s.Core, ask, set.Zones)
-	s.Guard = invariant.New(set.Policy, s.violated)
+	s := &Side{Loop: loop, DiscoveryAddr: discoveryAddr, Counts: stats.New(decoded.Classes), cfg: cfg, settings: decoded,
+		fleetFile: fleetFile, localOverrides: map[string]bool{},
+		violationLog: netloop.RateLimitedLog{MaxPerSecond: maxViolationLinesPerSecond}}
+	s.Core = gateway.New(loop, router, decoded.MaxOpen, s.Counts)
+	s.Watch = discovery.New(loop, s.Core, discoveryAddr, decoded.Zones)
+	s.Guard = invariant.New(decoded.Policy, s.logViolation)
 	s.Core.SetGuard(s.Guard)
-	if party == nil {
+	if fleetFile == nil {
 		return s, nil
 	}
-	if s.Links, err = peer.New(loop, cfg.Name, zone(set), party, loop.Now()); err != nil {
+	if s.Links, err = peer.New(loop, cfg.Name, zoneName(decoded), fleetFile, loop.Now()); err != nil {
 		return nil, err
 	}
-	if s.Audit, err = s.Links.StartAudit(func(class int) bool { return set.Policy.Classes[class].Level == policy.Write }); err != nil {
+	if s.Audit, err = s.Links.StartAudit(func(class int) bool { return decoded.Policy.Classes[class].Level == policy.Write }); err != nil {
 		s.Links.Close()
 		return nil, fmt.Errorf("audit file: %w", err)
 	}
 	return s, nil
 }
 
-// Budgets are this gateway's parts of the fleet's budgets; nil: none are divided.
+// Budgets returns this gateway's leases of the fleet's connection budgets; nil if no budgets are shared.
 func (s *Side) Budgets() *peer.Budgets {
 	if s.Links == nil {
 		return nil
@@ -90,71 +93,72 @@
 	return s.Links.Budgets()
 }
 
-// Connect sets what the gateway reaches databases by, and has it know the list from before its start.
-func (s *Side) Connect(b gateway.Backends) {
-	s.Core.Connect(b, s.Watch)
+// Connect sets the backends through which the gateway reaches databases, and loads the configuration's cached list.
+func (s *Side) Connect(backends gateway.Backends) {
+	s.Core.Connect(backends, s.Watch)
 	if err := s.Watch.LoadCachedList(s.cfg.CachedList); err != nil {
-		log.Printf("event=bad_known err=%q", err) // discovery has a newer one
+		log.Printf("event=bad_known err=%q", err) // not fatal: discovery has a newer list
 	}
 }
 
-// Join ties what the fleet tells to what the gateway does; drain is called whenever the fleet's word drains it, or
-// has it work again.
-func (s *Side) Join(drain func(on bool)) {
-	if s.party == nil {
+// Join connects the links of the fleet to the gateway's decisions. onDrain is called whenever a fleet-wide override drains
+// or activates this gateway.
+func (s *Side) Join(onDrain func(on bool)) {
+	if s.fleetFile == nil {
 		return
 	}
-	s.drain = drain
+	s.onDrain = onDrain
 	core, links := s.Core, s.Links
 	core.SetObserver(s.Audit)
 	s.Audit.SetList(core.Hosts())
-	s.changed = append(s.changed, func() { s.Audit.SetList(core.Hosts()) })
-	links.OnOverride(s.word)
+	s.onListChange = append(s.onListChange, func() { s.Audit.SetList(core.Hosts()) })
+	links.OnOverride(s.applyOverride)
 	links.OnFence(core.Fence)
 	links.ShareVersions(peer.LocalVersions{
-		ListVersion: s.Watch.ListVersion, RequestList: s.Watch.Resubscribe, ConfigDigest: sameSettings(s.cfg.Settings), FleetFileDigest: digest(s.party.Common()), Build: build(),
+		ListVersion: s.Watch.ListVersion, RequestList: s.Watch.Resubscribe, ConfigDigest: sharedSettingsDigest(s.cfg.Settings),
+		FleetFileDigest: shortDigest(s.fleetFile.Common()), Build: buildRevision(),
 	})
-	if s.party.RetryBudget > 0 {
-		core.FleetEvent(policy.RetryBudget{Share: s.party.RetryBudget})
+	if s.fleetFile.RetryBudget > 0 {
+		core.FleetEvent(policy.RetryBudget{Share: s.fleetFile.RetryBudget})
 	}
-	if s.party.Subsets {
-		s.subsets = &subsets{loop: s.Loop, core: core, links: links, zones: s.set.Zones}
-		s.changed = append(s.changed, s.subsets.stir)
-		links.OnView(s.subsets.stir)
-		s.subsets.stir()
+	if s.fleetFile.Subsets {
+		s.subsets = &subsets{loop: s.Loop, core: core, links: links, zones: s.settings.Zones}
+		s.onListChange = append(s.onListChange, s.subsets.schedule)
+		links.OnView(s.subsets.schedule)
+		s.subsets.schedule()
 	}
-	if s.party.Positions {
+	if s.fleetFile.Positions {
 		s.positions = links.SharePositions(core.InList, core.Hosts, core.FleetEvent)
 		core.OnPosition(s.ObservePosition)
-		s.changed = append(s.changed, s.positions.ListChanged)
+		s.onListChange = append(s.onListChange, s.positions.ListChanged)
 	}
-	if s.party.Primaries {
+	if s.fleetFile.Primaries {
 		s.primaries = links.SharePrimaries(core.InList, core.Hosts, core.FleetEvent)
 		core.OnPrimary(s.ObservePrimary)
-		s.changed = append(s.changed, s.primaries.ListChanged)
+		s.onListChange = append(s.onListChange, s.primaries.ListChanged)
 	}
 	core.OnList(func() {
-		for _, do := range s.changed {
-			do()
+		for _, callback := range s.onListChange {
+			callback()
 		}
 	})
 }
 
-// ObservePosition takes in how far a database says that it has come.
-func (s *Side) ObservePosition(host policy.HostID, at time.Duration) {
+// ObservePosition records the replication position that a database reported.
+func (s *Side) ObservePosition(host policy.HostID, position time.Duration) {
 	if s.positions != nil {
-		s.positions.Observe(host, at-s.set.Policy.PositionGranularity) // a write's position is rounded up
+		s.positions.Observe(host, position-s.settings.Policy.PositionGranularity) // databases round a write's position up
 	}
 }
 
-// ObservePrimary takes in that a database has answered as primary, and when it was asked.
-func (s *Side) ObservePrimary(host policy.HostID, at time.Duration) {
+// ObservePrimary records that a database answered as primary to a request sent at askedAt.
+func (s *Side) ObservePrimary(host policy.HostID, askedAt time.Duration) {
 	if s.primaries != nil {
-		s.primaries.Observe(host, at)
+		s.primaries.Observe(host, askedAt)
 	}
 }
 
-// PositionAges are how old the positions of databases are that this gateway knows from its own and others' answers.
+// PositionAges returns the ages of the known replication positions, from this gateway's answers and from other gateways.
 func (s *Side) PositionAges() []time.Duration {
 	if s.positions == nil {
 		return nil
@@ -162,23 +166,24 @@
 	return s.positions.Ages()
 }
 
-// PositionUpdates is how many positions were news so far, from databases and from other gateways.
-func (s *Side) PositionUpdates() (learned, heard uint64) {
+// PositionUpdates returns how many position updates so far were newer than what was known: learned from databases, and
+// received from other gateways.
+func (s *Side) PositionUpdates() (learned, received uint64) {
 	if s.positions == nil {
 		return 0, 0
 	}
 	return s.positions.UpdateCounts()
 }
 
-// Preferred are the databases that this gateway uses first; none: the settings say which.
+// Preferred returns the databases that this gateway prefers as its subset; none if the settings decide.
 func (s *Side) Preferred() []policy.HostID {
 	if s.subsets == nil {
 		return nil
 	}
-	return s.subsets.last
+	return s.subsets.preferred
 }
 
-// Step goes behind all that a round has brought.
+// Step processes the events of one round of the loop. It reports whether it must be called again at once.
 func (s *Side) Step() (again bool) {
 	if s.Links != nil {
 		s.Links.CheckFence()
@@ -186,7 +191,7 @@
 	return s.Core.Step()
 }
 
-// Close ends the records and writes what is not on the disk yet.
+// Close ends the audit records, closes the links and writes what is not on disk yet.
 func (s *Side) Close() {
 	if s.Links != nil {
 		s.Audit.Close()
@@ -194,17 +199,18 @@
 	}
 }
 
-// Traffic tells what each role of the control side has sent and taken in, by its name.
+// Traffic returns what each role of the control side has sent and received, by the role's name.
 func (s *Side) Traffic() map[string]stats.Traffic {
-	all := map[string]stats.Traffic{}
+	byRole := map[string]stats.Traffic{}
 	if s.Links != nil {
-		all = s.Links.Traffic()
+		byRole = s.Links.Traffic()
 	}
-	all["discovery"] = s.Watch.Traffic()
-	return all
+	byRole["discovery"] = s.Watch.Traffic()
+	return byRole
 }
 
-// Metrics adds what was violated and given up, and the figures of the fleet, a line each; without one there are none.
+// Metrics appends the counts of violations and of requests that were given up, and in a fleet the metrics of its links, one
+// per line.
 func (s *Side) Metrics(b []byte) []byte {
 	b = s.Core.Metrics(s.Guard.Metrics(b))
 	if s.Links == nil {
@@ -213,53 +219,54 @@
 	return s.Watch.Traffic().Append(s.Links.Metrics(b), "discovery")
 }
 
-// SetLocalOverride notes a word on a database to this gateway alone; it tells what holds: the fleet's word leaves it out as well.
-func (s *Side) SetLocalOverride(id string, out bool) bool {
+// SetLocalOverride records an override of a database for this gateway only. It reports whether the database is suspended
+// as a result: a fleet-wide override may suspend it as well.
+func (s *Side) SetLocalOverride(id string, active bool) bool {
 	if s.Links == nil {
-		return out
+		return active
 	}
-	if s.alone[id] = out; !out {
-		delete(s.alone, id)
+	if s.localOverrides[id] = active; !active {
+		delete(s.localOverrides, id)
 	}
-	return out || s.Links.OverrideActive(id)
+	return active || s.Links.OverrideActive(id)
 }
 
-// LocalOverrideActive tells whether a word to this gateway alone leaves a database out.
-func (s *Side) LocalOverrideActive(id string) bool { return s.alone[id] }
+// LocalOverrideActive reports whether an override for this gateway only suspends a database.
+func (s *Side) LocalOverrideActive(id string) bool { return s.localOverrides[id] }
 
-// word does what operators told the whole fleet. It binds at once, also of a database that the list does not name yet.
-func (s *Side) word(id string, out bool) {
+// applyOverride applies a fleet-wide override at once, even to a database that the list does not contain yet.
+func (s *Side) applyOverride(id string, active bool) {
 	if name, ok := state.ParseGatewayKey(id); ok {
 		if name == s.Links.Name() {
-			s.drain(out)
+			s.onDrain(active)
 		}
 		return
 	}
-	s.Audit.Override(id, out)
-	s.Core.SetSuspended(policy.HostID(id), out || s.alone[id])
+	s.Audit.Override(id, active)
+	s.Core.SetSuspended(policy.HostID(id), active || s.localOverrides[id])
 }
 
-// Reload reads the file at GW_CONFIG again, after SIGHUP. What it says of discovery goes before GW_DISCOVERY, which is
-// as old as the process; all else is for the next start. A file that is no good changes nothing; one that cannot be read for
-// what the system lacks is read again.
-func (s *Side) Reload(env func(string) string) { s.reload(env, s.Loop.Now()+readMost) }
+// Reload reads the file at GW_CONFIG again, after SIGHUP. Its discovery address takes precedence over GW_DISCOVERY, which
+// is as old as the process; all other fields take effect at the next start. An invalid file changes nothing. Reading is
+// retried if it failed for a transient lack of system resources.
+func (s *Side) Reload(env func(string) string) { s.reload(env, s.Loop.Now()+reloadRetryTime) }
 
-func (s *Side) reload(env func(string) string, late time.Duration) {
+func (s *Side) reload(env func(string) string, deadline time.Duration) {
 	var cfg struct {
 		Discovery string `json:"discovery"`
 	}
-	err := read(env, &cfg)
-	var ask netip.AddrPort
+	err := readConfigFile(env, &cfg)
+	var discoveryAddr netip.AddrPort
 	if err == nil {
-		ask, err = netip.ParseAddrPort(cfg.Discovery)
+		discoveryAddr, err = netip.ParseAddrPort(cfg.Discovery)
 	}
 	if err != nil {
 		log.Printf("event=reload_failed err=%q", err)
-		if sys.IsTransient(err) && s.Loop.Now() < late {
-			s.Loop.At(s.Loop.Now()+readPause, func() { s.reload(env, late) })
+		if sys.IsTransient(err) && s.Loop.Now() < deadline {
+			s.Loop.At(s.Loop.Now()+reloadRetryInterval, func() { s.reload(env, deadline) })
 		}
 		return
 	}
-	log.Printf("event=reloaded discovery=%s", ask)
-	s.Watch.SetAddr(ask)
+	log.Printf("event=reloaded discovery=%s", discoveryAddr)
+	s.Watch.SetAddr(discoveryAddr)
 }
--- a/internal/control/subsets.go
+++ b/internal/control/subsets.go
@@ -13,37 +13,39 @@
 	"lilaccove/policy"
 )
 
-// A list or a view that changes often moves the subsets once in so long.
-const subsetPause = 200 * time.Millisecond
+// subsetUpdateDelay limits how often the subsets are computed when the list or the view changes repeatedly.
+const subsetUpdateDelay = 200 * time.Millisecond
 
-// subsets tells the module which databases this gateway uses first, from the list and the view of the fleet.
+// subsets computes the databases that this gateway prefers, from the list and the view of the fleet, and passes them to the
+// decision module.
 type subsets struct {
-	loop  *netloop.Loop
-	core  *gateway.Gateway
-	links *peer.Links
-	zones []string
-	due   bool
-	last  []policy.HostID
-	fleet int // gateways then
+	loop         *netloop.Loop
+	core         *gateway.Gateway
+	links        *peer.Links
+	zones        []string
+	scheduled    bool
+	preferred    []policy.HostID
+	gatewayCount int // at the last update
 }
 
-// stir has the subsets made anew.
-func (s *subsets) stir() {
-	if !s.due {
-		s.due = true
-		s.loop.At(s.loop.Now()+subsetPause, s.make)
+// schedule requests an update after subsetUpdateDelay.
+func (s *subsets) schedule() {
+	if !s.scheduled {
+		s.scheduled = true
+		s.loop.At(s.loop.Now()+subsetUpdateDelay, s.update)
 	}
 }
 
-func (s *subsets) make() {
-	s.due = false
-	var fleet []share.Gateway
+// update computes the subsets and passes them on if they changed.
+func (s *subsets) update() {
+	s.scheduled = false
+	var gateways []share.Gateway
 	self := -1
-	for i, m := range s.links.View().Members {
-		if m.Name == s.links.Name() {
+	for i, member := range s.links.View().Members {
+		if member.Name == s.links.Name() {
 			self = i
 		}
-		fleet = append(fleet, share.Gateway{Name: m.Name, Zone: slices.Index(s.zones, m.Zone)})
+		gateways = append(gateways, share.Gateway{Name: member.Name, Zone: slices.Index(s.zones, member.Zone)})
 	}
 	groups := map[policy.GroupID][]share.Database{}
 	for _, h := range s.core.Hosts() {
@@ -54,20 +56,20 @@
 	var hosts []policy.HostID
 	for _, members := range groups {
 		if self < 0 {
-			break // not in its own view: drained, or its name is another's
+			break // not in its own view: drained, or another gateway has its name
 		}
-		for _, id := range share.Subsets(fleet, members)[self] {
+		for _, id := range share.Subsets(gateways, members)[self] {
 			hosts = append(hosts, policy.HostID(id))
 		}
 	}
 	slices.SortFunc(hosts, func(a, b policy.HostID) int { return strings.Compare(string(a), string(b)) })
-	same := slices.Equal(hosts, s.last)
-	if same && len(fleet) == s.fleet {
+	unchanged := slices.Equal(hosts, s.preferred)
+	if unchanged && len(gateways) == s.gatewayCount {
 		return
 	}
-	s.last, s.fleet = hosts, len(fleet)
-	log.Printf("event=fleet_subset gateways=%d hosts=%d of=%d", len(fleet), len(hosts), len(s.core.Hosts()))
-	if !same {
+	s.preferred, s.gatewayCount = hosts, len(gateways)
+	log.Printf("event=fleet_subset gateways=%d hosts=%d of=%d", len(gateways), len(hosts), len(s.core.Hosts()))
+	if !unchanged {
 		s.core.FleetEvent(policy.PreferredHosts{Hosts: hosts})
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery asks for the list of databases and watches its changes. The list
-// in force stays when discovery fails; the decision module says when to ask again.
+// Package discovery requests the list of databases from the discovery service and watches its changes. The list in force
+// stays when discovery fails; the decision module decides when to ask again.
 package discovery
 
 import (
@@ -19,113 +19,118 @@
 )
 
 const (
-	// A change binds 6 s after discovery had it (protocol). A watch that fell silent is noticed quietTime behind its last
-	// message, a call that brings none after callTime; the module asks again soon enough for the answer to come in time.
-	callTime  = 2500 * time.Millisecond // discovery gives up on a call well before
-	quietTime = 2500 * time.Millisecond // a watch says something every 2 s
-	crowdTime = 500 * time.Millisecond  // a refusal that took so long to come has stood in a queue
-	inputMost = 64 << 10
+	// The protocol requires that a change is in force 6 s after discovery received it. A silent watch is detected
+	// watchTimeout after its last message, a request without an answer after callTimeout. Both leave the decision module
+	// enough time to ask again and have the answer within the 6 s.
+	callTimeout       = 2500 * time.Millisecond // discovery itself gives up on a request well before
+	watchTimeout      = 2500 * time.Millisecond // a watch sends a heartbeat every 2 s
+	queuedRefusalTime = 500 * time.Millisecond  // a refusal after this time is taken to have waited in a queue
+	maxInputBytes     = 64 << 10
 
-	failedLines = 5 // in the log, in a second
-	mostLine    = 4 << 20
+	maxFailureLinesPerSecond = 5
+	maxObjectBytes           = 4 << 20
 )
 
 var (
-	errQuiet = errors.New("nothing heard in time")
-	errLine  = errors.New("list is too long")
-	errEnded = errors.New("the answer ended")
-	errCrowd = errors.New("refused after a wait")
-	errOlder = errors.New("a change of an older version than the list")
+	errSilent        = errors.New("no message within the timeout")
+	errObjectTooLong = errors.New("list message is too long")
+	errAnswerEnded   = errors.New("the response ended")
+	errQueued        = errors.New("refused after a wait")
+	errOlderVersion  = errors.New("the change has an older version than the list")
 )
 
-// Core takes the news.
+// Core receives the lists and changes, and is notified when the watch fails.
 type Core interface {
 	ListUpdated(kind policy.ListKind, entries []gateway.Entry)
 }
 
-// Client is the one watch of a gateway.
+// Client keeps one watch on the discovery service.
 type Client struct {
-	loop  *netloop.Loop
-	core  Core
-	addr  netip.AddrPort
-	zones []string
-	seq   int64
+	loop        *netloop.Loop
+	core        Core
+	addr        netip.AddrPort
+	zones       []string
+	listVersion int64
 
-	nc      *netloop.Conn
-	answer  http1.Response
-	objects objects
-	timer   *netloop.Timer
-	askedAt time.Duration
-	within  time.Duration // a call that has brought nothing new for so long has failed
-	told    bool          // this watch has brought an object
-	heard   bool          // some watch has
-	traffic stats.Traffic
-	failed  netloop.RateLimitedLog
+	conn          *netloop.Conn
+	response      http1.Response
+	splitter      objectSplitter
+	timer         *netloop.Timer
+	askedAt       time.Duration
+	answerTimeout time.Duration // a new watch fails if it receives nothing for this time
+	watchReceived bool          // this watch has delivered a list or a change
+	everReceived  bool          // some watch has delivered one
+	traffic       stats.Traffic
+	failureLog    netloop.RateLimitedLog
 }
 
-// New makes a client that asks at addr. Zones are the names in the order of the settings.
+// New returns a client for the discovery service at addr. zones are the zones' names in the order of the settings.
 func New(loop *netloop.Loop, core Core, addr netip.AddrPort, zones []string) *Client {
-	return &Client{loop: loop, core: core, addr: addr, zones: zones, within: callTime, failed: netloop.RateLimitedLog{MaxPerSecond: failedLines}}
+	return &Client{loop: loop, core: core, addr: addr, zones: zones, answerTimeout: callTimeout,
+		failureLog: netloop.RateLimitedLog{MaxPerSecond: maxFailureLinesPerSecond}}
 }
 
-type listing struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []line `json:"hosts"`
+// listMessage is one JSON object of a watch: the whole list, or a change of it.
+type listMessage struct {
+	Seq   int64       `json:"seq"`
+	Whole bool        `json:"whole"`
+	Hosts []listEntry `json:"hosts"`
 }
 
-type line struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Site   string `json:"site"`
-	Block  int    `json:"block"`
-	Health string `json:"health"`
-	Role   string `json:"role"`
-	BornMS int64  `json:"born_ms"`
+// listEntry describes one database in a list or a change.
+type listEntry struct {
+	Host      string `json:"host"`
+	Dial      string `json:"dial"`
+	Site      string `json:"site"`
+	Block     int    `json:"block"`
+	Health    string `json:"health"`
+	Role      string `json:"role"`
+	StartedMS int64  `json:"born_ms"`
 }
 
-// LoadCachedList takes the list that the gateway had before it started, which may be old.
-func (c *Client) LoadCachedList(text []byte) error {
-	if len(text) == 0 {
+// LoadCachedList applies the list that the configuration holds, which may be old.
+func (c *Client) LoadCachedList(content []byte) error {
+	if len(content) == 0 {
 		return nil
 	}
-	var l listing
-	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("known list: %w", err)
+	var list listMessage
+	if err := json.Unmarshal(content, &list); err != nil {
+		return fmt.Errorf("cached list: %w", err)
 	}
-	c.seq = l.Seq
-	c.core.ListUpdated(policy.ListCached, c.entries(l.Hosts))
+	c.listVersion = list.Seq
+	c.core.ListUpdated(policy.ListCached, c.parseEntries(list.Hosts))
 	return nil
 }
 
-func (c *Client) entries(lines []line) []gateway.Entry {
-	list := make([]gateway.Entry, 0, len(lines))
-	for _, e := range lines {
-		dial, err := netip.ParseAddrPort(e.Dial)
-		if err != nil && e.Health != "terminated" {
-			log.Printf("event=bad_entry host=%s dial=%q", e.Host, e.Dial)
+func (c *Client) parseEntries(lines []listEntry) []gateway.Entry {
+	entries := make([]gateway.Entry, 0, len(lines))
+	for _, line := range lines {
+		dial, err := netip.ParseAddrPort(line.Dial)
+		if err != nil && line.Health != "terminated" {
+			log.Printf("event=bad_entry host=%s dial=%q", line.Host, line.Dial)
 		}
-		list = append(list, gateway.Entry{Dial: dial, Member: policy.Member{
-			Host: policy.HostID(e.Host), Group: policy.GroupID(e.Block), Zone: c.zone(e.Site),
-			Status: status(e.Health), Primary: e.Role == "primary",
-			StartedAt: time.Duration(e.BornMS) * time.Millisecond,
+		entries = append(entries, gateway.Entry{Dial: dial, Member: policy.Member{
+			Host: policy.HostID(line.Host), Group: policy.GroupID(line.Block), Zone: c.zoneIndex(line.Site),
+			Status: parseStatus(line.Health), Primary: line.Role == "primary",
+			StartedAt: time.Duration(line.StartedMS) * time.Millisecond,
 		}})
 	}
-	return list
+	return entries
 }
 
-func (c *Client) zone(name string) int {
-	for i, z := range c.zones {
-		if z == name {
+// zoneIndex returns the zone's index in the settings; -1 if they don't name it.
+func (c *Client) zoneIndex(name string) int {
+	for i, zone := range c.zones {
+		if zone == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// status of a word nobody knows is that of a host which wants nothing new.
-func status(word string) policy.Status {
-	switch word {
+// parseStatus reads a health value. An unknown value counts as draining, so that the host gets no new requests.
+func parseStatus(health string) policy.Status {
+	switch health {
 	case "in_service":
 		return policy.Healthy
 	case "terminated":
@@ -134,154 +139,155 @@
 	return policy.Draining
 }
 
-// ListReceived tells whether discovery has ever told a list or a change.
-func (c *Client) ListReceived() bool { return c.heard }
+// ListReceived reports whether discovery has ever sent a list or a change.
+func (c *Client) ListReceived() bool { return c.everReceived }
 
-// Subscribe begins a watch, unless one is on. A call that brings nothing for the time given has failed.
-func (c *Client) Subscribe(within time.Duration) {
-	if c.within = within; c.nc == nil {
-		c.ask()
+// Subscribe starts a watch unless one is open. A new watch fails if it receives nothing for answerTimeout.
+func (c *Client) Subscribe(answerTimeout time.Duration) {
+	if c.answerTimeout = answerTimeout; c.conn == nil {
+		c.startWatch()
 	}
 }
 
-func (c *Client) ask() {
-	c.answer, c.objects, c.told = http1.Response{}, objects{text: c.objects.text[:0]}, false
-	nc, err := c.loop.Dial(c.addr, c, inputMost)
+func (c *Client) startWatch() {
+	c.response, c.splitter, c.watchReceived = http1.Response{}, objectSplitter{buffer: c.splitter.buffer[:0]}, false
+	conn, err := c.loop.Dial(c.addr, c, maxInputBytes)
 	if err != nil {
 		c.fail(err)
 		return
 	}
-	c.nc, c.askedAt = nc, c.loop.Now()
-	c.listen(c.askedAt + min(c.within, callTime))
+	c.conn, c.askedAt = conn, c.loop.Now()
+	c.setDeadline(c.askedAt + min(c.answerTimeout, callTimeout))
 }
 
-// SetAddr asks at another address from now on, at once. The list, its version and all
-// connections to databases stay; a watch that is on at that address goes on.
+// SetAddr changes discovery's address and starts a watch there at once. The list, its version and all connections to
+// databases stay. A watch that is already open at that address goes on.
 func (c *Client) SetAddr(addr netip.AddrPort) {
-	if addr == c.addr && c.nc != nil {
+	if addr == c.addr && c.conn != nil {
 		return
 	}
 	c.addr = addr
-	c.drop()
-	c.ask()
+	c.closeWatch()
+	c.startWatch()
 }
 
-// ListVersion is the version of the list now.
-func (c *Client) ListVersion() int64 { return c.seq }
+// ListVersion returns the version of the current list.
+func (c *Client) ListVersion() int64 { return c.listVersion }
 
-// Resubscribe asks again at once, though a watch is on: it may tell nothing any more without being silent.
+// Resubscribe replaces the watch at once: an open watch may still send heartbeats but no changes any more.
 func (c *Client) Resubscribe() {
-	c.drop()
-	c.ask()
+	c.closeWatch()
+	c.startWatch()
 }
 
-// listen sets until when discovery must have been heard again.
-func (c *Client) listen(until time.Duration) {
+// setDeadline sets the time by which discovery must have sent something again.
+func (c *Client) setDeadline(deadline time.Duration) {
 	c.timer.Stop()
-	c.timer = c.loop.At(until, func() { c.fail(errQuiet) })
+	c.timer = c.loop.At(deadline, func() { c.fail(errSilent) })
 }
 
-// fail ends the watch and tells the module, which asks again after
-// a while of its own choice.
+// fail closes the watch and notifies the decision module, which decides when to subscribe again.
 func (c *Client) fail(err error) {
-	c.failed.Printf(c.loop.Now(), "event=discovery_failed err=%q told=%t seq=%d", err, c.told, c.seq)
-	c.drop()
+	c.failureLog.Printf(c.loop.Now(), "event=discovery_failed err=%q told=%t seq=%d", err, c.watchReceived, c.listVersion)
+	c.closeWatch()
 	kind := policy.ListFailed
-	if errors.Is(err, errCrowd) {
+	if errors.Is(err, errQueued) {
 		kind = policy.ListQueueTimeout
 	}
 	c.core.ListUpdated(kind, nil)
 }
 
-// drop ends the watch, if there is one.
-func (c *Client) drop() {
-	if c.nc != nil {
-		c.nc.Close()
-		c.nc = nil
+// closeWatch closes the watch's connection, if there is one.
+func (c *Client) closeWatch() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 	c.timer.Stop()
 }
 
-// Connected asks.
+// Connected sends the request for the list and its changes after the current version.
 func (c *Client) Connected() {
-	call := fmt.Appendf(nil, "GET /api/targets?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
-		c.seq, c.addr)
-	c.traffic.CountOut(len(call))
-	c.nc.Write(call)
+	request := fmt.Appendf(nil, "GET /api/targets?watch=1&after=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n",
+		c.listVersion, c.addr)
+	c.traffic.CountOut(len(request))
+	c.conn.Write(request)
 }
 
-// Traffic is that of all watches: calls go out, lists and changes come in.
+// Traffic returns the traffic of all watches: requests go out, lists and changes come in.
 func (c *Client) Traffic() stats.Traffic { return c.traffic }
 
-// Received takes in the answer.
+// Received parses the part of the response that has arrived.
 func (c *Client) Received() {
-	n, err := c.answer.Feed(c.nc.Input(), c.data)
-	c.nc.Consume(n)
+	n, err := c.response.Feed(c.conn.Input(), c.receiveBody)
+	c.conn.Consume(n)
 	c.traffic.InBytes += uint64(n)
-	if !c.told {
-		c.listen(min(c.askedAt+callTime, c.loop.Now()+c.within))
+	if !c.watchReceived {
+		c.setDeadline(min(c.askedAt+callTimeout, c.loop.Now()+c.answerTimeout))
 	}
 	switch {
 	case err != nil:
-	case c.answer.HeadComplete && c.answer.Status != 200:
-		if err = fmt.Errorf("status %d", c.answer.Status); c.loop.Now()-c.askedAt >= crowdTime {
-			err = fmt.Errorf("%w: %w", err, errCrowd)
+	case c.response.HeadComplete && c.response.Status != 200:
+		if err = fmt.Errorf("status %d", c.response.Status); c.loop.Now()-c.askedAt >= queuedRefusalTime {
+			err = fmt.Errorf("%w: %w", err, errQueued)
 		}
-	case c.answer.Done:
-		err = errEnded
+	case c.response.Done:
+		err = errAnswerEnded
 	}
 	if err != nil {
 		c.fail(err)
 	}
 }
 
-// Ended tells that the watch is over.
+// Ended handles the loss of the connection.
 func (c *Client) Ended(err error) { c.fail(err) }
 
-// data takes bytes of the body. Only a whole message shows that discovery goes on telling: bytes that never end an
-// object are as silent as none.
-func (c *Client) data(b []byte) error {
-	if c.answer.Status != 200 {
+// receiveBody parses bytes of the body. Only a complete message extends the watch's deadline: bytes that never complete an
+// object don't show that discovery still sends changes.
+func (c *Client) receiveBody(body []byte) error {
+	if c.response.Status != 200 {
 		return nil
 	}
-	for len(b) > 0 {
-		text, n, whole, err := c.objects.next(b)
-		if err == nil && len(text) > 0 {
-			err = c.object(text)
+	for len(body) > 0 {
+		object, used, complete, err := c.splitter.next(body)
+		if err == nil && len(object) > 0 {
+			err = c.applyObject(object)
 		}
 		if err != nil {
 			return err
 		}
-		if b = b[n:]; whole && c.told {
-			c.listen(c.loop.Now() + quietTime)
+		if body = body[used:]; complete && c.watchReceived {
+			c.setDeadline(c.loop.Now() + watchTimeout)
 		}
 	}
 	return nil
 }
 
-func (c *Client) object(text []byte) error {
-	var l listing
-	if err := json.Unmarshal(text, &l); err != nil {
+// applyObject applies a list or a change.
+func (c *Client) applyObject(object []byte) error {
+	var message listMessage
+	if err := json.Unmarshal(object, &message); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	c.traffic.InMessages++
-	if !l.Whole && l.Seq < c.seq {
-		return c.older(l)
+	if !message.Whole && message.Seq < c.listVersion {
+		return c.applyOlder(message)
 	}
 	kind := policy.ListDelta
-	if l.Whole {
+	if message.Whole {
 		kind = policy.ListFull
 	}
-	c.seq, c.told, c.heard = l.Seq, true, true
-	c.core.ListUpdated(kind, c.entries(l.Hosts))
+	c.listVersion, c.watchReceived, c.everReceived = message.Seq, true, true
+	c.core.ListUpdated(kind, c.parseEntries(message.Hosts))
 	return nil
 }
 
-// older takes a change of an older version than the list in force, from a discovery that went back or was moved to. It may
-// take a database out and bring none back; the whole list is asked for.
-func (c *Client) older(l listing) error {
-	careful := slices.DeleteFunc(l.Hosts, func(e line) bool { return status(e.Health) == policy.Healthy })
-	c.core.ListUpdated(policy.ListDelta, c.entries(careful))
-	c.seq = 0
-	return fmt.Errorf("%w: %d", errOlder, l.Seq)
+// applyOlder applies a change with an older version than the list in force, as a discovery service sends that lost state or
+// has another address. Such a change may take databases out of service but brings none back. It ends the watch and resets
+// the version, so that the next request asks for the whole list.
+func (c *Client) applyOlder(message listMessage) error {
+	unhealthy := slices.DeleteFunc(message.Hosts, func(line listEntry) bool { return parseStatus(line.Health) == policy.Healthy })
+	c.core.ListUpdated(policy.ListDelta, c.parseEntries(unhealthy))
+	c.listVersion = 0
+	return fmt.Errorf("%w: %d", errOlderVersion, message.Seq)
 }
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// objects cuts a stream into JSON objects, whether each stands on a line of its own or is indented over many. It looks
-// at brackets and quotes only: what stands between them is for the parser.
-type objects struct {
-	text    []byte // of the object that has begun
-	depth   int
-	quoted  bool
-	escaped bool
+// objectSplitter splits a stream into JSON objects, whether each is on a line of its own or indented over many lines. It
+// tracks brackets and strings only and leaves the rest to the JSON parser.
+type objectSplitter struct {
+	buffer   []byte // the incomplete object
+	depth    int
+	inString bool
+	escaped  bool
 }
 
-// next takes bytes up to the end of an object, or of an empty line, which is a heartbeat: both are a whole message.
-// It returns how many bytes it took; text is good until the next call.
-func (o *objects) next(b []byte) (text []byte, n int, whole bool, err error) {
+// next reads bytes up to the end of an object, or of an empty line, which is a heartbeat; both complete a message. It
+// returns the object, if any, which is valid until the next call, and how many bytes it used.
+func (o *objectSplitter) next(b []byte) (object []byte, used int, complete bool, err error) {
 	if o.depth == 0 {
-		o.text = o.text[:0]
+		o.buffer = o.buffer[:0]
 	}
 	for i, ch := range b {
 		switch {
@@ -24,27 +24,27 @@
 		case o.depth == 0 && (ch == ' ' || ch == '\t' || ch == '\r'):
 			continue
 		case o.depth == 0 && ch != '{':
-			return nil, i, false, fmt.Errorf("list: %q begins no object", ch)
-		case len(o.text) >= mostLine:
-			return nil, i, false, errLine
+			return nil, i, false, fmt.Errorf("list: an object cannot begin with %q", ch)
+		case len(o.buffer) >= maxObjectBytes:
+			return nil, i, false, errObjectTooLong
 		}
-		o.text = append(o.text, ch)
-		if o.closes(ch) {
-			return o.text, i + 1, true, nil
+		o.buffer = append(o.buffer, ch)
+		if o.endsObject(ch) {
+			return o.buffer, i + 1, true, nil
 		}
 	}
 	return nil, len(b), false, nil
 }
 
-// closes follows one byte of an object; true: it was its last.
-func (o *objects) closes(ch byte) bool {
+// endsObject processes one byte of an object and reports whether it was the last.
+func (o *objectSplitter) endsObject(ch byte) bool {
 	switch {
 	case o.escaped:
 		o.escaped = false
-	case o.quoted:
-		o.escaped, o.quoted = ch == '\\', ch != '"'
+	case o.inString:
+		o.escaped, o.inString = ch == '\\', ch != '"'
 	case ch == '"':
-		o.quoted = true
+		o.inString = true
 	case ch == '{' || ch == '[':
 		o.depth++
 	case ch == '}' || ch == ']':
--- a/internal/discovery/objects_test.go
+++ b/internal/discovery/objects_test.go
@@ -10,56 +10,57 @@
 	"pgregory.net/rapid"
 )
 
-// cut takes a stream in the given parts: the objects, the empty lines, and the error that ended it.
-func cut(parts ...[]byte) (texts []string, beats int, err error) {
-	var o objects
-	for _, b := range parts {
-		for len(b) > 0 {
-			text, n, whole, err := o.next(b)
+// splitParts splits a stream that arrives in the given parts. It returns the objects, the number of empty lines, and the
+// error that ended the stream.
+func splitParts(parts ...[]byte) (texts []string, heartbeats int, err error) {
+	var splitter objectSplitter
+	for _, part := range parts {
+		for len(part) > 0 {
+			text, used, complete, err := splitter.next(part)
 			if err != nil {
-				return texts, beats, err
+				return texts, heartbeats, err
 			}
-			b = b[n:]
+			part = part[used:]
 			if len(text) > 0 {
 				texts = append(texts, string(text))
-			} else if whole {
-				beats++
+			} else if complete {
+				heartbeats++
 			}
 		}
 	}
-	return texts, beats, nil
+	return texts, heartbeats, nil
 }
 
-func TestObjects(t *testing.T) {
+func TestObjectSplitter(t *testing.T) {
 	for _, tt := range []struct {
-		in    string
-		texts []string
-		beats int
-		bad   bool
+		in         string
+		texts      []string
+		heartbeats int
+		bad        bool
 	}{
 		{in: ""},
-		{in: "\n\r\n \n", beats: 3},
-		{in: "{}\n", texts: []string{"{}"}, beats: 1},
-		{in: "{\n \"a\": [\n1]\n}\n\n{}", texts: []string{"{\n \"a\": [\n1]\n}", "{}"}, beats: 2},
-		{in: `{"a":"}\"{\\"}` + "\n", texts: []string{`{"a":"}\"{\\"}`}, beats: 1},
-		{in: "{\"a\":\n\n\n"}, // what never ends says nothing
+		{in: "\n\r\n \n", heartbeats: 3},
+		{in: "{}\n", texts: []string{"{}"}, heartbeats: 1},
+		{in: "{\n \"a\": [\n1]\n}\n\n{}", texts: []string{"{\n \"a\": [\n1]\n}", "{}"}, heartbeats: 2},
+		{in: `{"a":"}\"{\\"}` + "\n", texts: []string{`{"a":"}\"{\\"}`}, heartbeats: 1},
+		{in: "{\"a\":\n\n\n"}, // an incomplete object is not a message, nor are empty lines in it
 		{in: "null\n", bad: true},
 		{in: "[{}]\n", bad: true},
 		{in: "{}}\n", texts: []string{"{}"}, bad: true},
 	} {
 		t.Run(tt.in, func(t *testing.T) {
-			texts, beats, err := cut([]byte(tt.in))
+			texts, heartbeats, err := splitParts([]byte(tt.in))
 			assert.Equal(t, tt.texts, texts)
-			assert.Equal(t, tt.beats, beats)
+			assert.Equal(t, tt.heartbeats, heartbeats)
 			assert.Equal(t, tt.bad, err != nil)
 		})
 	}
-	_, _, err := cut([]byte("{"), bytes.Repeat([]byte(" "), mostLine))
-	assert.ErrorIs(t, err, errLine)
+	_, _, err := splitParts([]byte("{"), bytes.Repeat([]byte(" "), maxObjectBytes))
+	assert.ErrorIs(t, err, errObjectTooLong)
 }
 
-// Objects come out as they went in, however they are laid out and cut.
-func TestObjectsInParts(t *testing.T) {
+// Whatever the layout of the objects and the boundaries of the parts, the same objects are returned.
+func TestObjectSplitterInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var in bytes.Buffer
 		var want []string
@@ -78,7 +79,7 @@
 			n := rapid.IntRange(1, len(b)).Draw(t, "part")
 			parts, b = append(parts, b[:n]), b[n:]
 		}
-		texts, _, err := cut(parts...)
+		texts, _, err := splitParts(parts...)
 		if err != nil || !assert.ObjectsAreEqual(want, texts) {
 			t.Fatalf("%q %v, want %q", texts, err, want)
 		}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -28,35 +28,35 @@
 
 // ParseRequest reads the call at the start of b. n is its length with its body; 0 without an
 // error: it has not come whole. Every error is a *StatusError.
-func ParseRequest(b []byte) (q Request, n int, err error) {
+func ParseRequest(b []byte) (req Request, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 && len(b) > MaxRequestHead || end > MaxRequestHead {
-		return q, 0, &StatusError{431, fmt.Sprintf("the head is longer than %d bytes", MaxRequestHead)}
+		return req, 0, &StatusError{431, fmt.Sprintf("the head is longer than %d bytes", MaxRequestHead)}
 	}
-	line, _, whole := bytes.Cut(b, []byte("\r\n"))
-	if whole || len(b) > 0 && b[0] <= ' ' {
-		if q, err = requestLine(line); err != nil {
-			return q, 0, err
+	line, _, lineComplete := bytes.Cut(b, []byte("\r\n"))
+	if lineComplete || len(b) > 0 && b[0] <= ' ' {
+		if req, err = parseRequestLine(line); err != nil {
+			return req, 0, err
 		}
 	}
 	if end < 0 {
-		return q, 0, nil
+		return req, 0, nil
 	}
 	body, hosts := int64(-1), 0
-	err = fields(b[min(len(line)+2, end+2):end+2], func(name, value []byte) error {
+	err = parseFields(b[min(len(line)+2, end+2):end+2], func(name, value []byte) error {
 		switch {
-		case !token(name):
+		case !isToken(name):
 			return fmt.Errorf("bad header name %.40q", name)
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			return &StatusError{411, "send a body with its length, or none"}
 		case bytes.EqualFold(name, []byte("Host")):
 			hosts++
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			before := body
-			if err := length(value, &body); err != nil {
+			previous := body
+			if err := parseContentLength(value, &body); err != nil {
 				return err
 			}
-			if before >= 0 && before != body {
+			if previous >= 0 && previous != body {
 				return fmt.Errorf("two lengths")
 			}
 		}
@@ -67,46 +67,46 @@
 		if _, ok := err.(*StatusError); !ok {
 			err = &StatusError{400, err.Error()}
 		}
-		return q, 0, err
+		return req, 0, err
 	case hosts > 1:
-		return q, 0, &StatusError{400, "two Host headers"}
+		return req, 0, &StatusError{400, "two Host headers"}
 	case body > MaxRequestBody:
-		return q, 0, &StatusError{413, fmt.Sprintf("the body is longer than %d bytes", MaxRequestBody)}
+		return req, 0, &StatusError{413, fmt.Sprintf("the body is longer than %d bytes", MaxRequestBody)}
 	}
 	if n = end + 4 + int(max(0, body)); n > len(b) {
-		return q, 0, nil
+		return req, 0, nil
 	}
-	return q, n, nil
+	return req, n, nil
 }
 
-// requestLine reads METHOD TARGET HTTP/1.x.
-func requestLine(line []byte) (Request, error) {
-	bad := &StatusError{400, fmt.Sprintf("not a request line: %.60q", line)}
-	part := strings.Split(string(line), " ")
-	if len(part) != 3 || !token([]byte(part[0])) {
-		return Request{}, bad
+// parseRequestLine reads METHOD TARGET HTTP/1.x.
+func parseRequestLine(line []byte) (Request, error) {
+	malformed := &StatusError{400, fmt.Sprintf("not a request line: %.60q", line)}
+	parts := strings.Split(string(line), " ")
+	if len(parts) != 3 || !isToken([]byte(parts[0])) {
+		return Request{}, malformed
 	}
 	switch {
-	case part[2] == "HTTP/1.1", part[2] == "HTTP/1.0":
-	case strings.HasPrefix(part[2], "HTTP/"):
+	case parts[2] == "HTTP/1.1", parts[2] == "HTTP/1.0":
+	case strings.HasPrefix(parts[2], "HTTP/"):
 		return Request{}, &StatusError{505, "HTTP/1.1 is spoken here"}
 	default:
-		return Request{}, bad
+		return Request{}, malformed
 	}
-	path := part[1]
+	path := parts[1]
 	if rest, ok := strings.CutPrefix(path, "http://"); ok {
 		_, path, _ = strings.Cut(rest, "/")
 		path = "/" + path
 	}
 	path, _, _ = strings.Cut(path, "?")
 	if !strings.HasPrefix(path, "/") || strings.ContainsFunc(path, func(r rune) bool { return r <= ' ' || r > '~' }) {
-		return Request{}, bad
+		return Request{}, malformed
 	}
-	return Request{Method: part[0], Path: path}, nil
+	return Request{Method: parts[0], Path: path}, nil
 }
 
-// token tells whether b is a token of RFC 9110.
-func token(b []byte) bool {
+// isToken tells whether b is a isToken of RFC 9110.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
 		case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
@@ -120,15 +120,15 @@
 
 // DecodeSegment decodes one part of a path; false where its percent signs are not followed by two
 // digits each, or where it would hold what no name here does.
-func DecodeSegment(s string) (string, bool) {
-	var out strings.Builder
-	for i := 0; i < len(s); i++ {
-		c := s[i]
+func DecodeSegment(segment string) (string, bool) {
+	var decoded strings.Builder
+	for i := 0; i < len(segment); i++ {
+		c := segment[i]
 		if c == '%' {
-			if i+2 >= len(s) {
+			if i+2 >= len(segment) {
 				return "", false
 			}
-			hi, lo := hex(s[i+1]), hex(s[i+2])
+			hi, lo := hexDigit(segment[i+1]), hexDigit(segment[i+2])
 			if hi < 0 || lo < 0 {
 				return "", false
 			}
@@ -138,12 +138,12 @@
 		if c < ' ' || c == 0x7f {
 			return "", false
 		}
-		out.WriteByte(c)
+		decoded.WriteByte(c)
 	}
-	return out.String(), out.Len() > 0
+	return decoded.String(), decoded.Len() > 0
 }
 
-func hex(c byte) int {
+func hexDigit(c byte) int {
 	if c >= 'A' && c <= 'F' {
 		c += 'a' - 'A'
 	}
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -44,12 +44,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			q, n, err := ParseRequest([]byte(tt.in))
+			req, n, err := ParseRequest([]byte(tt.in))
 			if tt.status != 0 {
-				bad, ok := err.(*StatusError)
+				statusErr, ok := err.(*StatusError)
 				if assert.True(t, ok, "%v", err) {
-					assert.Equal(t, tt.status, bad.Status)
-					assert.NotEmpty(t, bad.Reason)
+					assert.Equal(t, tt.status, statusErr.Status)
+					assert.NotEmpty(t, statusErr.Reason)
 				}
 				return
 			}
@@ -59,7 +59,7 @@
 			}
 			assert.NoError(t, err)
 			assert.Equal(t, whole, n)
-			assert.Equal(t, tt.want, q)
+			assert.Equal(t, tt.want, req)
 			for cut := range whole {
 				_, n, err := ParseRequest([]byte(tt.in[:cut]))
 				assert.NoError(t, err, "cut at %d", cut)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestSegment(t *testing.T) {
+func TestDecodeSegment(t *testing.T) {
 	for in, want := range map[string]string{"s-5be2a07c": "s-5be2a07c", "a%2Fb%2fc": "a/b/c", "%25": "%", "+": "+", "a%c3%A9": "aé"} {
 		got, ok := DecodeSegment(in)
 		assert.True(t, ok, in)
@@ -84,10 +84,10 @@
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("PUT /v1/databases/a%20b/suspend HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("GET /v1/readyz HTTP/1.1\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		q, n, err := ParseRequest(b)
-		if n < 0 || n > len(b) || err != nil && n != 0 || n > 0 && (q.Method == "" || q.Path == "") {
-			t.Fatal(fmt.Sprint(q, n, err))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		req, n, err := ParseRequest(in)
+		if n < 0 || n > len(in) || err != nil && n != 0 || n > 0 && (req.Method == "" || req.Path == "") {
+			t.Fatal(fmt.Sprint(req, n, err))
 		}
 		if _, ok := err.(*StatusError); err != nil && !ok {
 			t.Fatal(err)
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -23,13 +23,13 @@
 		{"all chunks", chunked + "A\r\n0123456789\r\n0\r\n\r\n", "0123456789", 200, true, nil},
 		{"trailer", chunked + "1\r\nz\r\n0\r\nX: y\r\n\r\n", "z", 200, true, nil},
 		{"continue first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "x", 200, true, nil},
-		{"no HTTP", "SSH-2.0-x\r\n\r\n", "", 0, false, errHead},
-		{"bad status", "HTTP/1.1 two\r\n\r\n", "", 0, false, errHead},
-		{"bad length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "", 200, false, errHead},
-		{"bad header", "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n", "", 200, false, errHead},
-		{"bad chunk size", chunked + "x\r\n", "", 200, false, errChunk},
-		{"negative chunk", chunked + "-1\r\n", "", 200, false, errChunk},
-		{"no line end", chunked + "1\r\nabc", "a", 200, false, errChunk},
+		{"no HTTP", "SSH-2.0-x\r\n\r\n", "", 0, false, errMalformedHead},
+		{"bad status", "HTTP/1.1 two\r\n\r\n", "", 0, false, errMalformedHead},
+		{"bad length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "", 200, false, errMalformedHead},
+		{"bad header", "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n", "", 200, false, errMalformedHead},
+		{"bad chunk size", chunked + "x\r\n", "", 200, false, errMalformedChunk},
+		{"negative chunk", chunked + "-1\r\n", "", 200, false, errMalformedChunk},
+		{"no line end", chunked + "1\r\nabc", "a", 200, false, errMalformedChunk},
 	}
 	for _, tt := range tests {
 		for cut := range len(tt.in) {
@@ -50,11 +50,11 @@
 
 func TestHeadsAreBounded(t *testing.T) {
 	var r Response
-	_, err := r.Feed(make([]byte, mostHead+1), nil)
-	assert.ErrorIs(t, err, errHead)
+	_, err := r.Feed(make([]byte, maxResponseHead+1), nil)
+	assert.ErrorIs(t, err, errMalformedHead)
 	r = Response{HeadComplete: true, chunked: true}
-	_, err = r.Feed(make([]byte, mostChunkHead+1), nil)
-	assert.ErrorIs(t, err, errChunk)
+	_, err = r.Feed(make([]byte, maxChunkHead+1), nil)
+	assert.ErrorIs(t, err, errMalformedChunk)
 }
 
 // However an answer is cut, the same bytes come out of it.
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -15,13 +15,13 @@
 const (
 	// MaxConnections is how many may be connected at once.
 	MaxConnections = 12
-	callTime       = 3 * time.Second // a call is whole by then, or its caller is let go
-	leaveTime      = time.Second     // an answer is read by then
-	inputMost      = http1.MaxRequestHead + http1.MaxRequestBody + 512
+	requestTimeout = 3 * time.Second // a call is whole by then, or its caller is let go
+	closeTimeout   = time.Second     // an answer is read by then
+	maxInputBytes  = http1.MaxRequestHead + http1.MaxRequestBody + 512
 )
 
-// reasons are the phrases of the statuses in use.
-var reasons = map[int]string{
+// reasonPhrases are the phrases of the statuses in use.
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported",
@@ -56,63 +56,63 @@
 
 // Server is all callers.
 type Server struct {
-	loop  *netloop.Loop
-	ops   Operations
-	calls []*call // oldest first
-	bad   netloop.RateLimitedLog
+	loop          *netloop.Loop
+	ops           Operations
+	conns         []*conn // oldest first
+	badRequestLog netloop.RateLimitedLog
 }
 
 // Listen begins to take calls; it returns the address in use.
 func Listen(loop *netloop.Loop, addr netip.AddrPort, ops Operations) (netip.AddrPort, error) {
-	s := &Server{loop: loop, ops: ops}
-	ln, err := loop.ListenReserved(addr, MaxConnections, s.accept, s.makeRoom)
+	server := &Server{loop: loop, ops: ops}
+	ln, err := loop.ListenReserved(addr, MaxConnections, server.accept, server.evict)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("management: %w", err)
 	}
 	return ln.Addr, nil
 }
 
-// call is one caller.
-type call struct {
-	s     *Server
-	nc    *netloop.Conn
-	timer *netloop.Timer
-	asked bool // its call is whole
-	said  bool // it has its answer
+// conn is one caller.
+type conn struct {
+	server          *Server
+	netConn         *netloop.Conn
+	timer           *netloop.Timer
+	requestComplete bool // its call is whole
+	answered        bool // it has its answer
 }
 
 func (s *Server) accept(nc *netloop.Conn) {
-	s.prune()
-	c := &call{s: s, nc: nc}
-	nc.SetHandler(c, inputMost)
-	c.timer = s.loop.At(s.loop.Now()+callTime, func() { c.answer(408, "no whole call in time\n") })
-	s.calls = append(s.calls, c)
+	s.removeClosed()
+	c := &conn{server: s, netConn: nc}
+	nc.SetHandler(c, maxInputBytes)
+	c.timer = s.loop.At(s.loop.Now()+requestTimeout, func() { c.answerText(408, "no whole call in time\n") })
+	s.conns = append(s.conns, c)
 }
 
-// prune forgets who is gone.
-func (s *Server) prune() {
-	left := s.calls[:0]
-	for _, c := range s.calls {
-		if c.nc.HasDescriptor() {
-			left = append(left, c)
+// removeClosed forgets who is gone.
+func (s *Server) removeClosed() {
+	open := s.conns[:0]
+	for _, c := range s.conns {
+		if c.netConn.HasDescriptor() {
+			open = append(open, c)
 		}
 	}
-	clear(s.calls[len(left):])
-	s.calls = left
+	clear(s.conns[len(open):])
+	s.conns = open
 }
 
-// makeRoom closes the connection of who has its answer, else of who has said nothing, or half a call, for
+// evict closes the connection of who has its answer, else of who has said nothing, or half a call, for
 // longest. Who waits for an answer stays.
-func (s *Server) makeRoom() bool {
-	s.prune()
-	for _, c := range s.calls {
-		if c.said {
+func (s *Server) evict() bool {
+	s.removeClosed()
+	for _, c := range s.conns {
+		if c.answered {
 			c.close()
 			return true
 		}
 	}
-	for _, c := range s.calls {
-		if c.nc.Poll(); !c.asked { // what it has sent by now counts
+	for _, c := range s.conns {
+		if c.netConn.Poll(); !c.requestComplete { // what it has sent by now counts
 			c.close()
 			return true
 		}
@@ -120,149 +120,149 @@
 	return false
 }
 
-func (c *call) close() {
+func (c *conn) close() {
 	c.timer.Stop()
-	c.nc.Close()
+	c.netConn.Close()
 }
 
 // Connected is for dialled connections.
-func (c *call) Connected() {}
+func (c *conn) Connected() {}
 
 // Ended tells that the caller is gone; what it asked for has been done.
-func (c *call) Ended(error) { c.timer.Stop() }
+func (c *conn) Ended(error) { c.timer.Stop() }
 
 // Received carries out a call once it is whole. What follows it is not read.
-func (c *call) Received() {
-	if c.asked {
-		c.nc.Consume(len(c.nc.Input()))
+func (c *conn) Received() {
+	if c.requestComplete {
+		c.netConn.Consume(len(c.netConn.Input()))
 		return
 	}
-	q, n, err := http1.ParseRequest(c.nc.Input())
+	req, n, err := http1.ParseRequest(c.netConn.Input())
 	if bad, ok := err.(*http1.StatusError); ok {
-		c.s.bad.Printf(c.s.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Reason)
-		c.answer(bad.Status, bad.Reason+"\n")
+		c.server.badRequestLog.Printf(c.server.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Reason)
+		c.answerText(bad.Status, bad.Reason+"\n")
 		return
 	}
 	if n > 0 {
-		c.asked = true
-		c.route(q)
+		c.requestComplete = true
+		c.route(req)
 	}
 }
 
 // route finds what was asked for.
-func (c *call) route(q http1.Request) {
-	switch q.Path {
+func (c *conn) route(req http1.Request) {
+	switch req.Path {
 	case "/v1/readyz":
-		if !c.method(q, "GET") {
+		if !c.requireMethod(req, "GET") {
 			return
 		}
-		why, ok := c.s.ops.Ready()
+		reason, ok := c.server.ops.Ready()
 		if ok {
-			c.answer(200, "ready\n")
+			c.answerText(200, "ready\n")
 		} else {
-			c.answer(503, "not ready: "+why+"\n")
+			c.answerText(503, "not ready: "+reason+"\n")
 		}
 	case "/v1/metrics":
-		if c.method(q, "GET") {
-			c.answer(200, string(c.s.ops.Metrics(nil)))
+		if c.requireMethod(req, "GET") {
+			c.answerText(200, string(c.server.ops.Metrics(nil)))
 		}
 	case "/v1/fleet/members":
-		c.fleet(q, c.s.ops.FleetMembers)
+		c.answerFleet(req, c.server.ops.FleetMembers)
 	case "/v1/fleet/versions":
-		c.fleet(q, c.s.ops.FleetVersions)
+		c.answerFleet(req, c.server.ops.FleetVersions)
 	case "/v1/fleet/audit":
-		c.fleet(q, c.s.ops.FleetAudit)
+		c.answerFleet(req, c.server.ops.FleetAudit)
 	case "/v1/fleet/state":
-		c.fleet(q, c.s.ops.FleetState)
+		c.answerFleet(req, c.server.ops.FleetState)
 	case "/v1/gateway/fence", "/v1/gateway/unfence":
-		if !c.method(q, "PUT") {
+		if !c.requireMethod(req, "PUT") {
 			return
 		}
-		if c.s.ops.Fence(q.Path == "/v1/gateway/fence") {
-			c.answer(200, "ok\n")
+		if c.server.ops.Fence(req.Path == "/v1/gateway/fence") {
+			c.answerText(200, "ok\n")
 		} else {
-			c.answer(404, "the fleet file of this gateway sets no fence\n")
+			c.answerText(404, "the fleet file of this gateway sets no fence\n")
 		}
 	case "/v1/gateway/drain", "/v1/gateway/activate":
-		if c.method(q, "PUT") {
-			c.s.ops.Drain(strings.HasSuffix(q.Path, "drain"), c.done)
+		if c.requireMethod(req, "PUT") {
+			c.server.ops.Drain(strings.HasSuffix(req.Path, "drain"), c.answerOverride)
 		}
 	default:
-		c.word(q)
+		c.routeOverride(req)
 	}
 }
 
-// fleet answers with what is known of the fleet.
-func (c *call) fleet(q http1.Request, say func() ([]byte, bool)) {
-	if !c.method(q, "GET") {
+// answerFleet answers with what is known of the answerFleet.
+func (c *conn) answerFleet(req http1.Request, read func() ([]byte, bool)) {
+	if !c.requireMethod(req, "GET") {
 		return
 	}
-	if text, ok := say(); ok {
-		c.reply(200, "application/json", "", string(text))
+	if body, ok := read(); ok {
+		c.respond(200, "application/json", "", string(body))
 	} else {
-		c.answer(404, "this gateway has no fleet file\n")
+		c.answerText(404, "this gateway has no fleet file\n")
 	}
 }
 
-// word handles what operators say of one database or gateway: PREFIX/NAME/VERB.
-func (c *call) word(q http1.Request) {
-	for _, k := range []struct {
-		prefix, what, out, in string
-		say                   func(name string, out bool, then func(said string)) bool
+// routeOverride handles what operators say of one database or gateway: PREFIX/NAME/VERB.
+func (c *conn) routeOverride(req http1.Request) {
+	for _, route := range []struct {
+		prefix, what, onVerb, offVerb string
+		apply                         func(name string, active bool, then func(result string)) bool
 	}{
-		{"/v1/databases/", "database", "suspend", "resume", func(id string, out bool, _ func(said string)) bool {
-			return c.s.ops.Suspend(id, out, c.done) // done answers in then's place
+		{"/v1/databases/", "database", "suspend", "resume", func(id string, active bool, _ func(result string)) bool {
+			return c.server.ops.Suspend(id, active, c.answerOverride) // done answers in then's place
 		}},
-		{"/v1/fleet/databases/", "database", "suspend", "resume", c.s.ops.FleetSuspend},
-		{"/v1/fleet/gateways/", "gateway", "drain", "activate", c.s.ops.FleetDrain},
+		{"/v1/fleet/databases/", "database", "suspend", "resume", c.server.ops.FleetSuspend},
+		{"/v1/fleet/gateways/", "gateway", "drain", "activate", c.server.ops.FleetDrain},
 	} {
-		rest, ok := strings.CutPrefix(q.Path, k.prefix)
-		text, verb, two := strings.Cut(rest, "/")
-		if !ok || !two || verb != k.out && verb != k.in {
+		rest, ok := strings.CutPrefix(req.Path, route.prefix)
+		segment, verb, hasVerb := strings.Cut(rest, "/")
+		if !ok || !hasVerb || verb != route.onVerb && verb != route.offVerb {
 			continue
 		}
-		name, ok := http1.DecodeSegment(text)
+		name, ok := http1.DecodeSegment(segment)
 		switch {
 		case !ok:
-			c.answer(400, "the "+k.what+"'s name is not encoded as a path is\n")
-		case !c.method(q, "PUT"):
-		case !k.say(name, verb == k.out, func(said string) { c.answer(200, strings.TrimSuffix("ok: "+said, ": ")+"\n") }):
-			c.answer(404, fmt.Sprintf("no %s %q\n", k.what, name))
+			c.answerText(400, "the "+route.what+"'s name is not encoded as a path is\n")
+		case !c.requireMethod(req, "PUT"):
+		case !route.apply(name, verb == route.onVerb, func(result string) { c.answerText(200, strings.TrimSuffix("ok: "+result, ": ")+"\n") }):
+			c.answerText(404, fmt.Sprintf("no %s %q\n", route.what, name))
 		}
 		return
 	}
-	c.answer(404, "no such path\n")
+	c.answerText(404, "no such path\n")
 }
 
-// method tells whether the call has the method, and answers if not.
-func (c *call) method(q http1.Request, allowed string) bool {
-	if q.Method != allowed {
-		c.reply(405, "text/plain; charset=utf-8", "Allow: "+allowed+"\r\n", "use "+allowed+"\n")
+// requireMethod tells whether the call has the requireMethod, and answers if not.
+func (c *conn) requireMethod(req http1.Request, allowed string) bool {
+	if req.Method != allowed {
+		c.respond(405, "text/plain; charset=utf-8", "Allow: "+allowed+"\r\n", "use "+allowed+"\n")
 	}
-	return q.Method == allowed
+	return req.Method == allowed
 }
 
-// done answers a word that holds here; it is a yes only where a successor will know it as well.
-func (c *call) done(kept bool) {
+// answerOverride answers a word that holds here; it is a yes only where a successor will know it as well.
+func (c *conn) answerOverride(kept bool) {
 	if kept {
-		c.answer(200, "ok\n")
+		c.answerText(200, "ok\n")
 		return
 	}
-	c.answer(503, "it holds in this process, but could not be written for its successor, which is tried again; say it once more\n")
+	c.answerText(503, "it holds in this process, but could not be written for its successor, which is tried again; say it once more\n")
 }
 
-func (c *call) answer(status int, body string) {
-	c.reply(status, "text/plain; charset=utf-8", "", body)
+func (c *conn) answerText(status int, body string) {
+	c.respond(status, "text/plain; charset=utf-8", "", body)
 }
 
-// reply is the last thing that happens on a connection.
-func (c *call) reply(status int, kind, fields, body string) {
+// respond is the last thing that happens on a connection.
+func (c *conn) respond(status int, contentType, extraFields, body string) {
 	c.timer.Stop()
-	if c.said || c.nc.Closed() {
+	if c.answered || c.netConn.Closed() {
 		return
 	}
-	c.said, c.asked = true, true
-	c.nc.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%sConnection: close\r\n\r\n%s",
-		status, reasons[status], kind, len(body), fields, body))
-	c.nc.Finish(c.s.loop.Now() + leaveTime)
+	c.answered, c.requestComplete = true, true
+	c.netConn.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%sConnection: close\r\n\r\n%s",
+		status, reasonPhrases[status], contentType, len(body), extraFields, body))
+	c.netConn.Finish(c.server.loop.Now() + closeTimeout)
 }
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -15,49 +15,49 @@
 	"lilaccove/internal/netloop"
 )
 
-const patience = 10 * time.Second
-
-// staff is a gateway that does as it is told and writes it down.
-type staff struct {
-	ready  string // empty: yes
-	did    []string
-	later  []func(bool) // answers it owes
-	unkept bool         // words hold and are not kept
+const ioTimeout = 10 * time.Second
+
+// fakeGateway is a gateway that does as it is told and writes it down.
+type fakeGateway struct {
+	notReady     string // empty: yes
+	calls        []string
+	pending      []func(bool) // answers it owes
+	notPersisted bool         // words hold and are not kept
 }
 
-func (s *staff) Ready() (string, bool)         { return s.ready, s.ready == "" }
-func (s *staff) Metrics(b []byte) []byte       { return append(b, "edge_gw.in_progress=0\n"...) }
-func (s *staff) FleetAudit() ([]byte, bool)    { return []byte("{}"), s.ready == "" }
-func (s *staff) Fence(bool) bool               { return s.ready == "" }
-func (s *staff) FleetVersions() ([]byte, bool) { return []byte("{}"), s.ready == "" }
-func (s *staff) FleetState() ([]byte, bool)    { return []byte("{}"), s.ready == "" }
-func (s *staff) FleetSuspend(id string, out bool, then func(string)) bool {
-	return s.Suspend("fleet "+id, out, func(bool) { then("held by 2 of 2 others") })
+func (s *fakeGateway) Ready() (string, bool)         { return s.notReady, s.notReady == "" }
+func (s *fakeGateway) Metrics(b []byte) []byte       { return append(b, "edge_gw.in_progress=0\n"...) }
+func (s *fakeGateway) FleetAudit() ([]byte, bool)    { return []byte("{}"), s.notReady == "" }
+func (s *fakeGateway) Fence(bool) bool               { return s.notReady == "" }
+func (s *fakeGateway) FleetVersions() ([]byte, bool) { return []byte("{}"), s.notReady == "" }
+func (s *fakeGateway) FleetState() ([]byte, bool)    { return []byte("{}"), s.notReady == "" }
+func (s *fakeGateway) FleetSuspend(id string, active bool, then func(string)) bool {
+	return s.Suspend("fleet "+id, active, func(bool) { then("held by 2 of 2 others") })
 }
-func (s *staff) FleetDrain(name string, on bool, then func(string)) bool {
+func (s *fakeGateway) FleetDrain(name string, on bool, then func(string)) bool {
 	return s.FleetSuspend("gateway "+name, on, then)
 }
-func (s *staff) FleetMembers() ([]byte, bool) { return []byte("{}"), s.ready == "" }
-func (s *staff) Drain(on bool, then func(bool)) {
-	s.did = append(s.did, fmt.Sprintf("drain %t", on))
-	then(s.kept())
+func (s *fakeGateway) FleetMembers() ([]byte, bool) { return []byte("{}"), s.notReady == "" }
+func (s *fakeGateway) Drain(on bool, then func(bool)) {
+	s.calls = append(s.calls, fmt.Sprintf("drain %t", on))
+	then(s.persisted())
 }
-func (s *staff) kept() bool { return !s.unkept }
-func (s *staff) Suspend(id string, out bool, then func(bool)) bool {
+func (s *fakeGateway) persisted() bool { return !s.notPersisted }
+func (s *fakeGateway) Suspend(id string, active bool, then func(bool)) bool {
 	if strings.HasPrefix(id, "no") {
 		return false
 	}
-	s.did = append(s.did, fmt.Sprintf("%s out %t", id, out))
+	s.calls = append(s.calls, fmt.Sprintf("%s out %t", id, active))
 	if id == "slow" {
-		s.later = append(s.later, then)
+		s.pending = append(s.pending, then)
 	} else {
-		then(s.kept())
+		then(s.persisted())
 	}
 	return true
 }
 
 // serve runs a server beside the test; stop ends it, after which the staff may be looked at.
-func serve(t *testing.T, ops *staff, each func()) (addr string, stop func()) {
+func serve(t *testing.T, ops *fakeGateway, onStep func()) (address string, stop func()) {
 	loop, err := netloop.New(64, 0, 1<<20)
 	require.NoError(t, err)
 	at, err := Listen(loop, netip.MustParseAddrPort("127.0.0.1:0"), ops)
@@ -66,8 +66,8 @@
 	loop.OnWake(loop.Stop)
 	go func() {
 		done <- loop.Run(func() bool {
-			if each != nil {
-				each()
+			if onStep != nil {
+				onStep()
 			}
 			return false
 		})
@@ -89,7 +89,7 @@
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(ioTimeout)))
 	return c
 }
 
@@ -105,12 +105,12 @@
 
 func request(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		name, in string
-		status   int
-		has, did string
+		name, in        string
+		status          int
+		contains, calls string
 	}{
 		{"ready", request("GET", "/v1/readyz"), 200, "ready", ""},
 		{"figures", request("GET", "/v1/metrics"), 200, "\r\n\r\nedge_gw.in_progress=0\n", ""},
@@ -136,30 +136,30 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			ops := &staff{}
+			ops := &fakeGateway{}
 			addr, stop := serve(t, ops, nil)
 			got := exchange(t, addr, tt.in)
 			stop()
 			assert.True(t, strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", tt.status)), got)
-			assert.Contains(t, got, tt.has)
+			assert.Contains(t, got, tt.contains)
 			assert.Contains(t, got, "\r\nConnection: close\r\n")
-			assert.Equal(t, tt.did, strings.Join(ops.did, ", "))
+			assert.Equal(t, tt.calls, strings.Join(ops.calls, ", "))
 		})
 	}
 }
 
-func TestNotReadySaysWhy(t *testing.T) {
+func TestNotReadyGivesReason(t *testing.T) {
 	t.Parallel()
-	addr, _ := serve(t, &staff{ready: "drained"}, nil)
+	addr, _ := serve(t, &fakeGateway{notReady: "drained"}, nil)
 	got := exchange(t, addr, request("GET", "/v1/readyz"))
 	assert.True(t, strings.HasPrefix(got, "HTTP/1.1 503 "), got)
 	assert.Contains(t, got, "not ready: drained")
 }
 
 // Where the network cuts a call must not matter.
-func TestCallInPieces(t *testing.T) {
+func TestRequestInPieces(t *testing.T) {
 	t.Parallel()
-	ops := &staff{}
+	ops := &fakeGateway{}
 	addr, _ := serve(t, ops, nil)
 	c := dial(t, addr)
 	for _, b := range []byte(request("PUT", "/v1/databases/s-1/suspend")) {
@@ -173,34 +173,34 @@
 
 // Callers that hold connections without a whole call, however many, keep out nobody; the one that has
 // been silent for longest goes first.
-func TestSilentCallersMakeRoom(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
-	addr, _ := serve(t, &staff{}, nil)
-	var held []net.Conn
+	addr, _ := serve(t, &fakeGateway{}, nil)
+	var conns []net.Conn
 	for range 3 * MaxConnections {
 		c := dial(t, addr)
 		_, err := io.WriteString(c, "PUT /v1/gateway/drain HTTP/1.1\r\n")
 		require.NoError(t, err)
-		held = append(held, c)
+		conns = append(conns, c)
 	}
 	assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK")
-	_, err := held[0].Read(make([]byte, 1))
+	_, err := conns[0].Read(make([]byte, 1))
 	assert.Error(t, err, "the first is closed")
-	_, err = io.WriteString(held[len(held)-1], "\r\n")
+	_, err = io.WriteString(conns[len(conns)-1], "\r\n")
 	require.NoError(t, err)
-	got, err := io.ReadAll(held[len(held)-1])
+	got, err := io.ReadAll(conns[len(conns)-1])
 	require.NoError(t, err)
 	assert.Contains(t, string(got), "200 OK", "the last is still served")
 }
 
 // The yes comes when the word holds, not before; who waits for it is not let go for newcomers.
-func TestTheYesWaits(t *testing.T) {
+func TestAnswerWaitsForOverride(t *testing.T) {
 	t.Parallel()
-	ops, ask := &staff{}, make(chan struct{}, 1)
+	ops, release := &fakeGateway{}, make(chan struct{}, 1)
 	addr, _ := serve(t, ops, func() {
 		select {
-		case <-ask:
-			ops.later[0](true)
+		case <-release:
+			ops.pending[0](true)
 		default:
 		}
 	})
@@ -210,7 +210,7 @@
 	for range 2 * MaxConnections {
 		assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK")
 	}
-	ask <- struct{}{}
+	release <- struct{}{}
 	assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK") // a round
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
@@ -218,12 +218,12 @@
 }
 
 // A word that no successor would know is told with a no, though it holds here.
-func TestWordThatIsNotKept(t *testing.T) {
-	ops := &staff{unkept: true}
+func TestOverrideNotPersisted(t *testing.T) {
+	ops := &fakeGateway{notPersisted: true}
 	addr, stop := serve(t, ops, nil)
 	for _, path := range []string{"/v1/databases/a/suspend", "/v1/databases/a/resume", "/v1/gateway/drain", "/v1/gateway/activate"} {
 		assert.Contains(t, exchange(t, addr, request("PUT", path)), "HTTP/1.1 503 ", path)
 	}
 	stop()
-	assert.Equal(t, []string{"a out true", "a out false", "drain true", "drain false"}, ops.did)
+	assert.Equal(t, []string{"a out true", "a out false", "drain true", "drain false"}, ops.calls)
 }
--- a/internal/pgwire/head.go
+++ b/internal/pgwire/head.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	mostHead = 1 << 10
-	mostName = 128
+	maxHeadBytes  = 1 << 10
+	maxValueBytes = 128
 )
 
 // Head is what the comment before a statement tells. The texts lie in the statement.
@@ -19,8 +19,8 @@
 	Cluster        int64
 	After          int64 // a position in Unix milliseconds; 0: none
 	Key            []byte
-	waitAt         int // where the digits of d stand in the statement
-	waitEnd        int
+	deadlineStart  int // where the digits of d stand in the statement
+	deadlineEnd    int
 }
 
 // Errors of heads.
@@ -32,101 +32,101 @@
 // ParseHead reads the comment in place. Names it does not know are passed over: they
 // are for the databases.
 func ParseHead(text []byte) (Head, error) {
-	var h Head
-	open := bytes.TrimLeft(text, " \t\r\n")
-	at := len(text) - len(open)
-	if !bytes.HasPrefix(open, []byte("/*")) {
-		return h, ErrNoHead
+	var head Head
+	trimmed := bytes.TrimLeft(text, " \t\r\n")
+	start := len(text) - len(trimmed)
+	if !bytes.HasPrefix(trimmed, []byte("/*")) {
+		return head, ErrNoHead
 	}
-	at += 2
-	end := bytes.Index(text[at:min(len(text), at+mostHead)], []byte("*/"))
+	start += 2
+	end := bytes.Index(text[start:min(len(text), start+maxHeadBytes)], []byte("*/"))
 	if end < 0 {
-		return h, ErrNoHead
+		return head, ErrNoHead
 	}
-	end += at
-	var seen [6]bool
-	for pos := at; pos < end; {
-		stop := bytes.IndexByte(text[pos:end], ',')
-		if stop < 0 {
-			stop = end
+	end += start
+	var found [6]bool
+	for fieldStart := start; fieldStart < end; {
+		fieldEnd := bytes.IndexByte(text[fieldStart:end], ',')
+		if fieldEnd < 0 {
+			fieldEnd = end
 		} else {
-			stop += pos
+			fieldEnd += fieldStart
 		}
-		if err := h.field(text, pos, stop, &seen); err != nil {
-			return h, err
+		if err := head.parseField(text, fieldStart, fieldEnd, &found); err != nil {
+			return head, err
 		}
-		pos = stop + 1
+		fieldStart = fieldEnd + 1
 	}
 	for i, name := range []string{"id", "c", "d", "cluster"} {
-		if !seen[i] {
-			return h, fmt.Errorf("%w: %s", ErrNoField, name)
+		if !found[i] {
+			return head, fmt.Errorf("%w: %s", ErrNoField, name)
 		}
 	}
-	h.Key = quoted(text[end+2:])
-	return h, nil
+	head.Key = firstQuoted(text[end+2:])
+	return head, nil
 }
 
-// field reads one name=value between two places of the statement.
-func (h *Head) field(text []byte, from, to int, seen *[6]bool) error {
-	for from < to && space(text[from]) {
+// parseField reads one name=value between two places of the statement.
+func (h *Head) parseField(text []byte, from, to int, found *[6]bool) error {
+	for from < to && isSpace(text[from]) {
 		from++
 	}
-	for to > from && space(text[to-1]) {
+	for to > from && isSpace(text[to-1]) {
 		to--
 	}
-	eq := bytes.IndexByte(text[from:to], '=')
-	if eq <= 0 {
-		return fmt.Errorf("heading comment: %q is no name=value", clip(text[from:to]))
+	equals := bytes.IndexByte(text[from:to], '=')
+	if equals <= 0 {
+		return fmt.Errorf("heading comment: %q is no name=value", truncate(text[from:to]))
 	}
-	name, value := text[from:from+eq], text[from+eq+1:to]
-	if len(value) == 0 || len(value) > mostName {
-		return fmt.Errorf("heading comment: %s has %d bytes", clip(name), len(value))
+	name, value := text[from:from+equals], text[from+equals+1:to]
+	if len(value) == 0 || len(value) > maxValueBytes {
+		return fmt.Errorf("heading comment: %s has %d bytes", truncate(name), len(value))
 	}
-	which, err := 0, error(nil)
+	index, err := 0, error(nil)
 	switch string(name) {
 	case "id":
 		h.ID = value
 	case "c":
-		which, h.Class = 1, value
+		index, h.Class = 1, value
 	case "d":
-		which, h.waitAt, h.waitEnd = 2, from+eq+1, to
-		h.DeadlineMillis, err = number(value, math.MaxInt32)
+		index, h.deadlineStart, h.deadlineEnd = 2, from+equals+1, to
+		h.DeadlineMillis, err = parseNumber(value, math.MaxInt32)
 	case "cluster":
-		which = 3
-		h.Cluster, err = number(value, math.MaxInt32)
+		index = 3
+		h.Cluster, err = parseNumber(value, math.MaxInt32)
 	case "after":
-		which = 4
-		h.After, err = number(value, math.MaxInt64/1_000_000)
+		index = 4
+		h.After, err = parseNumber(value, math.MaxInt64/1_000_000)
 	default:
 		return nil
 	}
-	if err == nil && seen[which] {
+	if err == nil && found[index] {
 		err = errors.New("stands twice")
 	}
 	if err != nil {
 		return fmt.Errorf("heading comment: %s: %w", name, err)
 	}
-	seen[which] = true
+	found[index] = true
 	return nil
 }
 
 // SplitAtDeadline returns the parts of the statement before and behind the digits of d.
-func (h *Head) SplitAtDeadline(text []byte) (before, behind []byte) {
-	return text[:h.waitAt], text[h.waitEnd:]
+func (h *Head) SplitAtDeadline(text []byte) (before, after []byte) {
+	return text[:h.deadlineStart], text[h.deadlineEnd:]
 }
 
-func number(b []byte, most int64) (n int64, err error) {
-	for _, c := range b {
-		if c < '0' || c > '9' || n > (most-int64(c-'0'))/10 {
-			return 0, fmt.Errorf("%q is no number in bounds", clip(b))
+func parseNumber(b []byte, limit int64) (n int64, err error) {
+	for _, digit := range b {
+		if digit < '0' || digit > '9' || n > (limit-int64(digit-'0'))/10 {
+			return 0, fmt.Errorf("%q is no number in bounds", truncate(b))
 		}
-		n = 10*n + int64(c-'0')
+		n = 10*n + int64(digit-'0')
 	}
 	return n, nil
 }
 
-// quoted is the first quoted text; a doubled quote in it is no concern of a key.
-func quoted(b []byte) []byte {
+// firstQuoted is the first firstQuoted text; a doubled quote in it is no concern of a key.
+func firstQuoted(b []byte) []byte {
 	from := bytes.IndexByte(b, '\'')
 	if from < 0 {
 		return nil
@@ -138,9 +138,9 @@
 	return b[from+1 : from+1+to]
 }
 
-func clip(b []byte) []byte { return b[:min(len(b), 40)] }
+func truncate(b []byte) []byte { return b[:min(len(b), 40)] }
 
-func space(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
 // Statement is a query with its head, as a front hands it to a backend.
 type Statement struct {
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -13,11 +13,11 @@
 // MaxBufferedValue is the largest value that is collected whole; a statement carries it as hex.
 // Databases answer with up to 4 MiB, and more than MaxServerMessage is none of theirs.
 const (
-	MaxBufferedValue   = 64 << 10
-	MaxBufferedMessage = 2*MaxBufferedValue + 16<<10
-	MaxQuery           = 2*(4<<20) + 16<<10 // one over MostMessage is collected in pieces
-	MaxServerMessage   = 16 << 20
-	mostStartup        = 10_000 // as PostgreSQL itself bounds it
+	MaxBufferedValue    = 64 << 10
+	MaxBufferedMessage  = 2*MaxBufferedValue + 16<<10
+	MaxQuery            = 2*(4<<20) + 16<<10 // one over MostMessage is collected in pieces
+	MaxServerMessage    = 16 << 20
+	maxFirstPacketBytes = 10_000 // as PostgreSQL itself bounds it
 )
 
 // Codes of ErrorResponse.
@@ -61,12 +61,12 @@
 
 // Next splits the first message off b. n is its length with its head; 0: it has not
 // come whole. A length over most is an error as soon as it is seen.
-func Next(b []byte, most int) (kind byte, body []byte, n int, err error) {
+func Next(b []byte, maxLength int) (kind byte, body []byte, n int, err error) {
 	if len(b) < 5 {
 		return 0, nil, 0, nil
 	}
 	size := int(int32(binary.BigEndian.Uint32(b[1:])))
-	if size < 4 || size > most {
+	if size < 4 || size > maxLength {
 		return b[0], nil, 0, fmt.Errorf("%w: %d bytes in message %q", ErrLength, size, b[0])
 	}
 	if len(b) < 1+size {
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// answerMost is how long the messages of an answer may be.
-var answerMost = [256]int{
+// maxMessageLength is how long the messages of an answer may be.
+var maxMessageLength = [256]int{
 	AuthRequest: 8, BackendKey: 12, CommandComplete: 68, DataRow: MaxServerMessage, ErrorResponse: 16 << 10, Notice: 16 << 10,
 	ParameterStatus: 16 << 10, Ready: 5, RowDescription: 1 << 10,
 }
@@ -97,13 +97,13 @@
 // form. What no database says is an error as soon as it shows: the rest of it may never
 // come, and a request that waited for it would lose the time for another attempt.
 func NextAnswer(b []byte) (kind byte, body []byte, n int, err error) {
-	if len(b) > 0 && answerMost[b[0]] == 0 {
+	if len(b) > 0 && maxMessageLength[b[0]] == 0 {
 		return b[0], nil, 0, fmt.Errorf("%w: message %q", ErrInvalidAnswer, b[0])
 	}
 	if len(b) < 5 {
 		return 0, nil, 0, nil
 	}
-	if kind, body, n, err = Next(b, answerMost[b[0]]); err != nil {
+	if kind, body, n, err = Next(b, maxMessageLength[b[0]]); err != nil {
 		return kind, nil, 0, err
 	}
 	if kind == DataRow && len(b) >= 11 {
@@ -144,7 +144,7 @@
 		value, ok := ParseSingleColumn(body)
 		return ok && value != nil
 	case ErrorResponse:
-		return codeLike(ErrorCode(body)) && bytes.HasSuffix(body, []byte{0, 0})
+		return isSQLState(ErrorCode(body)) && bytes.HasSuffix(body, []byte{0, 0})
 	case ParameterStatus:
 		_, _, err := ParseParameterStatus(body)
 		return err == nil
@@ -158,10 +158,10 @@
 	return true
 }
 
-// codeLike tells whether b can be an SQLSTATE.
-func codeLike(b []byte) bool {
-	other := func(r rune) bool { return !(r >= '0' && r <= '9' || r >= 'A' && r <= 'Z') }
-	return len(b) == 5 && bytes.IndexFunc(b, other) < 0
+// isSQLState tells whether b can be an SQLSTATE.
+func isSQLState(b []byte) bool {
+	invalid := func(r rune) bool { return !(r >= '0' && r <= '9' || r >= 'A' && r <= 'Z') }
+	return len(b) == 5 && bytes.IndexFunc(b, invalid) < 0
 }
 
 // FirstPacket is what a client's first packet asks for.
@@ -182,7 +182,7 @@
 		return FirstPacketIncomplete, 0, nil
 	}
 	size := int(int32(binary.BigEndian.Uint32(b)))
-	if size < 8 || size > mostStartup {
+	if size < 8 || size > maxFirstPacketBytes {
 		return FirstPacketIncomplete, 0, fmt.Errorf("%w: %d bytes in the first packet", ErrLength, size)
 	}
 	if len(b) < size {
@@ -234,17 +234,17 @@
 }
 
 // Append adds one message made of the texts, each terminated by a zero.
-func appendTexts(b []byte, kind byte, texts ...string) []byte {
-	at := len(b)
+func appendTextMessage(b []byte, kind byte, texts ...string) []byte {
+	start := len(b)
 	b = append(b, kind, 0, 0, 0, 0)
 	for _, s := range texts {
 		b = append(append(b, s...), 0)
 	}
-	return closeMessage(b, at)
+	return setLength(b, start)
 }
 
-func closeMessage(b []byte, at int) []byte {
-	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-1))
+func setLength(b []byte, start int) []byte {
+	binary.BigEndian.PutUint32(b[start+1:], uint32(len(b)-start-1))
 	return b
 }
 
@@ -255,7 +255,7 @@
 		{"server_version", "15.0 (lilaccove)"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"},
 	} {
-		b = appendTexts(b, ParameterStatus, p[0], p[1])
+		b = appendTextMessage(b, ParameterStatus, p[0], p[1])
 	}
 	b = append(b, BackendKey, 0, 0, 0, 12)
 	return AppendReady(binary.BigEndian.AppendUint64(b, key))
@@ -273,17 +273,17 @@
 	if detail != "" {
 		texts = append(texts, "D"+detail)
 	}
-	return appendTexts(b, ErrorResponse, append(texts, "")...)
+	return appendTextMessage(b, ErrorResponse, append(texts, "")...)
 }
 
 // AppendQuery adds a simple query.
-func AppendQuery(b []byte, text string) []byte { return appendTexts(b, Query, text) }
+func AppendQuery(b []byte, text string) []byte { return appendTextMessage(b, Query, text) }
 
 // QueryHeader is the head of a Query message whose body, with its zero, has so many bytes.
 func QueryHeader(body int) [5]byte {
-	h := [5]byte{Query}
-	binary.BigEndian.PutUint32(h[1:], uint32(body+4))
-	return h
+	header := [5]byte{Query}
+	binary.BigEndian.PutUint32(header[1:], uint32(body+4))
+	return header
 }
 
 // ErrorCode is the code of an ErrorResponse, from its body; empty if there is none.
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestParseHello(t *testing.T) {
+func TestParseFirstPacket(t *testing.T) {
 	start := string(Startup("api", "ledger"))
 	tests := []struct {
 		name, in string
@@ -106,15 +106,15 @@
 
 func TestParseHead(t *testing.T) {
 	const rest = " INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f') RETURNING blob"
-	h, err := ParseHead([]byte("/* id=9b1f,c=order,d=480,cluster=2,after=1767225600123,k=x,r=1 */" + rest))
+	head, err := ParseHead([]byte("/* id=9b1f,c=order,d=480,cluster=2,after=1767225600123,k=x,r=1 */" + rest))
 	require.NoError(t, err)
-	assert.Equal(t, "9b1f order 7f3a", string(h.ID)+" "+string(h.Class)+" "+string(h.Key))
-	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{h.DeadlineMillis, h.Cluster, h.After})
+	assert.Equal(t, "9b1f order 7f3a", string(head.ID)+" "+string(head.Class)+" "+string(head.Key))
+	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{head.DeadlineMillis, head.Cluster, head.After})
 
 	tests := []struct{ name, in, want string }{
 		{"no comment", "SELECT 1", "no heading comment"},
 		{"never closed", "/* id=1,c=a,d=1,cluster=1" + rest, "no heading comment"},
-		{"too long", "/* id=1,c=a,d=1,cluster=1,x=" + strings.Repeat("y", mostHead) + " */", "no heading comment"},
+		{"too long", "/* id=1,c=a,d=1,cluster=1,x=" + strings.Repeat("y", maxHeadBytes) + " */", "no heading comment"},
 		{"no id", "/* c=a,d=1,cluster=1 */" + rest, "lacks a name: id"},
 		{"no d", "/* id=1,c=a,cluster=1 */" + rest, "lacks a name: d"},
 		{"d twice", "/* id=1,c=a,d=1,d=2,cluster=1 */" + rest, "d: stands twice"},
@@ -132,17 +132,17 @@
 }
 
 // All but the digits of d passes unchanged: a database takes no other statement.
-func TestAroundLeavesOnlyTheDigitsOut(t *testing.T) {
+func TestSplitAtDeadline(t *testing.T) {
 	for _, text := range []string{
 		"/* id=1,c=a,d=480,cluster=2 */ SELECT blob FROM rows WHERE handle = 'd=7'",
 		"  /*d=1,id=1,c=a,cluster=2*/SELECT ''",
 		"/* id=d=9,c=a, d=77 ,cluster=2 */ SELECT 'x'",
 	} {
-		h, err := ParseHead([]byte(text))
+		head, err := ParseHead([]byte(text))
 		require.NoError(t, err, text)
-		before, behind := h.SplitAtDeadline([]byte(text))
-		digits := text[len(before) : len(text)-len(behind)]
-		assert.Equal(t, string(AppendMillis(nil, h.DeadlineMillis)), digits, text)
+		before, after := head.SplitAtDeadline([]byte(text))
+		digits := text[len(before) : len(text)-len(after)]
+		assert.Equal(t, string(AppendMillis(nil, head.DeadlineMillis)), digits, text)
 		assert.True(t, strings.HasSuffix(string(before), "d="), text)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestColumn(t *testing.T) {
+func TestParseSingleColumn(t *testing.T) {
 	tests := []struct {
 		in, want string
 		ok       bool
@@ -194,9 +194,9 @@
 		if err != nil {
 			text = in
 		}
-		if h, err := ParseHead(text); err == nil {
-			before, behind := h.SplitAtDeadline(text)
-			assert.Less(t, len(before)+len(behind), len(text))
+		if head, err := ParseHead(text); err == nil {
+			before, after := head.SplitAtDeadline(text)
+			assert.Less(t, len(before)+len(after), len(text))
 		}
 	})
 }
@@ -211,6 +211,6 @@
 	assert.Equal(t, uint64(0x0102030405060708), key)
 	_, ok = CancelKey(packet[:12])
 	assert.False(t, ok)
-	welcome := AppendStartupReply(nil, key)
-	assert.Contains(t, string(welcome), "K\x00\x00\x00\x0c\x01\x02\x03\x04\x05\x06\x07\x08")
+	reply := AppendStartupReply(nil, key)
+	assert.Contains(t, string(reply), "K\x00\x00\x00\x0c\x01\x02\x03\x04\x05\x06\x07\x08")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -29,7 +29,7 @@
 	Peers         bool // gateways may talk to each other
 }
 
-var levels = map[string]policy.ReadLevel{
+var readLevels = map[string]policy.ReadLevel{
 	"loose": policy.Loose, "recent": policy.Recent, "own_writes": policy.OwnWrites,
 	"latest": policy.Latest, "update": policy.Write,
 }
@@ -43,20 +43,20 @@
 	"": policy.ListPushed, "ask": policy.ListFromService, "push": policy.ListFromAgent,
 }
 
-var behinds = map[string]policy.StaleReadMode{
+var staleReadModes = map[string]policy.StaleReadMode{
 	"": policy.StaleReadServe, "none": policy.StaleReadServe,
 	"reject": policy.StaleReadReject, "hold": policy.StaleReadHold,
 }
 
-var repeats = map[string]policy.RetrySafety{
+var retrySafeties = map[string]policy.RetrySafety{
 	"retryable": policy.Retryable, "dedup": policy.DedupGroup, "fragile": policy.AtMostOnce,
 }
 
 // reader looks values up by path and keeps the first thing found wrong. Paths that
 // nobody reads are skipped.
 type reader struct {
-	value map[string]string
-	err   error
+	values map[string]string
+	err    error
 }
 
 func (s *reader) fail(format string, args ...any) {
@@ -65,175 +65,175 @@
 	}
 }
 
-func (s *reader) num(path string) float64 {
-	v, ok := s.value[path]
+func (s *reader) number(path string) float64 {
+	text, ok := s.values[path]
 	if !ok {
 		return 0
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		s.fail("%s: %q is no number", path, v)
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		s.fail("%s: %q is no number", path, text)
 		return 0
 	}
-	return x
+	return number
 }
 
-// atMost is a number from 0 up to a bound. Below it would count for none at all, which allows more than was meant.
-func (s *reader) atMost(path string, most float64, what string) float64 {
-	x := s.num(path)
-	if x < 0 || x > most {
-		s.fail("%s: %s is out of range; give %s from 0 to %g", path, s.value[path], what, most)
+// upTo is a number from 0 up to a bound. Below it would count for none at all, which allows more than was meant.
+func (s *reader) upTo(path string, limit float64, what string) float64 {
+	number := s.number(path)
+	if number < 0 || number > limit {
+		s.fail("%s: %s is out of range; give %s from 0 to %g", path, s.values[path], what, limit)
 		return 0
 	}
-	return x
+	return number
 }
 
 // Bounds that no deployment comes near: beyond them a value would not fit, or is not meant.
 const (
-	longest = 10 * 365 * 24 * time.Hour
-	mostOf  = math.MaxInt32
+	maxDuration = 10 * 365 * 24 * time.Hour
+	maxNumber   = math.MaxInt32
 )
 
-func (s *reader) time(path string) time.Duration {
-	return time.Duration(s.atMost(path, float64(longest/time.Microsecond), "microseconds") * float64(time.Microsecond))
+func (s *reader) duration(path string) time.Duration {
+	return time.Duration(s.upTo(path, float64(maxDuration/time.Microsecond), "microseconds") * float64(time.Microsecond))
 }
 
 // count is a whole number.
 func (s *reader) count(path string) int {
-	x := s.atMost(path, mostOf, "a whole number")
-	if x != math.Trunc(x) {
-		s.fail("%s: %s is no whole number", path, s.value[path])
+	number := s.upTo(path, maxNumber, "a whole number")
+	if number != math.Trunc(number) {
+		s.fail("%s: %s is no whole number", path, s.values[path])
 	}
-	return int(x)
+	return int(number)
 }
 
-func (s *reader) bool(path string) bool { return s.value[path] == "true" || s.value[path] == "1" }
+func (s *reader) bool(path string) bool { return s.values[path] == "true" || s.values[path] == "1" }
 
 func (s *reader) list(path string) []string {
-	if s.value[path] == "" {
+	if s.values[path] == "" {
 		return nil
 	}
-	return strings.Split(s.value[path], ",")
+	return strings.Split(s.values[path], ",")
 }
 
-func choice[T any](s *reader, path string, words map[string]T) T {
-	v, ok := words[s.value[path]]
+func choice[T any](s *reader, path string, choices map[string]T) T {
+	value, ok := choices[s.values[path]]
 	if !ok {
-		s.fail("%s: unknown word %q", path, s.value[path])
+		s.fail("%s: unknown word %q", path, s.values[path])
 	}
-	return v
+	return value
 }
 
 // FromPairs reads the simulator's form: texts path=value.
 func FromPairs(pairs []string) (Settings, error) {
-	value := map[string]string{}
+	values := map[string]string{}
 	for _, pair := range pairs {
 		if pair == "-" || pair == "" {
 			continue
 		}
-		path, val, ok := strings.Cut(pair, "=")
+		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
 			return Settings{}, fmt.Errorf("setting %q has no value", pair)
 		}
-		value[path] = val
+		values[path] = value
 	}
-	set, err := read(value)
-	if set.Policy.ListSource == policy.ListFromAgent {
-		set.Policy.ListSource = policy.ListPushed // there is no agent: what it would be sent reaches the instance
+	result, err := read(values)
+	if result.Policy.ListSource == policy.ListFromAgent {
+		result.Policy.ListSource = policy.ListPushed // there is no agent: what it would be sent reaches the instance
 	}
-	return set, err
+	return result, err
 }
 
 // FromJSON reads the nested form.
-func FromJSON(text []byte) (Settings, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
+func FromJSON(content []byte) (Settings, error) {
+	decoder := json.NewDecoder(bytes.NewReader(content))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	value := map[string]string{}
-	flatten(value, "", tree)
-	return read(value)
+	values := map[string]string{}
+	flatten(values, "", tree)
+	return read(values)
 }
 
 // flatten gives nested values the paths that they have in the simulator's form.
-func flatten(into map[string]string, path string, v any) {
+func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case nil:
 	case map[string]any:
-		for name, x := range v {
-			flatten(into, strings.TrimPrefix(path+"."+name, "."), x)
+		for name, item := range v {
+			flatten(values, strings.TrimPrefix(path+"."+name, "."), item)
 		}
 	case []any:
-		var plain []string
-		for i, x := range v {
-			if _, object := x.(map[string]any); object {
-				flatten(into, path+"."+strconv.Itoa(i), x)
-				into[path+".count"] = strconv.Itoa(len(v))
+		var scalars []string
+		for i, item := range v {
+			if _, object := item.(map[string]any); object {
+				flatten(values, path+"."+strconv.Itoa(i), item)
+				values[path+".count"] = strconv.Itoa(len(v))
 			} else {
-				plain = append(plain, fmt.Sprint(x))
+				scalars = append(scalars, fmt.Sprint(item))
 			}
 		}
-		into[path] = strings.Join(plain, ",")
+		values[path] = strings.Join(scalars, ",")
 	default:
-		into[path] = fmt.Sprint(v)
+		values[path] = fmt.Sprint(v)
 	}
 }
 
-func read(value map[string]string) (Settings, error) {
-	s := &reader{value: value}
-	set := Settings{
+func read(values map[string]string) (Settings, error) {
+	s := &reader{values: values}
+	result := Settings{
 		Policy:        s.policy(),
-		PositionEpoch: time.Duration(s.num("Domain.ZeroUs") * float64(time.Microsecond)),
+		PositionEpoch: time.Duration(s.number("Domain.ZeroUs") * float64(time.Microsecond)),
 		Zones:         s.list("Localities"),
-		ConnIdle:      s.time("Allowed.ConnIdleUs"),
-		DialTimeout:   s.time("Allowed.DialTimeoutUs"),
-		AnswerSlack:   s.time("Rules.AnswerSlackUs"),
+		ConnIdle:      s.duration("Allowed.ConnIdleUs"),
+		DialTimeout:   s.duration("Allowed.DialTimeoutUs"),
+		AnswerSlack:   s.duration("Rules.AnswerSlackUs"),
 		MaxOpen:       s.count("Allowed.MaxOpen"),
 		Peers:         s.bool("Allowed.Peers"),
-		ProbeReport:   value["Report.Fields"] != "" && value["Report.Source"] != "none",
+		ProbeReport:   values["Report.Fields"] != "" && values["Report.Source"] != "none",
 	}
-	for i := range set.Policy.Classes {
-		set.Classes = append(set.Classes, value[fmt.Sprintf("Lanes.%d.Name", i)])
+	for i := range result.Policy.Classes {
+		result.Classes = append(result.Classes, values[fmt.Sprintf("Lanes.%d.Name", i)])
 	}
-	return set, s.err
+	return result, s.err
 }
 
 func (s *reader) policy() policy.Settings {
-	set := policy.Settings{
+	result := policy.Settings{
 		Routers:             s.count("Instances"),
-		Zone:                int(s.num("Zone")),
-		Tick:                s.time("ResolutionUs"),
+		Zone:                int(s.number("Zone")),
+		Tick:                s.duration("ResolutionUs"),
 		ListSource:          choice(s, "Discovery", listSources),
 		ListRole:            choice(s, "Domain.ShowsRole", listRoles),
 		PositionGranularity: time.Millisecond,
-		StaleReadMode:       choice(s, "Domain.Behind", behinds),
-		StaleReadHoldTime:   s.time("Domain.PatienceUs"),
-		TracksSessions:      s.value["Domain.SessionMarks"] == "router",
+		StaleReadMode:       choice(s, "Domain.Behind", staleReadModes),
+		StaleReadHoldTime:   s.duration("Domain.PatienceUs"),
+		TracksSessions:      s.values["Domain.SessionMarks"] == "router",
 		CanProbe:            s.bool("Allowed.Probes"),
 		CanCancel:           s.bool("Allowed.Cancel"),
 		MaxAttempts:         s.count("Allowed.TryLimit"),
-		MaxRetryAfter:       s.time("Allowed.MaxRetryAfterUs"),
-		DrainGrace:          s.time("Rules.DrainGraceUs"),
+		MaxRetryAfter:       s.duration("Allowed.MaxRetryAfterUs"),
+		DrainGrace:          s.duration("Rules.DrainGraceUs"),
 		GoneIsAdvisory:      s.bool("Rules.GoneIsAdvice"),
-		MaxListAge:          s.time("Rules.MustAskInUs"),
-		StartCapacity:       s.atMost("Rules.StartCapacity", 1, "a share"),
-		SlowStartTime:       s.time("Rules.ColdUs"),
-		OverloadFactor:      s.atMost("Rules.FallMultiple", mostOf, "a number"),
-		OverloadWindow:      s.time("Rules.FallUs"),
+		MaxListAge:          s.duration("Rules.MustAskInUs"),
+		StartCapacity:       s.upTo("Rules.StartCapacity", 1, "a share"),
+		SlowStartTime:       s.duration("Rules.ColdUs"),
+		OverloadFactor:      s.upTo("Rules.FallMultiple", maxNumber, "a number"),
+		OverloadWindow:      s.duration("Rules.FallUs"),
 	}
 	if !s.bool("Allowed.RetryAfter") {
-		set.MaxRetryAfter = 0
+		result.MaxRetryAfter = 0
 	}
-	read, bound := s.list("Domain.ReadLevel"), s.list("Domain.ClassBoundUs")
+	levels, bounds := s.list("Domain.ReadLevel"), s.list("Domain.ClassBoundUs")
 	for i := range s.count("Lanes.count") {
-		set.Classes = append(set.Classes, s.class(i, listed(read, i), listed(bound, i)))
+		result.Classes = append(result.Classes, s.class(i, elementOrEmpty(levels, i), elementOrEmpty(bounds, i)))
 	}
-	return set
+	return result
 }
 
-func listed(list []string, i int) string {
+func elementOrEmpty(list []string, i int) string {
 	if i < len(list) {
 		return list[i]
 	}
@@ -241,29 +241,29 @@
 }
 
 func (s *reader) class(i int, level, bound string) policy.Class {
-	at := fmt.Sprintf("Lanes.%d.", i)
-	c := policy.Class{
-		Aim:         s.time(at + "GoalTimeUs"),
-		Deadline:    s.time(at + "DeadlineUs"),
-		Worth:       s.atMost(at+"Worth", mostOf, "a number"),
-		LateWorth:   s.atMost(at+"LateWorth", mostOf, "a number"),
-		RetrySafety: choice(s, at+"Repeat", repeats),
-		DedupWindow: s.time(at + "DedupWindowUs"),
+	prefix := fmt.Sprintf("Lanes.%d.", i)
+	class := policy.Class{
+		Aim:         s.duration(prefix + "GoalTimeUs"),
+		Deadline:    s.duration(prefix + "DeadlineUs"),
+		Worth:       s.upTo(prefix+"Worth", maxNumber, "a number"),
+		LateWorth:   s.upTo(prefix+"LateWorth", maxNumber, "a number"),
+		RetrySafety: choice(s, prefix+"Repeat", retrySafeties),
+		DedupWindow: s.duration(prefix + "DedupWindowUs"),
 	}
-	if c.RetrySafety == policy.DedupGroup && s.value[at+"Group"] == "all" {
-		c.RetrySafety = policy.DedupAll
+	if class.RetrySafety == policy.DedupGroup && s.values[prefix+"Group"] == "all" {
+		class.RetrySafety = policy.DedupAll
 	}
 	var ok bool
-	if c.Level, ok = levels[level]; !ok {
+	if class.Level, ok = readLevels[level]; !ok {
 		s.fail("Domain.ReadLevel: unknown word %q for class %d", level, i)
 	}
-	if us, err := strconv.ParseFloat(bound, 64); err == nil && us >= 0 && us <= float64(longest/time.Microsecond) {
-		c.Bound = time.Duration(us * float64(time.Microsecond))
-	} else if c.Level == policy.Recent || bound != "" {
+	if micros, err := strconv.ParseFloat(bound, 64); err == nil && micros >= 0 && micros <= float64(maxDuration/time.Microsecond) {
+		class.Bound = time.Duration(micros * float64(time.Microsecond))
+	} else if class.Level == policy.Recent || bound != "" {
 		s.fail("Domain.ClassBoundUs: no bound for class %d in %q; give microseconds", i, bound)
 	}
-	if c.Aim <= 0 || c.Deadline <= 0 {
-		s.fail("%sGoalTimeUs and %sDeadlineUs: class %d needs both, in microseconds, above 0", at, at, i)
+	if class.Aim <= 0 || class.Deadline <= 0 {
+		s.fail("%sGoalTimeUs and %sDeadlineUs: class %d needs both, in microseconds, above 0", prefix, prefix, i)
 	}
-	return c
+	return class
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,7 +34,7 @@
 }
 
 // The module decides the same in both worlds only if it is told the same.
-func TestBothFormsReadTheSame(t *testing.T) {
+func TestPairsAndJSONGiveEqualSettings(t *testing.T) {
 	a, err := FromJSON([]byte(nested))
 	require.NoError(t, err)
 	b, err := FromPairs(pairs)
@@ -47,7 +47,7 @@
 	assert.Equal(t, 77, a.MaxOpen)
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestErrorsNameTheSetting(t *testing.T) {
 	tests := []struct {
 		name, pair, want string
 	}{
@@ -80,14 +80,14 @@
 }
 
 // What is missing is read as what allows least: nothing is repeated, called off, probed or advised.
-func TestWhatIsMissingAllowsNothing(t *testing.T) {
-	var least []string
+func TestMissingSettingsAllowNothing(t *testing.T) {
+	var minimal []string
 	for _, pair := range pairs {
 		if !strings.HasPrefix(pair, "Allowed.") {
-			least = append(least, pair)
+			minimal = append(minimal, pair)
 		}
 	}
-	set, err := FromPairs(least)
+	set, err := FromPairs(minimal)
 	require.NoError(t, err)
 	assert.False(t, set.Policy.CanProbe)
 	assert.False(t, set.Policy.CanCancel)
