--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,5 +1,5 @@
-// Package management is the operators' address: HTTP/1.1, one call to a connection. It runs on the
-// loop beside the clients, with descriptors of its own, and knows operations by a small interface.
+// Package management serves the operators' HTTP/1.1 address, with one request per connection. It runs on the same loop as
+// the clients' connections, with reserved descriptors, and carries out requests through the interface Operations.
 package management
 
 import (
@@ -13,48 +13,49 @@
 )
 
 const (
-	// MaxConnections is how many may be connected at once.
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections = 12
-	requestTimeout = 3 * time.Second // a call is whole by then, or its caller is let go
-	closeTimeout   = time.Second     // an answer is read by then
+	requestTimeout = 3 * time.Second // for the complete request to arrive
+	closeTimeout   = time.Second     // for the caller to read the answer and close
 	maxInputBytes  = http1.MaxRequestHead + http1.MaxRequestBody + 512
 )
 
-// reasonPhrases are the phrases of the statuses in use.
+// reasonPhrases holds the reason phrases of the status codes in use.
 var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported",
 }
 
-// Operations are what operators may ask for. Everything is called on the loop's goroutine.
+// Operations carries out operators' requests. All methods are called on the loop's goroutine.
 type Operations interface {
-	// Ready tells whether requests are served, or else why not.
-	Ready() (why string, ok bool)
-	// Metrics adds the figures.
+	// Ready reports whether the gateway serves requests, and if not, why.
+	Ready() (reason string, ok bool)
+	// Metrics appends the metrics.
 	Metrics(b []byte) []byte
-	// Suspend leaves a database out, or has it serve again, and calls then when that holds; kept tells whether a
-	// successor will know it as well. False: nobody knows the database.
-	Suspend(id string, out bool, then func(kept bool)) bool
-	// FleetMembers tells in JSON which other gateways are known; false: this one is in no fleet.
+	// Suspend suspends a database, or resumes it, and calls done once the override is in force; persisted tells whether
+	// a successor will know it as well. It returns false if the database is unknown.
+	Suspend(id string, active bool, done func(persisted bool)) bool
+	// FleetMembers returns the known gateways of the fleet as JSON; false if this gateway is in no fleet.
 	FleetMembers() ([]byte, bool)
-	// FleetState tells in JSON what operators told the whole fleet; false: this gateway is in no fleet.
+	// FleetState returns the fleet-wide overrides as JSON; false if this gateway is in no fleet.
 	FleetState() ([]byte, bool)
-	// FleetVersions tells in JSON who acts on which versions; false: this gateway is in no fleet.
+	// FleetVersions returns as JSON which gateway acts on which versions; false if this gateway is in no fleet.
 	FleetVersions() ([]byte, bool)
-	// FleetAudit tells in JSON what this gateway did, by what it acted on; false: it is in no fleet.
+	// FleetAudit returns as JSON what this gateway did, by what it acted on; false if it is in no fleet.
 	FleetAudit() ([]byte, bool)
-	// FleetSuspend is Suspend for the whole fleet; then tells who has the word.
-	FleetSuspend(id string, out bool, then func(said string)) bool
-	// FleetDrain tells the fleet to drain a gateway, whichever it is, or to have it work again; false: nobody knows it.
-	FleetDrain(name string, on bool, then func(said string)) bool
-	// Fence shuts the gateway out, or has it go on with what it has; false: there is no fence.
-	Fence(out bool) bool
-	// Drain empties the gateway, or has it work again, at once, and calls then as Suspend does.
-	Drain(on bool, then func(kept bool))
+	// FleetSuspend is Suspend for the whole fleet; result tells how many gateways have the override.
+	FleetSuspend(id string, active bool, done func(result string)) bool
+	// FleetDrain drains any gateway of the fleet, or activates it again. It returns false if the gateway is unknown.
+	FleetDrain(name string, on bool, done func(result string)) bool
+	// Fence fences the gateway, or has it go on with its current list. It returns false if the fleet file sets no
+	// fence bound.
+	Fence(on bool) bool
+	// Drain drains the gateway at once, or activates it again, and calls done as Suspend does.
+	Drain(on bool, done func(persisted bool))
 }
 
-// Server is all callers.
+// Server holds the open connections of the operators' address.
 type Server struct {
 	loop          *netloop.Loop
 	ops           Operations
@@ -62,7 +63,7 @@
 	badRequestLog netloop.RateLimitedLog
 }
 
-// Listen begins to take calls; it returns the address in use.
+// Listen starts to accept connections at addr and returns the address in use.
 func Listen(loop *netloop.Loop, addr netip.AddrPort, ops Operations) (netip.AddrPort, error) {
 	server := &Server{loop: loop, ops: ops}
 	ln, err := loop.ListenReserved(addr, MaxConnections, server.accept, server.evict)
@@ -72,24 +73,25 @@
 	return ln.Addr, nil
 }
 
-// conn is one caller.
+// conn is an operator's connection.
 type conn struct {
 	server          *Server
 	netConn         *netloop.Conn
 	timer           *netloop.Timer
-	requestComplete bool // its call is whole
-	answered        bool // it has its answer
+	requestComplete bool
+	answered        bool
 }
 
-func (s *Server) accept(nc *netloop.Conn) {
+// accept sets up a new connection and the timeout of its request.
+func (s *Server) accept(netConn *netloop.Conn) {
 	s.removeClosed()
-	c := &conn{server: s, netConn: nc}
-	nc.SetHandler(c, maxInputBytes)
+	c := &conn{server: s, netConn: netConn}
+	netConn.SetHandler(c, maxInputBytes)
 	c.timer = s.loop.At(s.loop.Now()+requestTimeout, func() { c.answerText(408, "no whole call in time\n") })
 	s.conns = append(s.conns, c)
 }
 
-// removeClosed forgets who is gone.
+// removeClosed removes the connections that are closed from the list.
 func (s *Server) removeClosed() {
 	open := s.conns[:0]
 	for _, c := range s.conns {
@@ -101,8 +103,8 @@
 	s.conns = open
 }
 
-// evict closes the connection of who has its answer, else of who has said nothing, or half a call, for
-// longest. Who waits for an answer stays.
+// evict closes a connection to free its descriptor: the oldest one that has its answer, or else the oldest one without a
+// complete request. Connections that wait for an answer stay open.
 func (s *Server) evict() bool {
 	s.removeClosed()
 	for _, c := range s.conns {
@@ -112,7 +114,7 @@
 		}
 	}
 	for _, c := range s.conns {
-		if c.netConn.Poll(); !c.requestComplete { // what it has sent by now counts
+		if c.netConn.Poll(); !c.requestComplete { // Poll first reads what has arrived
 			c.close()
 			return true
 		}
@@ -125,22 +127,22 @@
 	c.netConn.Close()
 }
 
-// Connected is for dialled connections.
+// Connected does nothing: it is called for dialled connections only.
 func (c *conn) Connected() {}
 
-// Ended tells that the caller is gone; what it asked for has been done.
+// Ended handles the loss of the connection. A request that was complete has been carried out.
 func (c *conn) Ended(error) { c.timer.Stop() }
 
-// Received carries out a call once it is whole. What follows it is not read.
+// Received carries out a request once it is complete. Input after it is discarded.
 func (c *conn) Received() {
 	if c.requestComplete {
 		c.netConn.Consume(len(c.netConn.Input()))
 		return
 	}
 	req, n, err := http1.ParseRequest(c.netConn.Input())
-	if bad, ok := err.(*http1.StatusError); ok {
-		c.server.badRequestLog.Printf(c.server.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Reason)
-		c.answerText(bad.Status, bad.Reason+"\n")
+	if statusErr, ok := err.(*http1.StatusError); ok {
+		c.server.badRequestLog.Printf(c.server.loop.Now(), "event=bad_call status=%d err=%q", statusErr.Status, statusErr.Reason)
+		c.answerText(statusErr.Status, statusErr.Reason+"\n")
 		return
 	}
 	if n > 0 {
@@ -149,7 +151,7 @@
 	}
 }
 
-// route finds what was asked for.
+// route dispatches a request by its path.
 func (c *conn) route(req http1.Request) {
 	switch req.Path {
 	case "/v1/readyz":
@@ -192,7 +194,7 @@
 	}
 }
 
-// answerFleet answers with what is known of the answerFleet.
+// answerFleet answers with the JSON that read returns about the fleet.
 func (c *conn) answerFleet(req http1.Request, read func() ([]byte, bool)) {
 	if !c.requireMethod(req, "GET") {
 		return
@@ -204,14 +206,14 @@
 	}
 }
 
-// routeOverride handles what operators say of one database or gateway: PREFIX/NAME/VERB.
+// routeOverride handles overrides of one database or gateway: PREFIX/NAME/VERB.
 func (c *conn) routeOverride(req http1.Request) {
 	for _, route := range []struct {
 		prefix, what, onVerb, offVerb string
-		apply                         func(name string, active bool, then func(result string)) bool
+		apply                         func(name string, active bool, done func(result string)) bool
 	}{
 		{"/v1/databases/", "database", "suspend", "resume", func(id string, active bool, _ func(result string)) bool {
-			return c.server.ops.Suspend(id, active, c.answerOverride) // done answers in then's place
+			return c.server.ops.Suspend(id, active, c.answerOverride) // answerOverride answers instead of the callback
 		}},
 		{"/v1/fleet/databases/", "database", "suspend", "resume", c.server.ops.FleetSuspend},
 		{"/v1/fleet/gateways/", "gateway", "drain", "activate", c.server.ops.FleetDrain},
@@ -234,7 +236,7 @@
 	c.answerText(404, "no such path\n")
 }
 
-// requireMethod tells whether the call has the requireMethod, and answers if not.
+// requireMethod reports whether the request has the allowed method, and answers it with 405 if not.
 func (c *conn) requireMethod(req http1.Request, allowed string) bool {
 	if req.Method != allowed {
 		c.respond(405, "text/plain; charset=utf-8", "Allow: "+allowed+"\r\n", "use "+allowed+"\n")
@@ -242,20 +244,22 @@
 	return req.Method == allowed
 }
 
-// answerOverride answers a word that holds here; it is a yes only where a successor will know it as well.
-func (c *conn) answerOverride(kept bool) {
-	if kept {
+// answerOverride answers an override that is in force here. The answer is a success only if a successor will know the
+// override as well.
+func (c *conn) answerOverride(persisted bool) {
+	if persisted {
 		c.answerText(200, "ok\n")
 		return
 	}
 	c.answerText(503, "it holds in this process, but could not be written for its successor, which is tried again; say it once more\n")
 }
 
+// answerText answers with a plain text.
 func (c *conn) answerText(status int, body string) {
 	c.respond(status, "text/plain; charset=utf-8", "", body)
 }
 
-// respond is the last thing that happens on a connection.
+// respond sends the answer and closes the connection. Only the first answer to a request is sent.
 func (c *conn) respond(status int, contentType, extraFields, body string) {
 	c.timer.Stop()
 	if c.answered || c.netConn.Closed() {
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -17,12 +17,12 @@
 
 const ioTimeout = 10 * time.Second
 
-// fakeGateway is a gateway that does as it is told and writes it down.
+// fakeGateway implements Operations and records the calls that change something.
 type fakeGateway struct {
-	notReady     string // empty: yes
+	notReady     string // the reason; empty: ready
 	calls        []string
-	pending      []func(bool) // answers it owes
-	notPersisted bool         // words hold and are not kept
+	pending      []func(bool) // callbacks of operations that are not in force yet
+	notPersisted bool         // overrides are in force but not persisted
 }
 
 func (s *fakeGateway) Ready() (string, bool)         { return s.notReady, s.notReady == "" }
@@ -31,36 +31,36 @@
 func (s *fakeGateway) Fence(bool) bool               { return s.notReady == "" }
 func (s *fakeGateway) FleetVersions() ([]byte, bool) { return []byte("{}"), s.notReady == "" }
 func (s *fakeGateway) FleetState() ([]byte, bool)    { return []byte("{}"), s.notReady == "" }
-func (s *fakeGateway) FleetSuspend(id string, active bool, then func(string)) bool {
-	return s.Suspend("fleet "+id, active, func(bool) { then("held by 2 of 2 others") })
+func (s *fakeGateway) FleetSuspend(id string, active bool, done func(string)) bool {
+	return s.Suspend("fleet "+id, active, func(bool) { done("held by 2 of 2 others") })
 }
-func (s *fakeGateway) FleetDrain(name string, on bool, then func(string)) bool {
-	return s.FleetSuspend("gateway "+name, on, then)
+func (s *fakeGateway) FleetDrain(name string, on bool, done func(string)) bool {
+	return s.FleetSuspend("gateway "+name, on, done)
 }
 func (s *fakeGateway) FleetMembers() ([]byte, bool) { return []byte("{}"), s.notReady == "" }
-func (s *fakeGateway) Drain(on bool, then func(bool)) {
+func (s *fakeGateway) Drain(on bool, done func(bool)) {
 	s.calls = append(s.calls, fmt.Sprintf("drain %t", on))
-	then(s.persisted())
+	done(s.persisted())
 }
 func (s *fakeGateway) persisted() bool { return !s.notPersisted }
-func (s *fakeGateway) Suspend(id string, active bool, then func(bool)) bool {
+func (s *fakeGateway) Suspend(id string, active bool, done func(bool)) bool {
 	if strings.HasPrefix(id, "no") {
 		return false
 	}
-	s.calls = append(s.calls, fmt.Sprintf("%s out %t", id, active))
+	s.calls = append(s.calls, fmt.Sprintf("%s suspended %t", id, active))
 	if id == "slow" {
-		s.pending = append(s.pending, then)
+		s.pending = append(s.pending, done)
 	} else {
-		then(s.persisted())
+		done(s.persisted())
 	}
 	return true
 }
 
-// serve runs a server beside the test; stop ends it, after which the staff may be looked at.
+// serve runs a server in its own goroutine. stop ends it; then the test may read the fake gateway.
 func serve(t *testing.T, ops *fakeGateway, onStep func()) (address string, stop func()) {
 	loop, err := netloop.New(64, 0, 1<<20)
 	require.NoError(t, err)
-	at, err := Listen(loop, netip.MustParseAddrPort("127.0.0.1:0"), ops)
+	listenAddr, err := Listen(loop, netip.MustParseAddrPort("127.0.0.1:0"), ops)
 	require.NoError(t, err)
 	done := make(chan error, 1)
 	loop.OnWake(loop.Stop)
@@ -82,7 +82,7 @@
 		}
 	}
 	t.Cleanup(stop)
-	return at.String(), stop
+	return listenAddr.String(), stop
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -93,7 +93,7 @@
 	return c
 }
 
-// exchange sends text and returns all that is said until the end.
+// exchange sends text and returns everything received until the connection ends.
 func exchange(t *testing.T, addr, text string) string {
 	c := dial(t, addr)
 	_, err := io.WriteString(c, text)
@@ -113,23 +113,23 @@
 		contains, calls string
 	}{
 		{"ready", request("GET", "/v1/readyz"), 200, "ready", ""},
-		{"figures", request("GET", "/v1/metrics"), 200, "\r\n\r\nedge_gw.in_progress=0\n", ""},
-		{"out", request("PUT", "/v1/databases/s-1/suspend"), 200, "ok", "s-1 out true"},
-		{"back", request("PUT", "/v1/databases/s-1/resume"), 200, "ok", "s-1 out false"},
-		{"encoded", request("PUT", "/v1/databases/a%2fb/suspend"), 200, "ok", "a/b out true"},
+		{"metrics", request("GET", "/v1/metrics"), 200, "\r\n\r\nedge_gw.in_progress=0\n", ""},
+		{"suspend", request("PUT", "/v1/databases/s-1/suspend"), 200, "ok", "s-1 suspended true"},
+		{"resume", request("PUT", "/v1/databases/s-1/resume"), 200, "ok", "s-1 suspended false"},
+		{"encoded name", request("PUT", "/v1/databases/a%2fb/suspend"), 200, "ok", "a/b suspended true"},
 		{"with a body", "PUT /v1/gateway/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 200, "ok", "drain true"},
-		{"work again", request("PUT", "/v1/gateway/activate"), 200, "ok", "drain false"},
-		{"a second call is not carried out", request("PUT", "/v1/gateway/drain") + request("PUT", "/v1/gateway/activate"), 200, "ok", "drain true"},
+		{"activate", request("PUT", "/v1/gateway/activate"), 200, "ok", "drain false"},
+		{"a second request is not carried out", request("PUT", "/v1/gateway/drain") + request("PUT", "/v1/gateway/activate"), 200, "ok", "drain true"},
 		{"unknown database", request("PUT", "/v1/databases/none/suspend"), 404, `no database "none"`, ""},
-		{"badly encoded", request("PUT", "/v1/databases/%zz/suspend"), 400, "", ""},
+		{"invalid encoding", request("PUT", "/v1/databases/%zz/suspend"), 400, "", ""},
 		{"unknown path", request("GET", "/"), 404, "", ""},
 		{"unknown verb", request("PUT", "/v1/databases/s-1/restart"), 404, "", ""},
-		{"no name", request("PUT", "/v1/databases//suspend"), 400, "", ""},
-		{"a path that goes on", request("PUT", "/v1/databases/s-1/suspend/now"), 404, "", ""},
-		{"method", request("POST", "/v1/gateway/drain"), 405, "Allow: PUT\r\n", ""},
-		{"method of readyz", request("PUT", "/v1/readyz"), 405, "Allow: GET\r\n", ""},
-		{"method of a database", request("GET", "/v1/databases/s-1/suspend"), 405, "Allow: PUT\r\n", ""},
-		{"no HTTP", "hello\r\n\r\n", 400, "", ""},
+		{"empty name", request("PUT", "/v1/databases//suspend"), 400, "", ""},
+		{"extra path segment", request("PUT", "/v1/databases/s-1/suspend/now"), 404, "", ""},
+		{"wrong method", request("POST", "/v1/gateway/drain"), 405, "Allow: PUT\r\n", ""},
+		{"wrong method for readyz", request("PUT", "/v1/readyz"), 405, "Allow: GET\r\n", ""},
+		{"wrong method for a database", request("GET", "/v1/databases/s-1/suspend"), 405, "Allow: PUT\r\n", ""},
+		{"not HTTP", "hello\r\n\r\n", 400, "", ""},
 		{"long head", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 9<<10) + "\r\n\r\n", 431, "", ""},
 		{"long body", "PUT /v1/gateway/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413, "", ""},
 	}
@@ -156,7 +156,7 @@
 	assert.Contains(t, got, "not ready: drained")
 }
 
-// Where the network cuts a call must not matter.
+// A request that arrives one byte at a time is carried out.
 func TestRequestInPieces(t *testing.T) {
 	t.Parallel()
 	ops := &fakeGateway{}
@@ -171,8 +171,7 @@
 	assert.Contains(t, string(got), "200 OK")
 }
 
-// Callers that hold connections without a whole call, however many, keep out nobody; the one that has
-// been silent for longest goes first.
+// Connections without a complete request, however many, don't keep out new ones: the oldest is evicted first.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	addr, _ := serve(t, &fakeGateway{}, nil)
@@ -185,15 +184,16 @@
 	}
 	assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK")
 	_, err := conns[0].Read(make([]byte, 1))
-	assert.Error(t, err, "the first is closed")
+	assert.Error(t, err, "the oldest is closed")
 	_, err = io.WriteString(conns[len(conns)-1], "\r\n")
 	require.NoError(t, err)
 	got, err := io.ReadAll(conns[len(conns)-1])
 	require.NoError(t, err)
-	assert.Contains(t, string(got), "200 OK", "the last is still served")
+	assert.Contains(t, string(got), "200 OK", "the newest is still served")
 }
 
-// The yes comes when the word holds, not before; who waits for it is not let go for newcomers.
+// The answer is sent once the override is in force, not before. The connection that waits for it is not evicted for new
+// ones.
 func TestAnswerWaitsForOverride(t *testing.T) {
 	t.Parallel()
 	ops, release := &fakeGateway{}, make(chan struct{}, 1)
@@ -211,13 +211,13 @@
 		assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK")
 	}
 	release <- struct{}{}
-	assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK") // a round
+	assert.Contains(t, exchange(t, addr, request("GET", "/v1/readyz")), "200 OK") // at least one more round of the loop
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Contains(t, string(got), "200 OK")
 }
 
-// A word that no successor would know is told with a no, though it holds here.
+// An override that is in force but could not be persisted for a successor is answered with 503.
 func TestOverrideNotPersisted(t *testing.T) {
 	ops := &fakeGateway{notPersisted: true}
 	addr, stop := serve(t, ops, nil)
@@ -225,5 +225,5 @@
 		assert.Contains(t, exchange(t, addr, request("PUT", path)), "HTTP/1.1 503 ", path)
 	}
 	stop()
-	assert.Equal(t, []string{"a out true", "a out false", "drain true", "drain false"}, ops.calls)
+	assert.Equal(t, []string{"a suspended true", "a suspended false", "drain true", "drain false"}, ops.calls)
 }
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -107,10 +107,10 @@
 		return kind, nil, 0, err
 	}
 	if kind == DataRow && len(b) >= 11 {
-		// The row's head tells its length a second time.
-		size, row := int64(binary.BigEndian.Uint32(b[1:])), int64(binary.BigEndian.Uint32(b[7:]))
-		if binary.BigEndian.Uint16(b[5:]) != 1 || size != 4+2+4+row {
-			return kind, nil, 0, fmt.Errorf("%w: a row of %d bytes in a message of %d", ErrInvalidAnswer, row, size)
+		// The rowLength's head tells its length a second time.
+		size, rowLength := int64(binary.BigEndian.Uint32(b[1:])), int64(binary.BigEndian.Uint32(b[7:]))
+		if binary.BigEndian.Uint16(b[5:]) != 1 || size != 4+2+4+rowLength {
+			return kind, nil, 0, fmt.Errorf("%w: a row of %d bytes in a message of %d", ErrInvalidAnswer, rowLength, size)
 		}
 	}
 	if n > 0 && !wellFormed(kind, body) {
@@ -321,11 +321,11 @@
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
-	size := int32(binary.BigEndian.Uint32(body[2:]))
-	if size == -1 && len(body) == 6 {
+	length := int32(binary.BigEndian.Uint32(body[2:]))
+	if length == -1 && len(body) == 6 {
 		return nil, true
 	}
-	return body[6:], size >= 0 && len(body) == 6+int(size)
+	return body[6:], length >= 0 && len(body) == 6+int(length)
 }
 
 // ParseText is the text of a Query, from its body.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads a router's settings by path. It is the one reader for both
-// forms in which they come: the pairs of the simulator's first message and the nested
-// JSON of a gateway's configuration.
+// Package settings decodes a router's settings from both of their forms: the path=value pairs of the simulator's first
+// message and the nested JSON of a gateway's configuration.
 package settings
 
 import (
@@ -15,18 +14,18 @@
 	"lilaccove/policy"
 )
 
-// Settings is all that the program reads of them.
+// Settings holds all the settings that the program uses.
 type Settings struct {
 	Policy        policy.Settings
-	PositionEpoch time.Duration // where the simulator's positions count from
-	Classes       []string      // their names, in the order of Policy.Classes
-	Zones         []string
-	ConnIdle      time.Duration // databases close connections that stood idle so long
+	PositionEpoch time.Duration // origin of the simulator's replication positions
+	Classes       []string      // names, in the order of Policy.Classes
+	Zones         []string      // names; Policy.Zone is an index into them
+	ConnIdle      time.Duration // databases close connections that were idle for this time
 	DialTimeout   time.Duration
 	AnswerSlack   time.Duration
-	MaxOpen       int  // requests at once; 0: no limit
-	ProbeReport   bool // probes bring load reports
-	Peers         bool // gateways may talk to each other
+	MaxOpen       int  // maximum number of requests in progress; 0: no limit
+	ProbeReport   bool // answers to probes contain load reports
+	Peers         bool // gateways may contact each other
 }
 
 var readLevels = map[string]policy.ReadLevel{
@@ -52,8 +51,7 @@
 	"retryable": policy.Retryable, "dedup": policy.DedupGroup, "fragile": policy.AtMostOnce,
 }
 
-// reader looks values up by path and keeps the first thing found wrong. Paths that
-// nobody reads are skipped.
+// reader looks up values by path and keeps the first error. Paths that are never looked up are ignored.
 type reader struct {
 	values map[string]string
 	err    error
@@ -65,6 +63,7 @@
 	}
 }
 
+// number returns a number, or 0 if the path is not set.
 func (s *reader) number(path string) float64 {
 	text, ok := s.values[path]
 	if !ok {
@@ -72,13 +71,14 @@
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		s.fail("%s: %q is no number", path, text)
+		s.fail("%s: %q is not a number", path, text)
 		return 0
 	}
 	return number
 }
 
-// upTo is a number from 0 up to a bound. Below it would count for none at all, which allows more than was meant.
+// upTo returns a number from 0 to limit. A negative number is an error: for several settings the decision module would
+// read it as no limit, which allows more than was meant.
 func (s *reader) upTo(path string, limit float64, what string) float64 {
 	number := s.number(path)
 	if number < 0 || number > limit {
@@ -88,21 +88,22 @@
 	return number
 }
 
-// Bounds that no deployment comes near: beyond them a value would not fit, or is not meant.
+// Upper limits for all settings, far above any deployment's values: a larger value is a mistake or would overflow.
 const (
 	maxDuration = 10 * 365 * 24 * time.Hour
 	maxNumber   = math.MaxInt32
 )
 
+// duration returns a time that is given in microseconds.
 func (s *reader) duration(path string) time.Duration {
 	return time.Duration(s.upTo(path, float64(maxDuration/time.Microsecond), "microseconds") * float64(time.Microsecond))
 }
 
-// count is a whole number.
+// count returns a whole number.
 func (s *reader) count(path string) int {
 	number := s.upTo(path, maxNumber, "a whole number")
 	if number != math.Trunc(number) {
-		s.fail("%s: %s is no whole number", path, s.values[path])
+		s.fail("%s: %s is not a whole number", path, s.values[path])
 	}
 	return int(number)
 }
@@ -116,15 +117,16 @@
 	return strings.Split(s.values[path], ",")
 }
 
+// choice returns the value of a keyword.
 func choice[T any](s *reader, path string, choices map[string]T) T {
 	value, ok := choices[s.values[path]]
 	if !ok {
-		s.fail("%s: unknown word %q", path, s.values[path])
+		s.fail("%s: unknown value %q", path, s.values[path])
 	}
 	return value
 }
 
-// FromPairs reads the simulator's form: texts path=value.
+// FromPairs decodes the simulator's form: path=value pairs.
 func FromPairs(pairs []string) (Settings, error) {
 	values := map[string]string{}
 	for _, pair := range pairs {
@@ -139,12 +141,12 @@
 	}
 	result, err := read(values)
 	if result.Policy.ListSource == policy.ListFromAgent {
-		result.Policy.ListSource = policy.ListPushed // there is no agent: what it would be sent reaches the instance
+		result.Policy.ListSource = policy.ListPushed // the simulator has no agents: it pushes the list to the instance itself
 	}
 	return result, err
 }
 
-// FromJSON reads the nested form.
+// FromJSON decodes the nested form.
 func FromJSON(content []byte) (Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
@@ -157,7 +159,7 @@
 	return read(values)
 }
 
-// flatten gives nested values the paths that they have in the simulator's form.
+// flatten stores nested values under the paths that they have in the simulator's form.
 func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case nil:
@@ -181,6 +183,7 @@
 	}
 }
 
+// read decodes all settings and returns the first error.
 func read(values map[string]string) (Settings, error) {
 	s := &reader{values: values}
 	result := Settings{
@@ -200,6 +203,7 @@
 	return result, s.err
 }
 
+// policy decodes the settings of the decision module.
 func (s *reader) policy() policy.Settings {
 	result := policy.Settings{
 		Routers:             s.count("Instances"),
@@ -233,6 +237,7 @@
 	return result
 }
 
+// elementOrEmpty returns the element at i, or an empty string beyond the list's end.
 func elementOrEmpty(list []string, i int) string {
 	if i < len(list) {
 		return list[i]
@@ -240,6 +245,7 @@
 	return ""
 }
 
+// class decodes the class at index i, with its read level and its staleness bound.
 func (s *reader) class(i int, level, bound string) policy.Class {
 	prefix := fmt.Sprintf("Lanes.%d.", i)
 	class := policy.Class{
@@ -255,7 +261,7 @@
 	}
 	var ok bool
 	if class.Level, ok = readLevels[level]; !ok {
-		s.fail("Domain.ReadLevel: unknown word %q for class %d", level, i)
+		s.fail("Domain.ReadLevel: unknown value %q for class %d", level, i)
 	}
 	if micros, err := strconv.ParseFloat(bound, 64); err == nil && micros >= 0 && micros <= float64(maxDuration/time.Microsecond) {
 		class.Bound = time.Duration(micros * float64(time.Microsecond))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	"Report.Source=none", "Rules.AnswerSlackUs=20000",
 }
 
-// The module decides the same in both worlds only if it is told the same.
+// The decision module must get the same settings in the simulator as in a gateway, whichever form they have.
 func TestPairsAndJSONGiveEqualSettings(t *testing.T) {
 	a, err := FromJSON([]byte(nested))
 	require.NoError(t, err)
@@ -51,23 +51,23 @@
 	tests := []struct {
 		name, pair, want string
 	}{
-		{"number", "Zone=x", `Zone: "x" is no number`},
-		{"word", "Domain.ShowsRole=perhaps", `Domain.ShowsRole: unknown word "perhaps"`},
+		{"number", "Zone=x", `Zone: "x" is not a number`},
+		{"keyword", "Domain.ShowsRole=perhaps", `Domain.ShowsRole: unknown value "perhaps"`},
 		{"no value", "Zone", `setting "Zone" has no value`},
-		{"level", "Domain.ReadLevel=recent", `unknown word "" for class 1`},
+		{"level", "Domain.ReadLevel=recent", `unknown value "" for class 1`},
 		{"bound", "Domain.ClassBoundUs=", "no bound for class 0"},
-		{"bound below zero", "Domain.ClassBoundUs=-5,0", `no bound for class 0 in "-5"; give microseconds`},
-		{"bound that is no number", "Domain.ClassBoundUs=3000000,soon", `no bound for class 1 in "soon"`},
-		{"time below zero", "Rules.DrainGraceUs=-1", "Rules.DrainGraceUs: -1 is out of range; give microseconds from 0"},
+		{"negative bound", "Domain.ClassBoundUs=-5,0", `no bound for class 0 in "-5"; give microseconds`},
+		{"bound that is not a number", "Domain.ClassBoundUs=3000000,soon", `no bound for class 1 in "soon"`},
+		{"negative time", "Rules.DrainGraceUs=-1", "Rules.DrainGraceUs: -1 is out of range; give microseconds from 0"},
 		{"huge time", "Lanes.0.DedupWindowUs=1e30", "Lanes.0.DedupWindowUs: 1e30 is out of range"},
-		{"no number at all", "Rules.FallUs=NaN", `Rules.FallUs: "NaN" is no number`},
-		{"endless", "Rules.ColdUs=+Inf", `Rules.ColdUs: "+Inf" is no number`},
-		{"attempts below zero, which would be no limit", "Allowed.TryLimit=-1", "Allowed.TryLimit: -1 is out of range"},
-		{"half an attempt", "Allowed.TryLimit=2.5", "Allowed.TryLimit: 2.5 is no whole number"},
+		{"NaN", "Rules.FallUs=NaN", `Rules.FallUs: "NaN" is not a number`},
+		{"infinite", "Rules.ColdUs=+Inf", `Rules.ColdUs: "+Inf" is not a number`},
+		{"negative number of attempts, which would be no limit", "Allowed.TryLimit=-1", "Allowed.TryLimit: -1 is out of range"},
+		{"half an attempt", "Allowed.TryLimit=2.5", "Allowed.TryLimit: 2.5 is not a whole number"},
 		{"huge count", "Instances=1e300", "Instances: 1e300 is out of range"},
-		{"a share over all", "Rules.StartCapacity=27", "Rules.StartCapacity: 27 is out of range; give a share from 0 to 1"},
-		{"multiple below zero", "Rules.FallMultiple=-2", "Rules.FallMultiple: -2 is out of range"},
-		{"no repeat", "Lanes.1.Repeat=", `Lanes.1.Repeat: unknown word ""`},
+		{"share above 1", "Rules.StartCapacity=27", "Rules.StartCapacity: 27 is out of range; give a share from 0 to 1"},
+		{"negative multiple", "Rules.FallMultiple=-2", "Rules.FallMultiple: -2 is out of range"},
+		{"no repeat", "Lanes.1.Repeat=", `Lanes.1.Repeat: unknown value ""`},
 		{"no deadline", "Lanes.1.DeadlineUs=0", "class 1 needs both"},
 		{"huge number of classes", "Lanes.count=1e12", "Lanes.count: 1e12 is out of range"},
 	}
@@ -79,7 +79,7 @@
 	assert.Error(t, err)
 }
 
-// What is missing is read as what allows least: nothing is repeated, called off, probed or advised.
+// A missing setting is read as the most restrictive value: no retries, cancel requests, probes or advice to clients.
 func TestMissingSettingsAllowNothing(t *testing.T) {
 	var minimal []string
 	for _, pair := range pairs {
@@ -87,12 +87,12 @@
 			minimal = append(minimal, pair)
 		}
 	}
-	set, err := FromPairs(minimal)
+	settings, err := FromPairs(minimal)
 	require.NoError(t, err)
-	assert.False(t, set.Policy.CanProbe)
-	assert.False(t, set.Policy.CanCancel)
-	assert.False(t, set.Peers)
-	assert.Zero(t, set.Policy.MaxRetryAfter)
-	assert.Zero(t, set.Policy.Classes[0].DedupWindow)
-	assert.Zero(t, set.Policy.DrainGrace)
+	assert.False(t, settings.Policy.CanProbe)
+	assert.False(t, settings.Policy.CanCancel)
+	assert.False(t, settings.Peers)
+	assert.Zero(t, settings.Policy.MaxRetryAfter)
+	assert.Zero(t, settings.Policy.Classes[0].DedupWindow)
+	assert.Zero(t, settings.Policy.DrainGrace)
 }
