--- a/internal/pgwire/head.go
+++ b/internal/pgwire/head.go
@@ -8,29 +8,28 @@
 )
 
 const (
-	maxHeadBytes  = 1 << 10
-	maxValueBytes = 128
+	maxHeadBytes  = 1 << 10 // of a heading comment
+	maxValueBytes = 128     // of each value in it
 )
 
-// Head is what the comment before a statement tells. The texts lie in the statement.
+// Head holds the fields of the comment before a statement. Its slices point into the statement.
 type Head struct {
 	ID, Class      []byte
-	DeadlineMillis int64 // how long the client waits, from when it sent the request
+	DeadlineMillis int64 // how long the client waits, counted from when it sent the request
 	Cluster        int64
 	After          int64 // a position in Unix milliseconds; 0: none
 	Key            []byte
-	deadlineStart  int // where the digits of d stand in the statement
+	deadlineStart  int // position of the digits of d in the statement
 	deadlineEnd    int
 }
 
-// Errors of heads.
+// Errors of ParseHead.
 var (
 	ErrNoHead  = errors.New("statement has no heading comment")
 	ErrNoField = errors.New("heading comment lacks a name")
 )
 
-// ParseHead reads the comment in place. Names it does not know are passed over: they
-// are for the databases.
+// ParseHead parses the heading comment without copying. Unknown names are ignored: they are meant for the databases.
 func ParseHead(text []byte) (Head, error) {
 	var head Head
 	trimmed := bytes.TrimLeft(text, " \t\r\n")
@@ -66,7 +65,7 @@
 	return head, nil
 }
 
-// parseField reads one name=value between two places of the statement.
+// parseField parses one name=value between two positions of the statement.
 func (h *Head) parseField(text []byte, from, to int, found *[6]bool) error {
 	for from < to && isSpace(text[from]) {
 		from++
@@ -110,11 +109,12 @@
 	return nil
 }
 
-// SplitAtDeadline returns the parts of the statement before and behind the digits of d.
+// SplitAtDeadline returns the parts of the statement before and after the digits of d.
 func (h *Head) SplitAtDeadline(text []byte) (before, after []byte) {
 	return text[:h.deadlineStart], text[h.deadlineEnd:]
 }
 
+// parseNumber parses an unsigned decimal number up to limit.
 func parseNumber(b []byte, limit int64) (n int64, err error) {
 	for _, digit := range b {
 		if digit < '0' || digit > '9' || n > (limit-int64(digit-'0'))/10 {
@@ -125,7 +125,7 @@
 	return n, nil
 }
 
-// firstQuoted is the first firstQuoted text; a doubled quote in it is no concern of a key.
+// firstQuoted returns the first quoted text. It does not handle doubled quotes: keys contain none.
 func firstQuoted(b []byte) []byte {
 	from := bytes.IndexByte(b, '\'')
 	if from < 0 {
@@ -138,18 +138,20 @@
 	return b[from+1 : from+1+to]
 }
 
+// truncate shortens a text for an error message.
 func truncate(b []byte) []byte { return b[:min(len(b), 40)] }
 
+// isSpace reports whether c is white space.
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-// Statement is a query with its head, as a front hands it to a backend.
+// Statement is a query with its parsed head, as a front passes it to a backend.
 type Statement struct {
 	Text []byte
 	Head Head
-	Rest [][]byte // what follows Text, of one that came in pieces
+	Rest [][]byte // the parts after Text, if the query arrived in pieces
 }
 
-// Length is that of the whole text.
+// Length returns the length of the whole text.
 func (s *Statement) Length() int {
 	n := len(s.Text)
 	for _, b := range s.Rest {
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -1,5 +1,5 @@
-// Package pgwire frames the messages of version 3 of PostgreSQL's protocol and reads
-// the comment that heads a statement. It knows bytes only, no sockets.
+// Package pgwire frames the messages of version 3 of PostgreSQL's protocol and parses the comment that heads a statement.
+// It works on bytes, without sockets.
 package pgwire
 
 import (
@@ -10,26 +10,26 @@
 	"strconv"
 )
 
-// MaxBufferedValue is the largest value that is collected whole; a statement carries it as hex.
-// Databases answer with up to 4 MiB, and more than MaxServerMessage is none of theirs.
+// Limits in bytes. A value of up to MaxBufferedValue is buffered whole; a statement contains it in hex, with twice the
+// length. Databases answer with values of up to 4 MiB, so a message over MaxServerMessage cannot be valid.
 const (
 	MaxBufferedValue    = 64 << 10
 	MaxBufferedMessage  = 2*MaxBufferedValue + 16<<10
-	MaxQuery            = 2*(4<<20) + 16<<10 // one over MostMessage is collected in pieces
+	MaxQuery            = 2*(4<<20) + 16<<10 // a query over MaxBufferedMessage is collected in pieces
 	MaxServerMessage    = 16 << 20
-	maxFirstPacketBytes = 10_000 // as PostgreSQL itself bounds it
+	maxFirstPacketBytes = 10_000 // PostgreSQL's own limit
 )
 
-// Codes of ErrorResponse.
+// SQLSTATE codes in an ErrorResponse.
 const (
-	CodeTooManyConnections = "53300" // refused, or turned away: it never ran
+	CodeTooManyConnections = "53300" // refused or shed: the statement never ran
 	CodeCannotConnectNow   = "57P03"
-	CodeReadOnly           = "25006" // a write at a server that is no primary
-	CodeReplicaTooStale    = "72000" // a read at a replica that lags
+	CodeReadOnly           = "25006" // a write sent to a server that is not the primary
+	CodeReplicaTooStale    = "72000" // a read refused by a replica for its lag
 	CodeProtocolViolation  = "08P01"
 	CodeUnsupported        = "0A000"
-	CodeUnknownOutcome     = "40003" // a statement that may have run
-	CodeQueryCanceled      = "57014" // at its client's wish: it never ran
+	CodeUnknownOutcome     = "40003" // the statement may have run
+	CodeQueryCanceled      = "57014" // canceled by its client: the statement never ran
 	CodeInvalidParameter   = "22023"
 	CodeTooLarge           = "54000"
 	CodeAdminShutdown      = "57P01"
@@ -51,16 +51,16 @@
 	Terminate       = 'X'
 )
 
-// Errors of framing.
+// Errors of messages that break the protocol.
 var (
 	ErrLength           = errors.New("message length out of bounds")
 	ErrVersion          = errors.New("protocol version is not 3")
 	ErrUnterminatedText = errors.New("text is not terminated")
-	ErrInvalidAnswer    = errors.New("no database says this")
+	ErrInvalidAnswer    = errors.New("invalid message from a database")
 )
 
-// Next splits the first message off b. n is its length with its head; 0: it has not
-// come whole. A length over most is an error as soon as it is seen.
+// Next splits the first message off b. n is the message's length including its header, or 0 if it is incomplete. A length
+// over maxLength is an error as soon as the header has arrived.
 func Next(b []byte, maxLength int) (kind byte, body []byte, n int, err error) {
 	if len(b) < 5 {
 		return 0, nil, 0, nil
@@ -75,8 +75,8 @@
 	return b[0], b[5 : 1+size], 1 + size, nil
 }
 
-// LargeQueryLength is the length with its head of a Query that begins b, is longer than MostMessage and not too
-// long; else 0.
+// LargeQueryLength returns the length, including the header, of the Query at the start of b if it is longer than
+// MaxBufferedMessage and not longer than MaxQuery; otherwise 0.
 func LargeQueryLength(b []byte) int {
 	if len(b) < 5 || b[0] != Query {
 		return 0
@@ -87,15 +87,15 @@
 	return 0
 }
 
-// maxMessageLength is how long the messages of an answer may be.
+// maxMessageLength holds the maximum length in bytes of each type of message in an answer; 0 for all other types.
 var maxMessageLength = [256]int{
 	AuthRequest: 8, BackendKey: 12, CommandComplete: 68, DataRow: MaxServerMessage, ErrorResponse: 16 << 10, Notice: 16 << 10,
 	ParameterStatus: 16 << 10, Ready: 5, RowDescription: 1 << 10,
 }
 
-// NextAnswer splits the first message of a database off b, as Next does, and checks its
-// form. What no database says is an error as soon as it shows: the rest of it may never
-// come, and a request that waited for it would lose the time for another attempt.
+// NextAnswer splits the first message of a database off b, as Next does, and validates it. An invalid message is an error
+// as soon as it can be recognized: the rest of it may never arrive, and a request that waited for it would lose the time
+// for another attempt.
 func NextAnswer(b []byte) (kind byte, body []byte, n int, err error) {
 	if len(b) > 0 && maxMessageLength[b[0]] == 0 {
 		return b[0], nil, 0, fmt.Errorf("%w: message %q", ErrInvalidAnswer, b[0])
@@ -107,7 +107,7 @@
 		return kind, nil, 0, err
 	}
 	if kind == DataRow && len(b) >= 11 {
-		// The rowLength's head tells its length a second time.
+		// The row's header repeats the length.
 		size, rowLength := int64(binary.BigEndian.Uint32(b[1:])), int64(binary.BigEndian.Uint32(b[7:]))
 		if binary.BigEndian.Uint16(b[5:]) != 1 || size != 4+2+4+rowLength {
 			return kind, nil, 0, fmt.Errorf("%w: a row of %d bytes in a message of %d", ErrInvalidAnswer, rowLength, size)
@@ -119,8 +119,8 @@
 	return kind, body, n, nil
 }
 
-// LargeRowLength is the length with its head of a row that begins b and is too large to be collected, once so
-// much of it has come that NextAnswer has checked its lengths; else 0.
+// LargeRowLength returns the length, including the header, of the DataRow at the start of b if its value is larger than
+// MaxBufferedValue and enough of it has arrived for NextAnswer to check its lengths; otherwise 0.
 func LargeRowLength(b []byte) int {
 	if len(b) < 11 || b[0] != DataRow {
 		return 0
@@ -131,10 +131,11 @@
 	return 0
 }
 
+// wellFormed validates the body of a message from a database.
 func wellFormed(kind byte, body []byte) bool {
 	switch kind {
 	case AuthRequest:
-		return bytes.Equal(body, []byte{0, 0, 0, 0}) // no password is asked for
+		return bytes.Equal(body, []byte{0, 0, 0, 0}) // AuthenticationOk: no password is requested
 	case BackendKey:
 		return len(body) == 8
 	case CommandComplete:
@@ -151,32 +152,32 @@
 	case Ready:
 		return len(body) == 1 && bytes.IndexByte([]byte("ITE"), body[0]) >= 0
 	case RowDescription:
-		// One column: its name and 18 bytes on it.
+		// One column: its name and 18 bytes of description.
 		end := bytes.IndexByte(body[min(2, len(body)):], 0)
 		return end >= 0 && binary.BigEndian.Uint16(body) == 1 && len(body) == 2+end+1+18
 	}
 	return true
 }
 
-// isSQLState tells whether b can be an SQLSTATE.
+// isSQLState reports whether b has the form of an SQLSTATE.
 func isSQLState(b []byte) bool {
 	invalid := func(r rune) bool { return !(r >= '0' && r <= '9' || r >= 'A' && r <= 'Z') }
 	return len(b) == 5 && bytes.IndexFunc(b, invalid) < 0
 }
 
-// FirstPacket is what a client's first packet asks for.
+// FirstPacket is the kind of a client's first packet.
 type FirstPacket uint8
 
-// The kinds of first packet.
+// Kinds of first packets.
 const (
-	FirstPacketIncomplete FirstPacket = iota // not whole yet
+	FirstPacketIncomplete FirstPacket = iota
 	FirstPacketStartup
 	FirstPacketTLS
 	FirstPacketGSS
 	FirstPacketCancel
 )
 
-// ParseFirstPacket reads a first packet, which has a length but no type.
+// ParseFirstPacket parses a first packet, which has a length but no type byte. n is its length, or 0 if it is incomplete.
 func ParseFirstPacket(b []byte) (kind FirstPacket, n int, err error) {
 	if len(b) < 4 {
 		return FirstPacketIncomplete, 0, nil
@@ -201,7 +202,7 @@
 	return FirstPacketStartup, size, nil
 }
 
-// CancelKey is the key in a whole packet that asks to cancel; false: it holds none.
+// CancelKey returns the key in a complete cancel request; false if it contains none.
 func CancelKey(b []byte) (key uint64, ok bool) {
 	if len(b) != 16 {
 		return 0, false
@@ -209,12 +210,12 @@
 	return binary.BigEndian.Uint64(b[8:]), true
 }
 
-// CancelRequest is the packet that asks to cancel what the connection with this key has asked for.
+// CancelRequest returns the packet that cancels the current query of the connection with this key.
 func CancelRequest(key uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte{0, 0, 0, 16, 4, 0xd2, 0x16, 0x2e}, key)
 }
 
-// ClientStatement is a statement as clients of the platform write it, to the row with a handle, headed by a comment.
+// ClientStatement returns a statement as the platform's clients write it: headed by a comment, on the row with the handle.
 func ClientStatement(head, handle string, write bool) string {
 	if write {
 		return fmt.Sprintf(`/* %s */ INSERT INTO rows (handle, blob) VALUES ('%s', '\x9f03') RETURNING blob`, head, handle)
@@ -222,7 +223,7 @@
 	return fmt.Sprintf("/* %s */ SELECT blob FROM rows WHERE handle = '%s'", head, handle)
 }
 
-// Startup is the packet with which a gateway greets a database.
+// Startup returns the startup packet that a gateway sends to a database.
 func Startup(user, database string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, 0)
 	b = binary.BigEndian.AppendUint32(b, 3<<16)
@@ -233,7 +234,7 @@
 	return b
 }
 
-// Append adds one message made of the texts, each terminated by a zero.
+// appendTextMessage appends one message that consists of texts, each terminated by a zero byte.
 func appendTextMessage(b []byte, kind byte, texts ...string) []byte {
 	start := len(b)
 	b = append(b, kind, 0, 0, 0, 0)
@@ -243,12 +244,14 @@
 	return setLength(b, start)
 }
 
+// setLength fills in the length of the message that begins at start and ends with b.
 func setLength(b []byte, start int) []byte {
 	binary.BigEndian.PutUint32(b[start+1:], uint32(len(b)-start-1))
 	return b
 }
 
-// AppendStartupReply adds what a server answers to a startup packet. With the key a client may cancel from another connection.
+// AppendStartupReply appends a server's answer to a startup packet. With the key a client can cancel queries from another
+// connection.
 func AppendStartupReply(b []byte, key uint64) []byte {
 	b = append(b, AuthRequest, 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, p := range [][2]string{
@@ -261,13 +264,13 @@
 	return AppendReady(binary.BigEndian.AppendUint64(b, key))
 }
 
-// AppendReady adds ReadyForQuery, outside a transaction.
+// AppendReady appends a ReadyForQuery outside a transaction.
 func AppendReady(b []byte) []byte { return append(b, Ready, 0, 0, 0, 5, 'I') }
 
-// AppendEmptyQuery adds EmptyQueryResponse.
+// AppendEmptyQuery appends an EmptyQueryResponse.
 func AppendEmptyQuery(b []byte) []byte { return append(b, EmptyQuery, 0, 0, 0, 4) }
 
-// AppendError adds an ErrorResponse; detail may be empty.
+// AppendError appends an ErrorResponse; detail may be empty.
 func AppendError(b []byte, severity, code, message, detail string) []byte {
 	texts := []string{"S" + severity, "V" + severity, "C" + code, "M" + message}
 	if detail != "" {
@@ -276,22 +279,23 @@
 	return appendTextMessage(b, ErrorResponse, append(texts, "")...)
 }
 
-// AppendQuery adds a simple query.
+// AppendQuery appends a Query message.
 func AppendQuery(b []byte, text string) []byte { return appendTextMessage(b, Query, text) }
 
-// QueryHeader is the head of a Query message whose body, with its zero, has so many bytes.
+// QueryHeader returns the header of a Query message; body is the length of the text with its zero byte.
 func QueryHeader(body int) [5]byte {
 	header := [5]byte{Query}
 	binary.BigEndian.PutUint32(header[1:], uint32(body+4))
 	return header
 }
 
-// ErrorCode is the code of an ErrorResponse, from its body; empty if there is none.
+// ErrorCode returns the SQLSTATE in the body of an ErrorResponse; empty if there is none.
 func ErrorCode(body []byte) []byte { return errorField(body, 'C') }
 
-// ErrorMessage is its message.
+// ErrorMessage returns the message text in the body of an ErrorResponse; empty if there is none.
 func ErrorMessage(body []byte) []byte { return errorField(body, 'M') }
 
+// errorField returns a field of an ErrorResponse; nil if it is missing.
 func errorField(body []byte, field byte) []byte {
 	for len(body) > 0 && body[0] != 0 {
 		end := bytes.IndexByte(body, 0)
@@ -306,7 +310,7 @@
 	return nil
 }
 
-// ParseParameterStatus reads a ParameterStatus.
+// ParseParameterStatus parses the body of a ParameterStatus.
 func ParseParameterStatus(body []byte) (name, value []byte, err error) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	value, rest, ok2 := bytes.Cut(rest, []byte{0})
@@ -316,7 +320,8 @@
 	return name, value, nil
 }
 
-// ParseSingleColumn reads a DataRow of one column, as the platform's rows are.
+// ParseSingleColumn parses the body of a DataRow with one column, as all rows of the platform have. The value of a NULL is
+// nil.
 func ParseSingleColumn(body []byte) (value []byte, ok bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
@@ -328,7 +333,7 @@
 	return body[6:], length >= 0 && len(body) == 6+int(length)
 }
 
-// ParseText is the text of a Query, from its body.
+// ParseText returns the text of a message whose body is a single text, such as a Query.
 func ParseText(body []byte) ([]byte, error) {
 	if n := len(body); n == 0 || bytes.IndexByte(body, 0) != n-1 {
 		return nil, ErrUnterminatedText
@@ -336,8 +341,8 @@
 	return body[:len(body)-1], nil
 }
 
-// IsEmptyQuery tells an empty query: nothing but white space and semicolons.
+// IsEmptyQuery reports whether a query consists only of white space and semicolons.
 func IsEmptyQuery(text []byte) bool { return len(bytes.Trim(text, " \t\r\n\f\v;")) == 0 }
 
-// AppendMillis adds a number of milliseconds.
+// AppendMillis appends a number of milliseconds in decimal.
 func AppendMillis(b []byte, ms int64) []byte { return strconv.AppendInt(b, ms, 10) }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -20,9 +20,9 @@
 		{"body cut off", query[:len(query)-1], 0, nil},
 		{"whole", query, len(query), nil},
 		{"one and a half", query + query[:7], len(query), nil},
-		{"length below its own", "Q\x00\x00\x00\x03", 0, ErrLength},
+		{"length below the length field's own", "Q\x00\x00\x00\x03", 0, ErrLength},
 		{"negative length", "Q\xff\xff\xff\xff", 0, ErrLength},
-		{"too long, told by the head", "Q\x7f\xff\xff\xff", 0, ErrLength},
+		{"too long, by its header", "Q\x7f\xff\xff\xff", 0, ErrLength},
 	}
 	for _, tt := range tests {
 		_, body, n, err := Next([]byte(tt.in), MaxBufferedMessage)
@@ -36,7 +36,7 @@
 	}
 }
 
-// What no database says shows as soon as its head is there.
+// An invalid message is detected from as few bytes as possible.
 func TestNextAnswer(t *testing.T) {
 	const columns = "T\x00\x00\x00\x1d\x00\x01blob\x00" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 	refusal := string(AppendError(nil, "ERROR", CodeTooManyConnections, "no", ""))
@@ -54,23 +54,23 @@
 		{"row too long for its value", "D\x00\x00\x01\x0b\x00\x01\x00\x00\x00\x02", false},
 		{"value of 3 GB", "D\x00\x00\x01\x0b\x00\x01\xb2\xd0\x5e\x00", false},
 		{"row of 3 GB", "D\xb2\xd0\x5e\x00", false},
-		{"row of two", "D\x00\x00\x00\x0b\x00\x02\x00\x00\x00\x01", false},
+		{"two columns in a row", "D\x00\x00\x00\x0b\x00\x02\x00\x00\x00\x01", false},
 		{"no value", "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff", false},
 		{"complete", "C\x00\x00\x00\x0dSELECT 1\x00", true},
 		{"complete without an end", "C\x00\x00\x00\x0cSELECT 1", false},
-		{"complete with noise", "C\x00\x00\x00\x0dSELE\x03\x041\x00\x00", false},
-		{"endless complete", "C\x00\x01\x00\x00", false},
+		{"complete with control characters", "C\x00\x00\x00\x0dSELE\x03\x041\x00\x00", false},
+		{"complete too long", "C\x00\x01\x00\x00", false},
 		{"ready", "Z\x00\x00\x00\x05I", true},
-		{"ready for something else", "Z\x00\x00\x00\x05?", false},
-		{"long ready", "Z\x00\x00\x00\x09", false},
+		{"ready with an unknown state", "Z\x00\x00\x00\x05?", false},
+		{"ready too long", "Z\x00\x00\x00\x09", false},
 		{"error", refusal, true},
 		{"error without a code", strings.Replace(refusal, "C53300", "D53300", 1), false},
 		{"error with half a code", strings.Replace(refusal, "C53300", "C533\x00N", 1), false},
-		{"error that goes on", refusal[:4] + string(refusal[4]-1) + refusal[5:], false},
+		{"error without its terminator", refusal[:4] + string(refusal[4]-1) + refusal[5:], false},
 		{"parameter", "S\x00\x00\x00\x11role\x00primary\x00", true},
-		{"parameter with more behind", "S\x00\x00\x00\x12role\x00primary\x00x", false},
+		{"parameter with trailing bytes", "S\x00\x00\x00\x12role\x00primary\x00x", false},
 		{"password", "R\x00\x00\x00\x08\x00\x00\x00\x03", false},
-		{"noise, by its first byte", "q", false},
+		{"unknown message type", "q", false},
 		{"a client's message", "Q\x00\x00\x00\x05\x00", false},
 	}
 	for _, tt := range tests {
@@ -131,7 +131,7 @@
 	}
 }
 
-// All but the digits of d passes unchanged: a database takes no other statement.
+// Only the digits of d may be replaced: a database does not accept a statement that differs otherwise.
 func TestSplitAtDeadline(t *testing.T) {
 	for _, text := range []string{
 		"/* id=1,c=a,d=480,cluster=2 */ SELECT blob FROM rows WHERE handle = 'd=7'",
@@ -177,7 +177,7 @@
 	}
 }
 
-// No bytes of a client or a database make the parsers panic or read outside of them.
+// No input from a client or a database makes the parsers panic or read beyond it.
 func FuzzParsers(f *testing.F) {
 	f.Add(AppendQuery(nil, "/* id=1,c=a,d=5,cluster=2,after=9 */ SELECT 'x'"))
 	f.Add(AppendError(nil, "ERROR", "53300", "m", "d"))
