--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Request is one call, as it came.
+// Request is a parsed request line.
 type Request struct {
-	Method, Path string // the path as it was sent, still encoded, without a query
+	Method, Path string // Path is still percent-encoded and has no query
 }
 
-// StatusError is a call that cannot be carried out, and the status that says so.
+// StatusError is the error of a request that cannot be carried out, with the status code of its answer.
 type StatusError struct {
 	Status int
 	Reason string
@@ -20,14 +20,14 @@
 func (e *StatusError) Error() string { return e.Reason }
 
 const (
-	// MaxRequestHead is how long the head of a call may be.
+	// MaxRequestHead is the maximum length of a request's head in bytes.
 	MaxRequestHead = 8 << 10
-	// MaxRequestBody is how long its body may be; nothing here reads one.
+	// MaxRequestBody is the maximum length of a request's body in bytes. Bodies are skipped.
 	MaxRequestBody = 4 << 10
 )
 
-// ParseRequest reads the call at the start of b. n is its length with its body; 0 without an
-// error: it has not come whole. Every error is a *StatusError.
+// ParseRequest parses the request at the start of b. n is its length with its body, or 0 if it is incomplete. Every error is
+// a *StatusError.
 func ParseRequest(b []byte) (req Request, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 && len(b) > MaxRequestHead || end > MaxRequestHead {
@@ -79,7 +79,7 @@
 	return req, n, nil
 }
 
-// parseRequestLine reads METHOD TARGET HTTP/1.x.
+// parseRequestLine parses METHOD TARGET HTTP/1.x.
 func parseRequestLine(line []byte) (Request, error) {
 	malformed := &StatusError{400, fmt.Sprintf("not a request line: %.60q", line)}
 	parts := strings.Split(string(line), " ")
@@ -105,7 +105,7 @@
 	return Request{Method: parts[0], Path: path}, nil
 }
 
-// isToken tells whether b is a isToken of RFC 9110.
+// isToken reports whether b is a token by RFC 9110.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -118,8 +118,8 @@
 	return len(b) > 0
 }
 
-// DecodeSegment decodes one part of a path; false where its percent signs are not followed by two
-// digits each, or where it would hold what no name here does.
+// DecodeSegment decodes one segment of a path. It returns false if a percent sign is not followed by two hexadecimal digits,
+// or if the decoded text is empty or contains control characters, which no name here does.
 func DecodeSegment(segment string) (string, bool) {
 	var decoded strings.Builder
 	for i := 0; i < len(segment); i++ {
@@ -143,6 +143,7 @@
 	return decoded.String(), decoded.Len() > 0
 }
 
+// hexDigit returns the value of a hexadecimal digit; -1 for any other byte.
 func hexDigit(c byte) int {
 	if c >= 'A' && c <= 'F' {
 		c += 'a' - 'A'
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Every call is fed whole and cut at every place: a part of a good call is neither an error nor a call.
+// Each request is parsed whole and cut off at each byte: the start of a valid request is neither an error nor a request.
 func TestRequest(t *testing.T) {
 	const host = "Host: x\r\n"
 	tests := []struct {
 		name, in  string
 		want      Request
-		status, n int // n 0: all of it
+		status, n int // n 0: the whole input
 	}{
 		{"get", "GET /v1/readyz HTTP/1.1\r\n" + host + "\r\n", Request{"GET", "/v1/readyz"}, 0, 0},
 		{"no headers", "GET / HTTP/1.0\r\n\r\n", Request{"GET", "/"}, 0, 0},
@@ -22,22 +22,22 @@
 		{"absolute", "PUT http://h:1/a%20b/c HTTP/1.1\r\n" + host + "\r\n", Request{"PUT", "/a%20b/c"}, 0, 0},
 		{"body", "PUT /a HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", Request{"PUT", "/a"}, 0, 0},
 		{"no body", "PUT /a HTTP/1.1\r\nContent-Length: 0\r\n\r\n", Request{"PUT", "/a"}, 0, 0},
-		{"a second call behind it", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", Request{"GET", "/a"}, 0, 19},
+		{"a second request after it", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", Request{"GET", "/a"}, 0, 19},
 		{"same length twice", "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx", Request{"PUT", "/a"}, 0, 0},
 		{"two lengths", "PUT /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", Request{}, 400, 0},
 		{"bad length", "PUT /a HTTP/1.1\r\nContent-Length: +1\r\n\r\nx", Request{}, 400, 0},
-		{"chunks", "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Request{}, 411, 0},
+		{"chunked body", "PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Request{}, 411, 0},
 		{"long body", "PUT /a HTTP/1.1\r\nContent-Length: 999999\r\n\r\n", Request{}, 413, 0},
 		{"two hosts", "GET /a HTTP/1.1\r\n" + host + host + "\r\n", Request{}, 400, 0},
-		{"no colon", "GET /a HTTP/1.1\r\nnonsense\r\n\r\n", Request{}, 400, 0},
-		{"space in a name", "GET /a HTTP/1.1\r\nHost : x\r\n\r\n", Request{}, 400, 0},
+		{"header without a colon", "GET /a HTTP/1.1\r\nnonsense\r\n\r\n", Request{}, 400, 0},
+		{"space in a header name", "GET /a HTTP/1.1\r\nHost : x\r\n\r\n", Request{}, 400, 0},
 		{"no version", "GET /a\r\n\r\n", Request{}, 400, 0},
 		{"another protocol", "SSH-2.0-x\r\n", Request{}, 400, 0},
 		{"HTTP/2", "PRI * HTTP/2.0\r\n\r\n", Request{}, 505, 0},
 		{"bad method", "G(T /a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
 		{"no slash", "GET a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
-		{"a path beyond ASCII", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n", Request{}, 400, 0},
-		{"leading line", "\r\nGET /a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
+		{"path with bytes beyond ASCII", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n", Request{}, 400, 0},
+		{"leading empty line", "\r\nGET /a HTTP/1.1\r\n\r\n", Request{}, 400, 0},
 		{"head without end", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MaxRequestHead), Request{}, 431, 0},
 		{"long line", "GET /" + strings.Repeat("y", MaxRequestHead), Request{}, 431, 0},
 		{"long whole head", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("y", MaxRequestHead) + "\r\n\r\n", Request{}, 431, 0},
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,5 +1,5 @@
-// Package http1 parses HTTP/1.1 in place: the answers that discovery gives, and the calls that
-// operators make. It knows bytes only, no sockets.
+// Package http1 parses HTTP/1.1 without copying: discovery's responses and operators' requests. It works on bytes, without
+// sockets.
 package http1
 
 import (
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Errors of an HTTP answer.
+// Errors of a response. Some are also the reasons of a [StatusError].
 var (
 	errMalformedHead  = errors.New("malformed answer head")
 	errMalformedChunk = errors.New("malformed chunk")
@@ -20,19 +20,19 @@
 	maxChunkHead    = 256
 )
 
-// Response parses one HTTP/1.1 answer in place, as it comes.
+// Response parses one HTTP/1.1 response incrementally.
 type Response struct {
 	HeadComplete bool
 	Status       int
 	chunked      bool
-	remaining    int64 // of the body or of the chunk; -1: until the connection ends
-	inChunk      bool  // the data of a chunk, and then its line end, are next
-	inTrailer    bool  // the last chunk has come
+	remaining    int64 // bytes of the body or of the chunk; -1: until the connection ends
+	inChunk      bool  // the data of a chunk is next, and then its line end
+	inTrailer    bool  // the last chunk has been read
 	Done         bool
 }
 
-// Feed parses what it can of b and hands body bytes to data. It returns how much of b
-// is dealt with.
+// Feed parses as much of b as it can and passes the bytes of the body to data. It returns how many bytes of b were used: the
+// caller passes the rest again, with what follows.
 func (r *Response) Feed(b []byte, data func([]byte) error) (n int, err error) {
 	for !r.Done {
 		used := 0
@@ -60,6 +60,7 @@
 	return n, nil
 }
 
+// takeBody returns how many bytes of b belong to the body or the chunk, and subtracts them from what remains.
 func (r *Response) takeBody(b []byte) int {
 	used := int64(len(b))
 	if r.remaining >= 0 {
@@ -70,6 +71,7 @@
 	return int(used)
 }
 
+// parseHead parses the status line and the header fields.
 func (r *Response) parseHead(b []byte) (int, error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -87,7 +89,7 @@
 	if err != nil || status < 100 {
 		return 0, fmt.Errorf("%w: %.40q", errMalformedHead, line)
 	}
-	if status < 200 { // 100 Continue and its like come before the answer
+	if status < 200 { // an interim response, such as 100 Continue, precedes the final one
 		return end + 4, nil
 	}
 	r.HeadComplete, r.Status, r.remaining = true, status, -1
@@ -110,7 +112,7 @@
 	return end + 4, nil
 }
 
-// parseFields hands each header field to do; lines end in CRLF.
+// parseFields calls handle for each header field; lines end in CRLF.
 func parseFields(rest []byte, handle func(name, value []byte) error) error {
 	for len(rest) > 0 {
 		var line []byte
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// parseContentLength reads the value of Content-Length.
+// parseContentLength parses the value of Content-Length.
 func parseContentLength(text []byte, length *int64) error {
 	value, err := strconv.ParseUint(string(text), 10, 63)
 	if err != nil {
@@ -136,6 +138,7 @@
 	return nil
 }
 
+// parseChunkHead parses the size of a chunk.
 func (r *Response) parseChunkHead(b []byte) (int, error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
@@ -153,17 +156,19 @@
 	return end + 2, nil
 }
 
+// parseChunkEnd parses the line end after a chunk's data.
 func (r *Response) parseChunkEnd(b []byte) (int, error) {
 	if len(b) < 2 {
 		return 0, nil
 	}
 	if b[0] != '\r' || b[1] != '\n' {
-		return 0, fmt.Errorf("%w: no line end behind the data", errMalformedChunk)
+		return 0, fmt.Errorf("%w: no line end after the data", errMalformedChunk)
 	}
 	r.inChunk = false
 	return 2, nil
 }
 
+// parseTrailer skips one line of the trailer. An empty line ends the response.
 func (r *Response) parseTrailer(b []byte) (int, error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Every answer is fed whole and cut at every place: where the network cuts must not matter.
+// Each response is parsed in two parts, cut at each byte: the boundaries of network reads must not matter.
 func TestResponse(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\ntransfer-encoding: Chunked\r\n\r\n"
 	tests := []struct {
@@ -23,7 +23,7 @@
 		{"all chunks", chunked + "A\r\n0123456789\r\n0\r\n\r\n", "0123456789", 200, true, nil},
 		{"trailer", chunked + "1\r\nz\r\n0\r\nX: y\r\n\r\n", "z", 200, true, nil},
 		{"continue first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "x", 200, true, nil},
-		{"no HTTP", "SSH-2.0-x\r\n\r\n", "", 0, false, errMalformedHead},
+		{"not HTTP", "SSH-2.0-x\r\n\r\n", "", 0, false, errMalformedHead},
 		{"bad status", "HTTP/1.1 two\r\n\r\n", "", 0, false, errMalformedHead},
 		{"bad length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", "", 200, false, errMalformedHead},
 		{"bad header", "HTTP/1.1 200 OK\r\nnonsense\r\n\r\n", "", 200, false, errMalformedHead},
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestHeadsAreBounded(t *testing.T) {
+func TestHeadLengthIsLimited(t *testing.T) {
 	var r Response
 	_, err := r.Feed(make([]byte, maxResponseHead+1), nil)
 	assert.ErrorIs(t, err, errMalformedHead)
@@ -57,7 +57,7 @@
 	assert.ErrorIs(t, err, errMalformedChunk)
 }
 
-// However an answer is cut, the same bytes come out of it.
+// A response gives the same body wherever it is cut.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), 50)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"), 7)
