--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -139,7 +139,7 @@
 	adapted := cfg.Policy
 	adapted.IndependentClock = true
 	if adapted.ListSource == policy.ListPushed {
-		adapted.ListSource = policy.ListFromService // without a service that pushes, the list must be requested
+		adapted.ListSource = policy.ListFromService // the setting is missing; a gateway gets no list that it does not request
 	}
 	adapted.Classes = append([]policy.Class(nil), adapted.Classes...)
 	for i, c := range adapted.Classes {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -147,7 +147,7 @@
 // ObservePosition records the replication position that a database reported.
 func (s *Side) ObservePosition(host policy.HostID, position time.Duration) {
 	if s.positions != nil {
-		s.positions.Observe(host, position-s.settings.Policy.PositionGranularity) // databases round a write's position up
+		s.positions.Observe(host, position-s.settings.Policy.PositionGranularity) // a write's position is rounded up
 	}
 }
 
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,4 +1,4 @@
-// Package http1 parses HTTP/1.1 without copying: discovery's responses and operators' requests. It works on bytes, without
+// Package http1 parses HTTP/1.1 incrementally: discovery's responses and operators' requests. It works on bytes, without
 // sockets.
 package http1
 
