--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -282,9 +282,9 @@
 	return nil
 }
 
-// applyOlder applies a change with an older version than the list in force, as a discovery service sends that lost state or
-// has another address. Such a change may take databases out of service but brings none back. It ends the watch and resets
-// the version, so that the next request asks for the whole list.
+// applyOlder applies a change with an older version than the list in force. A discovery service sends one if it lost state,
+// or if the client now uses another service. Such a change may take databases out of service but brings none back. The
+// version is reset and the watch ends, so that the next request asks for the whole list.
 func (c *Client) applyOlder(message listMessage) error {
 	unhealthy := slices.DeleteFunc(message.Hosts, func(line listEntry) bool { return parseStatus(line.Health) == policy.Healthy })
 	c.core.ListUpdated(policy.ListDelta, c.parseEntries(unhealthy))
