--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,5 +1,5 @@
-// Package management is the operators' address: HTTP/1.1, one call to a connection. It runs on the
-// loop beside the clients, with descriptors of its own, and knows operations by a small interface.
+// Package management serves the operators' HTTP/1.1 address, with one request per connection. It runs on the same loop as
+// the clients' connections, with reserved descriptors, and carries out requests through the interface Operations.
 package management
 
 import (
@@ -13,106 +13,108 @@
 )
 
 const (
-	// MaxConnections is how many may be connected at once.
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections = 12
-	callTime       = 3 * time.Second // a call is whole by then, or its caller is let go
-	leaveTime      = time.Second     // an answer is read by then
-	inputMost      = http1.MaxRequestHead + http1.MaxRequestBody + 512
+	requestTimeout = 3 * time.Second // for the complete request to arrive
+	closeTimeout   = time.Second     // for the caller to read the answer and close
+	maxInputBytes  = http1.MaxRequestHead + http1.MaxRequestBody + 512
 )
 
-// reasons are the phrases of the statuses in use.
-var reasons = map[int]string{
+// reasonPhrases holds the reason phrases of the status codes in use.
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported",
 }
 
-// Operations are what operators may ask for. Everything is called on the loop's goroutine.
+// Operations carries out operators' requests. All methods are called on the loop's goroutine.
 type Operations interface {
-	// Ready tells whether requests are served, or else why not.
-	Ready() (why string, ok bool)
-	// Metrics adds the figures.
+	// Ready reports whether the gateway serves requests, and if not, why.
+	Ready() (reason string, ok bool)
+	// Metrics appends the metrics.
 	Metrics(b []byte) []byte
-	// Suspend leaves a database out, or has it serve again, and calls then when that holds; kept tells whether a
-	// successor will know it as well. False: nobody knows the database.
-	Suspend(id string, out bool, then func(kept bool)) bool
-	// FleetMembers tells in JSON which other gateways are known; false: this one is in no fleet.
+	// Suspend suspends a database, or resumes it, and calls done once the override is in force; persisted tells whether
+	// a successor will know it as well. It returns false if the database is unknown.
+	Suspend(id string, active bool, done func(persisted bool)) bool
+	// FleetMembers returns the known gateways of the fleet as JSON; false if this gateway is in no fleet.
 	FleetMembers() ([]byte, bool)
-	// FleetState tells in JSON what operators told the whole fleet; false: this gateway is in no fleet.
+	// FleetState returns the fleet-wide overrides as JSON; false if this gateway is in no fleet.
 	FleetState() ([]byte, bool)
-	// FleetVersions tells in JSON who acts on which versions; false: this gateway is in no fleet.
+	// FleetVersions returns as JSON which gateway acts on which versions; false if this gateway is in no fleet.
 	FleetVersions() ([]byte, bool)
-	// FleetAudit tells in JSON what this gateway did, by what it acted on; false: it is in no fleet.
+	// FleetAudit returns as JSON what this gateway did, by what it acted on; false if it is in no fleet.
 	FleetAudit() ([]byte, bool)
-	// FleetSuspend is Suspend for the whole fleet; then tells who has the word.
-	FleetSuspend(id string, out bool, then func(said string)) bool
-	// FleetDrain tells the fleet to drain a gateway, whichever it is, or to have it work again; false: nobody knows it.
-	FleetDrain(name string, on bool, then func(said string)) bool
-	// Fence shuts the gateway out, or has it go on with what it has; false: there is no fence.
-	Fence(out bool) bool
-	// Drain empties the gateway, or has it work again, at once, and calls then as Suspend does.
-	Drain(on bool, then func(kept bool))
+	// FleetSuspend is Suspend for the whole fleet; result tells how many gateways have the override.
+	FleetSuspend(id string, active bool, done func(result string)) bool
+	// FleetDrain drains any gateway of the fleet, or activates it again. It returns false if the gateway is unknown.
+	FleetDrain(name string, on bool, done func(result string)) bool
+	// Fence fences the gateway, or has it go on with its current list. It returns false if the fleet file sets no
+	// fence bound.
+	Fence(on bool) bool
+	// Drain drains the gateway at once, or activates it again, and calls done as Suspend does.
+	Drain(on bool, done func(persisted bool))
 }
 
-// Server is all callers.
+// Server holds the open connections of the operators' address.
 type Server struct {
-	loop  *netloop.Loop
-	ops   Operations
-	calls []*call // oldest first
-	bad   netloop.RateLimitedLog
+	loop          *netloop.Loop
+	ops           Operations
+	conns         []*conn // oldest first
+	badRequestLog netloop.RateLimitedLog
 }
 
-// Listen begins to take calls; it returns the address in use.
+// Listen starts to accept connections at addr and returns the address in use.
 func Listen(loop *netloop.Loop, addr netip.AddrPort, ops Operations) (netip.AddrPort, error) {
-	s := &Server{loop: loop, ops: ops}
-	ln, err := loop.ListenReserved(addr, MaxConnections, s.accept, s.makeRoom)
+	server := &Server{loop: loop, ops: ops}
+	ln, err := loop.ListenReserved(addr, MaxConnections, server.accept, server.evict)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("management: %w", err)
 	}
 	return ln.Addr, nil
 }
 
-// call is one caller.
-type call struct {
-	s     *Server
-	nc    *netloop.Conn
-	timer *netloop.Timer
-	asked bool // its call is whole
-	said  bool // it has its answer
+// conn is an operator's connection.
+type conn struct {
+	server          *Server
+	netConn         *netloop.Conn
+	timer           *netloop.Timer
+	requestComplete bool
+	answered        bool
 }
 
-func (s *Server) accept(nc *netloop.Conn) {
-	s.prune()
-	c := &call{s: s, nc: nc}
-	nc.SetHandler(c, inputMost)
-	c.timer = s.loop.At(s.loop.Now()+callTime, func() { c.answer(408, "no whole call in time\n") })
-	s.calls = append(s.calls, c)
+// accept sets up a new connection and the timeout of its request.
+func (s *Server) accept(netConn *netloop.Conn) {
+	s.removeClosed()
+	c := &conn{server: s, netConn: netConn}
+	netConn.SetHandler(c, maxInputBytes)
+	c.timer = s.loop.At(s.loop.Now()+requestTimeout, func() { c.answerText(408, "no whole call in time\n") })
+	s.conns = append(s.conns, c)
 }
 
-// prune forgets who is gone.
-func (s *Server) prune() {
-	left := s.calls[:0]
-	for _, c := range s.calls {
-		if c.nc.HasDescriptor() {
-			left = append(left, c)
+// removeClosed removes the connections that are closed from the list.
+func (s *Server) removeClosed() {
+	open := s.conns[:0]
+	for _, c := range s.conns {
+		if c.netConn.HasDescriptor() {
+			open = append(open, c)
 		}
 	}
-	clear(s.calls[len(left):])
-	s.calls = left
+	clear(s.conns[len(open):])
+	s.conns = open
 }
 
-// makeRoom closes the connection of who has its answer, else of who has said nothing, or half a call, for
-// longest. Who waits for an answer stays.
-func (s *Server) makeRoom() bool {
-	s.prune()
-	for _, c := range s.calls {
-		if c.said {
+// evict closes a connection to free its descriptor: the oldest one that has its answer, or else the oldest one without a
+// complete request. Connections that wait for an answer stay open.
+func (s *Server) evict() bool {
+	s.removeClosed()
+	for _, c := range s.conns {
+		if c.answered {
 			c.close()
 			return true
 		}
 	}
-	for _, c := range s.calls {
-		if c.nc.Poll(); !c.asked { // what it has sent by now counts
+	for _, c := range s.conns {
+		if c.netConn.Poll(); !c.requestComplete { // Poll first reads what has arrived
 			c.close()
 			return true
 		}
@@ -120,149 +122,151 @@
 	return false
 }
 
-func (c *call) close() {
+func (c *conn) close() {
 	c.timer.Stop()
-	c.nc.Close()
+	c.netConn.Close()
 }
 
-// Connected is for dialled connections.
-func (c *call) Connected() {}
+// Connected does nothing: it is called for dialled connections only.
+func (c *conn) Connected() {}
 
-// Ended tells that the caller is gone; what it asked for has been done.
-func (c *call) Ended(error) { c.timer.Stop() }
+// Ended handles the loss of the connection. A request that was complete has been carried out.
+func (c *conn) Ended(error) { c.timer.Stop() }
 
-// Received carries out a call once it is whole. What follows it is not read.
-func (c *call) Received() {
-	if c.asked {
-		c.nc.Consume(len(c.nc.Input()))
+// Received carries out a request once it is complete. Input after it is discarded.
+func (c *conn) Received() {
+	if c.requestComplete {
+		c.netConn.Consume(len(c.netConn.Input()))
 		return
 	}
-	q, n, err := http1.ParseRequest(c.nc.Input())
-	if bad, ok := err.(*http1.StatusError); ok {
-		c.s.bad.Printf(c.s.loop.Now(), "event=bad_call status=%d err=%q", bad.Status, bad.Reason)
-		c.answer(bad.Status, bad.Reason+"\n")
+	req, n, err := http1.ParseRequest(c.netConn.Input())
+	if statusErr, ok := err.(*http1.StatusError); ok {
+		c.server.badRequestLog.Printf(c.server.loop.Now(), "event=bad_call status=%d err=%q", statusErr.Status, statusErr.Reason)
+		c.answerText(statusErr.Status, statusErr.Reason+"\n")
 		return
 	}
 	if n > 0 {
-		c.asked = true
-		c.route(q)
+		c.requestComplete = true
+		c.route(req)
 	}
 }
 
-// route finds what was asked for.
-func (c *call) route(q http1.Request) {
-	switch q.Path {
+// route dispatches a request by its path.
+func (c *conn) route(req http1.Request) {
+	switch req.Path {
 	case "/v1/readyz":
-		if !c.method(q, "GET") {
+		if !c.requireMethod(req, "GET") {
 			return
 		}
-		why, ok := c.s.ops.Ready()
+		reason, ok := c.server.ops.Ready()
 		if ok {
-			c.answer(200, "ready\n")
+			c.answerText(200, "ready\n")
 		} else {
-			c.answer(503, "not ready: "+why+"\n")
+			c.answerText(503, "not ready: "+reason+"\n")
 		}
 	case "/v1/metrics":
-		if c.method(q, "GET") {
-			c.answer(200, string(c.s.ops.Metrics(nil)))
+		if c.requireMethod(req, "GET") {
+			c.answerText(200, string(c.server.ops.Metrics(nil)))
 		}
 	case "/v1/fleet/members":
-		c.fleet(q, c.s.ops.FleetMembers)
+		c.answerFleet(req, c.server.ops.FleetMembers)
 	case "/v1/fleet/versions":
-		c.fleet(q, c.s.ops.FleetVersions)
+		c.answerFleet(req, c.server.ops.FleetVersions)
 	case "/v1/fleet/audit":
-		c.fleet(q, c.s.ops.FleetAudit)
+		c.answerFleet(req, c.server.ops.FleetAudit)
 	case "/v1/fleet/state":
-		c.fleet(q, c.s.ops.FleetState)
+		c.answerFleet(req, c.server.ops.FleetState)
 	case "/v1/gateway/fence", "/v1/gateway/unfence":
-		if !c.method(q, "PUT") {
+		if !c.requireMethod(req, "PUT") {
 			return
 		}
-		if c.s.ops.Fence(q.Path == "/v1/gateway/fence") {
-			c.answer(200, "ok\n")
+		if c.server.ops.Fence(req.Path == "/v1/gateway/fence") {
+			c.answerText(200, "ok\n")
 		} else {
-			c.answer(404, "the fleet file of this gateway sets no fence\n")
+			c.answerText(404, "the fleet file of this gateway sets no fence\n")
 		}
 	case "/v1/gateway/drain", "/v1/gateway/activate":
-		if c.method(q, "PUT") {
-			c.s.ops.Drain(strings.HasSuffix(q.Path, "drain"), c.done)
+		if c.requireMethod(req, "PUT") {
+			c.server.ops.Drain(strings.HasSuffix(req.Path, "drain"), c.answerOverride)
 		}
 	default:
-		c.word(q)
+		c.routeOverride(req)
 	}
 }
 
-// fleet answers with what is known of the fleet.
-func (c *call) fleet(q http1.Request, say func() ([]byte, bool)) {
-	if !c.method(q, "GET") {
+// answerFleet answers with the JSON that read returns about the fleet.
+func (c *conn) answerFleet(req http1.Request, read func() ([]byte, bool)) {
+	if !c.requireMethod(req, "GET") {
 		return
 	}
-	if text, ok := say(); ok {
-		c.reply(200, "application/json", "", string(text))
+	if body, ok := read(); ok {
+		c.respond(200, "application/json", "", string(body))
 	} else {
-		c.answer(404, "this gateway has no fleet file\n")
+		c.answerText(404, "this gateway has no fleet file\n")
 	}
 }
 
-// word handles what operators say of one database or gateway: PREFIX/NAME/VERB.
-func (c *call) word(q http1.Request) {
-	for _, k := range []struct {
-		prefix, what, out, in string
-		say                   func(name string, out bool, then func(said string)) bool
+// routeOverride handles overrides of one database or gateway: PREFIX/NAME/VERB.
+func (c *conn) routeOverride(req http1.Request) {
+	for _, route := range []struct {
+		prefix, what, onVerb, offVerb string
+		apply                         func(name string, active bool, done func(result string)) bool
 	}{
-		{"/v1/databases/", "database", "suspend", "resume", func(id string, out bool, _ func(said string)) bool {
-			return c.s.ops.Suspend(id, out, c.done) // done answers in then's place
+		{"/v1/databases/", "database", "suspend", "resume", func(id string, active bool, _ func(result string)) bool {
+			return c.server.ops.Suspend(id, active, c.answerOverride) // answerOverride answers instead of the callback
 		}},
-		{"/v1/fleet/databases/", "database", "suspend", "resume", c.s.ops.FleetSuspend},
-		{"/v1/fleet/gateways/", "gateway", "drain", "activate", c.s.ops.FleetDrain},
+		{"/v1/fleet/databases/", "database", "suspend", "resume", c.server.ops.FleetSuspend},
+		{"/v1/fleet/gateways/", "gateway", "drain", "activate", c.server.ops.FleetDrain},
 	} {
-		rest, ok := strings.CutPrefix(q.Path, k.prefix)
-		text, verb, two := strings.Cut(rest, "/")
-		if !ok || !two || verb != k.out && verb != k.in {
+		rest, ok := strings.CutPrefix(req.Path, route.prefix)
+		segment, verb, hasVerb := strings.Cut(rest, "/")
+		if !ok || !hasVerb || verb != route.onVerb && verb != route.offVerb {
 			continue
 		}
-		name, ok := http1.DecodeSegment(text)
+		name, ok := http1.DecodeSegment(segment)
 		switch {
 		case !ok:
-			c.answer(400, "the "+k.what+"'s name is not encoded as a path is\n")
-		case !c.method(q, "PUT"):
-		case !k.say(name, verb == k.out, func(said string) { c.answer(200, strings.TrimSuffix("ok: "+said, ": ")+"\n") }):
-			c.answer(404, fmt.Sprintf("no %s %q\n", k.what, name))
+			c.answerText(400, "the "+route.what+"'s name is not encoded as a path is\n")
+		case !c.requireMethod(req, "PUT"):
+		case !route.apply(name, verb == route.onVerb, func(result string) { c.answerText(200, strings.TrimSuffix("ok: "+result, ": ")+"\n") }):
+			c.answerText(404, fmt.Sprintf("no %s %q\n", route.what, name))
 		}
 		return
 	}
-	c.answer(404, "no such path\n")
+	c.answerText(404, "no such path\n")
 }
 
-// method tells whether the call has the method, and answers if not.
-func (c *call) method(q http1.Request, allowed string) bool {
-	if q.Method != allowed {
-		c.reply(405, "text/plain; charset=utf-8", "Allow: "+allowed+"\r\n", "use "+allowed+"\n")
+// requireMethod reports whether the request has the allowed method, and answers it with 405 if not.
+func (c *conn) requireMethod(req http1.Request, allowed string) bool {
+	if req.Method != allowed {
+		c.respond(405, "text/plain; charset=utf-8", "Allow: "+allowed+"\r\n", "use "+allowed+"\n")
 	}
-	return q.Method == allowed
+	return req.Method == allowed
 }
 
-// done answers a word that holds here; it is a yes only where a successor will know it as well.
-func (c *call) done(kept bool) {
-	if kept {
-		c.answer(200, "ok\n")
+// answerOverride answers an override that is in force here. The answer is a success only if a successor will know the
+// override as well.
+func (c *conn) answerOverride(persisted bool) {
+	if persisted {
+		c.answerText(200, "ok\n")
 		return
 	}
-	c.answer(503, "it holds in this process, but could not be written for its successor, which is tried again; say it once more\n")
+	c.answerText(503, "it holds in this process, but could not be written for its successor, which is tried again; say it once more\n")
 }
 
-func (c *call) answer(status int, body string) {
-	c.reply(status, "text/plain; charset=utf-8", "", body)
+// answerText answers with a plain text.
+func (c *conn) answerText(status int, body string) {
+	c.respond(status, "text/plain; charset=utf-8", "", body)
 }
 
-// reply is the last thing that happens on a connection.
-func (c *call) reply(status int, kind, fields, body string) {
+// respond sends the answer and closes the connection. Only the first answer to a request is sent.
+func (c *conn) respond(status int, contentType, extraFields, body string) {
 	c.timer.Stop()
-	if c.said || c.nc.Closed() {
+	if c.answered || c.netConn.Closed() {
 		return
 	}
-	c.said, c.asked = true, true
-	c.nc.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%sConnection: close\r\n\r\n%s",
-		status, reasons[status], kind, len(body), fields, body))
-	c.nc.Finish(c.s.loop.Now() + leaveTime)
+	c.answered, c.requestComplete = true, true
+	c.netConn.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n%sConnection: close\r\n\r\n%s",
+		status, reasonPhrases[status], contentType, len(body), extraFields, body))
+	c.netConn.Finish(c.server.loop.Now() + closeTimeout)
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -20,9 +20,9 @@
 		{"body cut off", query[:len(query)-1], 0, nil},
 		{"whole", query, len(query), nil},
 		{"one and a half", query + query[:7], len(query), nil},
-		{"length below its own", "Q\x00\x00\x00\x03", 0, ErrLength},
+		{"length below the length field's own", "Q\x00\x00\x00\x03", 0, ErrLength},
 		{"negative length", "Q\xff\xff\xff\xff", 0, ErrLength},
-		{"too long, told by the head", "Q\x7f\xff\xff\xff", 0, ErrLength},
+		{"too long, by its header", "Q\x7f\xff\xff\xff", 0, ErrLength},
 	}
 	for _, tt := range tests {
 		_, body, n, err := Next([]byte(tt.in), MaxBufferedMessage)
@@ -36,7 +36,7 @@
 	}
 }
 
-// What no database says shows as soon as its head is there.
+// An invalid message is detected from as few bytes as possible.
 func TestNextAnswer(t *testing.T) {
 	const columns = "T\x00\x00\x00\x1d\x00\x01blob\x00" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 	refusal := string(AppendError(nil, "ERROR", CodeTooManyConnections, "no", ""))
@@ -54,23 +54,23 @@
 		{"row too long for its value", "D\x00\x00\x01\x0b\x00\x01\x00\x00\x00\x02", false},
 		{"value of 3 GB", "D\x00\x00\x01\x0b\x00\x01\xb2\xd0\x5e\x00", false},
 		{"row of 3 GB", "D\xb2\xd0\x5e\x00", false},
-		{"row of two", "D\x00\x00\x00\x0b\x00\x02\x00\x00\x00\x01", false},
+		{"two columns in a row", "D\x00\x00\x00\x0b\x00\x02\x00\x00\x00\x01", false},
 		{"no value", "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff", false},
 		{"complete", "C\x00\x00\x00\x0dSELECT 1\x00", true},
 		{"complete without an end", "C\x00\x00\x00\x0cSELECT 1", false},
-		{"complete with noise", "C\x00\x00\x00\x0dSELE\x03\x041\x00\x00", false},
-		{"endless complete", "C\x00\x01\x00\x00", false},
+		{"complete with control characters", "C\x00\x00\x00\x0dSELE\x03\x041\x00\x00", false},
+		{"complete too long", "C\x00\x01\x00\x00", false},
 		{"ready", "Z\x00\x00\x00\x05I", true},
-		{"ready for something else", "Z\x00\x00\x00\x05?", false},
-		{"long ready", "Z\x00\x00\x00\x09", false},
+		{"ready with an unknown state", "Z\x00\x00\x00\x05?", false},
+		{"ready too long", "Z\x00\x00\x00\x09", false},
 		{"error", refusal, true},
 		{"error without a code", strings.Replace(refusal, "C53300", "D53300", 1), false},
 		{"error with half a code", strings.Replace(refusal, "C53300", "C533\x00N", 1), false},
-		{"error that goes on", refusal[:4] + string(refusal[4]-1) + refusal[5:], false},
+		{"error without its terminator", refusal[:4] + string(refusal[4]-1) + refusal[5:], false},
 		{"parameter", "S\x00\x00\x00\x11role\x00primary\x00", true},
-		{"parameter with more behind", "S\x00\x00\x00\x12role\x00primary\x00x", false},
+		{"parameter with trailing bytes", "S\x00\x00\x00\x12role\x00primary\x00x", false},
 		{"password", "R\x00\x00\x00\x08\x00\x00\x00\x03", false},
-		{"noise, by its first byte", "q", false},
+		{"unknown message type", "q", false},
 		{"a client's message", "Q\x00\x00\x00\x05\x00", false},
 	}
 	for _, tt := range tests {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestParseHello(t *testing.T) {
+func TestParseFirstPacket(t *testing.T) {
 	start := string(Startup("api", "ledger"))
 	tests := []struct {
 		name, in string
@@ -106,15 +106,15 @@
 
 func TestParseHead(t *testing.T) {
 	const rest = " INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f') RETURNING blob"
-	h, err := ParseHead([]byte("/* id=9b1f,c=order,d=480,cluster=2,after=1767225600123,k=x,r=1 */" + rest))
+	head, err := ParseHead([]byte("/* id=9b1f,c=order,d=480,cluster=2,after=1767225600123,k=x,r=1 */" + rest))
 	require.NoError(t, err)
-	assert.Equal(t, "9b1f order 7f3a", string(h.ID)+" "+string(h.Class)+" "+string(h.Key))
-	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{h.DeadlineMillis, h.Cluster, h.After})
+	assert.Equal(t, "9b1f order 7f3a", string(head.ID)+" "+string(head.Class)+" "+string(head.Key))
+	assert.Equal(t, []int64{480, 2, 1767225600123}, []int64{head.DeadlineMillis, head.Cluster, head.After})
 
 	tests := []struct{ name, in, want string }{
 		{"no comment", "SELECT 1", "no heading comment"},
 		{"never closed", "/* id=1,c=a,d=1,cluster=1" + rest, "no heading comment"},
-		{"too long", "/* id=1,c=a,d=1,cluster=1,x=" + strings.Repeat("y", mostHead) + " */", "no heading comment"},
+		{"too long", "/* id=1,c=a,d=1,cluster=1,x=" + strings.Repeat("y", maxHeadBytes) + " */", "no heading comment"},
 		{"no id", "/* c=a,d=1,cluster=1 */" + rest, "lacks a name: id"},
 		{"no d", "/* id=1,c=a,cluster=1 */" + rest, "lacks a name: d"},
 		{"d twice", "/* id=1,c=a,d=1,d=2,cluster=1 */" + rest, "d: stands twice"},
@@ -131,18 +131,18 @@
 	}
 }
 
-// All but the digits of d passes unchanged: a database takes no other statement.
-func TestAroundLeavesOnlyTheDigitsOut(t *testing.T) {
+// Only the digits of d may be replaced: a database does not accept a statement that differs otherwise.
+func TestSplitAtDeadline(t *testing.T) {
 	for _, text := range []string{
 		"/* id=1,c=a,d=480,cluster=2 */ SELECT blob FROM rows WHERE handle = 'd=7'",
 		"  /*d=1,id=1,c=a,cluster=2*/SELECT ''",
 		"/* id=d=9,c=a, d=77 ,cluster=2 */ SELECT 'x'",
 	} {
-		h, err := ParseHead([]byte(text))
+		head, err := ParseHead([]byte(text))
 		require.NoError(t, err, text)
-		before, behind := h.SplitAtDeadline([]byte(text))
-		digits := text[len(before) : len(text)-len(behind)]
-		assert.Equal(t, string(AppendMillis(nil, h.DeadlineMillis)), digits, text)
+		before, after := head.SplitAtDeadline([]byte(text))
+		digits := text[len(before) : len(text)-len(after)]
+		assert.Equal(t, string(AppendMillis(nil, head.DeadlineMillis)), digits, text)
 		assert.True(t, strings.HasSuffix(string(before), "d="), text)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestColumn(t *testing.T) {
+func TestParseSingleColumn(t *testing.T) {
 	tests := []struct {
 		in, want string
 		ok       bool
@@ -177,7 +177,7 @@
 	}
 }
 
-// No bytes of a client or a database make the parsers panic or read outside of them.
+// No input from a client or a database makes the parsers panic or read beyond it.
 func FuzzParsers(f *testing.F) {
 	f.Add(AppendQuery(nil, "/* id=1,c=a,d=5,cluster=2,after=9 */ SELECT 'x'"))
 	f.Add(AppendError(nil, "ERROR", "53300", "m", "d"))
@@ -194,9 +194,9 @@
 		if err != nil {
 			text = in
 		}
-		if h, err := ParseHead(text); err == nil {
-			before, behind := h.SplitAtDeadline(text)
-			assert.Less(t, len(before)+len(behind), len(text))
+		if head, err := ParseHead(text); err == nil {
+			before, after := head.SplitAtDeadline(text)
+			assert.Less(t, len(before)+len(after), len(text))
 		}
 	})
 }
@@ -211,6 +211,6 @@
 	assert.Equal(t, uint64(0x0102030405060708), key)
 	_, ok = CancelKey(packet[:12])
 	assert.False(t, ok)
-	welcome := AppendStartupReply(nil, key)
-	assert.Contains(t, string(welcome), "K\x00\x00\x00\x0c\x01\x02\x03\x04\x05\x06\x07\x08")
+	reply := AppendStartupReply(nil, key)
+	assert.Contains(t, string(reply), "K\x00\x00\x00\x0c\x01\x02\x03\x04\x05\x06\x07\x08")
 }
