--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -147,7 +147,7 @@
 
 // Parse reads a plan. Everything that is wrong with it is told at once, with its place.
 func Parse(file string, text []byte) (*Plan, error) {
-	base, top, err := yamlfile.Parse(file, text, "plan")
+	base, root, err := yamlfile.Parse(file, text, "plan")
 	if err != nil {
 		return nil, err
 	}
@@ -156,318 +156,320 @@
 		Groups: 1, Keys: 1000, Sessions: 100, MaxConnections: 100, MaxOutstanding: 5000, MaxLateness: 50 * time.Millisecond, MaxArrivals: 1_000_000,
 		HonourShare: 1, Lab: Lab{Gateways: 1, Members: 3, Cores: 5, Queue: 100, Service: 20 * time.Millisecond, Delay: "exponential"},
 	}
-	f := r.Fields(top, "", "seed", "groups", "keys", "sessions", "retries", "arrivals", "connections", "outstanding",
+	fields := r.Fields(root, "", "seed", "groups", "keys", "sessions", "retries", "arrivals", "connections", "outstanding",
 		"stall", "most", "classes", "stages", "events", "lab")
-	whole := func(key string, to *int, least, most int) {
-		if f[key] != nil {
-			*to = r.Count(f[key], key, least, most)
+	readCount := func(key string, target *int, minimum, maximum int) {
+		if fields[key] != nil {
+			*target = r.Count(fields[key], key, minimum, maximum)
 		}
 	}
 	seed := 1
-	whole("seed", &seed, 0, 1<<52)
+	readCount("seed", &seed, 0, 1<<52)
 	p.Seed = uint64(seed)
-	whole("groups", &p.Groups, 1, 1000)
-	whole("keys", &p.Keys, 1, 1<<30)
-	whole("connections", &p.MaxConnections, 1, 10000)
-	whole("outstanding", &p.MaxOutstanding, 1, 1_000_000)
-	whole("most", &p.MaxArrivals, 1, 10_000_000)
-	if f["stall"] != nil {
-		p.MaxLateness = r.Duration(f["stall"], "stall")
-	}
-	if s, ok := r.Text(f["arrivals"], "arrivals"); ok {
+	readCount("groups", &p.Groups, 1, 1000)
+	readCount("keys", &p.Keys, 1, 1<<30)
+	readCount("connections", &p.MaxConnections, 1, 10000)
+	readCount("outstanding", &p.MaxOutstanding, 1, 1_000_000)
+	readCount("most", &p.MaxArrivals, 1, 10_000_000)
+	if fields["stall"] != nil {
+		p.MaxLateness = r.Duration(fields["stall"], "stall")
+	}
+	if s, ok := r.Text(fields["arrivals"], "arrivals"); ok {
 		if p.EvenlySpaced = s == "even"; !p.EvenlySpaced && s != "poisson" {
-			r.AddError(f["arrivals"], "arrivals", "%q is neither poisson nor even", s)
+			r.AddError(fields["arrivals"], "arrivals", "%q is neither poisson nor even", s)
 		}
 	}
-	r.sessions(p, f["sessions"])
-	r.retries(p, f["retries"])
-	r.classes(p, f["classes"], top)
-	r.stages(p, f["stages"], top)
-	r.events(p, f["events"])
-	r.lab(p, f["lab"])
+	r.readSessions(p, fields["sessions"])
+	r.readRetries(p, fields["retries"])
+	r.readClasses(p, fields["classes"], root)
+	r.readStages(p, fields["stages"], root)
+	r.readEvents(p, fields["events"])
+	r.readLab(p, fields["lab"])
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (r *reader) sessions(p *Plan, n *yaml.Node) {
-	f := r.Fields(n, "sessions", "count", "follow", "after")
-	if f["count"] != nil {
-		p.Sessions = r.Count(f["count"], "count", 1, 1<<30)
+func (r *reader) readSessions(p *Plan, node *yaml.Node) {
+	fields := r.Fields(node, "sessions", "count", "follow", "after")
+	if fields["count"] != nil {
+		p.Sessions = r.Count(fields["count"], "count", 1, 1<<30)
 	}
-	if f["follow"] != nil {
-		p.FollowShare = r.Percentage(f["follow"], "follow")
+	if fields["follow"] != nil {
+		p.FollowShare = r.Percentage(fields["follow"], "follow")
 	}
-	if f["after"] != nil {
-		p.FollowAfter = r.Duration(f["after"], "after")
+	if fields["after"] != nil {
+		p.FollowAfter = r.Duration(fields["after"], "after")
 	}
 }
 
-func (r *reader) retries(p *Plan, n *yaml.Node) {
-	f := r.Fields(n, "retries", "most", "pause", "honour")
-	if f["most"] != nil {
-		p.MaxRetries = r.Count(f["most"], "most", 0, 10)
+func (r *reader) readRetries(p *Plan, node *yaml.Node) {
+	fields := r.Fields(node, "retries", "most", "pause", "honour")
+	if fields["most"] != nil {
+		p.MaxRetries = r.Count(fields["most"], "most", 0, 10)
 	}
-	if f["pause"] != nil {
-		p.RetryPause = r.Duration(f["pause"], "pause")
+	if fields["pause"] != nil {
+		p.RetryPause = r.Duration(fields["pause"], "pause")
 	}
-	if f["honour"] != nil {
-		p.HonourShare = r.Percentage(f["honour"], "honour")
+	if fields["honour"] != nil {
+		p.HonourShare = r.Percentage(fields["honour"], "honour")
 	}
 }
 
-func (r *reader) classes(p *Plan, n, whole *yaml.Node) {
-	if n == nil {
-		r.AddError(whole, "classes", "none are given")
+func (r *reader) readClasses(p *Plan, node, root *yaml.Node) {
+	if node == nil {
+		r.AddError(root, "classes", "none are given")
 		return
 	}
-	r.Fields(n, "classes") // duplicates
-	sum := 0.0
-	for i := 0; n.Kind == yaml.MappingNode && i+1 < len(n.Content); i += 2 {
-		name, v := n.Content[i].Value, n.Content[i+1]
-		f := r.Fields(v, name, "kind", "mix", "aim", "deadline", "worth", "bound")
-		c := Class{Name: name, Worth: 1, Bound: 3 * time.Second}
-		kind, ok := r.Text(f["kind"], "kind")
-		if c.Kind = Kind(kind); ok && c.Kind != BoundedRead && c.Kind != SessionRead && c.Kind != Write {
-			r.AddError(f["kind"], "kind", "%q is not bounded-read, session-read or write", kind)
+	r.Fields(node, "classes") // duplicates
+	mixSum := 0.0
+	for i := 0; node.Kind == yaml.MappingNode && i+1 < len(node.Content); i += 2 {
+		name, classNode := node.Content[i].Value, node.Content[i+1]
+		fields := r.Fields(classNode, name, "kind", "mix", "aim", "deadline", "worth", "bound")
+		class := Class{Name: name, Worth: 1, Bound: 3 * time.Second}
+		kind, ok := r.Text(fields["kind"], "kind")
+		if class.Kind = Kind(kind); ok && class.Kind != BoundedRead && class.Kind != SessionRead && class.Kind != Write {
+			r.AddError(fields["kind"], "kind", "%q is not bounded-read, session-read or write", kind)
 		}
-		for key, read := range map[string]func(*yaml.Node){
-			"mix":      func(v *yaml.Node) { c.Mix = r.Percentage(v, "mix") },
-			"aim":      func(v *yaml.Node) { c.Aim = r.Duration(v, "aim") },
-			"deadline": func(v *yaml.Node) { c.Deadline = r.Duration(v, "deadline") },
+		for key, readField := range map[string]func(*yaml.Node){
+			"mix":      func(v *yaml.Node) { class.Mix = r.Percentage(v, "mix") },
+			"aim":      func(v *yaml.Node) { class.Aim = r.Duration(v, "aim") },
+			"deadline": func(v *yaml.Node) { class.Deadline = r.Duration(v, "deadline") },
 		} {
-			if f[key] == nil && v.Kind == yaml.MappingNode {
-				r.AddError(v, name, "%s is missing", key)
-			} else if f[key] != nil {
-				read(f[key])
+			if fields[key] == nil && classNode.Kind == yaml.MappingNode {
+				r.AddError(classNode, name, "%s is missing", key)
+			} else if fields[key] != nil {
+				readField(fields[key])
 			}
 		}
-		if f["kind"] == nil && v.Kind == yaml.MappingNode {
-			r.AddError(v, name, "kind is missing")
+		if fields["kind"] == nil && classNode.Kind == yaml.MappingNode {
+			r.AddError(classNode, name, "kind is missing")
 		}
-		if f["worth"] != nil {
-			c.Worth = r.Float(f["worth"], "worth")
+		if fields["worth"] != nil {
+			class.Worth = r.Float(fields["worth"], "worth")
 		}
-		if f["bound"] != nil {
-			c.Bound = r.Duration(f["bound"], "bound")
+		if fields["bound"] != nil {
+			class.Bound = r.Duration(fields["bound"], "bound")
 		}
-		if c.Aim > c.Deadline && f["aim"] != nil && f["deadline"] != nil {
-			r.AddError(f["aim"], "aim", "later than the deadline")
+		if class.Aim > class.Deadline && fields["aim"] != nil && fields["deadline"] != nil {
+			r.AddError(fields["aim"], "aim", "later than the deadline")
 		}
 		if strings.ContainsAny(name, " ,=*/'") || name == "" {
-			r.AddError(n.Content[i], name, "a class is named without spaces, commas, quotes, =, * and /")
+			r.AddError(node.Content[i], name, "a class is named without spaces, commas, quotes, =, * and /")
 		}
-		sum += c.Mix
-		p.Classes = append(p.Classes, c)
+		mixSum += class.Mix
+		p.Classes = append(p.Classes, class)
 	}
-	if len(p.Classes) > 0 && math.Abs(sum-1) > 1e-6 {
-		r.AddError(n, "classes", "the mix adds up to %.4g%%, not to 100%%", sum*100)
+	if len(p.Classes) > 0 && math.Abs(mixSum-1) > 1e-6 {
+		r.AddError(node, "classes", "the mix adds up to %.4g%%, not to 100%%", mixSum*100)
 	}
 }
 
-func (r *reader) stages(p *Plan, n, whole *yaml.Node) {
-	if n == nil || n.Kind != yaml.SequenceNode || len(n.Content) == 0 {
-		if n == nil {
-			n = whole
+func (r *reader) readStages(p *Plan, node, root *yaml.Node) {
+	if node == nil || node.Kind != yaml.SequenceNode || len(node.Content) == 0 {
+		if node == nil {
+			node = root
 		}
-		r.AddError(n, "stages", "a list of at least one stage is wanted")
+		r.AddError(node, "stages", "a list of at least one stage is wanted")
 		return
 	}
-	for i, v := range n.Content {
-		f := r.Fields(v, "stage", "name", "shape", "rate", "from", "to", "rates", "times", "rise", "hold", "fall", "for")
-		s := Stage{Name: fmt.Sprintf("%d", i+1)}
-		if name, ok := r.Text(f["name"], "name"); ok {
-			s.Name = name
+	for i, stageNode := range node.Content {
+		fields := r.Fields(stageNode, "stage", "name", "shape", "rate", "from", "to", "rates", "times", "rise", "hold", "fall", "for")
+		stage := Stage{Name: fmt.Sprintf("%d", i+1)}
+		if name, ok := r.Text(fields["name"], "name"); ok {
+			stage.Name = name
 		}
-		shape, _ := r.Text(f["shape"], "shape")
+		shape, _ := r.Text(fields["shape"], "shape")
 		used := map[string]bool{"name": true, "shape": true}
-		need := func(key string) *yaml.Node {
+		require := func(key string) *yaml.Node {
 			used[key] = true
-			if f[key] == nil {
-				r.AddError(v, key, "missing; a stage of shape %q wants it", shape)
+			if fields[key] == nil {
+				r.AddError(stageNode, key, "missing; a stage of shape %q wants it", shape)
 			}
-			return f[key]
+			return fields[key]
 		}
-		rate := func(key string) float64 { return r.Rate(need(key), key) }
-		span := func(key string) time.Duration {
-			at := need(key)
-			d := r.Duration(at, key)
-			if at != nil && d <= 0 && len(r.Errors) == 0 {
-				r.AddError(at, key, "a stage of no length")
+		readRate := func(key string) float64 { return r.Rate(require(key), key) }
+		readDuration := func(key string) time.Duration {
+			field := require(key)
+			d := r.Duration(field, key)
+			if field != nil && d <= 0 && len(r.Errors) == 0 {
+				r.AddError(field, key, "a stage of no length")
 			}
 			return d
 		}
-		line := func(from, to float64, d time.Duration) { s.Segments = append(s.Segments, RateSegment{from, to, d}) }
+		addSegment := func(from, to float64, d time.Duration) {
+			stage.Segments = append(stage.Segments, RateSegment{from, to, d})
+		}
 		switch shape {
 		case "constant":
-			x := rate("rate")
-			line(x, x, span("for"))
+			x := readRate("rate")
+			addSegment(x, x, readDuration("for"))
 		case "ramp":
-			line(rate("from"), rate("to"), span("for"))
+			addSegment(readRate("from"), readRate("to"), readDuration("for"))
 		case "burst":
-			x := rate("rate")
-			y := x * r.Float(need("times"), "times")
-			line(x, y, span("rise"))
-			line(y, y, span("hold"))
-			line(y, x, span("fall"))
+			x := readRate("rate")
+			y := x * r.Float(require("times"), "times")
+			addSegment(x, y, readDuration("rise"))
+			addSegment(y, y, readDuration("hold"))
+			addSegment(y, x, readDuration("fall"))
 		case "step":
-			list := need("rates")
-			d := span("for")
-			if list != nil && (list.Kind != yaml.SequenceNode || len(list.Content) == 0) {
-				r.AddError(list, "rates", "a list of rates is wanted")
-			} else if list != nil {
-				for _, x := range list.Content {
+			rates := require("rates")
+			d := readDuration("for")
+			if rates != nil && (rates.Kind != yaml.SequenceNode || len(rates.Content) == 0) {
+				r.AddError(rates, "rates", "a list of rates is wanted")
+			} else if rates != nil {
+				for _, x := range rates.Content {
 					y := r.Rate(x, "rates")
-					line(y, y, d/time.Duration(len(list.Content)))
+					addSegment(y, y, d/time.Duration(len(rates.Content)))
 				}
 			}
 		case "pause":
-			line(0, 0, span("for"))
+			addSegment(0, 0, readDuration("for"))
 		default:
-			r.AddError(v, "shape", "%q is not constant, ramp, burst, step or pause", shape)
+			r.AddError(stageNode, "shape", "%q is not constant, ramp, burst, step or pause", shape)
 			continue
 		}
-		for i := 0; i+1 < len(v.Content); i += 2 {
-			if k := v.Content[i]; f[k.Value] != nil && !used[k.Value] {
-				r.AddError(k, k.Value, "a stage of shape %q does not use it", shape)
+		for i := 0; i+1 < len(stageNode.Content); i += 2 {
+			if keyNode := stageNode.Content[i]; fields[keyNode.Value] != nil && !used[keyNode.Value] {
+				r.AddError(keyNode, keyNode.Value, "a stage of shape %q does not use it", shape)
 			}
 		}
-		p.Stages = append(p.Stages, s)
+		p.Stages = append(p.Stages, stage)
 	}
 }
 
-func (r *reader) events(p *Plan, n *yaml.Node) {
-	if n == nil {
+func (r *reader) readEvents(p *Plan, node *yaml.Node) {
+	if node == nil {
 		return
 	}
-	if n.Kind != yaml.SequenceNode {
-		r.AddError(n, "events", "a list is wanted")
+	if node.Kind != yaml.SequenceNode {
+		r.AddError(node, "events", "a list is wanted")
 		return
 	}
-	for _, v := range n.Content {
-		f := r.Fields(v, "event", "at", "do", "part", "for", "size", "gateways", "back", "from", "to", "sides",
+	for _, eventNode := range node.Content {
+		fields := r.Fields(eventNode, "event", "at", "do", "part", "for", "size", "gateways", "back", "from", "to", "sides",
 			"loss", "duplicate", "reorder", "corrupt", "delay", "jitter", "rate", "cut")
-		e := Event{Share: 1}
-		if f["at"] == nil {
-			r.AddError(v, "at", "missing")
+		event := Event{Share: 1}
+		if fields["at"] == nil {
+			r.AddError(eventNode, "at", "missing")
 		} else {
-			e.At = r.Duration(f["at"], "at")
+			event.At = r.Duration(fields["at"], "at")
 		}
-		e.Action, _ = r.Text(f["do"], "do")
-		if !slices.Contains(Actions, e.Action) {
-			r.AddError(v, "do", "%q is not one of %s", e.Action, strings.Join(Actions, ", "))
+		event.Action, _ = r.Text(fields["do"], "do")
+		if !slices.Contains(Actions, event.Action) {
+			r.AddError(eventNode, "do", "%q is not one of %s", event.Action, strings.Join(Actions, ", "))
 		}
-		if f["part"] != nil {
-			e.Share = r.Percentage(f["part"], "part")
+		if fields["part"] != nil {
+			event.Share = r.Percentage(fields["part"], "part")
 		}
-		if f["for"] != nil {
-			e.Duration = r.Duration(f["for"], "for")
+		if fields["for"] != nil {
+			event.Duration = r.Duration(fields["for"], "for")
 		}
-		if f["size"] != nil {
-			e.Size = r.Duration(f["size"], "size")
+		if fields["size"] != nil {
+			event.Size = r.Duration(fields["size"], "size")
 		}
-		r.fleet(f, v, &e)
-		p.Events = append(p.Events, e)
+		r.readFleetEvent(fields, eventNode, &event)
+		p.Events = append(p.Events, event)
 	}
 }
 
-// fleet reads what events do to gateways and to the links between them.
-func (r *reader) fleet(f map[string]*yaml.Node, v *yaml.Node, e *Event) {
-	if n := f["gateways"]; n != nil && n.Kind == yaml.ScalarNode {
-		e.GatewayShare = r.Percentage(n, "gateways")
+// readFleetEvent reads what events do to gateways and to the links between them.
+func (r *reader) readFleetEvent(fields map[string]*yaml.Node, eventNode *yaml.Node, event *Event) {
+	if n := fields["gateways"]; n != nil && n.Kind == yaml.ScalarNode {
+		event.GatewayShare = r.Percentage(n, "gateways")
 	} else if n != nil {
-		e.Gateways = r.numbers(n, "gateways")
-	} else if e.Action == "kill-gateway" || e.Action == "stop-gateway" {
-		e.Gateways = []int{0}
-	} else if e.Action == "roll-gateways" {
-		e.GatewayShare = 1
-	}
-	e.From, e.To = r.numbers(f["from"], "from"), r.numbers(f["to"], "to")
-	for key, to := range map[string]*float64{
-		"loss": &e.Link.Loss, "duplicate": &e.Link.Duplicate, "reorder": &e.Link.Reorder, "corrupt": &e.Link.Corrupt,
+		event.Gateways = r.readGatewayNumbers(n, "gateways")
+	} else if event.Action == "kill-gateway" || event.Action == "stop-gateway" {
+		event.Gateways = []int{0}
+	} else if event.Action == "roll-gateways" {
+		event.GatewayShare = 1
+	}
+	event.From, event.To = r.readGatewayNumbers(fields["from"], "from"), r.readGatewayNumbers(fields["to"], "to")
+	for key, target := range map[string]*float64{
+		"loss": &event.Link.Loss, "duplicate": &event.Link.Duplicate, "reorder": &event.Link.Reorder, "corrupt": &event.Link.Corrupt,
 	} {
-		if f[key] != nil {
-			*to = r.Percentage(f[key], key)
+		if fields[key] != nil {
+			*target = r.Percentage(fields[key], key)
 		}
 	}
-	for key, to := range map[string]*time.Duration{"delay": &e.Link.Delay, "jitter": &e.Link.Jitter, "back": &e.RestartAfter} {
-		if f[key] != nil {
-			*to = r.Duration(f[key], key)
+	for key, target := range map[string]*time.Duration{"delay": &event.Link.Delay, "jitter": &event.Link.Jitter, "back": &event.RestartAfter} {
+		if fields[key] != nil {
+			*target = r.Duration(fields[key], key)
 		}
 	}
-	if f["rate"] != nil {
-		e.Link.Rate, _ = r.Number(f["rate"], "rate", "20 kB/s", map[string]float64{"B/s": 1, "kB/s": 1e3, "MB/s": 1e6})
+	if fields["rate"] != nil {
+		event.Link.Rate, _ = r.Number(fields["rate"], "rate", "20 kB/s", map[string]float64{"B/s": 1, "kB/s": 1e3, "MB/s": 1e6})
 	}
-	e.Link.Cut = r.Bool(f["cut"], "cut")
-	if n := f["sides"]; n != nil {
+	event.Link.Cut = r.Bool(fields["cut"], "cut")
+	if n := fields["sides"]; n != nil {
 		if n.Kind != yaml.SequenceNode || len(n.Content) < 2 {
 			r.AddError(n, "sides", "two lists or more are wanted, like [[0, 1], [2, 3]]")
 		} else {
 			for _, side := range n.Content {
-				e.Sides = append(e.Sides, r.numbers(side, "sides"))
+				event.Sides = append(event.Sides, r.readGatewayNumbers(side, "sides"))
 			}
 		}
-	} else if e.Action == "partition" {
-		r.AddError(v, "sides", "missing; a partition wants them")
+	} else if event.Action == "partition" {
+		r.AddError(eventNode, "sides", "missing; a partition wants them")
 	}
 }
 
-func (r *reader) numbers(n *yaml.Node, key string) (list []int) {
-	if n != nil && n.Kind != yaml.SequenceNode {
-		r.AddError(n, key, "a list of numbers of gateways is wanted, like [0, 2]")
+func (r *reader) readGatewayNumbers(node *yaml.Node, key string) (list []int) {
+	if node != nil && node.Kind != yaml.SequenceNode {
+		r.AddError(node, key, "a list of numbers of gateways is wanted, like [0, 2]")
 		return nil
 	}
-	if n != nil {
-		for _, v := range n.Content {
-			list = append(list, r.Count(v, key, 0, 999))
+	if node != nil {
+		for _, element := range node.Content {
+			list = append(list, r.Count(element, key, 0, 999))
 		}
 	}
 	return list
 }
 
-func (r *reader) lab(p *Plan, n *yaml.Node) {
-	f := r.Fields(n, "lab", "gateways", "told", "members", "cores", "queue", "service", "delay", "lag", "cold", "fleet", "budget", "lease", "subsets", "positions", "primaries", "bytes", "audit", "fence", "words", "repeats")
-	for key, to := range map[string]*int{"gateways": &p.Lab.Gateways, "told": &p.Lab.AnnouncedGateways, "members": &p.Lab.Members, "cores": &p.Lab.Cores, "queue": &p.Lab.Queue, "budget": &p.Lab.Budget} {
-		if f[key] != nil {
-			*to = r.Count(f[key], key, 1, 1000)
+func (r *reader) readLab(p *Plan, node *yaml.Node) {
+	fields := r.Fields(node, "lab", "gateways", "told", "members", "cores", "queue", "service", "delay", "lag", "cold", "fleet", "budget", "lease", "subsets", "positions", "primaries", "bytes", "audit", "fence", "words", "repeats")
+	for key, target := range map[string]*int{"gateways": &p.Lab.Gateways, "told": &p.Lab.AnnouncedGateways, "members": &p.Lab.Members, "cores": &p.Lab.Cores, "queue": &p.Lab.Queue, "budget": &p.Lab.Budget} {
+		if fields[key] != nil {
+			*target = r.Count(fields[key], key, 1, 1000)
 		}
 	}
-	for key, to := range map[string]*time.Duration{"service": &p.Lab.Service, "lag": &p.Lab.Lag, "cold": &p.Lab.SlowStart, "lease": &p.Lab.Lease} {
-		if f[key] != nil {
-			*to = r.Duration(f[key], key)
+	for key, target := range map[string]*time.Duration{"service": &p.Lab.Service, "lag": &p.Lab.Lag, "cold": &p.Lab.SlowStart, "lease": &p.Lab.Lease} {
+		if fields[key] != nil {
+			*target = r.Duration(fields[key], key)
 		}
 	}
-	p.Lab.Fleet = r.Bool(f["fleet"], "fleet")
-	p.Lab.Subsets = r.Bool(f["subsets"], "subsets")
-	p.Lab.Positions = r.Bool(f["positions"], "positions")
-	p.Lab.Primaries = r.Bool(f["primaries"], "primaries")
-	if n := f["bytes"]; n != nil {
+	p.Lab.Fleet = r.Bool(fields["fleet"], "fleet")
+	p.Lab.Subsets = r.Bool(fields["subsets"], "subsets")
+	p.Lab.Positions = r.Bool(fields["positions"], "positions")
+	p.Lab.Primaries = r.Bool(fields["primaries"], "primaries")
+	if n := fields["bytes"]; n != nil {
 		p.Lab.MaxBytesPerSecond = int(r.Rate(n, "bytes"))
 	}
-	p.Lab.Audit = r.Bool(f["audit"], "audit")
-	if n := f["repeats"]; n != nil {
+	p.Lab.Audit = r.Bool(fields["audit"], "audit")
+	if n := fields["repeats"]; n != nil {
 		p.Lab.RetryShare = r.Percentage(n, "repeats")
 	}
-	if n := f["words"]; n != nil {
+	if n := fields["words"]; n != nil {
 		p.Lab.OverrideLifetime = r.Duration(n, "words")
 	}
-	if n := f["fence"]; n != nil {
+	if n := fields["fence"]; n != nil {
 		p.Lab.FenceAfter = r.Duration(n, "fence")
 	}
-	for i, e := range p.Events {
-		for _, g := range slices.Concat(e.Gateways, e.From, e.To, slices.Concat(e.Sides...)) {
-			if g >= p.Lab.Gateways {
-				r.AddError(n, "events", "event %d names gateway %d; the lab has %d, counted from 0", i+1, g, p.Lab.Gateways)
+	for i, event := range p.Events {
+		for _, gateway := range slices.Concat(event.Gateways, event.From, event.To, slices.Concat(event.Sides...)) {
+			if gateway >= p.Lab.Gateways {
+				r.AddError(node, "events", "event %d names gateway %d; the lab has %d, counted from 0", i+1, gateway, p.Lab.Gateways)
 			}
 		}
-		if (e.Action == "links" || e.Action == "partition") && !p.Lab.Fleet {
-			r.AddError(n, "events", "event %d is about links between gateways; the lab wants fleet: true for that", i+1)
+		if (event.Action == "links" || event.Action == "partition") && !p.Lab.Fleet {
+			r.AddError(node, "events", "event %d is about links between gateways; the lab wants fleet: true for that", i+1)
 		}
 	}
-	if s, ok := r.Text(f["delay"], "delay"); ok {
+	if s, ok := r.Text(fields["delay"], "delay"); ok {
 		if p.Lab.Delay = s; s != "constant" && s != "exponential" {
-			r.AddError(f["delay"], "delay", "%q is neither constant nor exponential", s)
+			r.AddError(fields["delay"], "delay", "%q is neither constant nor exponential", s)
 		}
 	}
 }
--- a/internal/load/plan/plan_test.go
+++ b/internal/load/plan/plan_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `seed: 7
+const goodPlan = `seed: 7
 groups: 3
 sessions: {count: 50, follow: 60%, after: 300 ms}
 classes:
@@ -34,8 +34,8 @@
 	return p
 }
 
-func TestGoodPlan(t *testing.T) {
-	p := parse(t, good)
+func TestParseGoodPlan(t *testing.T) {
+	p := parse(t, goodPlan)
 	assert.Equal(t, 26*time.Second, p.Duration())
 	assert.Equal(t, Class{Name: "own", Kind: SessionRead, Mix: 0.1, Aim: 500 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 2,
 		Bound: 3 * time.Second}, p.Classes[1])
@@ -44,12 +44,12 @@
 
 // What is wrong is told with its line and column, all of it at once.
 func TestBadPlans(t *testing.T) {
-	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	swap := func(old, new string) string { return strings.Replace(goodPlan, old, new, 1) }
 	tests := []struct{ name, text, want string }{
 		{"empty", "", "p.yaml: the plan is empty"},
 		{"no YAML", "a: [", "p.yaml: line 1"},
-		{"unknown key", good + "rats: 3\n", "p.yaml:16:1: rats: unknown"},
-		{"duplicate key", good + "seed: 3\n", "p.yaml:16:1: seed: stands twice"},
+		{"unknown key", goodPlan + "rats: 3\n", "p.yaml:16:1: rats: unknown"},
+		{"duplicate key", goodPlan + "seed: 3\n", "p.yaml:16:1: seed: stands twice"},
 		{"duplicate class", swap("  own:", "  browse:"), "p.yaml:6:3: browse: stands twice"},
 		{"no unit", swap("aim: 500 ms", "aim: 500"), `p.yaml:5:47: aim: "500" has no unit; write it like 500 ms`},
 		{"wrong unit", swap("aim: 500 ms", "aim: 500 m"), `unknown unit "m"`},
@@ -68,7 +68,7 @@
 		{"fraction", swap("groups: 3", "groups: 2.5"), "a whole number from 1 to 1000 is wanted"},
 		{"event", swap("do: roll", "do: burn"), `"burn" is not one of`},
 		{"alias", swap("groups: 3", "groups: &a 3\nkeys: *a"), "aliases are not read"},
-		{"no stages", good[:strings.Index(good, "stages:")], "a list of at least one stage"},
+		{"no stages", goodPlan[:strings.Index(goodPlan, "stages:")], "a list of at least one stage"},
 		{"a list for a mapping", swap("{count: 50, follow: 60%, after: 300 ms}", "[1]"), "a mapping of names"},
 	}
 	for _, tt := range tests {
@@ -85,13 +85,13 @@
 // stage as well, and never jumps.
 func TestSchedule(t *testing.T) {
 	for _, arrivals := range []string{"even", "poisson"} {
-		p := parse(t, good+"arrivals: "+arrivals+"\n")
+		p := parse(t, goodPlan+"arrivals: "+arrivals+"\n")
 		p.FollowShare = 0
 		list, err := Schedule(p)
 		require.NoError(t, err)
-		again, err := Schedule(p)
+		repeated, err := Schedule(p)
 		require.NoError(t, err)
-		assert.Equal(t, list, again)
+		assert.Equal(t, list, repeated)
 		between := func(from, to float64) (n float64) {
 			for _, a := range list {
 				if s := a.At.Seconds(); s >= from && s < to {
@@ -114,29 +114,29 @@
 		}
 		assert.Equal(t, 2, list[len(list)/2].Stage)
 	}
-	p := parse(t, good)
+	p := parse(t, goodPlan)
 	p.MaxArrivals = 100
 	_, err := Schedule(p)
 	assert.ErrorContains(t, err, "raise most")
 }
 
 func TestReadsFollowWrites(t *testing.T) {
-	p := parse(t, good)
+	p := parse(t, goodPlan)
 	p.FollowShare = 1
 	list, err := Schedule(p)
 	require.NoError(t, err)
-	by := map[int]Arrival{}
+	byNumber := map[int]Arrival{}
 	for _, a := range list {
-		by[a.Number] = a
+		byNumber[a.Number] = a
 	}
-	require.Len(t, by, len(list), "numbers are unique")
+	require.Len(t, byNumber, len(list), "numbers are unique")
 	follows := 0
 	for _, a := range list {
 		if a.Follows >= 0 {
-			w := by[a.Follows]
-			assert.Equal(t, Write, p.Classes[w.Class].Kind)
-			assert.Equal(t, []int{w.Session, w.Group, w.Key}, []int{a.Session, a.Group, a.Key})
-			assert.Equal(t, w.At+300*time.Millisecond, a.At)
+			write := byNumber[a.Follows]
+			assert.Equal(t, Write, p.Classes[write.Class].Kind)
+			assert.Equal(t, []int{write.Session, write.Group, write.Key}, []int{a.Session, a.Group, a.Key})
+			assert.Equal(t, write.At+300*time.Millisecond, a.At)
 			follows++
 		}
 	}
@@ -144,34 +144,34 @@
 }
 
 func TestTraces(t *testing.T) {
-	p := parse(t, good)
+	p := parse(t, goodPlan)
 	p.FollowShare = 0
 	list, err := Schedule(p)
 	require.NoError(t, err)
-	var b bytes.Buffer
-	require.NoError(t, WriteTrace(&b, p, list))
-	back, err := ParseTrace(p, "t.csv", b.Bytes(), 1, 1)
+	var trace bytes.Buffer
+	require.NoError(t, WriteTrace(&trace, p, list))
+	parsed, err := ParseTrace(p, "t.csv", trace.Bytes(), 1, 1)
 	require.NoError(t, err)
-	require.Len(t, back, len(list))
+	require.Len(t, parsed, len(list))
 	for i := range list {
-		assert.Equal(t, []int{list[i].Class, list[i].Group, list[i].Key}, []int{back[i].Class, back[i].Group, back[i].Key})
-		assert.InDelta(t, list[i].At.Seconds(), back[i].At.Seconds(), 2e-6)
+		assert.Equal(t, []int{list[i].Class, list[i].Group, list[i].Key}, []int{parsed[i].Class, parsed[i].Group, parsed[i].Key})
+		assert.InDelta(t, list[i].At.Seconds(), parsed[i].At.Seconds(), 2e-6)
 	}
-	half, err := ParseTrace(p, "t.csv", b.Bytes(), 2, 0.5)
+	halved, err := ParseTrace(p, "t.csv", trace.Bytes(), 2, 0.5)
 	require.NoError(t, err)
-	assert.InDelta(t, len(list)/2, len(half), 5*math.Sqrt(float64(len(list))))
-	assert.InDelta(t, list[len(list)-1].At.Seconds()/2, half[len(half)-1].At.Seconds(), 0.2)
-	twice, err := ParseTrace(p, "t.csv", b.Bytes(), 1, 2)
+	assert.InDelta(t, len(list)/2, len(halved), 5*math.Sqrt(float64(len(list))))
+	assert.InDelta(t, list[len(list)-1].At.Seconds()/2, halved[len(halved)-1].At.Seconds(), 0.2)
+	doubled, err := ParseTrace(p, "t.csv", trace.Bytes(), 1, 2)
 	require.NoError(t, err)
-	assert.Len(t, twice, 2*len(list))
-	lines, err := ParseTrace(p, "t.json", []byte(`{"time":0.5,"class":"write","group":2,"key":9}`+"\n\n"+`{"time":1,"class":"own"}`), 1, 1)
+	assert.Len(t, doubled, 2*len(list))
+	fromJSON, err := ParseTrace(p, "t.json", []byte(`{"time":0.5,"class":"write","group":2,"key":9}`+"\n\n"+`{"time":1,"class":"own"}`), 1, 1)
 	require.NoError(t, err)
-	assert.Equal(t, 500*time.Millisecond, lines[0].At)
-	assert.Equal(t, 9, lines[0].Key)
+	assert.Equal(t, 500*time.Millisecond, fromJSON[0].At)
+	assert.Equal(t, 9, fromJSON[0].Key)
 }
 
 func TestBadTraces(t *testing.T) {
-	p := parse(t, good)
+	p := parse(t, goodPlan)
 	const head = "time,class,group,key,kind\n"
 	for _, tt := range []struct{ text, want string }{
 		{"", "t: the trace is empty"}, {head, "t: the trace is empty"},
@@ -198,7 +198,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(goodPlan))
 	f.Add([]byte("classes: {a: {mix: 100%}}\nstages: [{shape: ramp, from: 0/s}]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p, err := Parse("f", text)
--- a/internal/load/plan/schedule.go
+++ b/internal/load/plan/schedule.go
@@ -24,48 +24,48 @@
 // Schedule draws all arrivals ahead. The same plan gives the same schedule; there is no limit that the
 // gateway's answers could move.
 func Schedule(p *Plan) ([]Arrival, error) {
-	rnd := rand.New(rand.NewPCG(p.Seed, 0x6c6f6164))
-	var list []Arrival
-	var begun time.Duration
-	next := p.gap(rnd) / gapFirst(p.EvenlySpaced) // of the rate's integral, until the next arrival
-	for stage, s := range p.Stages {
-		for _, l := range s.Segments {
-			area := (l.From + l.To) / 2 * l.For.Seconds()
-			for done := 0.0; ; {
-				if done+next > area {
-					next -= area - done
+	rng := rand.New(rand.NewPCG(p.Seed, 0x6c6f6164))
+	var arrivals []Arrival
+	var segmentStart time.Duration
+	untilNext := p.nextGap(rng) / firstGapDivisor(p.EvenlySpaced) // of the rate's integral, until the next arrival
+	for stageIndex, stage := range p.Stages {
+		for _, segment := range stage.Segments {
+			area := (segment.From + segment.To) / 2 * segment.For.Seconds()
+			for consumed := 0.0; ; {
+				if consumed+untilNext > area {
+					untilNext -= area - consumed
 					break
 				}
-				done += next
-				next = p.gap(rnd)
-				if len(list) >= p.MaxArrivals {
+				consumed += untilNext
+				untilNext = p.nextGap(rng)
+				if len(arrivals) >= p.MaxArrivals {
 					return nil, fmt.Errorf("the stages hold more than %d arrivals; raise most", p.MaxArrivals)
 				}
-				list = append(list, p.draw(rnd, begun+l.when(done), stage))
+				arrivals = append(arrivals, p.drawArrival(rng, segmentStart+segment.timeAtArea(consumed), stageIndex))
 			}
-			begun += l.For
+			segmentStart += segment.For
 		}
 	}
-	return p.number(rnd, list, begun)
+	return p.addFollowUpReads(rng, arrivals, segmentStart)
 }
 
-func gapFirst(even bool) float64 {
+func firstGapDivisor(even bool) float64 {
 	if even {
 		return 2 // the first of evenly spaced ones comes after half a gap
 	}
 	return 1
 }
 
-// gap is how much of the rate's integral lies between two arrivals.
-func (p *Plan) gap(rnd *rand.Rand) float64 {
+// nextGap is how much of the rate's integral lies between two arrivals.
+func (p *Plan) nextGap(rng *rand.Rand) float64 {
 	if p.EvenlySpaced {
 		return 1
 	}
-	return rnd.ExpFloat64()
+	return rng.ExpFloat64()
 }
 
-// when inverts the integral of the rate.
-func (l RateSegment) when(area float64) time.Duration {
+// timeAtArea inverts the integral of the rate.
+func (l RateSegment) timeAtArea(area float64) time.Duration {
 	d := l.For.Seconds()
 	slope := (l.To - l.From) / d
 	t := 0.0
@@ -77,46 +77,46 @@
 	return time.Duration(min(max(t, 0), d) * float64(time.Second))
 }
 
-func (p *Plan) draw(rnd *rand.Rand, at time.Duration, stage int) Arrival {
-	a := Arrival{At: at, Stage: stage, Follows: -1, Group: rnd.IntN(p.Groups), Key: rnd.IntN(p.Keys), Session: rnd.IntN(p.Sessions)}
-	x := rnd.Float64()
-	for i, c := range p.Classes {
-		a.Class = i
-		if x -= c.Mix; x < 0 {
+func (p *Plan) drawArrival(rng *rand.Rand, at time.Duration, stage int) Arrival {
+	arrival := Arrival{At: at, Stage: stage, Follows: -1, Group: rng.IntN(p.Groups), Key: rng.IntN(p.Keys), Session: rng.IntN(p.Sessions)}
+	remaining := rng.Float64()
+	for i, class := range p.Classes {
+		arrival.Class = i
+		if remaining -= class.Mix; remaining < 0 {
 			break
 		}
 	}
-	return a
+	return arrival
 }
 
-// number adds the reads that follow writes, and numbers all in their order.
-func (p *Plan) number(rnd *rand.Rand, list []Arrival, end time.Duration) ([]Arrival, error) {
-	read := slices.IndexFunc(p.Classes, func(c Class) bool { return c.Kind == SessionRead })
-	for i := range list {
-		list[i].Number = i
+// addFollowUpReads adds the reads that follow writes, and numbers all in their order.
+func (p *Plan) addFollowUpReads(rng *rand.Rand, arrivals []Arrival, end time.Duration) ([]Arrival, error) {
+	readClass := slices.IndexFunc(p.Classes, func(c Class) bool { return c.Kind == SessionRead })
+	for i := range arrivals {
+		arrivals[i].Number = i
 	}
-	firsts := len(list)
-	for i := 0; i < firsts && read >= 0 && p.FollowShare > 0; i++ {
-		a := list[i]
-		if p.Classes[a.Class].Kind != Write || rnd.Float64() >= p.FollowShare {
+	drawn := len(arrivals)
+	for i := 0; i < drawn && readClass >= 0 && p.FollowShare > 0; i++ {
+		arrival := arrivals[i]
+		if p.Classes[arrival.Class].Kind != Write || rng.Float64() >= p.FollowShare {
 			continue
 		}
-		a.Follows, a.Class, a.Number = a.Number, read, len(list)
-		if a.At += p.FollowAfter; a.At >= end {
+		arrival.Follows, arrival.Class, arrival.Number = arrival.Number, readClass, len(arrivals)
+		if arrival.At += p.FollowAfter; arrival.At >= end {
 			continue
 		}
-		a.Stage = p.stageAt(a.At)
-		if list = append(list, a); len(list) > p.MaxArrivals {
+		arrival.Stage = p.stageAt(arrival.At)
+		if arrivals = append(arrivals, arrival); len(arrivals) > p.MaxArrivals {
 			return nil, fmt.Errorf("with the reads that follow writes there are more than %d arrivals; raise most", p.MaxArrivals)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	return list, nil
+	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	return arrivals, nil
 }
 
 func (p *Plan) stageAt(at time.Duration) int {
-	for i, s := range p.Stages {
-		if at -= s.Duration(); at < 0 {
+	for i, stage := range p.Stages {
+		if at -= stage.Duration(); at < 0 {
 			return i
 		}
 	}
--- a/internal/load/run/record.go
+++ b/internal/load/run/record.go
@@ -12,40 +12,42 @@
 )
 
 const (
-	finest  = 1                // microsecond
-	longest = 60 * 1000 * 1000 // microseconds; what takes longer counts as that long
-	digits  = 3
+	minLatencyMicros  = 1                // microsecond
+	maxLatencyMicros  = 60 * 1000 * 1000 // microseconds; what takes longer counts as that long
+	significantDigits = 3
 )
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(finest, longest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+}
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), finest), longest))
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 // Recorder keeps what a run is judged by; its size does not grow with the run but by seconds.
 type Recorder struct {
-	plan *plan.Plan
-	mu   sync.Mutex
-	cell map[[2]int]*cell // by class and stage
-	secs []second
-	late *hdrhistogram.Histogram
-	bad  []Stall
-	n    int
+	plan     *plan.Plan
+	mu       sync.Mutex
+	cells    map[[2]int]*classStage // by class and stage
+	seconds  []second
+	lateness *hdrhistogram.Histogram
+	stalls   []Stall
+	samples  int
 }
 
-type cell struct {
+type classStage struct {
 	counts           map[Outcome]int
 	latency, service *hdrhistogram.Histogram // of what was served
 	all              *hdrhistogram.Histogram // of everything that was sent
-	tries            int
+	attempts         int
 }
 
 type second struct {
-	Offered int     `json:"offered"`
-	Served  int     `json:"served"` // in aim
-	Worth   float64 `json:"worth"`
-	Asked   float64 `json:"asked"`
+	Offered      int     `json:"offered"`
+	Served       int     `json:"served"` // in aim
+	Worth        float64 `json:"worth"`
+	WorthOffered float64 `json:"asked"`
 }
 
 // Stall is a moment at which the generator itself was late.
@@ -56,44 +58,44 @@
 
 // NewRecorder makes an empty one.
 func NewRecorder(p *plan.Plan) *Recorder {
-	return &Recorder{plan: p, cell: map[[2]int]*cell{}, late: histogram()}
+	return &Recorder{plan: p, cells: map[[2]int]*classStage{}, lateness: newHistogram()}
 }
 
-const mostStalls = 20 // kept one by one
+const maxStalls = 20 // kept one by one
 
 // Add takes in one request.
-func (r *Recorder) Add(s Sample) {
+func (r *Recorder) Add(sample Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := [2]int{s.Arrival.Class, s.Arrival.Stage}
-	c := r.cell[at]
-	if c == nil {
-		c = &cell{counts: map[Outcome]int{}, latency: histogram(), service: histogram(), all: histogram()}
-		r.cell[at] = c
+	key := [2]int{sample.Arrival.Class, sample.Arrival.Stage}
+	stats := r.cells[key]
+	if stats == nil {
+		stats = &classStage{counts: map[Outcome]int{}, latency: newHistogram(), service: newHistogram(), all: newHistogram()}
+		r.cells[key] = stats
 	}
-	r.n++
-	c.counts[s.Outcome]++
-	c.tries += s.Attempts
-	record(r.late, s.Lateness)
-	if s.Lateness > r.plan.MaxLateness && len(r.bad) < mostStalls {
-		r.bad = append(r.bad, Stall{At: s.Arrival.At, Late: s.Lateness})
+	r.samples++
+	stats.counts[sample.Outcome]++
+	stats.attempts += sample.Attempts
+	record(r.lateness, sample.Lateness)
+	if sample.Lateness > r.plan.MaxLateness && len(r.stalls) < maxStalls {
+		r.stalls = append(r.stalls, Stall{At: sample.Arrival.At, Late: sample.Lateness})
 	}
-	i, worth := int(s.Arrival.At/time.Second), r.plan.Classes[s.Arrival.Class].Worth
-	for len(r.secs) <= i {
-		r.secs = append(r.secs, second{})
+	sec, worth := int(sample.Arrival.At/time.Second), r.plan.Classes[sample.Arrival.Class].Worth
+	for len(r.seconds) <= sec {
+		r.seconds = append(r.seconds, second{})
 	}
-	r.secs[i].Offered++
-	r.secs[i].Asked += worth
-	if s.Outcome != NotSent {
-		record(c.all, s.Latency)
+	r.seconds[sec].Offered++
+	r.seconds[sec].WorthOffered += worth
+	if sample.Outcome != NotSent {
+		record(stats.all, sample.Latency)
 	}
-	if s.Outcome == InAim || s.Outcome == Late {
-		record(c.latency, s.Latency)
-		record(c.service, s.Service)
+	if sample.Outcome == InAim || sample.Outcome == Late {
+		record(stats.latency, sample.Latency)
+		record(stats.service, sample.Service)
 	}
-	if s.Outcome == InAim {
-		r.secs[i].Served++
-		r.secs[i].Worth += worth
+	if sample.Outcome == InAim {
+		r.seconds[sec].Served++
+		r.seconds[sec].Worth += worth
 	}
 }
 
@@ -101,7 +103,7 @@
 var Percentiles = []float64{50, 90, 99, 99.9, 100}
 
 // Quantiles are milliseconds at those percentiles.
-func quantiles(h *hdrhistogram.Histogram) (list []float64) {
+func percentiles(h *hdrhistogram.Histogram) (list []float64) {
 	for _, p := range Percentiles {
 		list = append(list, float64(h.ValueAtQuantile(p))/1000)
 	}
@@ -159,51 +161,51 @@
 func (r *Recorder) Report(schedule, sent int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Report{
-		PlanID: ID(r.plan, schedule), Schedule: schedule, Sent: sent, Partial: sent < schedule, Seconds: r.secs, Events: r.plan.Events,
-		Lateness: quantiles(r.late), LatenessBound: r.plan.MaxLateness, Stalls: r.bad,
-		Invalid: time.Duration(r.late.Max())*time.Microsecond > r.plan.MaxLateness,
+	report := &Report{
+		PlanID: ID(r.plan, schedule), Schedule: schedule, Sent: sent, Partial: sent < schedule, Seconds: r.seconds, Events: r.plan.Events,
+		Lateness: percentiles(r.lateness), LatenessBound: r.plan.MaxLateness, Stalls: r.stalls,
+		Invalid: time.Duration(r.lateness.Max())*time.Microsecond > r.plan.MaxLateness,
 	}
-	slices.SortFunc(out.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they came as they ended
-	latency, service, all := histogram(), histogram(), histogram()
+	slices.SortFunc(report.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they came as they ended
+	latency, service, all := newHistogram(), newHistogram(), newHistogram()
 	total := Row{Class: "all", Stage: "all", Counts: map[Outcome]int{}}
-	at := 0.0
-	for i, s := range r.plan.Stages {
-		end := at + s.Duration().Seconds()
-		out.Stages = append(out.Stages, StageSpan{Name: s.Name, Begin: at, End: end})
-		at = end
-		for j, class := range r.plan.Classes {
-			c := r.cell[[2]int{j, i}]
-			if c == nil {
+	start := 0.0
+	for stageIndex, stage := range r.plan.Stages {
+		end := start + stage.Duration().Seconds()
+		report.Stages = append(report.Stages, StageSpan{Name: stage.Name, Begin: start, End: end})
+		start = end
+		for classIndex, class := range r.plan.Classes {
+			stats := r.cells[[2]int{classIndex, stageIndex}]
+			if stats == nil {
 				continue
 			}
-			row := Row{Class: class.Name, Stage: s.Name, Attempts: c.tries, Counts: c.counts, Latency: quantiles(c.latency), Service: quantiles(c.service), All: quantiles(c.all)}
-			for _, o := range Outcomes {
-				row.Count += c.counts[o]
-				total.Counts[o] += c.counts[o]
+			row := Row{Class: class.Name, Stage: stage.Name, Attempts: stats.attempts, Counts: stats.counts, Latency: percentiles(stats.latency), Service: percentiles(stats.service), All: percentiles(stats.all)}
+			for _, outcome := range Outcomes {
+				row.Count += stats.counts[outcome]
+				total.Counts[outcome] += stats.counts[outcome]
 			}
 			total.Count += row.Count
 			total.Attempts += row.Attempts
-			latency.Merge(c.latency)
-			service.Merge(c.service)
-			all.Merge(c.all)
-			out.Rows = append(out.Rows, row)
+			latency.Merge(stats.latency)
+			service.Merge(stats.service)
+			all.Merge(stats.all)
+			report.Rows = append(report.Rows, row)
 		}
 	}
-	total.Latency, total.Service, total.All = quantiles(latency), quantiles(service), quantiles(all)
-	out.Total = total
+	total.Latency, total.Service, total.All = percentiles(latency), percentiles(service), percentiles(all)
+	report.Total = total
 	for _, p := range slices.Concat(steps(0, 90, 2), steps(90, 99, 0.5), steps(99, 99.95, 0.05)) {
-		out.Curve = append(out.Curve, Point{p, float64(latency.ValueAtQuantile(p)) / 1000, float64(service.ValueAtQuantile(p)) / 1000})
+		report.Curve = append(report.Curve, Point{p, float64(latency.ValueAtQuantile(p)) / 1000, float64(service.ValueAtQuantile(p)) / 1000})
 	}
-	worth, asked := 0.0, 0.0
-	for _, s := range r.secs {
+	worth, offered := 0.0, 0.0
+	for _, s := range r.seconds {
 		worth += s.Worth
-		asked += s.Asked
+		offered += s.WorthOffered
 	}
-	if asked > 0 {
-		out.Goodput = worth / asked
+	if offered > 0 {
+		report.Goodput = worth / offered
 	}
-	return out
+	return report
 }
 
 func steps(from, to, by float64) (list []float64) {
--- a/internal/load/run/report.go
+++ b/internal/load/run/report.go
@@ -25,16 +25,16 @@
 
 // WriteText writes the report for a person.
 func (r *Report) WriteText(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
-	head := "class\tstage\tcount\tin aim\tlate\trefused\tfailed\tgave up\tno conn\tmissed\tp50\tp99\tp99.9\tmax\tservice p50\tp99\t\n"
-	fmt.Fprint(t, head)
+	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
+	header := "class\tstage\tcount\tin aim\tlate\trefused\tfailed\tgave up\tno conn\tmissed\tp50\tp99\tp99.9\tmax\tservice p50\tp99\t\n"
+	fmt.Fprint(table, header)
 	for _, row := range append(r.Rows, r.Total) {
-		c := row.Counts
-		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", row.Class, row.Stage, row.Count,
-			100*float64(c[InAim])/float64(max(1, row.Count)), c[Late], c[Refused]+c[RefusedRetryAfter], c[Failed]+c[InvalidAnswer], c[GaveUp], c[NoConnection], c[NotSent],
+		counts := row.Counts
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f%%\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", row.Class, row.Stage, row.Count,
+			100*float64(counts[InAim])/float64(max(1, row.Count)), counts[Late], counts[Refused]+counts[RefusedRetryAfter], counts[Failed]+counts[InvalidAnswer], counts[GaveUp], counts[NoConnection], counts[NotSent],
 			row.Latency[0], row.Latency[2], row.Latency[3], row.Latency[4], row.Service[0], row.Service[2])
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "\nlatencies in ms from the intended moment, of what was served; service from the real sending\n")
@@ -61,23 +61,23 @@
 	if a.PlanID != b.PlanID {
 		return fmt.Errorf("the reports are of different plans (%s and %s)", a.PlanID, b.PlanID)
 	}
-	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(t, "class\tstage\tin aim A\tB\tchange\tp50 A\tB\tp99 A\tB\t\n")
-	find := func(r *Report, x Row) Row {
-		for _, y := range append(r.Rows, r.Total) {
-			if x.Class == y.Class && x.Stage == y.Stage {
-				return y
+	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "class\tstage\tin aim A\tB\tchange\tp50 A\tB\tp99 A\tB\t\n")
+	findRow := func(r *Report, x Row) Row {
+		for _, rowB := range append(r.Rows, r.Total) {
+			if x.Class == rowB.Class && x.Stage == rowB.Stage {
+				return rowB
 			}
 		}
 		return Row{Latency: make([]float64, len(Percentiles))}
 	}
-	for _, x := range append(a.Rows, a.Total) {
-		y := find(b, x)
-		p := 100 * float64(x.Counts[InAim]) / float64(max(1, x.Count))
-		q := 100 * float64(y.Counts[InAim]) / float64(max(1, y.Count))
-		fmt.Fprintf(t, "%s\t%s\t%.1f%%\t%.1f%%\t%+.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", x.Class, x.Stage, p, q, q-p, x.Latency[0], y.Latency[0], x.Latency[2], y.Latency[2])
+	for _, rowA := range append(a.Rows, a.Total) {
+		rowB := findRow(b, rowA)
+		shareA := 100 * float64(rowA.Counts[InAim]) / float64(max(1, rowA.Count))
+		shareB := 100 * float64(rowB.Counts[InAim]) / float64(max(1, rowB.Count))
+		fmt.Fprintf(table, "%s\t%s\t%.1f%%\t%.1f%%\t%+.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", rowA.Class, rowA.Stage, shareA, shareB, shareB-shareA, rowA.Latency[0], rowB.Latency[0], rowA.Latency[2], rowB.Latency[2])
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "goodput %.3f and %.3f (%+.3f)\n", a.Goodput, b.Goodput, b.Goodput-a.Goodput)
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// nines is where a percentile stands on the usual axis, on which 90, 99 and 99.9 are as far apart.
-func nines(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
+// ninesAxis is where a percentile stands on the usual axis, on which 90, 99 and 99.9 are as far apart.
+func ninesAxis(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
 
 // WritePlots writes two pictures: latency by percentile, and service over time with stages and events.
 func (r *Report) WritePlots(prefix string) error {
@@ -98,12 +98,12 @@
 	curve.Title.Text, curve.X.Label.Text, curve.Y.Label.Text = "Latency by percentile", "percentile", "ms"
 	var latency, service plotter.XYs
 	for _, p := range r.Curve {
-		latency = append(latency, plotter.XY{X: nines(p.Percentile), Y: p.Latency})
-		service = append(service, plotter.XY{X: nines(p.Percentile), Y: p.Service})
+		latency = append(latency, plotter.XY{X: ninesAxis(p.Percentile), Y: p.Latency})
+		service = append(service, plotter.XY{X: ninesAxis(p.Percentile), Y: p.Service})
 	}
 	var ticks plot.ConstantTicks
 	for _, p := range []float64{0, 50, 90, 99, 99.9, 99.99} {
-		ticks = append(ticks, plot.Tick{Value: nines(p), Label: fmt.Sprint(p)})
+		ticks = append(ticks, plot.Tick{Value: ninesAxis(p), Label: fmt.Sprint(p)})
 	}
 	curve.X.Tick.Marker = ticks
 	if err := plotutil.AddLines(curve, "from the intended moment", latency, "from the real sending", service); err != nil {
@@ -113,40 +113,40 @@
 	if err := curve.Save(18*vg.Centimeter, 11*vg.Centimeter, prefix+"-latency.png"); err != nil {
 		return err
 	}
-	over := plot.New()
-	over.Title.Text, over.X.Label.Text, over.Y.Label.Text = "Service over time", "s", "requests a second"
+	timeline := plot.New()
+	timeline.Title.Text, timeline.X.Label.Text, timeline.Y.Label.Text = "Service over time", "s", "requests a second"
 	var offered, served plotter.XYs
-	top := 0.0
+	peak := 0.0
 	for i, s := range r.Seconds {
 		offered = append(offered, plotter.XY{X: float64(i) + 0.5, Y: float64(s.Offered)})
 		served = append(served, plotter.XY{X: float64(i) + 0.5, Y: float64(s.Served)})
-		top = max(top, float64(s.Offered))
+		peak = max(peak, float64(s.Offered))
 	}
-	if err := plotutil.AddLines(over, "offered", offered, "served in aim", served); err != nil {
+	if err := plotutil.AddLines(timeline, "offered", offered, "served in aim", served); err != nil {
 		return err
 	}
-	var at plotter.XYLabels
-	mark := func(x, y float64, label string) {
-		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+	var labels plotter.XYLabels
+	addMarker := func(x, y float64, label string) {
+		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: peak}})
 		if err == nil {
 			line.Dashes = []vg.Length{vg.Points(2), vg.Points(3)}
-			over.Add(line)
+			timeline.Add(line)
 		}
-		at.XYs, at.Labels = append(at.XYs, plotter.XY{X: x, Y: y}), append(at.Labels, label)
+		labels.XYs, labels.Labels = append(labels.XYs, plotter.XY{X: x, Y: y}), append(labels.Labels, label)
 	}
 	for _, s := range r.Stages {
-		mark(s.Begin, top*1.02, s.Name)
+		addMarker(s.Begin, peak*1.02, s.Name)
 	}
 	for _, e := range r.Events {
-		mark(e.At.Seconds(), top*1.08, strings.TrimSpace(e.Action))
+		addMarker(e.At.Seconds(), peak*1.08, strings.TrimSpace(e.Action))
 	}
-	if len(at.XYs) > 0 {
-		labels, err := plotter.NewLabels(at)
+	if len(labels.XYs) > 0 {
+		labels, err := plotter.NewLabels(labels)
 		if err != nil {
 			return err
 		}
-		over.Add(labels)
+		timeline.Add(labels)
 	}
-	over.Y.Min, over.Y.Max = 0, top*1.15+1
-	return over.Save(24*vg.Centimeter, 11*vg.Centimeter, prefix+"-service.png")
+	timeline.Y.Min, timeline.Y.Max = 0, peak*1.15+1
+	return timeline.Save(24*vg.Centimeter, 11*vg.Centimeter, prefix+"-service.png")
 }
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -71,21 +71,21 @@
 	ClientSlack  time.Duration                              // beyond its deadline in which an answer is still waited for
 	BeforeSend   func(time.Duration)                        // before each request is handed out; for tests of the generator itself
 
-	pools   map[string]*pool
-	begun   time.Time
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	commits map[int]int64 // newest commit told to a session
-	nonce   uint64
+	pools     map[string]*pool
+	startTime time.Time
+	mu        sync.Mutex
+	rng       *rand.Rand
+	commits   map[int]int64 // newest commit told to a session
+	lastID    uint64
 }
 
 // CheckLoopback tells what is wrong with a target: load is sent to addresses of this machine only.
 func CheckLoopback(target string) error {
-	a, err := netip.ParseAddrPort(target)
+	addr, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return fmt.Errorf("target %q: an address like 127.0.0.1:5432 is wanted", target)
 	}
-	if !a.Addr().IsLoopback() {
+	if !addr.Addr().IsLoopback() {
 		return fmt.Errorf("target %s is not a loopback address; load goes nowhere else", target)
 	}
 	return nil
@@ -97,8 +97,8 @@
 	if len(r.Targets) == 0 && r.SelectTarget == nil {
 		return 0, errors.New("no target")
 	}
-	for _, t := range r.Targets {
-		if err := CheckLoopback(t); err != nil {
+	for _, target := range r.Targets {
+		if err := CheckLoopback(target); err != nil {
 			return 0, err
 		}
 	}
@@ -111,133 +111,133 @@
 			p.close()
 		}
 	}()
-	r.rnd = rand.New(rand.NewPCG(r.Plan.Seed, 0x72756e))
+	r.rng = rand.New(rand.NewPCG(r.Plan.Seed, 0x72756e))
 	r.commits = map[int]int64{}
-	r.begun = time.Now()
-	r.nonce = uint64(r.begun.UnixNano()) << 24 // ids of one run are none of another's
+	r.startTime = time.Now()
+	r.lastID = uint64(r.startTime.UnixNano()) << 24 // ids of one run are none of another's
 	outstanding := make(chan struct{}, r.Plan.MaxOutstanding)
 	var wg sync.WaitGroup
-	for i, a := range r.Arrivals {
-		due := r.begun.Add(a.At)
-		if !until(ctx, due) {
+	for i, arrival := range r.Arrivals {
+		due := r.startTime.Add(arrival.At)
+		if !waitUntil(ctx, due) {
 			break
 		}
 		if r.BeforeSend != nil {
-			r.BeforeSend(a.At)
+			r.BeforeSend(arrival.At)
 		}
 		lateness := time.Since(due)
 		sent = i + 1
 		select {
 		case outstanding <- struct{}{}:
 		default:
-			r.OnSample(Sample{Arrival: a, Outcome: NotSent, Lateness: lateness})
+			r.OnSample(Sample{Arrival: arrival, Outcome: NotSent, Lateness: lateness})
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s := r.one(a, due)
-			s.Lateness = lateness
+			sample := r.runRequest(arrival, due)
+			sample.Lateness = lateness
 			<-outstanding
-			r.OnSample(s)
+			r.OnSample(sample)
 		}()
 	}
 	wg.Wait()
 	return sent, nil
 }
 
-// until waits for a moment; false: ctx ended first.
-func until(ctx context.Context, at time.Time) bool {
-	d := time.Until(at)
-	if d <= 0 {
+// waitUntil waits for a moment; false: ctx ended first.
+func waitUntil(ctx context.Context, deadline time.Time) bool {
+	wait := time.Until(deadline)
+	if wait <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// one is the life of a request, with its retries.
-func (r *Runner) one(a plan.Arrival, due time.Time) Sample {
-	class := &r.Plan.Classes[a.Class]
+// runRequest is the life of a request, with its retries.
+func (r *Runner) runRequest(arrival plan.Arrival, due time.Time) Sample {
+	class := &r.Plan.Classes[arrival.Class]
 	ctx, cancel := context.WithDeadline(context.Background(), due.Add(class.Deadline+r.ClientSlack))
 	defer cancel()
-	s := Sample{Arrival: a}
+	sample := Sample{Arrival: arrival}
 	for {
-		s.Attempts++
-		outcome, after, service, last := r.try(ctx, a, class, s.Attempts > 1)
-		s.Service, s.LastAttempt = service, last
-		if s.Outcome = outcome; outcome != Refused && outcome != RefusedRetryAfter && outcome != NoConnection || s.Attempts > r.Plan.MaxRetries {
+		sample.Attempts++
+		outcome, retryAfter, service, attempt := r.attempt(ctx, arrival, class, sample.Attempts > 1)
+		sample.Service, sample.LastAttempt = service, attempt
+		if sample.Outcome = outcome; outcome != Refused && outcome != RefusedRetryAfter && outcome != NoConnection || sample.Attempts > r.Plan.MaxRetries {
 			break
 		}
-		if !until(ctx, time.Now().Add(r.pause(after, s.Attempts))) {
+		if !waitUntil(ctx, time.Now().Add(r.retryDelay(retryAfter, sample.Attempts))) {
 			break // it was refused; there is no time for another try
 		}
 	}
-	s.Latency = time.Since(due)
-	if s.Outcome == InAim && s.Latency > class.Deadline {
-		s.Outcome = GaveUp // it was heard out and earns nothing
-	} else if s.Outcome == InAim && s.Latency > class.Aim {
-		s.Outcome = Late
+	sample.Latency = time.Since(due)
+	if sample.Outcome == InAim && sample.Latency > class.Deadline {
+		sample.Outcome = GaveUp // it was heard out and earns nothing
+	} else if sample.Outcome == InAim && sample.Latency > class.Aim {
+		sample.Outcome = Late
 	}
-	return s
+	return sample
 }
 
-// pause is how long a client waits before it tries again.
-func (r *Runner) pause(after time.Duration, tries int) time.Duration {
+// retryDelay is how long a client waits before it tries again.
+func (r *Runner) retryDelay(retryAfter time.Duration, attempts int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := time.Duration(float64(r.Plan.RetryPause<<min(tries-1, 5)) * (0.5 + r.rnd.Float64()))
-	if after > 0 && r.rnd.Float64() < r.Plan.HonourShare {
-		d = max(d, after)
+	delay := time.Duration(float64(r.Plan.RetryPause<<min(attempts-1, 5)) * (0.5 + r.rng.Float64()))
+	if retryAfter > 0 && r.rng.Float64() < r.Plan.HonourShare {
+		delay = max(delay, retryAfter)
 	}
-	return d
+	return delay
 }
 
-// try sends the request once; service counts from when it really goes out, on a connection that is up.
-func (r *Runner) try(ctx context.Context, a plan.Arrival, class *plan.Class, again bool) (o Outcome, after, service time.Duration, last Attempt) {
-	p := r.pool(a.Session)
-	if p == nil {
-		return NoConnection, 0, 0, last
+// attempt sends the request once; service counts from when it really goes out, on a connection that is up.
+func (r *Runner) attempt(ctx context.Context, arrival plan.Arrival, class *plan.Class, isRetry bool) (outcome Outcome, retryAfter, service time.Duration, attempt Attempt) {
+	connections := r.poolFor(arrival.Session)
+	if connections == nil {
+		return NoConnection, 0, 0, attempt
 	}
-	c, reused, err := p.get(ctx)
+	conn, reused, err := connections.acquire(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
-			return GaveUp, 0, 0, last
+			return GaveUp, 0, 0, attempt
 		}
-		return NoConnection, 0, 0, last
+		return NoConnection, 0, 0, attempt
 	}
-	left := time.Until(deadline(ctx)) - r.ClientSlack
-	if left <= 0 {
-		p.put(c)
-		return GaveUp, 0, 0, last
+	remaining := time.Until(deadline(ctx)) - r.ClientSlack
+	if remaining <= 0 {
+		connections.release(conn)
+		return GaveUp, 0, 0, attempt
 	}
-	text, id := r.statement(a, class, left, again)
-	last = Attempt{Target: p.target, Sent: time.Now(), Reused: reused, ID: id}
-	results, err := c.Exec(ctx, text).ReadAll()
-	last.Ended = time.Now()
-	var said *pgconn.PgError
-	last.Unanswered = err != nil && !errors.As(err, &said)
-	p.put(c)
-	o, after = r.outcome(ctx, a, results, err)
-	return o, after, last.Ended.Sub(last.Sent), last
+	text, id := r.buildStatement(arrival, class, remaining, isRetry)
+	attempt = Attempt{Target: connections.target, Sent: time.Now(), Reused: reused, ID: id}
+	results, err := conn.Exec(ctx, text).ReadAll()
+	attempt.Ended = time.Now()
+	var pgErr *pgconn.PgError
+	attempt.Unanswered = err != nil && !errors.As(err, &pgErr)
+	connections.release(conn)
+	outcome, retryAfter = r.classify(ctx, arrival, results, err)
+	return outcome, retryAfter, attempt.Ended.Sub(attempt.Sent), attempt
 }
 
-// outcome is what an answer comes to.
-func (r *Runner) outcome(ctx context.Context, a plan.Arrival, results []*pgconn.Result, err error) (Outcome, time.Duration) {
-	var said *pgconn.PgError
+// classify is what an answer comes to.
+func (r *Runner) classify(ctx context.Context, arrival plan.Arrival, results []*pgconn.Result, err error) (Outcome, time.Duration) {
+	var pgErr *pgconn.PgError
 	switch {
-	case errors.As(err, &said) && (said.Code == "53300" || said.Code == "57P03"):
-		if ms, err := strconv.Atoi(said.Detail); err == nil && ms > 0 {
+	case errors.As(err, &pgErr) && (pgErr.Code == "53300" || pgErr.Code == "57P03"):
+		if ms, err := strconv.Atoi(pgErr.Detail); err == nil && ms > 0 {
 			return RefusedRetryAfter, time.Duration(ms) * time.Millisecond
 		}
 		return Refused, 0
-	case errors.As(err, &said):
+	case errors.As(err, &pgErr):
 		return Failed, 0
 	case err != nil && ctx.Err() != nil:
 		return GaveUp, 0
@@ -246,7 +246,7 @@
 	case len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) != 1:
 		return InvalidAnswer, 0
 	}
-	r.learn(a, string(results[0].Rows[0][0]))
+	r.recordCommit(arrival, string(results[0].Rows[0][0]))
 	return InAim, 0
 }
 
@@ -255,39 +255,39 @@
 	return at
 }
 
-// learn keeps the commit that a write was told, where the value names it.
-func (r *Runner) learn(a plan.Arrival, value string) {
+// recordCommit keeps the commit that a write was told, where the value names it.
+func (r *Runner) recordCommit(arrival plan.Arrival, value string) {
 	if text, ok := strings.CutPrefix(value, "commit="); ok {
 		if ms, err := strconv.ParseInt(text, 10, 64); err == nil {
 			r.mu.Lock()
-			r.commits[a.Session] = max(r.commits[a.Session], ms)
+			r.commits[arrival.Session] = max(r.commits[arrival.Session], ms)
 			r.mu.Unlock()
 		}
 	}
 }
 
-// statement is what a client of the platform writes, and the id in it.
-func (r *Runner) statement(a plan.Arrival, class *plan.Class, left time.Duration, again bool) (text, id string) {
+// buildStatement is what a client of the platform writes, and the id in it.
+func (r *Runner) buildStatement(arrival plan.Arrival, class *plan.Class, remaining time.Duration, isRetry bool) (text, id string) {
 	r.mu.Lock()
-	r.nonce++
-	id = fmt.Sprintf("%016x", r.nonce)
-	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, class.Name, max(1, left.Milliseconds()), a.Group)
-	if after := r.commits[a.Session]; after > 0 && class.Kind == plan.SessionRead {
-		head += fmt.Sprintf(",after=%d", after)
+	r.lastID++
+	id = fmt.Sprintf("%016x", r.lastID)
+	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, class.Name, max(1, remaining.Milliseconds()), arrival.Group)
+	if commit := r.commits[arrival.Session]; commit > 0 && class.Kind == plan.SessionRead {
+		head += fmt.Sprintf(",after=%d", commit)
 	}
 	r.mu.Unlock()
-	if again {
+	if isRetry {
 		head += ",r=1"
 	}
-	key := fmt.Sprintf("%016x", a.Key)
+	key := fmt.Sprintf("%016x", arrival.Key)
 	if class.Kind == plan.SessionRead {
-		key = fmt.Sprintf("%016x", a.Session)
+		key = fmt.Sprintf("%016x", arrival.Session)
 	}
 	return pgwire.ClientStatement(head, key, class.Kind == plan.Write), id
 }
 
-// pool finds the connections to a session's gateway; nil: there is none.
-func (r *Runner) pool(session int) *pool {
+// poolFor finds the connections to a session's gateway; nil: there is none.
+func (r *Runner) poolFor(session int) *pool {
 	target, ok := r.SelectTarget(session)
 	if !ok || CheckLoopback(target) != nil {
 		return nil
@@ -311,8 +311,8 @@
 	closed bool
 }
 
-// get waits for a connection; reused tells that it has carried requests.
-func (p *pool) get(ctx context.Context) (_ *pgconn.PgConn, reused bool, _ error) {
+// acquire waits for a connection; reused tells that it has carried requests.
+func (p *pool) acquire(ctx context.Context) (_ *pgconn.PgConn, reused bool, _ error) {
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -320,33 +320,33 @@
 	}
 	for {
 		p.mu.Lock()
-		n := len(p.idle)
-		if n == 0 {
+		count := len(p.idle)
+		if count == 0 {
 			p.mu.Unlock()
 			break
 		}
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
+		conn := p.idle[count-1]
+		p.idle = p.idle[:count-1]
 		p.mu.Unlock()
-		if silent(c.Conn()) {
-			return c, true, nil
+		if isIdle(conn.Conn()) {
+			return conn, true, nil
 		}
-		p.end(c) // the gateway has closed it meanwhile
+		p.discard(conn) // the gateway has closed it meanwhile
 	}
-	a := netip.MustParseAddrPort(p.target)
-	cfg, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%d user=api dbname=ledger sslmode=disable", a.Addr(), a.Port()))
-	var c *pgconn.PgConn
+	addr := netip.MustParseAddrPort(p.target)
+	config, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%d user=api dbname=ledger sslmode=disable", addr.Addr(), addr.Port()))
+	var conn *pgconn.PgConn
 	if err == nil {
-		c, err = pgconn.ConnectConfig(ctx, cfg)
+		conn, err = pgconn.ConnectConfig(ctx, config)
 	}
 	if err != nil {
 		<-p.slots
 		return nil, false, err
 	}
-	return c, false, nil
+	return conn, false, nil
 }
 
-func (p *pool) put(c *pgconn.PgConn) {
+func (p *pool) release(c *pgconn.PgConn) {
 	p.mu.Lock()
 	keep := !p.closed && !c.IsClosed()
 	if keep {
@@ -354,33 +354,33 @@
 	}
 	p.mu.Unlock()
 	if !keep {
-		p.end(c)
+		p.discard(c)
 	}
 	<-p.slots
 }
 
-// silent tells that nothing has come on a connection at rest, not even its end. It does not wait, as pgconn's own
+// isIdle tells that nothing has come on a connection at rest, not even its end. It does not wait, as pgconn's own
 // check does for a millisecond, which would count as the gateway's.
-func silent(c net.Conn) bool {
-	t, ok := c.(*net.TCPConn)
+func isIdle(c net.Conn) bool {
+	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, e := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		var peeked [1]byte
+		_, _, errno := unix.Recvfrom(int(fd), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = errno == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// end closes a connection at once; a gateway is not waited for.
-func (p *pool) end(c *pgconn.PgConn) {
+// discard closes a connection at once; a gateway is not waited for.
+func (p *pool) discard(c *pgconn.PgConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = c.Close(ctx)
@@ -391,7 +391,7 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
-		p.end(c)
+		p.discard(c)
 	}
 	p.idle = nil
 }
--- a/internal/load/run/run_test.go
+++ b/internal/load/run/run_test.go
@@ -19,7 +19,7 @@
 	"lilaccove/internal/standin"
 )
 
-func parse(t *testing.T, stages, more string) (*plan.Plan, []plan.Arrival) {
+func parsePlan(t *testing.T, stages, more string) (*plan.Plan, []plan.Arrival) {
 	p, err := plan.Parse("p", []byte("arrivals: even\nsessions: {count: 7}\n"+more+`
 classes:
   read: {kind: session-read, mix: 100%, aim: 500 ms, deadline: 5 s}
@@ -30,21 +30,21 @@
 	return p, list
 }
 
-// database is a gateway as good as can be: one stand-in, which answers after a time that is known.
-func database(t *testing.T, opt standin.Options) (*standin.World, string) {
+// startDatabase is a gateway as good as can be: one stand-in, which answers after a time that is known.
+func startDatabase(t *testing.T, opt standin.Options) (*standin.World, string) {
 	opt.Groups, opt.Members = 1, 1
-	w, err := standin.New(opt)
+	world, err := standin.New(opt)
 	require.NoError(t, err)
-	t.Cleanup(w.Close)
-	var l struct{ Hosts []struct{ Dial string } }
-	require.NoError(t, json.Unmarshal(w.List(), &l))
-	return w, l.Hosts[0].Dial
+	t.Cleanup(world.Close)
+	var list struct{ Hosts []struct{ Dial string } }
+	require.NoError(t, json.Unmarshal(world.List(), &list))
+	return world, list.Hosts[0].Dial
 }
 
 // Percentiles follow the curve from theory, on a clock of their own: exponential answers, and a full stall of a second
 // under steady arrivals, which counting from the real sending hides and counting from the intended moment shows.
 func TestMeasuredCurves(t *testing.T) {
-	p, list := parse(t, "{shape: constant, rate: 1000/s, for: 20 s}", "")
+	p, list := parsePlan(t, "{shape: constant, rate: 1000/s, for: 20 s}", "")
 	rnd := rand.New(rand.NewPCG(1, 1))
 	rec := NewRecorder(p)
 	const mean = 20 * time.Millisecond
@@ -77,8 +77,8 @@
 // On real sockets: a database of known delay that stalls once. Latency counts from the intended moment; so do requests
 // that wait for a connection.
 func TestKnownDelayOnSockets(t *testing.T) {
-	w, addr := database(t, standin.Options{Cores: 50, Queue: 1000, Service: 10 * time.Millisecond})
-	p, list := parse(t, "{shape: constant, rate: 200/s, for: 2 s}", "connections: 20\nstall: 2 s\n")
+	w, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: 10 * time.Millisecond})
+	p, list := parsePlan(t, "{shape: constant, rate: 200/s, for: 2 s}", "connections: 20\nstall: 2 s\n")
 	resume := make(chan func(), 1)
 	timer := time.AfterFunc(time.Second, func() { resume <- w.Pause(1) })
 	defer timer.Stop()
@@ -100,8 +100,8 @@
 
 // Overload with a queue that only grows: latency grows with it; what exceeds the cap is counted, not dropped silently.
 func TestOverloadIsBounded(t *testing.T) {
-	_, addr := database(t, standin.Options{Cores: 1, Queue: 10000, Service: 20 * time.Millisecond})
-	p, list := parse(t, "{shape: constant, rate: 400/s, for: 2 s}", "connections: 50\noutstanding: 100\nstall: 2 s\n")
+	_, addr := startDatabase(t, standin.Options{Cores: 1, Queue: 10000, Service: 20 * time.Millisecond})
+	p, list := parsePlan(t, "{shape: constant, rate: 400/s, for: 2 s}", "connections: 50\noutstanding: 100\nstall: 2 s\n")
 	rec := NewRecorder(p)
 	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: rec.Add}
 	sent, err := r.Play(context.Background())
@@ -114,9 +114,9 @@
 
 // A stall of the generator itself is told apart from waiting for the gateway, and spoils the run; what was due meanwhile
 // is sent.
-func TestOwnStallIsTold(t *testing.T) {
-	_, addr := database(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
-	p, list := parse(t, "{shape: constant, rate: 100/s, for: 1 s}", "stall: 200 ms\n")
+func TestOwnStallInvalidatesRun(t *testing.T) {
+	_, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
+	p, list := parsePlan(t, "{shape: constant, rate: 100/s, for: 1 s}", "stall: 200 ms\n")
 	rec := NewRecorder(p)
 	stalled := false
 	r := &Runner{Plan: p, Arrivals: list, Targets: []string{addr}, OnSample: rec.Add, BeforeSend: func(at time.Duration) {
@@ -144,15 +144,15 @@
 	}
 	assert.NoError(t, CheckLoopback("127.8.0.1:5432"))
 	assert.NoError(t, CheckLoopback("[::1]:5432"))
-	p, list := parse(t, "{shape: constant, rate: 10/s, for: 1 s}", "")
+	p, list := parsePlan(t, "{shape: constant, rate: 10/s, for: 1 s}", "")
 	_, err := (&Runner{Plan: p, Arrivals: list, Targets: []string{"10.0.0.4:5432"}}).Play(context.Background())
 	assert.ErrorContains(t, err, "not a loopback address")
 }
 
 // An interrupt ends the run with what was seen, marked.
-func TestInterrupted(t *testing.T) {
-	_, addr := database(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
-	p, list := parse(t, "{shape: constant, rate: 100/s, for: 60 s}", "stall: 5 s\n")
+func TestInterruptedRunIsPartial(t *testing.T) {
+	_, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
+	p, list := parsePlan(t, "{shape: constant, rate: 100/s, for: 60 s}", "stall: 5 s\n")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	rec := NewRecorder(p)
@@ -171,7 +171,7 @@
 }
 
 func TestReports(t *testing.T) {
-	p, list := parse(t, "{shape: constant, rate: 100/s, for: 3 s}", "")
+	p, list := parsePlan(t, "{shape: constant, rate: 100/s, for: 3 s}", "")
 	report := func(d time.Duration, o Outcome) *Report {
 		rec := NewRecorder(p)
 		for i, a := range list {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -10,101 +10,101 @@
 )
 
 const (
-	badClientPause = 30 * time.Millisecond
-	badClientTime  = time.Second
-	nobodysKey     = 1<<32 | 2 // by which nothing can be cancelled
+	badClientPause   = 30 * time.Millisecond
+	badClientTimeout = time.Second
+	unknownCancelKey = 1<<32 | 2 // by which nothing can be cancelled
 )
 
-// client is one connection that misbehaves. What it asks for is not judged by answers: databases judge what of it runs.
-type client struct {
+// badClient is one connection that misbehaves. What it asks for is not judged by answers: databases judge what of it runs.
+type badClient struct {
 	net.Conn
 	s *soak
 }
 
-// client connects to a gateway and greets it.
-func (s *soak) client(i int) (*client, error) {
-	c, err := net.DialTimeout("tcp", s.lab.Node(i).ClientAddr, badClientTime)
+// connectBadClient connects to a gateway and greets it.
+func (s *soak) connectBadClient(i int) (*badClient, error) {
+	c, err := net.DialTimeout("tcp", s.lab.Node(i).ClientAddr, badClientTimeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(badClientTime))
+	_ = c.SetDeadline(time.Now().Add(badClientTimeout))
 	_, err = c.Write(pgwire.Startup("api", "ledger"))
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	return &client{c, s}, nil
+	return &badClient{c, s}, nil
 }
 
-var badIDs atomic.Uint64
+var badClientIDs atomic.Uint64
 
 // statement is one that a client of the platform might write, of a class of reads or of writes.
-func statement(write bool, d time.Duration) []byte {
-	id, class := fmt.Sprintf("%016x", 1<<63|badIDs.Add(1)), "browse"
+func statement(write bool, deadline time.Duration) []byte {
+	id, class := fmt.Sprintf("%016x", 1<<63|badClientIDs.Add(1)), "browse"
 	if write {
 		class = "write"
 	}
-	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=0", id, class, d.Milliseconds())
+	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=0", id, class, deadline.Milliseconds())
 	return pgwire.AppendQuery(nil, pgwire.ClientStatement(head, id, write))
 }
 
-func (c *client) say(b []byte) { _, _ = c.Write(b) }
+func (c *badClient) send(b []byte) { _, _ = c.Write(b) }
 
-// leave asks and closes at once, in one of four ways.
-func (c *client) leave() {
-	c.say(statement(badIDs.Load()%2 == 0, badClientTime))
-	if badIDs.Load()%4 < 2 {
-		if t, ok := c.Conn.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // with a reset
+// disconnect asks and closes at once, in one of four ways.
+func (c *badClient) disconnect() {
+	c.send(statement(badClientIDs.Load()%2 == 0, badClientTimeout))
+	if badClientIDs.Load()%4 < 2 {
+		if tcp, ok := c.Conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // with a reset
 		}
 	}
 }
 
 // cancel asks, and sends a key that cancels nothing on a connection of its own.
-func (c *client) cancel() {
-	c.say(statement(true, badClientTime))
-	other, err := net.DialTimeout("tcp", c.RemoteAddr().String(), badClientTime)
+func (c *badClient) cancel() {
+	c.send(statement(true, badClientTimeout))
+	cancelConn, err := net.DialTimeout("tcp", c.RemoteAddr().String(), badClientTimeout)
 	if err != nil {
 		return
 	}
-	defer other.Close()
-	_, _ = other.Write(pgwire.CancelRequest(nobodysKey))
-	c.listen()
+	defer cancelConn.Close()
+	_, _ = cancelConn.Write(pgwire.CancelRequest(unknownCancelKey))
+	c.readUntilEnd()
 }
 
 // stopMidway writes half a statement and stays.
-func (c *client) stopMidway() {
-	text := statement(true, badClientTime)
-	c.say(text[:len(text)/2])
-	c.listen()
+func (c *badClient) stopMidway() {
+	text := statement(true, badClientTimeout)
+	c.send(text[:len(text)/2])
+	c.readUntilEnd()
 }
 
 // pipeline writes many statements at once, in pieces, and goes before all are answered.
-func (c *client) pipeline() {
-	var all []byte
+func (c *badClient) pipeline() {
+	var pending []byte
 	for k := range 20 {
-		all = append(all, statement(k%5 == 0, badClientTime)...)
+		pending = append(pending, statement(k%5 == 0, badClientTimeout)...)
 	}
-	for len(all) > 0 {
-		n := min(97, len(all))
-		c.say(all[:n])
-		all = all[n:]
+	for len(pending) > 0 {
+		n := min(97, len(pending))
+		c.send(pending[:n])
+		pending = pending[n:]
 	}
-	_ = c.SetReadDeadline(time.Now().Add(badClientTime / 10))
-	c.listen()
+	_ = c.SetReadDeadline(time.Now().Add(badClientTimeout / 10))
+	c.readUntilEnd()
 }
 
-// rest is idle on a connection for a while and then asks, whatever has become of it.
-func (c *client) rest() {
-	_ = c.SetReadDeadline(time.Now().Add(badClientTime / 4))
-	c.listen()
-	_ = c.SetDeadline(time.Now().Add(badClientTime))
-	c.say(statement(false, badClientTime))
-	c.listen()
+// idleThenQuery is idle on a connection for a while and then asks, whatever has become of it.
+func (c *badClient) idleThenQuery() {
+	_ = c.SetReadDeadline(time.Now().Add(badClientTimeout / 4))
+	c.readUntilEnd()
+	_ = c.SetDeadline(time.Now().Add(badClientTimeout))
+	c.send(statement(false, badClientTimeout))
+	c.readUntilEnd()
 }
 
-// listen reads until the deadline, or the end.
-func (c *client) listen() {
+// readUntilEnd reads until the deadline, or the end.
+func (c *badClient) readUntilEnd() {
 	var b [4096]byte
 	for {
 		if _, err := c.Read(b[:]); err != nil {
--- a/internal/soak/databases.go
+++ b/internal/soak/databases.go
@@ -13,7 +13,7 @@
 func (s *soak) suspendDatabase(t Fault) error {
 	members := s.lab.World().Members()
 	path := "/v1/databases/" + members[t.Number%len(members)].ID
-	return s.each(t, func(i int) error {
+	return s.eachGateway(t, func(i int) error {
 		node := s.lab.Node(i)
 		if _, err := node.Call("PUT", path+"/suspend"); err != nil {
 			return nil // it may have left the list meanwhile
@@ -24,30 +24,30 @@
 	})
 }
 
-// replica is one that a trouble may have, not always the same.
-func (s *soak) replica(t Fault) *standin.Host {
+// pickReplica is one that a trouble may have, not always the same.
+func (s *soak) pickReplica(t Fault) *standin.Host {
 	members := s.lab.World().Members()
 	for k := range members {
-		if h := members[(t.Number*7+k)%len(members)]; h.IsReplica() {
-			return h
+		if host := members[(t.Number*7+k)%len(members)]; host.IsReplica() {
+			return host
 		}
 	}
 	return members[0]
 }
 
-// drainMore is how much longer than other troubles a drain lasts: beyond what any disturbance of watches excuses, and the grace.
-const drainMore = 9 * time.Second
+// extraDrainTime is how much longer than other troubles a drain lasts: beyond what any disturbance of watches excuses, and the grace.
+const extraDrainTime = 9 * time.Second
 
 func (s *soak) drainDatabase(t Fault) error {
-	h := s.replica(t)
-	h.Announce("terminating", time.Time{})
-	standin.Sleep(t.Duration+drainMore, s.stop)
-	h.Announce("in_service", time.Time{})
+	host := s.pickReplica(t)
+	host.Announce("terminating", time.Time{})
+	standin.Sleep(t.Duration+extraDrainTime, s.stop)
+	host.Announce("in_service", time.Time{})
 	return nil
 }
 
 func (s *soak) replaceDatabase(t Fault) error {
-	return s.lab.World().Replace(s.replica(t), 4*time.Second, nil)
+	return s.lab.World().Replace(s.pickReplica(t), 4*time.Second, nil)
 }
 
 func (s *soak) databasesHang(t Fault) error {
@@ -57,48 +57,48 @@
 	return nil
 }
 
-func (s *soak) databasesHangUp(t Fault) error {
-	for until := time.Now().Add(t.Duration); time.Now().Before(until); standin.Sleep(t.Duration/10, s.stop) {
-		for k, h := range s.lab.World().Members() {
+func (s *soak) databasesCloseConnections(t Fault) error {
+	for end := time.Now().Add(t.Duration); time.Now().Before(end); standin.Sleep(t.Duration/10, s.stop) {
+		for k, host := range s.lab.World().Members() {
 			if k%3 == t.Number%3 {
-				h.CloseConnections()
+				host.CloseConnections()
 			}
 		}
 	}
 	return nil
 }
 
-func (s *soak) connectionsLate(t Fault) error {
+func (s *soak) delayGreetings(t Fault) error {
 	members := s.lab.World().Members()
-	for k, h := range members {
+	for k, host := range members {
 		if k%3 == 0 {
-			h.DelayGreeting(t.Duration / 4)
+			host.DelayGreeting(t.Duration / 4)
 		}
 	}
 	standin.Sleep(t.Duration, s.stop)
-	for _, h := range members {
-		h.DelayGreeting(0)
+	for _, host := range members {
+		host.DelayGreeting(0)
 	}
 	return nil
 }
 
-// Replicas are this far behind while they lag; the bound of bounded reads is a second, and usually they are lagUsual behind.
+// Replicas are this far behind while they lag; the bound of bounded reads is a second, and usually they are normalLag behind.
 const (
-	lagMuch  = 2 * time.Second
-	lagUsual = 10 * time.Millisecond
+	faultLag  = 2 * time.Second
+	normalLag = 10 * time.Millisecond
 )
 
 // replicasLag has a third of the databases fall behind, where they are replicas.
 func (s *soak) replicasLag(t Fault) error {
 	members := s.lab.World().Members()
-	for k, h := range members {
-		if k%3 == t.Number%3 && h.IsReplica() {
-			h.SetLag(lagMuch)
+	for k, host := range members {
+		if k%3 == t.Number%3 && host.IsReplica() {
+			host.SetLag(faultLag)
 		}
 	}
 	standin.Sleep(t.Duration, s.stop)
-	for _, h := range members {
-		h.SetLag(lagUsual)
+	for _, host := range members {
+		host.SetLag(normalLag)
 	}
 	return nil
 }
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// answers is a trouble in which databases' answers go wrong.
-func answers(f standin.Faults) func(s *soak, t Fault) error {
+// answerFaults is a trouble in which databases' answerFaults go wrong.
+func answerFaults(faults standin.Faults) func(s *soak, t Fault) error {
 	return func(s *soak, t Fault) error {
-		s.lab.World().SetFaults(f)
+		s.lab.World().SetFaults(faults)
 		standin.Sleep(t.Duration, s.stop)
 		s.lab.World().SetFaults(standin.Faults{})
 		return nil
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (s *soak) discoverySpoilt(t Fault) error {
+func (s *soak) discoveryMalformed(t Fault) error {
 	for _, line := range []string{"no JSON\n", `{"seq":1,"whole":false,"hosts":[{"host":` + "\n", strings.Repeat(" ", 100) + "\n"} {
 		s.lab.World().SendToWatches(line)
 		standin.Sleep(t.Duration/3, s.stop)
@@ -138,15 +138,15 @@
 	return nil
 }
 
-// slowCall is how long a call to a slow discovery takes: with the silence before it and the pause behind that, six seconds hold.
-const slowCall = 600 * time.Millisecond
+// slowCallTime is how long a call to a slow discovery takes: with the silence before it and the pause behind that, six seconds hold.
+const slowCallTime = 600 * time.Millisecond
 
 // discoverySlow has calls take long, and some of them end in a refusal behind the wait.
 func (s *soak) discoverySlow(t Fault) error {
 	if s.lab.PushDiscovery {
 		return nil // an agent answers at once
 	}
-	s.lab.World().SlowDiscovery(slowCall, 0.3)
+	s.lab.World().SlowDiscovery(slowCallTime, 0.3)
 	standin.Sleep(t.Duration, s.stop)
 	s.lab.World().SlowDiscovery(0, 0)
 	return nil
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -20,7 +20,7 @@
 
 // FaultNames are all troubles that may be drawn.
 func FaultNames() (list []string) {
-	for name := range kinds {
+	for name := range faultKinds {
 		list = append(list, name)
 	}
 	slices.Sort(list)
@@ -29,39 +29,39 @@
 
 // Bounds of a schedule.
 const (
-	quietLeast = 1 * time.Second // before the first trouble
-	quietMost  = 5 * time.Second
-	waveLeast  = 1500 * time.Millisecond // from the begin of some troubles to that of the next
-	waveMost   = 3 * time.Second
-	waveSpread = 800 * time.Millisecond // within which the troubles of a wave begin
-	lastLeast  = 300 * time.Millisecond // how long one lasts
-	lastMost   = 2500 * time.Millisecond
-	calmAtEnd  = 3 * time.Second // for what was begun to come to an end
+	minQuiet         = 1 * time.Second // before the first trouble
+	maxQuiet         = 5 * time.Second
+	minWaveInterval  = 1500 * time.Millisecond // from the begin of some troubles to that of the next
+	maxWaveInterval  = 3 * time.Second
+	waveSpread       = 800 * time.Millisecond // within which the troubles of a wave begin
+	minFaultDuration = 300 * time.Millisecond // how long one lasts
+	maxFaultDuration = 2500 * time.Millisecond
+	calmAtEnd        = 3 * time.Second // for what was begun to come to an end
 )
 
 // Draw is the schedule of a seed: waves of two or three troubles that overlap. It does not depend on how a run goes.
 func Draw(seed uint64, gateways int, length time.Duration, names []string) (list []Fault) {
-	rnd := rand.New(rand.NewPCG(seed, 0x736f616b))
-	span := func(from, to time.Duration) time.Duration {
-		return from + time.Duration(rnd.Int64N(int64(to-from)))
+	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
+	between := func(from, to time.Duration) time.Duration {
+		return from + time.Duration(rng.Int64N(int64(to-from)))
 	}
-	for at := span(quietLeast, quietMost); at < length-calmAtEnd-lastMost; at += span(waveLeast, waveMost) {
-		kindsOfWave := rnd.Perm(len(names))
-		for _, k := range kindsOfWave[:min(2+rnd.IntN(2), len(names))] {
-			t := Fault{Number: len(list) + 1, Name: names[k], At: at + span(0, waveSpread), Duration: span(lastLeast, lastMost)}
-			if n := kinds[t.Name].gateways; n > 0 {
-				t.Gateways = rnd.Perm(gateways)[:min(n, gateways)]
+	for waveStart := between(minQuiet, maxQuiet); waveStart < length-calmAtEnd-maxFaultDuration; waveStart += between(minWaveInterval, maxWaveInterval) {
+		shuffled := rng.Perm(len(names))
+		for _, k := range shuffled[:min(2+rng.IntN(2), len(names))] {
+			fault := Fault{Number: len(list) + 1, Name: names[k], At: waveStart + between(0, waveSpread), Duration: between(minFaultDuration, maxFaultDuration)}
+			if count := faultKinds[fault.Name].gateways; count > 0 {
+				fault.Gateways = rng.Perm(gateways)[:min(count, gateways)]
 			}
-			list = append(list, t)
+			list = append(list, fault)
 		}
 	}
 	return list
 }
 
 // CountOverlaps is how many pairs of troubles were under way together.
-func CountOverlaps(list []Fault) (n int) {
-	for i, a := range list {
-		for _, b := range list[i+1:] {
+func CountOverlaps(faults []Fault) (n int) {
+	for i, a := range faults {
+		for _, b := range faults[i+1:] {
 			if a.At < b.At+b.Duration && b.At < a.At+a.Duration {
 				n++
 			}
@@ -71,16 +71,16 @@
 }
 
 // Select keeps the troubles with these numbers, to shrink a schedule that fails; none: all are kept.
-func Select(list []Fault, numbers []int) ([]Fault, error) {
+func Select(faults []Fault, numbers []int) ([]Fault, error) {
 	if len(numbers) == 0 {
-		return list, nil
+		return faults, nil
 	}
-	var kept []Fault
+	var selected []Fault
 	for _, n := range numbers {
-		if n < 1 || n > len(list) {
-			return nil, fmt.Errorf("there is no trouble %d: the seed draws %d", n, len(list))
+		if n < 1 || n > len(faults) {
+			return nil, fmt.Errorf("there is no trouble %d: the seed draws %d", n, len(faults))
 		}
-		kept = append(kept, list[n-1])
+		selected = append(selected, faults[n-1])
 	}
-	return kept, nil
+	return selected, nil
 }
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -21,26 +21,26 @@
 		assert.Equal(t, list, Draw(seed, gateways, length, FaultNames()))
 		assert.GreaterOrEqual(t, len(list), 2)
 		assert.Positive(t, CountOverlaps(list))
-		for k, x := range list {
-			assert.Equal(t, k+1, x.Number)
-			assert.GreaterOrEqual(t, x.At, quietLeast)
-			assert.LessOrEqual(t, x.At+x.Duration, length-calmAtEnd+waveSpread)
-			assert.Contains(t, kinds, x.Name)
-			for _, g := range x.Gateways {
+		for k, fault := range list {
+			assert.Equal(t, k+1, fault.Number)
+			assert.GreaterOrEqual(t, fault.At, minQuiet)
+			assert.LessOrEqual(t, fault.At+fault.Duration, length-calmAtEnd+waveSpread)
+			assert.Contains(t, faultKinds, fault.Name)
+			for _, g := range fault.Gateways {
 				assert.Less(t, g, gateways)
 			}
 		}
 	})
 }
 
-func TestOnly(t *testing.T) {
+func TestSelect(t *testing.T) {
 	list := Draw(1, 24, time.Minute, FaultNames())
 	all, err := Select(list, nil)
 	require.NoError(t, err)
 	assert.Equal(t, list, all)
-	some, err := Select(list, []int{2, 1})
+	selected, err := Select(list, []int{2, 1})
 	require.NoError(t, err)
-	assert.Equal(t, []Fault{list[1], list[0]}, some)
+	assert.Equal(t, []Fault{list[1], list[0]}, selected)
 	_, err = Select(list, []int{len(list) + 1})
 	assert.ErrorContains(t, err, "the seed draws")
 }
@@ -49,34 +49,34 @@
 // close between requests crossed it.
 func TestJudge(t *testing.T) {
 	now := time.Now()
-	try := func(reused bool, from, to time.Duration) run.Sample {
+	unanswered := func(reused bool, from, to time.Duration) run.Sample {
 		return run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{
 			Target: "127.0.0.1:1", ID: "r", Reused: reused, Unanswered: true, Sent: now.Add(from), Ended: now.Add(to),
 		}}
 	}
 	for name, c := range map[string]struct {
-		excused span
+		excused interval
 		sample  run.Sample
 		lost    int
 		crossed int
 	}{
-		"a gateway that lived":         {sample: try(false, 0, time.Second), lost: 1},
-		"one that was killed":          {excused: span{now.Add(time.Second / 2), now.Add(2 * time.Second)}, sample: try(false, 0, time.Second)},
-		"one that is away":             {excused: span{from: now.Add(-time.Second)}, sample: try(false, 0, time.Second)},
-		"one that came back before":    {excused: span{now.Add(-2 * time.Second), now.Add(-time.Second)}, sample: try(false, 0, time.Second), lost: 1},
-		"a close between requests":     {sample: try(true, 0, time.Millisecond), crossed: 1},
-		"no close between requests":    {sample: try(true, 0, time.Second), lost: 1},
-		"a new connection that closes": {sample: try(false, 0, time.Millisecond), lost: 1},
+		"a gateway that lived":         {sample: unanswered(false, 0, time.Second), lost: 1},
+		"one that was killed":          {excused: interval{now.Add(time.Second / 2), now.Add(2 * time.Second)}, sample: unanswered(false, 0, time.Second)},
+		"one that is away":             {excused: interval{start: now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second)},
+		"one that came back before":    {excused: interval{now.Add(-2 * time.Second), now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second), lost: 1},
+		"a close between requests":     {sample: unanswered(true, 0, time.Millisecond), crossed: 1},
+		"no close between requests":    {sample: unanswered(true, 0, time.Second), lost: 1},
+		"a new connection that closes": {sample: unanswered(false, 0, time.Millisecond), lost: 1},
 		"an answer that says failed":   {sample: run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{Target: "127.0.0.1:1"}}},
 		"a gateway that nobody knows":  {sample: run.Sample{Outcome: run.GaveUp, LastAttempt: run.Attempt{Target: "127.0.0.1:2", Unanswered: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := newJudge()
-			j.started(&lab.Node{Name: "n0", ClientAddr: "127.0.0.1:1"})
-			if !c.excused.from.IsZero() {
-				j.excused["n0"] = []span{c.excused}
+			j.registerProcess(&lab.Node{Name: "n0", ClientAddr: "127.0.0.1:1"})
+			if !c.excused.start.IsZero() {
+				j.excused["n0"] = []interval{c.excused}
 			}
-			j.request(c.sample)
+			j.judgeRequest(c.sample)
 			assert.Equal(t, c.lost, j.requests.Lost)
 			assert.Equal(t, c.lost, j.outside["lost"])
 			assert.Equal(t, c.crossed, j.requests.CrossedClose)
@@ -89,8 +89,8 @@
 	assert.NoError(t, (&Report{Valid: true}).Err())
 	assert.ErrorContains(t, (&Report{InvalidReason: "late"}).Err(), "INVALID")
 	assert.ErrorContains(t, (&Report{Valid: true, Violations: map[string]ViolationCount{"lost": {Outside: 1}}}).Err(), "violations")
-	j := newJudge()
-	j.heard(&lab.Node{Name: "n0"}, `1 event=violation name=to_draining request="r"`)
-	j.heard(&lab.Node{Name: "n0"}, `1 event=retried request="r"`)
-	assert.Equal(t, map[string]int{"to_draining": 1}, j.inside)
+	judge := newJudge()
+	judge.onLogLine(&lab.Node{Name: "n0"}, `1 event=violation name=to_draining request="r"`)
+	judge.onLogLine(&lab.Node{Name: "n0"}, `1 event=retried request="r"`)
+	assert.Equal(t, map[string]int{"to_draining": 1}, judge.inside)
 }
--- a/internal/soak/processes.go
+++ b/internal/soak/gateways.go
@@ -23,7 +23,7 @@
 const restartPause = 200 * time.Millisecond
 
 func (s *soak) kill(t Fault) error {
-	return s.each(t, func(i int) error {
+	return s.eachGateway(t, func(i int) error {
 		defer s.judge.excuse(s.lab.Node(i).Name)()
 		s.lab.Node(i).Kill()
 		standin.Sleep(t.Duration/2, s.stop)
@@ -31,17 +31,17 @@
 	})
 }
 
-// end ends a process in order. What it has read it owes; nothing is excused but the time in which nobody listens.
-func (s *soak) end(t Fault) error {
-	return s.each(t, func(i int) error {
-		s.term(s.lab.Node(i))
+// gracefulRestart ends a process in order. What it has read it owes; nothing is excused but the time in which nobody listens.
+func (s *soak) gracefulRestart(t Fault) error {
+	return s.eachGateway(t, func(i int) error {
+		s.terminate(s.lab.Node(i))
 		standin.Sleep(restartPause, s.stop)
 		return s.start(i)
 	})
 }
 
-func (s *soak) standStill(t Fault) error {
-	return s.each(t, func(i int) error {
+func (s *soak) pauseProcess(t Fault) error {
+	return s.eachGateway(t, func(i int) error {
 		node := s.lab.Node(i)
 		defer s.judge.excuse(node.Name)()
 		if err := node.Pause(); err != nil {
@@ -91,46 +91,48 @@
 	return nil
 }
 
-// heldOf is a gateway whose socket the lab holds, in a trouble's place for one.
-func (s *soak) heldOf(t Fault) int { return s.lab.HeldSockets[t.Gateways[0]%len(s.lab.HeldSockets)] }
+// heldGateway is a gateway whose socket the lab holds, in a trouble's place for one.
+func (s *soak) heldGateway(t Fault) int {
+	return s.lab.HeldSockets[t.Gateways[0]%len(s.lab.HeldSockets)]
+}
 
-// beside starts a second process of a gateway whose socket the lab holds, waits until it is ready, and does something to both.
-func (s *soak) beside(t Fault, do func(i int, old, next *lab.Node) error) error {
-	i := s.heldOf(t)
-	if !s.take(i) {
+// withSuccessor starts a second process of a gateway whose socket the lab holds, waits until it is ready, and does something to both.
+func (s *soak) withSuccessor(t Fault, do func(i int, old, successor *lab.Node) error) error {
+	i := s.heldGateway(t)
+	if !s.reserve(i) {
 		return nil
 	}
-	defer s.giveBack(i)
+	defer s.release(i)
 	old := s.lab.Node(i)
 	if err := s.start(i); err != nil {
 		return err
 	}
 	next := s.lab.Node(i)
-	s.ready(next)
+	s.waitReady(next)
 	return do(i, old, next)
 }
 
-// term ends a process in order; one that does not end in time is a violation.
-func (s *soak) term(n *lab.Node) {
-	if err := n.Terminate(); err != nil {
-		s.judge.violated("no_end", 1, "%v", err)
+// terminate ends a process in order; one that does not end in time is a violation.
+func (s *soak) terminate(node *lab.Node) {
+	if err := node.Terminate(); err != nil {
+		s.judge.recordViolation("no_end", 1, "%v", err)
 	}
 }
 
 func (s *soak) upgrade(t Fault) error {
-	return s.beside(t, func(_ int, old, _ *lab.Node) error {
-		s.term(old)
+	return s.withSuccessor(t, func(_ int, old, _ *lab.Node) error {
+		s.terminate(old)
 		return nil
 	})
 }
 
-// successorKilled kills the process beside an old one that has begun to leave to it.
-func (s *soak) successorKilled(t Fault) error {
-	return s.beside(t, func(i int, old, next *lab.Node) error {
+// killSuccessor kills the process beside an old one that has begun to leave to it.
+func (s *soak) killSuccessor(t Fault) error {
+	return s.withSuccessor(t, func(i int, old, next *lab.Node) error {
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			s.term(old)
+			s.terminate(old)
 		}()
 		standin.Sleep(t.Duration/10, s.stop)
 		defer s.judge.excuse(old.Name)()
@@ -141,21 +143,21 @@
 	})
 }
 
-// systemCalls has a gateway's process followed by one whose system calls fail for a while.
-func (s *soak) systemCalls(t Fault) error {
-	if s.opt.FaultyProgram == "" {
+// systemCallFaults has a gateway's process followed by one whose system calls fail for a while.
+func (s *soak) systemCallFaults(t Fault) error {
+	if s.options.FaultyProgram == "" {
 		return nil
 	}
-	faults := systemFaults(rand.New(rand.NewPCG(s.opt.Seed, uint64(t.Number))), t.Duration)
-	return s.each(t, func(i int) error {
-		s.term(s.lab.Node(i))
-		return s.startFaulty(t, i, map[string]any{"seed": s.opt.Seed, "faults": faults})
+	faults := drawSystemCallFaults(rand.New(rand.NewPCG(s.options.Seed, uint64(t.Number))), t.Duration)
+	return s.eachGateway(t, func(i int) error {
+		s.terminate(s.lab.Node(i))
+		return s.startFaulty(t, i, map[string]any{"seed": s.options.Seed, "faults": faults})
 	})
 }
 
 // startFaulty runs a gateway anew whose system calls go by a plan.
 func (s *soak) startFaulty(t Fault, i int, plan map[string]any) error {
-	path := filepath.Join(s.folder, fmt.Sprintf("faults-%d-%d.json", t.Number, i))
+	path := filepath.Join(s.dir, fmt.Sprintf("faults-%d-%d.json", t.Number, i))
 	text, err := json.Marshal(plan)
 	if err == nil {
 		err = os.WriteFile(path, text, 0o600)
@@ -163,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.startAs(i, []string{s.opt.FaultyProgram}, "LILACCOVE_FAULTS="+path)
+	_, err = s.startCommand(i, []string{s.options.FaultyProgram}, "LILACCOVE_FAULTS="+path)
 	return err
 }
 
@@ -172,38 +174,38 @@
 
 // clockStep has a gateway killed, or ended, and started again with its wall clock off for good.
 func (s *soak) clockStep(t Fault) error {
-	if s.opt.FaultyProgram == "" {
+	if s.options.FaultyProgram == "" {
 		return nil
 	}
 	step := clockSteps[t.Number%len(clockSteps)]
-	return s.each(t, func(i int) error {
+	return s.eachGateway(t, func(i int) error {
 		if node := s.lab.Node(i); t.Number%2 == 0 {
 			defer s.judge.excuse(node.Name)()
 			node.Kill()
 		} else {
-			s.term(node)
+			s.terminate(node)
 		}
 		return s.startFaulty(t, i, map[string]any{"wall_step_ms": step.Milliseconds()})
 	})
 }
 
-// folderAway takes the private directory of a gateway away while an operator leaves a database out there, and starts a second
+// removePrivateDir takes the private directory of a gateway away while an operator leaves a database out there, and starts a second
 // process when it is back. A yes that the operator had holds in that one, too.
-func (s *soak) folderAway(t Fault) error {
-	i := s.heldOf(t)
-	if !s.take(i) {
+func (s *soak) removePrivateDir(t Fault) error {
+	i := s.heldGateway(t)
+	if !s.reserve(i) {
 		return nil
 	}
-	defer s.giveBack(i)
+	defer s.release(i)
 	dir, err := s.lab.PrivateDir(i)
 	if err != nil {
 		return err
 	}
-	old, id := s.lab.Node(i), s.replica(t).ID
+	old, id := s.lab.Node(i), s.pickReplica(t).ID
 	if err := os.Rename(dir, dir+"-away"); err != nil {
 		return err
 	}
-	_, refused := old.Call("PUT", "/v1/databases/"+id+"/suspend")
+	_, suspendErr := old.Call("PUT", "/v1/databases/"+id+"/suspend")
 	standin.Sleep(t.Duration/4, s.stop)
 	if err := os.Rename(dir+"-away", dir); err != nil {
 		return err
@@ -212,44 +214,44 @@
 	if err := s.start(i); err != nil {
 		return err
 	}
-	next := s.lab.Node(i)
-	s.ready(next)
-	if n := skipped(next); refused == nil && n == 0 {
-		s.judge.violated("word_lost", 1, "%s does not know that %s is left out", next.Name, id)
+	successor := s.lab.Node(i)
+	s.waitReady(successor)
+	if skipped := skippedDatabases(successor); suspendErr == nil && skipped == 0 {
+		s.judge.recordViolation("word_lost", 1, "%s does not know that %s is left out", successor.Name, id)
 	}
-	s.term(old)
-	_, _ = next.Call("PUT", "/v1/databases/"+id+"/resume") // it may have left the list
+	s.terminate(old)
+	_, _ = successor.Call("PUT", "/v1/databases/"+id+"/resume") // it may have left the list
 	return nil
 }
 
-// skipped is how many databases a gateway sends nothing to.
-func skipped(n *lab.Node) int {
-	text, err := n.Call("GET", "/v1/metrics")
+// skippedDatabases is how many databases a gateway sends nothing to.
+func skippedDatabases(node *lab.Node) int {
+	text, err := node.Call("GET", "/v1/metrics")
 	if err != nil {
 		return 0
 	}
 	return int(stats.Parse(text)["skipped_databases"])
 }
 
-// systemFaults are ways in which calls fail now and then, for so long.
-func systemFaults(rnd *rand.Rand, length time.Duration) (list []map[string]any) {
-	for _, f := range []map[string]any{
+// drawSystemCallFaults are ways in which calls fail now and then, for so long.
+func drawSystemCallFaults(rng *rand.Rand, length time.Duration) (list []map[string]any) {
+	for _, fault := range []map[string]any{
 		{"call": "accept", "error": "ECONNABORTED"}, {"call": "accept", "error": "ENFILE"}, {"call": "accept", "error": "EPROTO"},
 		{"call": "socket", "error": "ENFILE"}, {"call": "connect", "error": "EADDRNOTAVAIL"}, {"call": "connect", "error": "ENETUNREACH"},
 		{"call": "epoll_add", "error": "ENOSPC"}, {"call": "epoll_mod", "error": "ENOMEM"}, {"call": "epoll_wait", "error": "EINTR"},
 		{"call": "epoll_wait", "delay_ms": 100}, {"call": "read", "short": 9}, {"call": "write", "short": 9},
 		{"call": "create", "error": "ENOSPC"}, {"call": "write_file", "error": "ENOSPC"}, {"call": "rename", "error": "EIO"},
 	} {
-		if rnd.IntN(2) == 0 {
-			f["share"], f["for_ms"] = 0.05+0.2*rnd.Float64(), length.Milliseconds()
-			list = append(list, f)
+		if rng.IntN(2) == 0 {
+			fault["share"], fault["for_ms"] = 0.05+0.2*rng.Float64(), length.Milliseconds()
+			list = append(list, fault)
 		}
 	}
 	return list
 }
 
 func (s *soak) drainGateway(t Fault) error {
-	return s.each(t, func(i int) error {
+	return s.eachGateway(t, func(i int) error {
 		node := s.lab.Node(i)
 		if _, err := node.Call("PUT", "/v1/gateway/drain"); err != nil {
 			return err
@@ -262,13 +264,13 @@
 
 // partition cuts some gateways off from the others.
 func (s *soak) partition(t Fault) error {
-	side := map[int]bool{}
+	isolated := map[int]bool{}
 	for _, i := range t.Gateways {
-		side[i] = true
+		isolated[i] = true
 	}
 	var rest []int
-	for i := range s.opt.Gateways {
-		if !side[i] {
+	for i := range s.options.Gateways {
+		if !isolated[i] {
 			rest = append(rest, i)
 		}
 	}
@@ -279,17 +281,17 @@
 }
 
 func (s *soak) lossyLinks(t Fault) error {
-	s.links(plan.Link{Loss: 0.15, Duplicate: 0.1, Reorder: 0.2, Corrupt: 0.02, Delay: 20 * time.Millisecond, Jitter: 30 * time.Millisecond})
+	s.setLinks(plan.Link{Loss: 0.15, Duplicate: 0.1, Reorder: 0.2, Corrupt: 0.02, Delay: 20 * time.Millisecond, Jitter: 30 * time.Millisecond})
 	standin.Sleep(t.Duration, s.stop)
-	s.links(plan.Link{})
+	s.setLinks(plan.Link{})
 	return nil
 }
 
-func (s *soak) links(l plan.Link) {
-	for i := range s.opt.Gateways {
-		for j := range s.opt.Gateways {
+func (s *soak) setLinks(link plan.Link) {
+	for i := range s.options.Gateways {
+		for j := range s.options.Gateways {
 			if i != j {
-				s.lab.Mesh().SetLink(i, j, l)
+				s.lab.Mesh().SetLink(i, j, link)
 			}
 		}
 	}
@@ -297,44 +299,44 @@
 
 // start runs a gateway anew.
 func (s *soak) start(i int) error {
-	_, err := s.startAs(i, s.lab.Gateway)
+	_, err := s.startCommand(i, s.lab.Gateway)
 	return err
 }
 
-// startAs is start with another program. A process that does not start in time is one that crashed.
-func (s *soak) startAs(i int, command []string, env ...string) (*lab.Node, error) {
-	begun := time.Now()
-	n, err := s.lab.StartCommand(i, command, env...)
+// startCommand is start with another program. A process that does not start in time is one that crashed.
+func (s *soak) startCommand(i int, command []string, env ...string) (*lab.Node, error) {
+	start := time.Now()
+	node, err := s.lab.StartCommand(i, command, env...)
 	if err != nil {
-		s.judge.violated("no_start", 1, "%v", err)
+		s.judge.recordViolation("no_start", 1, "%v", err)
 		return nil, nil
 	}
-	s.judge.started(n)
+	s.judge.registerProcess(node)
 	s.mu.Lock()
 	s.restarts++
 	s.mu.Unlock()
-	s.work.Add(1)
+	s.background.Add(1)
 	go func() {
-		defer s.work.Done()
-		if s.ready(n) {
+		defer s.background.Done()
+		if s.waitReady(node) {
 			s.mu.Lock()
-			s.readyTimes = append(s.readyTimes, time.Since(begun))
+			s.readyTimes = append(s.readyTimes, time.Since(start))
 			s.mu.Unlock()
 		}
 	}()
-	return n, nil
+	return node, nil
 }
 
-const readyMost = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// ready waits until a process says that it serves; false: it ends first, or does not in time.
-func (s *soak) ready(n *lab.Node) bool {
-	for late := time.Now().Add(readyMost); n.Alive(); time.Sleep(20 * time.Millisecond) {
-		if _, err := n.Call("GET", "/v1/readyz"); err == nil {
+// waitReady waits until a process says that it serves; false: it ends first, or does not in time.
+func (s *soak) waitReady(node *lab.Node) bool {
+	for deadline := time.Now().Add(readyTimeout); node.Alive(); time.Sleep(20 * time.Millisecond) {
+		if _, err := node.Call("GET", "/v1/readyz"); err == nil {
 			return true
 		}
-		if time.Now().After(late) {
-			s.judge.violated("not_ready", 1, "%s within %v", n.Name, readyMost)
+		if time.Now().After(deadline) {
+			s.judge.recordViolation("not_ready", 1, "%s within %v", node.Name, readyTimeout)
 			return false
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -33,14 +33,14 @@
 
 // Bounds of a run.
 const (
-	groupSize     = 4   // databases
-	rate          = 300 // requests a second for each twelve gateways
-	heldGateways  = 3   // of which two processes may serve side by side
-	processesMost = 300
-	memoryPart    = 2                      // of the machine's: half of it
-	ownLateness   = 250 * time.Millisecond // of the generator: beyond it this machine starved the run
-	patience      = answerLate + judgeSlack
-	firstVersion  = 1_000_000 // of the list: discovery may be restored with lower ones
+	databasesPerGroup         = 4   // databases
+	requestsPerTwelveGateways = 300 // requests a second for each twelve gateways
+	heldSocketGateways        = 3   // of which two processes may serve side by side
+	maxProcesses              = 300
+	memoryDivisor             = 2                      // of the machine's: half of it
+	maxGeneratorLateness      = 250 * time.Millisecond // of the generator: beyond it this machine starved the run
+	clientSlack               = lateAnswerLimit + excuseSlack
+	firstListVersion          = 1_000_000 // of the list: discovery may be restored with lower ones
 )
 
 // Requests are how many there were, by what became of them.
@@ -102,25 +102,25 @@
 
 // soak is a run.
 type soak struct {
-	opt         Options
+	options     Options
 	lab         *lab.Lab
 	judge       *judge
 	discoveries [2]*standin.Discovery
-	folder      string
+	dir         string
 	stop        chan struct{}
-	work        sync.WaitGroup
+	background  sync.WaitGroup
 
-	mu         sync.Mutex
-	busy       map[int]bool // gateways whose processes a trouble starts and ends
-	restarts   int
-	readyTimes []time.Duration
-	processes  int
-	memory     int // MB
-	invalid    string
+	mu            sync.Mutex
+	reserved      map[int]bool // gateways whose processes a trouble starts and ends
+	restarts      int
+	readyTimes    []time.Duration
+	peakProcesses int
+	peakMemoryMB  int // MB
+	invalidReason string
 }
 
-// planOf is the load: reads of bounded age, of sessions, and writes.
-func planOf(opt Options) (*plan.Plan, error) {
+// loadPlan is the load: reads of bounded age, of sessions, and writes.
+func loadPlan(options Options) (*plan.Plan, error) {
 	text := fmt.Sprintf(`seed: %d
 groups: %d
 sessions: {count: %d, follow: 30%%, after: 100 ms}
@@ -134,49 +134,49 @@
   write: {kind: write, mix: 25%%, aim: 600 ms, deadline: 2500 ms}
 stages: [{shape: constant, rate: %d/s, for: %d s}]
 lab: {gateways: %d, members: %d, cores: 4, queue: 60, service: 8 ms, lag: 10 ms, cold: 3 s, fleet: true, positions: true, primaries: true, words: 1 min}
-`, opt.Seed%(1<<40), max(1, opt.Databases/groupSize), 12*opt.Gateways, ownLateness.Milliseconds(), max(20, rate*opt.Gateways/12), int(opt.Duration/time.Second), opt.Gateways, groupSize)
+`, options.Seed%(1<<40), max(1, options.Databases/databasesPerGroup), 12*options.Gateways, maxGeneratorLateness.Milliseconds(), max(20, requestsPerTwelveGateways*options.Gateways/12), int(options.Duration/time.Second), options.Gateways, databasesPerGroup)
 	return plan.Parse("soak", []byte(text))
 }
 
 // Run plays a soak.
-func Run(ctx context.Context, opt Options) (*Report, error) {
-	if opt.Gateways < 4 || opt.Databases < groupSize || opt.Duration < 5*time.Second {
+func Run(ctx context.Context, options Options) (*Report, error) {
+	if options.Gateways < 4 || options.Databases < databasesPerGroup || options.Duration < 5*time.Second {
 		return nil, errors.New("a soak takes 4 gateways, 4 databases and 5 s at least")
 	}
-	if opt.Gateways+heldGateways > processesMost {
-		return nil, fmt.Errorf("%d gateways are too many: %d processes are the most", opt.Gateways, processesMost)
+	if options.Gateways+heldSocketGateways > maxProcesses {
+		return nil, fmt.Errorf("%d gateways are too many: %d processes are the most", options.Gateways, maxProcesses)
 	}
-	if len(opt.FaultNames) == 0 {
-		opt.FaultNames = FaultNames()
+	if len(options.FaultNames) == 0 {
+		options.FaultNames = FaultNames()
 	}
-	for _, name := range opt.FaultNames {
-		if _, known := kinds[name]; !known {
+	for _, name := range options.FaultNames {
+		if _, known := faultKinds[name]; !known {
 			return nil, fmt.Errorf("there is no trouble %q; these are: %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
-	drawn := Draw(opt.Seed, opt.Gateways, opt.Duration, opt.FaultNames)
-	played, err := Select(drawn, opt.OnlyFaults)
+	drawn := Draw(options.Seed, options.Gateways, options.Duration, options.FaultNames)
+	played, err := Select(drawn, options.OnlyFaults)
 	if err != nil {
 		return nil, err
 	}
-	p, err := planOf(opt)
+	loadPlan, err := loadPlan(options)
 	if err != nil {
 		return nil, err
 	}
-	arrivals, err := plan.Schedule(p)
+	arrivals, err := plan.Schedule(loadPlan)
 	if err != nil {
 		return nil, err
 	}
-	s := &soak{opt: opt, judge: newJudge(), stop: make(chan struct{}), busy: map[int]bool{}}
-	if s.folder, err = os.MkdirTemp("", "lilaccove-soak-"); err != nil {
+	s := &soak{options: options, judge: newJudge(), stop: make(chan struct{}), reserved: map[int]bool{}}
+	if s.dir, err = os.MkdirTemp("", "lilaccove-soak-"); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(s.folder)
+	defer os.RemoveAll(s.dir)
 	s.lab = &lab.Lab{
-		Plan: p, Arrivals: arrivals, Gateway: []string{opt.Program}, Log: opt.Log, PushDiscovery: opt.Seed%3 == 0,
-		OnLogLine: s.judge.heard, OnSample: s.judge.request, ClientSlack: patience, ListVersion: firstVersion,
+		Plan: loadPlan, Arrivals: arrivals, Gateway: []string{options.Program}, Log: options.Log, PushDiscovery: options.Seed%3 == 0,
+		OnLogLine: s.judge.onLogLine, OnSample: s.judge.judgeRequest, ClientSlack: clientSlack, ListVersion: firstListVersion,
 	}
-	for i := range heldGateways {
+	for i := range heldSocketGateways {
 		s.lab.HeldSockets = append(s.lab.HeldSockets, i)
 	}
 	if err := s.lab.Open(); err != nil {
@@ -188,58 +188,58 @@
 }
 
 // play runs load and troubles in a lab that is open, and judges.
-func (s *soak) play(ctx context.Context, troubles []Fault) (*Report, error) {
-	elsewhere, err := s.lab.World().AddDiscovery()
+func (s *soak) play(ctx context.Context, faults []Fault) (*Report, error) {
+	second, err := s.lab.World().AddDiscovery()
 	if err != nil {
 		return nil, err
 	}
-	s.discoveries = [2]*standin.Discovery{elsewhere, s.lab.World().Discovery()}
-	for i := range s.opt.Gateways {
-		s.judge.started(s.lab.Node(i))
+	s.discoveries = [2]*standin.Discovery{second, s.lab.World().Discovery()}
+	for i := range s.options.Gateways {
+		s.judge.registerProcess(s.lab.Node(i))
 	}
-	s.work.Add(1)
-	go s.measure()
-	begun := time.Now()
-	failed := make(chan error, len(troubles))
-	var under sync.WaitGroup
-	for _, t := range troubles {
-		under.Add(1)
+	s.background.Add(1)
+	go s.watchResources()
+	start := time.Now()
+	faultErrors := make(chan error, len(faults))
+	var running sync.WaitGroup
+	for _, fault := range faults {
+		running.Add(1)
 		go func() {
-			defer under.Done()
-			if standin.Sleep(time.Until(begun.Add(t.At)), s.stop) {
-				if err := kinds[t.Name].do(s, t); err != nil {
-					failed <- fmt.Errorf("trouble %d, %s: %w", t.Number, t.Name, err)
+			defer running.Done()
+			if standin.Sleep(time.Until(start.Add(fault.At)), s.stop) {
+				if err := faultKinds[fault.Name].apply(s, fault); err != nil {
+					faultErrors <- fmt.Errorf("trouble %d, %s: %w", fault.Number, fault.Name, err)
 				}
 			}
 		}()
 	}
-	load, err := s.lab.Run(ctx)
-	under.Wait()
-	s.figures()
+	loadReport, err := s.lab.Run(ctx)
+	running.Wait()
+	s.collectViolationMetrics()
 	close(s.stop)
-	s.work.Wait()
-	close(failed)
+	s.background.Wait()
+	close(faultErrors)
 	if err == nil {
-		err = <-failed
+		err = <-faultErrors
 	}
 	if err != nil {
 		return nil, err
 	}
-	return s.report(load, troubles), nil
+	return s.report(loadReport, faults), nil
 }
 
-// figures adds what living gateways have counted and not logged, for the log is bounded in rate.
-func (s *soak) figures() {
+// collectViolationMetrics adds what living gateways have counted and not logged, for the log is bounded in rate.
+func (s *soak) collectViolationMetrics() {
 	counted := map[string]int{}
-	for i := range s.opt.Gateways {
+	for i := range s.options.Gateways {
 		node := s.lab.Node(i)
 		text, err := node.Call("GET", "/v1/metrics")
 		if err != nil {
-			s.judge.violated("no_figures", 1, "%s: %v", node.Name, err)
+			s.judge.recordViolation("no_figures", 1, "%s: %v", node.Name, err)
 			continue
 		}
 		for name, n := range stats.Parse(text) {
-			if name, ours := strings.CutPrefix(name, "violations."); ours && n > 0 {
+			if name, isViolation := strings.CutPrefix(name, "violations."); isViolation && n > 0 {
 				counted[name] += int(n)
 			}
 		}
@@ -252,65 +252,65 @@
 }
 
 // report writes the run down.
-func (s *soak) report(load *run.Report, troubles []Fault) *Report {
+func (s *soak) report(loadReport *run.Report, faults []Fault) *Report {
 	world := s.lab.World().Counts()
 	for name, n := range map[string]int{
 		"duplicate": world.Duplicates, "stale": world.Stale, "foreign": world.Foreign, "to_draining": world.Drained, "cold_fell": world.Fell,
 	} {
-		s.judge.violated(name, n, "%d times; twice ran %v, stale were %v", n, world.TwiceIDs, world.StaleIDs)
+		s.judge.recordViolation(name, n, "%d times; twice ran %v, stale were %v", n, world.TwiceIDs, world.StaleIDs)
 	}
-	for _, fault := range load.Faults {
+	for _, fault := range loadReport.Faults {
 		if strings.Contains(fault, "ended by itself") {
-			s.judge.violated("crash", 1, "%s", fault)
+			s.judge.recordViolation("crash", 1, "%s", fault)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.judge.mu.Lock()
 	defer s.judge.mu.Unlock()
-	if load.Invalid && s.invalid == "" {
-		s.invalid = fmt.Sprintf("the generator was late by up to %.0f ms", load.Lateness[len(load.Lateness)-1])
+	if loadReport.Invalid && s.invalidReason == "" {
+		s.invalidReason = fmt.Sprintf("the generator was late by up to %.0f ms", loadReport.Lateness[len(loadReport.Lateness)-1])
 	}
-	r := &Report{
-		Seed: s.opt.Seed, Gateways: s.opt.Gateways, Databases: s.opt.Databases, Pushed: s.lab.PushDiscovery, Valid: s.invalid == "", InvalidReason: s.invalid,
-		ProcessesMax: s.processes, MemoryMBMax: s.memory, Faults: troubles, Overlaps: CountOverlaps(troubles),
+	report := &Report{
+		Seed: s.options.Seed, Gateways: s.options.Gateways, Databases: s.options.Databases, Pushed: s.lab.PushDiscovery, Valid: s.invalidReason == "", InvalidReason: s.invalidReason,
+		ProcessesMax: s.peakProcesses, MemoryMBMax: s.peakMemoryMB, Faults: faults, Overlaps: CountOverlaps(faults),
 		Violations: map[string]ViolationCount{}, Examples: s.judge.examples, Requests: s.judge.requests, Restarts: s.restarts, ReadySeconds: percentiles(s.readyTimes),
 	}
-	r.Requests.Duplicate, r.Requests.Stale = world.Duplicates, world.Stale
+	report.Requests.Duplicate, report.Requests.Stale = world.Duplicates, world.Stale
 	for name, n := range s.judge.outside {
-		r.Violations[name] = ViolationCount{Outside: n, Inside: s.judge.inside[name]}
+		report.Violations[name] = ViolationCount{Outside: n, Inside: s.judge.inside[name]}
 	}
 	for name, n := range s.judge.inside {
-		r.Violations[name] = ViolationCount{Outside: s.judge.outside[name], Inside: n}
+		report.Violations[name] = ViolationCount{Outside: s.judge.outside[name], Inside: n}
 	}
-	return r
+	return report
 }
 
-func percentiles(list []time.Duration) (p Percentiles) {
-	if len(list) == 0 {
+func percentiles(durations []time.Duration) (p Percentiles) {
+	if len(durations) == 0 {
 		return p
 	}
-	slices.Sort(list)
-	at := func(share float64) float64 { return list[int(share*float64(len(list)-1))].Seconds() }
-	return Percentiles{P50: at(0.5), P90: at(0.9), Max: at(1)}
+	slices.Sort(durations)
+	quantile := func(share float64) float64 { return durations[int(share*float64(len(durations)-1))].Seconds() }
+	return Percentiles{P50: quantile(0.5), P90: quantile(0.9), Max: quantile(1)}
 }
 
-// measure watches how many processes there are and what memory they and this one hold; beyond the bounds the run is invalid.
-func (s *soak) measure() {
-	defer s.work.Done()
-	most := lab.MachineMemory() / memoryPart
+// watchResources watches how many processes there are and what memory they and this one hold; beyond the bounds the run is invalid.
+func (s *soak) watchResources() {
+	defer s.background.Done()
+	limit := lab.MachineMemory() / memoryDivisor
 	for {
 		processes, bytes := 0, lab.ResidentMemory(os.Getpid())
-		for i := range s.opt.Gateways {
+		for i := range s.options.Gateways {
 			if n := s.lab.Node(i); n.Alive() {
 				processes++
 				bytes += lab.ResidentMemory(n.Pid())
 			}
 		}
 		s.mu.Lock()
-		s.processes, s.memory = max(s.processes, processes), max(s.memory, int(bytes)>>20)
-		if most > 0 && bytes > most {
-			s.invalid = fmt.Sprintf("%.0f bytes of memory are held, %.0f are the most", bytes, most)
+		s.peakProcesses, s.peakMemoryMB = max(s.peakProcesses, processes), max(s.peakMemoryMB, int(bytes)>>20)
+		if limit > 0 && bytes > limit {
+			s.invalidReason = fmt.Sprintf("%.0f bytes of memory are held, %.0f are the most", bytes, limit)
 		}
 		s.mu.Unlock()
 		if !standin.Sleep(time.Second, s.stop) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,33 +13,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// programs builds the gateway, as users have it and with system calls that fail by a plan.
-func programs(t *testing.T) (plain, faulty string) {
+// buildPrograms builds the gateway, as users have it and with system calls that fail by a plan.
+func buildPrograms(t *testing.T) (plain, faulty string) {
 	t.Helper()
 	dir := t.TempDir()
 	plain, faulty = filepath.Join(dir, "lilaccove"), filepath.Join(dir, "lilaccove-faults")
 	for _, args := range [][]string{{"-o", plain}, {"-tags", "faults", "-o", faulty}} {
-		said, err := exec.Command("go", append(append([]string{"build"}, args...), "lilaccove/cmd/lilaccove")...).CombinedOutput()
-		require.NoError(t, err, string(said))
+		output, err := exec.Command("go", append(append([]string{"build"}, args...), "lilaccove/cmd/lilaccove")...).CombinedOutput()
+		require.NoError(t, err, string(output))
 	}
 	return plain, faulty
 }
 
 // Two short seeds, one of them with lists that are pushed. Twenty and more of a minute are played by hand: docs/soak.md.
 func TestSoakOfTwoSeeds(t *testing.T) {
-	plain, faulty := programs(t)
+	plain, faulty := buildPrograms(t)
 	for _, seed := range []uint64{1, 3} {
 		var logs bytes.Buffer
-		r, err := Run(context.Background(), Options{
+		report, err := Run(context.Background(), Options{
 			Gateways: 8, Databases: 8, Duration: 14 * time.Second, Seed: seed, Program: plain, FaultyProgram: faulty, Log: &logs,
 		})
 		require.NoError(t, err)
-		assert.Empty(t, r.Violations, "seed %d\n%s", seed, strings.Join(r.Examples, "\n"))
-		assert.Equal(t, seed%3 == 0, r.Pushed)
-		assert.Positive(t, r.Overlaps)
-		assert.Greater(t, r.Requests.Served, r.Requests.Sent/2)
-		if !r.Valid {
-			t.Logf("seed %d: INVALID: %s", seed, r.InvalidReason)
+		assert.Empty(t, report.Violations, "seed %d\n%s", seed, strings.Join(report.Examples, "\n"))
+		assert.Equal(t, seed%3 == 0, report.Pushed)
+		assert.Positive(t, report.Overlaps)
+		assert.Greater(t, report.Requests.Served, report.Requests.Sent/2)
+		if !report.Valid {
+			t.Logf("seed %d: INVALID: %s", seed, report.InvalidReason)
 		}
 		if t.Failed() {
 			t.Log(logs.String())
@@ -49,7 +49,7 @@
 
 func TestBadOptions(t *testing.T) {
 	good := Options{Gateways: 8, Databases: 8, Duration: 10 * time.Second}
-	for says, change := range map[string]func(o *Options){
+	for message, change := range map[string]func(o *Options){
 		"at least":             func(o *Options) { o.Gateways = 1 },
 		"too many":             func(o *Options) { o.Gateways = 299 },
 		"there is no trouble ": func(o *Options) { o.FaultNames = []string{"storm"} },
@@ -58,6 +58,6 @@
 		o := good
 		change(&o)
 		_, err := Run(context.Background(), o)
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, message)
 	}
 }
--- a/internal/wan/loop.go
+++ b/internal/wan/loop.go
@@ -11,257 +11,257 @@
 )
 
 const (
-	batch   = 128                    // datagrams for one call of the system
-	most    = 2048                   // bytes of a datagram, as a gateway reads at most
-	quantum = 250 * time.Microsecond // between rounds, so that one has a batch to work on
+	batchSize     = 128                    // datagrams for one call of the system
+	maxDatagram   = 2048                   // bytes of a datagram, as a gateway reads at most
+	roundInterval = 250 * time.Microsecond // between rounds, so that one has a batch to work on
 )
 
 // loop passes datagrams on. It has a thread of its own, which alone touches what is here.
 type loop struct {
-	r       *Relay
-	rnd     *rand.Rand
-	queue   []parcel // a heap by due
-	arrived int64    // when the last datagram came
-	number  uint64
-	free    []*[most]byte
-	in, out vector
+	relay              *Relay
+	rng                *rand.Rand
+	queue              []datagram // a heap by due
+	lastArrival        int64      // when the last datagram came
+	sequence           uint64
+	freeBuffers        []*[maxDatagram]byte
+	received, outgoing messageBatch
 }
 
-// parcel is a datagram on its way.
-type parcel struct {
+// datagram is a datagram on its way.
+type datagram struct {
 	due      int64 // in ns of the system's clock
-	number   uint64
+	sequence uint64
 	from, to int
-	n        int
-	b        *[most]byte
+	size     int
+	buffer   *[maxDatagram]byte
 }
 
-func (a *parcel) before(b *parcel) bool {
-	return a.due < b.due || a.due == b.due && a.number < b.number
+func (a *datagram) before(b *datagram) bool {
+	return a.due < b.due || a.due == b.due && a.sequence < b.sequence
 }
 
-// vector is what one call of the system reads or writes.
-type vector struct {
-	heads    [batch]mmsghdr
-	parts    [batch]unix.Iovec
-	names    [batch]unix.RawSockaddrInet4
-	controls [batch][96]byte
-	bodies   [batch]*[most]byte
+// messageBatch is what one call of the system reads or writes.
+type messageBatch struct {
+	headers  [batchSize]mmsghdr
+	iovecs   [batchSize]unix.Iovec
+	addrs    [batchSize]unix.RawSockaddrInet4
+	controls [batchSize][96]byte
+	buffers  [batchSize]*[maxDatagram]byte
 }
 
 // mmsghdr is the kernel's struct mmsghdr.
 type mmsghdr struct {
 	unix.Msghdr
-	n uint32
-	_ [4]byte
+	length uint32
+	_      [4]byte
 }
 
-func newLoop(r *Relay, rnd *rand.Rand) *loop {
-	l := &loop{r: r, rnd: rnd}
-	for _, v := range []*vector{&l.in, &l.out} {
-		for i := range batch {
-			h := &v.heads[i]
-			h.Name, h.Namelen = (*byte)(unsafe.Pointer(&v.names[i])), unix.SizeofSockaddrInet4
-			h.Iov = &v.parts[i]
-			h.SetIovlen(1)
-			h.Control = &v.controls[i][0]
+func newLoop(r *Relay, rng *rand.Rand) *loop {
+	l := &loop{relay: r, rng: rng}
+	for _, messages := range []*messageBatch{&l.received, &l.outgoing} {
+		for i := range batchSize {
+			header := &messages.headers[i]
+			header.Name, header.Namelen = (*byte)(unsafe.Pointer(&messages.addrs[i])), unix.SizeofSockaddrInet4
+			header.Iov = &messages.iovecs[i]
+			header.SetIovlen(1)
+			header.Control = &messages.controls[i][0]
 		}
 	}
-	for i := range batch {
-		l.in.body(i, l.buffer())
+	for i := range batchSize {
+		l.received.setBuffer(i, l.takeBuffer())
 		// The source is set for each datagram; the rest stays.
-		c := l.out.controls[i][:]
-		binary.NativeEndian.PutUint64(c, uint64(unix.CmsgLen(unix.SizeofInet4Pktinfo)))
-		binary.NativeEndian.PutUint32(c[8:], unix.IPPROTO_IP)
-		binary.NativeEndian.PutUint32(c[12:], unix.IP_PKTINFO)
-		l.out.heads[i].SetControllen(unix.CmsgSpace(unix.SizeofInet4Pktinfo))
+		control := l.outgoing.controls[i][:]
+		binary.NativeEndian.PutUint64(control, uint64(unix.CmsgLen(unix.SizeofInet4Pktinfo)))
+		binary.NativeEndian.PutUint32(control[8:], unix.IPPROTO_IP)
+		binary.NativeEndian.PutUint32(control[12:], unix.IP_PKTINFO)
+		l.outgoing.headers[i].SetControllen(unix.CmsgSpace(unix.SizeofInet4Pktinfo))
 	}
 	return l
 }
 
-func (v *vector) body(i int, b *[most]byte) {
-	v.bodies[i] = b
-	v.parts[i].Base = &b[0]
-	v.parts[i].SetLen(most)
+func (v *messageBatch) setBuffer(i int, b *[maxDatagram]byte) {
+	v.buffers[i] = b
+	v.iovecs[i].Base = &b[0]
+	v.iovecs[i].SetLen(maxDatagram)
 }
 
-func (l *loop) buffer() *[most]byte {
-	if n := len(l.free); n > 0 {
-		b := l.free[n-1]
-		l.free = l.free[:n-1]
+func (l *loop) takeBuffer() *[maxDatagram]byte {
+	if n := len(l.freeBuffers); n > 0 {
+		b := l.freeBuffers[n-1]
+		l.freeBuffers = l.freeBuffers[:n-1]
 		return b
 	}
-	return new([most]byte)
+	return new([maxDatagram]byte)
 }
 
 func (l *loop) run() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread() // a thread that ended would take the processes along that were started on it
-	last := time.Now()
+	lastRound := time.Now()
 	for {
-		wait := (*unix.Timespec)(nil)
+		timeout := (*unix.Timespec)(nil)
 		if len(l.queue) > 0 {
 			t := unix.NsecToTimespec(max(0, l.queue[0].due-time.Now().UnixNano()))
-			wait = &t
+			timeout = &t
 		}
-		_, _ = unix.Ppoll([]unix.PollFd{{Fd: int32(l.r.fd), Events: unix.POLLIN}, {Fd: int32(l.r.wake), Events: unix.POLLIN}}, wait, nil)
+		_, _ = unix.Ppoll([]unix.PollFd{{Fd: int32(l.relay.fd), Events: unix.POLLIN}, {Fd: int32(l.relay.wakeFD), Events: unix.POLLIN}}, timeout, nil)
 		select {
-		case <-l.r.done:
+		case <-l.relay.done:
 			return
 		default:
 		}
-		if d := quantum - time.Since(last); d > 0 {
+		if d := roundInterval - time.Since(lastRound); d > 0 {
 			t := unix.NsecToTimespec(int64(d))
 			_ = unix.Nanosleep(&t, nil)
 		}
-		last = time.Now()
-		l.read()
-		l.write()
+		lastRound = time.Now()
+		l.receive()
+		l.sendDue()
 	}
 }
 
-// read takes in all that has come, a bounded number of calls at a time.
-func (l *loop) read() {
+// receive takes in all that has come, a bounded number of calls at a time.
+func (l *loop) receive() {
 	for range 16 {
-		for i := range batch {
-			h := &l.in.heads[i]
-			h.Namelen, h.Flags = unix.SizeofSockaddrInet4, 0
-			h.SetControllen(len(l.in.controls[i]))
+		for i := range batchSize {
+			header := &l.received.headers[i]
+			header.Namelen, header.Flags = unix.SizeofSockaddrInet4, 0
+			header.SetControllen(len(l.received.controls[i]))
 		}
-		n, _, err := unix.Syscall6(unix.SYS_RECVMMSG, uintptr(l.r.fd), uintptr(unsafe.Pointer(&l.in.heads[0])), batch, unix.MSG_DONTWAIT, 0, 0)
+		n, _, err := unix.Syscall6(unix.SYS_RECVMMSG, uintptr(l.relay.fd), uintptr(unsafe.Pointer(&l.received.headers[0])), batchSize, unix.MSG_DONTWAIT, 0, 0)
 		if err != 0 {
 			return
 		}
 		for i := range int(n) {
-			l.take(i)
+			l.enqueue(i)
 		}
-		if n < batch {
+		if n < batchSize {
 			return
 		}
 	}
 }
 
-// take decides on one datagram.
-func (l *loop) take(i int) {
-	r, h := l.r, &l.in.heads[i]
-	var at int64
-	var to [4]byte
-	for c := l.in.controls[i][:h.Controllen]; len(c) >= unix.SizeofCmsghdr; {
-		size := binary.NativeEndian.Uint64(c)
-		if size < unix.SizeofCmsghdr || size > uint64(len(c)) {
+// enqueue decides on one datagram.
+func (l *loop) enqueue(i int) {
+	relay, header := l.relay, &l.received.headers[i]
+	var arrival int64
+	var destination [4]byte
+	for control := l.received.controls[i][:header.Controllen]; len(control) >= unix.SizeofCmsghdr; {
+		size := binary.NativeEndian.Uint64(control)
+		if size < unix.SizeofCmsghdr || size > uint64(len(control)) {
 			break
 		}
-		data := c[unix.SizeofCmsghdr:size]
-		switch kind := binary.NativeEndian.Uint32(c[12:]); {
-		case binary.NativeEndian.Uint32(c[8:]) == unix.IPPROTO_IP && kind == unix.IP_PKTINFO && len(data) >= unix.SizeofInet4Pktinfo:
-			to = [4]byte(data[8:12])
-		case binary.NativeEndian.Uint32(c[8:]) == unix.SOL_SOCKET && kind == unix.SO_TIMESTAMPNS && len(data) >= 16:
-			at = int64(binary.NativeEndian.Uint64(data))*1e9 + int64(binary.NativeEndian.Uint64(data[8:]))
+		data := control[unix.SizeofCmsghdr:size]
+		switch kind := binary.NativeEndian.Uint32(control[12:]); {
+		case binary.NativeEndian.Uint32(control[8:]) == unix.IPPROTO_IP && kind == unix.IP_PKTINFO && len(data) >= unix.SizeofInet4Pktinfo:
+			destination = [4]byte(data[8:12])
+		case binary.NativeEndian.Uint32(control[8:]) == unix.SOL_SOCKET && kind == unix.SO_TIMESTAMPNS && len(data) >= 16:
+			arrival = int64(binary.NativeEndian.Uint64(data))*1e9 + int64(binary.NativeEndian.Uint64(data[8:]))
 		}
-		c = c[min(len(c), int(size+7)&^7):]
+		control = control[min(len(control), int(size+7)&^7):]
 	}
-	if h.Flags&unix.MSG_TRUNC != 0 {
-		r.counts[large].Add(1)
+	if header.Flags&unix.MSG_TRUNC != 0 {
+		relay.counts[countOversized].Add(1)
 		return
 	}
-	family, target, ok := r.gateway(to)
-	zone, known := r.from(family)
-	own, sender, lives := r.gateway(l.in.names[i].Addr)
-	if !ok || !known || !lives || own != ofGateways || zone >= 0 && zone != r.of[sender] {
-		r.counts[foreign].Add(1)
+	family, target, ok := relay.parseAddress(destination)
+	zone, known := relay.senderZone(family)
+	senderFamily, sender, lives := relay.parseAddress(l.received.addrs[i].Addr)
+	if !ok || !known || !lives || senderFamily != gatewayFamily || zone >= 0 && zone != relay.zoneOf[sender] {
+		relay.counts[countMisaddressed].Add(1)
 		return
 	}
-	link := r.links[r.of[sender]*r.zones+r.of[target]].Load()
+	link := relay.links[relay.zoneOf[sender]*relay.zones+relay.zoneOf[target]].Load()
 	switch {
 	case link.Cut:
-		r.counts[cut].Add(1)
+		relay.counts[countCut].Add(1)
 		return
-	case link.Loss > 0 && l.rnd.Float64() < link.Loss:
-		r.counts[lost].Add(1)
+	case link.Loss > 0 && l.rng.Float64() < link.Loss:
+		relay.counts[countLost].Add(1)
 		return
 	}
-	if at == 0 {
-		at = time.Now().UnixNano()
+	if arrival == 0 {
+		arrival = time.Now().UnixNano()
 	}
 	// The system begins to stamp datagrams a moment after it was asked to; one that it has not stamped bears the time of its
 	// reading, which is later than the stamps of those read behind it.
-	at = max(at, l.arrived)
-	l.arrived = at
-	at += int64(link.Delay)
+	arrival = max(arrival, l.lastArrival)
+	l.lastArrival = arrival
+	arrival += int64(link.Delay)
 	if link.Jitter > 0 {
-		at += l.rnd.Int64N(int64(link.Jitter))
+		arrival += l.rng.Int64N(int64(link.Jitter))
 	}
-	l.number++
-	l.push(parcel{due: at, number: l.number, from: sender, to: target, n: int(h.n), b: l.in.bodies[i]})
-	l.in.body(i, l.buffer())
+	l.sequence++
+	l.push(datagram{due: arrival, sequence: l.sequence, from: sender, to: target, size: int(header.length), buffer: l.received.buffers[i]})
+	l.received.setBuffer(i, l.takeBuffer())
 }
 
-// write sends all that is due.
-func (l *loop) write() {
+// sendDue sends all that is due.
+func (l *loop) sendDue() {
 	for {
-		now, n := time.Now().UnixNano(), 0
-		for n < batch && len(l.queue) > 0 && l.queue[0].due <= now {
+		now, count := time.Now().UnixNano(), 0
+		for count < batchSize && len(l.queue) > 0 && l.queue[0].due <= now {
 			p := l.pop()
-			l.r.late.add(now - p.due)
-			l.r.counts[bytesPassed].Add(uint64(p.n))
-			l.out.body(n, p.b)
-			l.out.parts[n].SetLen(p.n)
-			l.out.names[n] = unix.RawSockaddrInet4{Family: unix.AF_INET, Addr: address(ofGateways, p.to)}
-			binary.BigEndian.PutUint16((*[2]byte)(unsafe.Pointer(&l.out.names[n].Port))[:], l.r.own)
-			source := address(ofGateways, p.from)
-			copy(l.out.controls[n][unix.SizeofCmsghdr+4:], source[:])
-			n++
+			l.relay.lateness.add(now - p.due)
+			l.relay.counts[countBytes].Add(uint64(p.size))
+			l.outgoing.setBuffer(count, p.buffer)
+			l.outgoing.iovecs[count].SetLen(p.size)
+			l.outgoing.addrs[count] = unix.RawSockaddrInet4{Family: unix.AF_INET, Addr: address(gatewayFamily, p.to)}
+			binary.BigEndian.PutUint16((*[2]byte)(unsafe.Pointer(&l.outgoing.addrs[count].Port))[:], l.relay.gatewayPort)
+			source := address(gatewayFamily, p.from)
+			copy(l.outgoing.controls[count][unix.SizeofCmsghdr+4:], source[:])
+			count++
 		}
-		for sent := 0; sent < n; {
-			k, _, err := unix.Syscall6(unix.SYS_SENDMMSG, uintptr(l.r.fd), uintptr(unsafe.Pointer(&l.out.heads[sent])), uintptr(n-sent), unix.MSG_DONTWAIT, 0, 0)
+		for sent := 0; sent < count; {
+			done, _, err := unix.Syscall6(unix.SYS_SENDMMSG, uintptr(l.relay.fd), uintptr(unsafe.Pointer(&l.outgoing.headers[sent])), uintptr(count-sent), unix.MSG_DONTWAIT, 0, 0)
 			if err != 0 {
-				l.r.counts[unsent].Add(1)
-				k = 1
+				l.relay.counts[countUnsent].Add(1)
+				done = 1
 			} else {
-				l.r.counts[passed].Add(uint64(k))
+				l.relay.counts[countForwarded].Add(uint64(done))
 			}
-			sent += int(k)
+			sent += int(done)
 		}
-		for i := range n {
-			l.free = append(l.free, l.out.bodies[i])
+		for i := range count {
+			l.freeBuffers = append(l.freeBuffers, l.outgoing.buffers[i])
 		}
-		if n < batch {
+		if count < batchSize {
 			return
 		}
 	}
 }
 
-func (l *loop) push(p parcel) {
+func (l *loop) push(p datagram) {
 	l.queue = append(l.queue, p)
-	q := l.queue
-	for i := len(q) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !q[i].before(&q[up]) {
+	queue := l.queue
+	for i := len(queue) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !queue[i].before(&queue[parent]) {
 			return
 		}
-		q[i], q[up] = q[up], q[i]
-		i = up
+		queue[i], queue[parent] = queue[parent], queue[i]
+		i = parent
 	}
 }
 
-func (l *loop) pop() parcel {
-	q := l.queue
-	first, last := q[0], len(q)-1
-	q[0], q[last] = q[last], parcel{}
-	q = q[:last]
-	l.queue = q
+func (l *loop) pop() datagram {
+	queue := l.queue
+	first, last := queue[0], len(queue)-1
+	queue[0], queue[last] = queue[last], datagram{}
+	queue = queue[:last]
+	l.queue = queue
 	for i := 0; ; {
-		least := i
+		smallest := i
 		for _, k := range []int{2*i + 1, 2*i + 2} {
-			if k < len(q) && q[k].before(&q[least]) {
-				least = k
+			if k < len(queue) && queue[k].before(&queue[smallest]) {
+				smallest = k
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return first
 		}
-		q[i], q[least] = q[least], q[i]
-		i = least
+		queue[i], queue[smallest] = queue[smallest], queue[i]
+		i = smallest
 	}
 }
 
--- a/internal/wan/loop_test.go
+++ b/internal/wan/loop_test.go
@@ -11,12 +11,12 @@
 func TestScaleRelayQueueKeepsTheOrder(t *testing.T) {
 	l, rnd := &loop{}, rand.New(rand.NewPCG(1, 1))
 	for i := range 1000 {
-		l.push(parcel{due: rnd.Int64N(20), number: uint64(i)})
+		l.push(datagram{due: rnd.Int64N(20), sequence: uint64(i)})
 	}
 	last := l.pop()
 	for range 999 {
 		p := l.pop()
-		assert.True(t, last.due < p.due || last.due == p.due && last.number < p.number)
+		assert.True(t, last.due < p.due || last.due == p.due && last.sequence < p.sequence)
 		last = p
 	}
 	assert.Empty(t, l.queue)
--- a/internal/wan/stream.go
+++ b/internal/wan/stream.go
@@ -8,103 +8,103 @@
 )
 
 const (
-	repeatTime = 200 * time.Millisecond // by which a lost piece of a connection is late
-	cutTime    = 3 * time.Second        // for which a new connection waits for a link that is cut
-	piecesMost = 64                     // of one direction under way
-	pieceSize  = 16 << 10
+	retransmitDelay = 200 * time.Millisecond // by which a lost piece of a connection is late
+	cutDialTimeout  = 3 * time.Second        // for which a new connection waits for a link that is cut
+	maxChunks       = 64                     // of one direction under way
+	chunkSize       = 16 << 10
 )
 
-// piece is some bytes of a connection on their way; none: it ends here.
-type piece struct {
-	due time.Time
-	b   []byte
-	err error
+// chunk is some bytes of a connection on their way; none: it ends here.
+type chunk struct {
+	due  time.Time
+	data []byte
+	err  error
 }
 
-func (r *Relay) accept() {
+func (r *Relay) acceptConnections() {
 	defer r.wg.Done()
 	for {
-		c, err := r.ln.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		to := c.LocalAddr().(*net.TCPAddr).AddrPort().Addr().Unmap().As4()
-		family, g, ok := r.gateway(to)
-		zone, known := r.from(family)
+		to := conn.LocalAddr().(*net.TCPAddr).AddrPort().Addr().Unmap().As4()
+		family, gateway, ok := r.parseAddress(to)
+		zone, known := r.senderZone(family)
 		if !ok || !known {
-			c.Close()
+			conn.Close()
 			continue
 		}
 		r.wg.Add(1)
-		go r.connect(c, zone, g, r.streams.Add(1))
+		go r.relayConnection(conn, zone, gateway, r.streams.Add(1))
 	}
 }
 
-// connect passes a connection on, each direction as its link has it. The dialler's connection is up at once; its first bytes wait
+// relayConnection passes a connection on, each direction as its link has it. The dialler's connection is up at once; its first bytes wait
 // for the round trip that a real one would have taken.
-func (r *Relay) connect(c net.Conn, zone, g int, number uint64) {
+func (r *Relay) relayConnection(dialer net.Conn, zone, gateway int, number uint64) {
 	defer r.wg.Done()
-	r.hold(c)
-	defer r.drop(c)
-	there, back := &Link{}, &Link{}
+	r.track(dialer)
+	defer r.untrack(dialer)
+	forward, back := &Link{}, &Link{}
 	link := func(from, to int) func() *Link {
 		if zone < 0 {
 			return func() *Link { return &Link{} }
 		}
 		return r.links[from*r.zones+to].Load
 	}
-	out, in := link(zone, r.of[g]), link(r.of[g], zone)
-	for begun := time.Now(); ; {
-		if there, back = out(), in(); !there.Cut && !back.Cut {
+	out, in := link(zone, r.zoneOf[gateway]), link(r.zoneOf[gateway], zone)
+	for start := time.Now(); ; {
+		if forward, back = out(), in(); !forward.Cut && !back.Cut {
 			break
 		}
-		if time.Since(begun) > cutTime || !r.sleep(20*time.Millisecond) {
-			r.counts[streamsCut].Add(1)
+		if time.Since(start) > cutDialTimeout || !r.sleep(20*time.Millisecond) {
+			r.counts[countStreamsCut].Add(1)
 			return
 		}
 	}
-	if !r.sleep(there.Delay + back.Delay) {
+	if !r.sleep(forward.Delay + back.Delay) {
 		return
 	}
-	d, err := net.DialTimeout("tcp4", r.ListenAddr(g).String(), time.Second)
+	receiver, err := net.DialTimeout("tcp4", r.ListenAddr(gateway).String(), time.Second)
 	if err != nil {
 		return
 	}
-	r.hold(d)
-	defer r.drop(d)
-	r.counts[streamsPassed].Add(1)
-	rnd := func(side uint64) *rand.Rand { return rand.New(rand.NewPCG(r.seed, 2*number+side)) }
-	first := make(chan struct{})
+	r.track(receiver)
+	defer r.untrack(receiver)
+	r.counts[countStreams].Add(1)
+	newRand := func(side uint64) *rand.Rand { return rand.New(rand.NewPCG(r.seed, 2*number+side)) }
+	forwardDone := make(chan struct{})
 	go func() {
-		defer close(first)
-		r.copy(d, c, out, rnd(0))
+		defer close(forwardDone)
+		r.relayDirection(receiver, dialer, out, newRand(0))
 	}()
-	r.copy(c, d, in, rnd(1))
-	<-first
+	r.relayDirection(dialer, receiver, in, newRand(1))
+	<-forwardDone
 }
 
-// copy passes bytes on in one direction until it ends.
-func (r *Relay) copy(to, from net.Conn, link func() *Link, rnd *rand.Rand) {
-	way := make(chan piece, piecesMost)
+// relayDirection passes bytes on in one direction until it ends.
+func (r *Relay) relayDirection(to, from net.Conn, link func() *Link, rng *rand.Rand) {
+	inFlight := make(chan chunk, maxChunks)
 	go func() {
-		defer close(way)
+		defer close(inFlight)
 		var last time.Time
 		for {
-			b := make([]byte, pieceSize)
+			b := make([]byte, chunkSize)
 			n, err := from.Read(b)
 			l := link()
 			wait := l.Delay
 			if l.Jitter > 0 {
-				wait += time.Duration(rnd.Int64N(int64(l.Jitter)))
+				wait += time.Duration(rng.Int64N(int64(l.Jitter)))
 			}
-			if rnd.Float64() < l.Loss {
-				wait += repeatTime
+			if rng.Float64() < l.Loss {
+				wait += retransmitDelay
 			}
 			if due := time.Now().Add(wait); due.After(last) {
 				last = due
 			}
 			select {
-			case way <- piece{due: last, b: b[:n], err: err}:
+			case inFlight <- chunk{due: last, data: b[:n], err: err}:
 			case <-r.done:
 				return
 			}
@@ -114,35 +114,35 @@
 		}
 	}()
 	ended := false
-	for p := range way {
+	for chunk := range inFlight {
 		if ended {
 			continue
 		}
-		if !r.sleep(time.Until(p.due)) || !r.whole(link) {
+		if !r.sleep(time.Until(chunk.due)) || !r.waitUncut(link) {
 			to.Close()
 			ended = true
 			continue
 		}
-		if len(p.b) > 0 {
-			if _, err := to.Write(p.b); err != nil {
+		if len(chunk.data) > 0 {
+			if _, err := to.Write(chunk.data); err != nil {
 				from.Close()
 				ended = true
 				continue
 			}
 		}
 		switch {
-		case p.err == io.EOF:
+		case chunk.err == io.EOF:
 			if t, ok := to.(*net.TCPConn); ok {
 				_ = t.CloseWrite()
 			}
-		case p.err != nil:
+		case chunk.err != nil:
 			to.Close()
 		}
 	}
 }
 
-// whole waits until a link is not cut; false: the relay is closed.
-func (r *Relay) whole(link func() *Link) bool {
+// waitUncut waits until a link is not cut; false: the relay is closed.
+func (r *Relay) waitUncut(link func() *Link) bool {
 	for link().Cut {
 		if !r.sleep(20 * time.Millisecond) {
 			return false
@@ -165,20 +165,20 @@
 	}
 }
 
-func (r *Relay) hold(c net.Conn) {
+func (r *Relay) track(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns[c] = true
+	r.conns[conn] = true
 	select {
 	case <-r.done:
-		c.Close()
+		conn.Close()
 	default:
 	}
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
-	c.Close()
+	delete(r.conns, conn)
+	conn.Close()
 }
--- a/internal/wan/thread_test.go
+++ b/internal/wan/thread_test.go
@@ -30,7 +30,7 @@
 
 // A relay that closes takes no processes along: the system kills one that was started with a parent-death signal when the
 // thread that started it ends, though the process of that thread lives on.
-func TestScaleRelayTakesNoProcessesAlong(t *testing.T) {
+func TestScaleRelayCloseKeepsChildProcesses(t *testing.T) {
 	const threads = 24
 	var mu sync.Mutex
 	var started []*exec.Cmd
--- a/internal/wan/wan.go
+++ b/internal/wan/wan.go
@@ -30,9 +30,9 @@
 
 // The second byte of addresses.
 const (
-	ofGateways = 20
-	ofAny      = 99 // the relay, for senders of any zone: a datagram's source tells it
-	ofZones    = 100
+	gatewayFamily   = 20
+	anyZoneFamily   = 99 // the relay, for senders of any zone: a datagram's source tells it
+	firstZoneFamily = 100
 )
 
 // Link is what happens on the way from one zone to another.
@@ -52,54 +52,54 @@
 
 // Relay is the network.
 type Relay struct {
-	zones int
-	of    []int // the zone of each gateway
-	links []atomic.Pointer[Link]
-	port  uint16 // of the relay
-	own   uint16 // of the gateways
-
-	fd, wake int
-	ln       net.Listener
-	reserved []interface{ Close() error }
-	loop     *loop
-	late     lateness
-	counts   [countKinds]atomic.Uint64
-	seed     uint64
-	streams  atomic.Uint64
-	mu       sync.Mutex // of conns alone
-	conns    map[net.Conn]bool
-	done     chan struct{}
-	wg       sync.WaitGroup
+	zones       int
+	zoneOf      []int // the zone of each gateway
+	links       []atomic.Pointer[Link]
+	relayPort   uint16 // of the relay
+	gatewayPort uint16 // of the gateways
+
+	fd, wakeFD int
+	listener   net.Listener
+	reserved   []interface{ Close() error }
+	loop       *loop
+	lateness   lateness
+	counts     [countKinds]atomic.Uint64
+	seed       uint64
+	streams    atomic.Uint64
+	mu         sync.Mutex // of conns alone
+	conns      map[net.Conn]bool
+	done       chan struct{}
+	wg         sync.WaitGroup
 }
 
 const (
-	passed = iota
-	lost
-	cut
-	foreign
-	large
-	unsent
-	bytesPassed
-	streamsPassed
-	streamsCut
+	countForwarded = iota
+	countLost
+	countCut
+	countMisaddressed
+	countOversized
+	countUnsent
+	countBytes
+	countStreams
+	countStreamsCut
 	countKinds
 )
 
 // Open starts a relay for gateways, of each of which the zone is given.
-func Open(zones int, of []int, seed uint64) (*Relay, error) {
-	if zones < 1 || zones > MaxZones || len(of) > MaxGateways {
-		return nil, fmt.Errorf("relay: %d zones and %d gateways; 1 to %d and up to %d would do", zones, len(of), MaxZones, MaxGateways)
+func Open(zones int, zoneOf []int, seed uint64) (*Relay, error) {
+	if zones < 1 || zones > MaxZones || len(zoneOf) > MaxGateways {
+		return nil, fmt.Errorf("relay: %d zones and %d gateways; 1 to %d and up to %d would do", zones, len(zoneOf), MaxZones, MaxGateways)
 	}
-	for g, z := range of {
+	for g, z := range zoneOf {
 		if z < 0 || z >= zones {
 			return nil, fmt.Errorf("relay: gateway %d is in zone %d of %d", g, z, zones)
 		}
 	}
-	r := &Relay{zones: zones, of: of, links: make([]atomic.Pointer[Link], zones*zones), seed: seed, conns: map[net.Conn]bool{}, done: make(chan struct{}), fd: -1, wake: -1}
+	r := &Relay{zones: zones, zoneOf: zoneOf, links: make([]atomic.Pointer[Link], zones*zones), seed: seed, conns: map[net.Conn]bool{}, done: make(chan struct{}), fd: -1, wakeFD: -1}
 	for i := range r.links {
 		r.links[i].Store(&Link{})
 	}
-	if err := errors.Join(r.reserve(), r.listen()); err != nil {
+	if err := errors.Join(r.reservePort(), r.openSockets()); err != nil {
 		r.closeSockets()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
@@ -109,12 +109,12 @@
 		defer r.wg.Done()
 		r.loop.run()
 	}()
-	go r.accept()
+	go r.acceptConnections()
 	return r, nil
 }
 
-// reserve finds the port of the gateways: nobody else gets it while the relay is open.
-func (r *Relay) reserve() error {
+// reservePort finds the port of the gateways: nobody else gets it while the relay is open.
+func (r *Relay) reservePort() error {
 	var err error
 	for range 8 { // a port may be free for one kind and taken for the other
 		var ln net.Listener
@@ -127,24 +127,24 @@
 			continue
 		}
 		r.reserved = append(r.reserved, ln, udp)
-		r.own = uint16(ln.Addr().(*net.TCPAddr).Port)
+		r.gatewayPort = uint16(ln.Addr().(*net.TCPAddr).Port)
 		return nil
 	}
 	return err
 }
 
-// listen opens the relay's two sockets at every address of the loopback interface and of no other.
-func (r *Relay) listen() (err error) {
+// openSockets opens the relay's two sockets at every address of the loopback interface and of no other.
+func (r *Relay) openSockets() (err error) {
 	const buffer = 16 << 20 // as much of it as the system gives
 	for range 8 {
 		config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			return errors.Join(c.Control(func(fd uintptr) { err = unix.BindToDevice(int(fd), "lo") }), err)
 		}}
-		if r.ln, err = config.Listen(context.Background(), "tcp4", "0.0.0.0:0"); err != nil {
+		if r.listener, err = config.Listen(context.Background(), "tcp4", "0.0.0.0:0"); err != nil {
 			return err
 		}
-		r.port = uint16(r.ln.Addr().(*net.TCPAddr).Port)
+		r.relayPort = uint16(r.listener.Addr().(*net.TCPAddr).Port)
 		if r.fd, err = unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0); err != nil {
 			return err
 		}
@@ -156,13 +156,13 @@
 		if err != nil {
 			return err
 		}
-		if err = unix.Bind(r.fd, &unix.SockaddrInet4{Port: int(r.port)}); err == nil {
-			r.wake, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+		if err = unix.Bind(r.fd, &unix.SockaddrInet4{Port: int(r.relayPort)}); err == nil {
+			r.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 			return err
 		}
 		unix.Close(r.fd)
-		r.ln.Close()
-		r.fd, r.ln = -1, nil
+		r.listener.Close()
+		r.fd, r.listener = -1, nil
 	}
 	return err
 }
@@ -172,34 +172,34 @@
 	return [4]byte{127, byte(family), byte(g / 250), byte(g%250 + 1)}
 }
 
-// gateway is the reverse: which it is, and the family. False: it is none.
-func (r *Relay) gateway(a [4]byte) (family, g int, ok bool) {
+// parseAddress is the reverse: which it is, and the family. False: it is none.
+func (r *Relay) parseAddress(a [4]byte) (family, g int, ok bool) {
 	g = int(a[2])*250 + int(a[3]) - 1
-	return int(a[1]), g, a[0] == 127 && a[3] >= 1 && a[3] <= 250 && g < len(r.of)
+	return int(a[1]), g, a[0] == 127 && a[3] >= 1 && a[3] <= 250 && g < len(r.zoneOf)
 }
 
-// from is the zone that an address of the relay stands for; -1: any. False: it stands for none.
-func (r *Relay) from(family int) (zone int, ok bool) {
-	if family == ofAny {
+// senderZone is the zone that an address of the relay stands for; -1: any. False: it stands for none.
+func (r *Relay) senderZone(family int) (zone int, ok bool) {
+	if family == anyZoneFamily {
 		return -1, true
 	}
-	return family - ofZones, family >= ofZones && family < ofZones+r.zones
+	return family - firstZoneFamily, family >= firstZoneFamily && family < firstZoneFamily+r.zones
 }
 
 // ListenAddr is where gateway g is to listen for others.
 func (r *Relay) ListenAddr(g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(ofGateways, g)), r.own)
+	return netip.AddrPortFrom(netip.AddrFrom4(address(gatewayFamily, g)), r.gatewayPort)
 }
 
 // DialAddr is where a gateway in a zone finds gateway g.
 func (r *Relay) DialAddr(zone, g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(ofZones+zone, g)), r.port)
+	return netip.AddrPortFrom(netip.AddrFrom4(address(firstZoneFamily+zone, g)), r.relayPort)
 }
 
 // AdvertiseAddr is where gateways of any zone find g. A connection there has no delay and is never cut, as nothing tells from which
 // zone it comes.
 func (r *Relay) AdvertiseAddr(g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(ofAny, g)), r.port)
+	return netip.AddrPortFrom(netip.AddrFrom4(address(anyZoneFamily, g)), r.relayPort)
 }
 
 // SetLink says what happens on the way from one zone to another from now on. What is on its way already arrives as it was.
@@ -219,16 +219,16 @@
 func (r *Relay) Counts() Counts {
 	n := func(kind int) uint64 { return r.counts[kind].Load() }
 	return Counts{
-		Forwarded: n(passed), Lost: n(lost), Cut: n(cut), Misaddressed: n(foreign), Oversized: n(large), Unsent: n(unsent), Bytes: n(bytesPassed),
-		Overflowed: r.overflowed(), Streams: n(streamsPassed), StreamsCut: n(streamsCut),
+		Forwarded: n(countForwarded), Lost: n(countLost), Cut: n(countCut), Misaddressed: n(countMisaddressed), Oversized: n(countOversized), Unsent: n(countUnsent), Bytes: n(countBytes),
+		Overflowed: r.overflowed(), Streams: n(countStreams), StreamsCut: n(countStreamsCut),
 	}
 }
 
 // Close ends the relay and all connections over it.
 func (r *Relay) Close() {
 	close(r.done)
-	_, _ = unix.Write(r.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
-	r.ln.Close()
+	_, _ = unix.Write(r.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	r.listener.Close()
 	r.mu.Lock()
 	for c := range r.conns {
 		c.Close()
@@ -239,10 +239,10 @@
 }
 
 func (r *Relay) closeSockets() {
-	if r.ln != nil {
-		r.ln.Close()
+	if r.listener != nil {
+		r.listener.Close()
 	}
-	for _, fd := range []int{r.fd, r.wake} {
+	for _, fd := range []int{r.fd, r.wakeFD} {
 		if fd >= 0 {
 			unix.Close(fd)
 		}
--- a/internal/wan/wan_test.go
+++ b/internal/wan/wan_test.go
@@ -19,7 +19,7 @@
 	*net.UDPConn
 }
 
-func open(t *testing.T, zones int, of []int, seed uint64) (*Relay, []socket) {
+func openRelay(t *testing.T, zones int, of []int, seed uint64) (*Relay, []socket) {
 	r, err := Open(zones, of, seed)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -34,15 +34,15 @@
 	return r, list
 }
 
-func (s socket) say(to netip.AddrPort, text string) {
+func (s socket) send(to netip.AddrPort, text string) {
 	_, err := s.WriteToUDPAddrPort([]byte(text), to)
 	require.NoError(s.t, err)
 }
 
-// hear returns what comes next; empty: nothing does for so long.
-func (s socket) hear(patience time.Duration) (string, netip.AddrPort) {
-	var b [most]byte
-	_ = s.SetReadDeadline(time.Now().Add(patience))
+// receive returns what comes next; empty: nothing does for so long.
+func (s socket) receive(timeout time.Duration) (string, netip.AddrPort) {
+	var b [maxDatagram]byte
+	_ = s.SetReadDeadline(time.Now().Add(timeout))
 	n, from, err := s.ReadFromUDPAddrPort(b[:])
 	if err != nil {
 		return "", netip.AddrPort{}
@@ -51,32 +51,32 @@
 }
 
 const (
-	soon  = 5 * time.Second // by when what has to come comes, on a busy machine too
-	quiet = 150 * time.Millisecond
+	receiveTimeout = 5 * time.Second // by when what has to come comes, on a busy machine too
+	silenceTime    = 150 * time.Millisecond
 )
 
 func TestScaleRelayNamesTheSender(t *testing.T) {
-	r, s := open(t, 2, []int{0, 0, 1}, 1)
+	r, s := openRelay(t, 2, []int{0, 0, 1}, 1)
 	for round := range 3 {
 		for g := range 2 {
-			s[g].say(r.DialAddr(0, 2), fmt.Sprint(g, round))
-			text, from := s[2].hear(soon)
+			s[g].send(r.DialAddr(0, 2), fmt.Sprint(g, round))
+			text, from := s[2].receive(receiveTimeout)
 			assert.Equal(t, fmt.Sprint(g, round), text)
 			assert.Equal(t, r.ListenAddr(g).Addr(), from.Addr(), "the source tells who sent it")
 		}
 	}
-	s[0].say(r.AdvertiseAddr(2), "any")
-	text, from := s[2].hear(soon)
+	s[0].send(r.AdvertiseAddr(2), "any")
+	text, from := s[2].receive(receiveTimeout)
 	assert.Equal(t, "any", text)
 	assert.Equal(t, r.ListenAddr(0).Addr(), from.Addr())
 	// Who names the address of another zone, or is none of the gateways, is not passed on.
-	s[0].say(r.DialAddr(1, 2), "wrong zone")
+	s[0].send(r.DialAddr(1, 2), "wrong zone")
 	c, err := net.Dial("udp4", r.DialAddr(0, 2).String())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("stranger"))
 	require.NoError(t, err)
-	text, _ = s[2].hear(quiet)
+	text, _ = s[2].receive(silenceTime)
 	assert.Empty(t, text)
 	assert.Equal(t, uint64(2), r.Counts().Misaddressed)
 	assert.Equal(t, uint64(7), r.Counts().Forwarded)
@@ -84,104 +84,104 @@
 
 // Each ordered pair has its own delay, and what goes the other way or elsewhere has none of it.
 func TestScaleRelayDelays(t *testing.T) {
-	r, s := open(t, 2, []int{0, 1, 0}, 1)
+	r, s := openRelay(t, 2, []int{0, 1, 0}, 1)
 	const delay, jitter = 200 * time.Millisecond, 50 * time.Millisecond
 	r.SetLink(0, 1, Link{Delay: delay})
-	begun := time.Now()
+	start := time.Now()
 	for i := range 50 {
-		s[0].say(r.DialAddr(0, 1), fmt.Sprint(i))
+		s[0].send(r.DialAddr(0, 1), fmt.Sprint(i))
 	}
-	s[1].say(r.DialAddr(1, 0), "back")
-	s[0].say(r.DialAddr(0, 2), "beside")
-	text, _ := s[0].hear(soon)
+	s[1].send(r.DialAddr(1, 0), "back")
+	s[0].send(r.DialAddr(0, 2), "beside")
+	text, _ := s[0].receive(receiveTimeout)
 	assert.Equal(t, "back", text)
-	text, _ = s[2].hear(soon)
+	text, _ = s[2].receive(receiveTimeout)
 	assert.Equal(t, "beside", text)
-	assert.Less(t, time.Since(begun), delay, "neither waits for the pair that is slow")
+	assert.Less(t, time.Since(start), delay, "neither waits for the pair that is slow")
 	for i := range 50 {
-		text, _ = s[1].hear(soon)
+		text, _ = s[1].receive(receiveTimeout)
 		require.Equal(t, fmt.Sprint(i), text, "equal delays keep the order")
-		require.GreaterOrEqual(t, time.Since(begun), delay)
+		require.GreaterOrEqual(t, time.Since(start), delay)
 	}
 	r.SetLink(0, 1, Link{Delay: delay, Jitter: jitter})
-	begun = time.Now()
+	start = time.Now()
 	for i := range 200 {
-		s[0].say(r.DialAddr(0, 1), fmt.Sprint(i))
+		s[0].send(r.DialAddr(0, 1), fmt.Sprint(i))
 	}
 	sent, order, last := time.Now(), true, -1
 	for range 200 {
-		text, _ = s[1].hear(soon)
+		text, _ = s[1].receive(receiveTimeout)
 		var i int
 		_, err := fmt.Sscan(text, &i)
 		require.NoError(t, err)
 		order, last = order && i > last, i
-		require.GreaterOrEqual(t, time.Since(begun), delay)
+		require.GreaterOrEqual(t, time.Since(start), delay)
 	}
 	assert.False(t, order, "each has a jitter of its own")
 	late := r.Lateness(Lateness{})
 	assert.Equal(t, uint64(252), late.Count)
-	assert.Less(t, time.Since(sent), delay+jitter+late.Max+soon/10, "and none waits for longer than it and what the relay owns to")
+	assert.Less(t, time.Since(sent), delay+jitter+late.Max+receiveTimeout/10, "and none waits for longer than it and what the relay owns to")
 }
 
-// lose sends so many numbers and returns those that come.
-func lose(t *testing.T, seed uint64, n int) (there, back []uint32, lost uint64) {
-	r, s := open(t, 2, []int{0, 1}, seed)
+// exchange sends so many numbers and returns those that come.
+func exchange(t *testing.T, seed uint64, n int) (forward, back []uint32, lost uint64) {
+	r, s := openRelay(t, 2, []int{0, 1}, seed)
 	r.SetLink(0, 1, Link{Loss: 0.3})
 	var b [4]byte
-	// read takes in what comes until all that was said so far is accounted for, however long this machine takes.
-	read := func(s socket, said, before uint64) (got []uint32) {
-		for late := time.Now().Add(soon); ; {
+	// receiveAll takes in what comes until all that was said so far is accounted for, however long this machine takes.
+	receiveAll := func(s socket, sent, before uint64) (got []uint32) {
+		for deadline := time.Now().Add(receiveTimeout); ; {
 			c := r.Counts()
-			if c.Forwarded+c.Lost+c.Overflowed >= said && c.Forwarded-before == uint64(len(got)) || time.Now().After(late) {
+			if c.Forwarded+c.Lost+c.Overflowed >= sent && c.Forwarded-before == uint64(len(got)) || time.Now().After(deadline) {
 				return got
 			}
-			if text, _ := s.hear(quiet); text != "" {
+			if text, _ := s.receive(silenceTime); text != "" {
 				got = append(got, binary.BigEndian.Uint32([]byte(text)))
 			}
 		}
 	}
 	for i := range n {
 		binary.BigEndian.PutUint32(b[:], uint32(i))
-		s[0].say(r.DialAddr(0, 1), string(b[:]))
+		s[0].send(r.DialAddr(0, 1), string(b[:]))
 	}
-	there = read(s[1], uint64(n), 0)
+	forward = receiveAll(s[1], uint64(n), 0)
 	for i := range n {
 		binary.BigEndian.PutUint32(b[:], uint32(i))
-		s[1].say(r.DialAddr(1, 0), string(b[:]))
+		s[1].send(r.DialAddr(1, 0), string(b[:]))
 	}
-	back = read(s[0], uint64(2*n), uint64(len(there)))
+	back = receiveAll(s[0], uint64(2*n), uint64(len(forward)))
 	assert.Zero(t, r.Counts().Overflowed)
-	return there, back, r.Counts().Lost
+	return forward, back, r.Counts().Lost
 }
 
 func TestScaleRelayLosesByItsSeed(t *testing.T) {
 	const n = 1000
-	there, back, lost := lose(t, 7, n)
+	forward, back, lost := exchange(t, 7, n)
 	assert.Len(t, back, n, "the other direction loses nothing")
-	assert.Equal(t, n-len(there), int(lost))
+	assert.Equal(t, n-len(forward), int(lost))
 	assert.InDelta(t, 0.3*n, float64(lost), 0.06*n) // four times its spread
-	again, _, _ := lose(t, 7, n)
-	assert.Equal(t, there, again)
-	other, _, _ := lose(t, 8, n)
-	assert.NotEqual(t, there, other)
+	again, _, _ := exchange(t, 7, n)
+	assert.Equal(t, forward, again)
+	other, _, _ := exchange(t, 8, n)
+	assert.NotEqual(t, forward, other)
 }
 
 func TestScaleRelayCuts(t *testing.T) {
-	r, s := open(t, 3, []int{0, 1, 2}, 1)
+	r, s := openRelay(t, 3, []int{0, 1, 2}, 1)
 	r.SetLink(0, 1, Link{Delay: time.Millisecond})
 	r.SetCut(0, 1, true)
-	s[0].say(r.DialAddr(0, 1), "lost")
-	s[1].say(r.DialAddr(1, 0), "back")
-	s[0].say(r.DialAddr(0, 2), "beside")
-	text, _ := s[0].hear(soon)
+	s[0].send(r.DialAddr(0, 1), "lost")
+	s[1].send(r.DialAddr(1, 0), "back")
+	s[0].send(r.DialAddr(0, 2), "beside")
+	text, _ := s[0].receive(receiveTimeout)
 	assert.Equal(t, "back", text)
-	text, _ = s[2].hear(soon)
+	text, _ = s[2].receive(receiveTimeout)
 	assert.Equal(t, "beside", text)
-	text, _ = s[1].hear(quiet)
+	text, _ = s[1].receive(silenceTime)
 	assert.Empty(t, text)
 	r.SetCut(0, 1, false)
-	s[0].say(r.DialAddr(0, 1), "healed")
-	text, _ = s[1].hear(soon)
+	s[0].send(r.DialAddr(0, 1), "healed")
+	text, _ = s[1].receive(receiveTimeout)
 	assert.Equal(t, "healed", text, "and what came during the cut does not come after it")
 	assert.Equal(t, time.Millisecond, r.Link(0, 1).Delay)
 	assert.Equal(t, uint64(1), r.Counts().Cut)
@@ -189,14 +189,14 @@
 
 // A connection has the delays of both directions, stands still while it is cut, and goes on with all its bytes.
 func TestScaleRelayStreams(t *testing.T) {
-	r, _ := open(t, 2, []int{0, 1}, 1)
+	r, _ := openRelay(t, 2, []int{0, 1}, 1)
 	const there, back = 100 * time.Millisecond, 50 * time.Millisecond
 	r.SetLink(0, 1, Link{Delay: there})
 	r.SetLink(1, 0, Link{Delay: back})
 	ln, err := net.Listen("tcp4", r.ListenAddr(1).String())
 	require.NoError(t, err)
 	defer ln.Close()
-	begun := time.Now()
+	start := time.Now()
 	c, err := net.Dial("tcp4", r.DialAddr(0, 1).String())
 	require.NoError(t, err)
 	defer c.Close()
@@ -209,23 +209,23 @@
 	_, err = io.ReadFull(d, b)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(b))
-	assert.GreaterOrEqual(t, time.Since(begun), 2*there+back, "a round trip to open it, and the way")
-	begun = time.Now()
+	assert.GreaterOrEqual(t, time.Since(start), 2*there+back, "a round trip to open it, and the way")
+	start = time.Now()
 	_, err = d.Write([]byte("world"))
 	require.NoError(t, err)
 	_, err = io.ReadFull(c, b)
 	require.NoError(t, err)
 	assert.Equal(t, "world", string(b))
-	assert.GreaterOrEqual(t, time.Since(begun), back)
+	assert.GreaterOrEqual(t, time.Since(start), back)
 
 	r.SetCut(0, 1, true)
 	_, err = c.Write([]byte("still"))
 	require.NoError(t, err)
-	require.NoError(t, d.SetReadDeadline(time.Now().Add(there+quiet)))
+	require.NoError(t, d.SetReadDeadline(time.Now().Add(there+silenceTime)))
 	_, err = io.ReadFull(d, b)
 	assert.Error(t, err, "cut")
 	r.SetCut(0, 1, false)
-	require.NoError(t, d.SetReadDeadline(time.Now().Add(soon)))
+	require.NoError(t, d.SetReadDeadline(time.Now().Add(receiveTimeout)))
 	_, err = io.ReadFull(d, b)
 	require.NoError(t, err)
 	assert.Equal(t, "still", string(b))
@@ -234,7 +234,7 @@
 	assert.Equal(t, io.EOF, err, "its end is passed on")
 }
 
-func TestScaleRelayRefusesNonsense(t *testing.T) {
+func TestScaleRelayRefusesInvalidZones(t *testing.T) {
 	for _, of := range [][]int{{0, 2}, {-1}} {
 		_, err := Open(2, of, 1)
 		assert.ErrorContains(t, err, "is in zone")
@@ -261,7 +261,7 @@
 		require.NoError(b, err)
 		defer c.Close()
 		go func() {
-			var buf [most]byte
+			var buf [maxDatagram]byte
 			for {
 				if _, _, err := c.ReadFromUDPAddrPort(buf[:]); err != nil {
 					return
@@ -273,10 +273,10 @@
 	text := make([]byte, 500)
 	const rate = 60_000
 	b.ResetTimer()
-	begun := time.Now()
+	start := time.Now()
 	for i := range b.N {
 		if i%600 == 0 {
-			time.Sleep(time.Until(begun.Add(time.Duration(i) * time.Second / rate)))
+			time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / rate)))
 		}
 		_, _ = list[i%110].WriteToUDPAddrPort(text, r.DialAddr(i%11, (i*7+i/110)%110))
 	}
