--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan is what a load run is to do: its classes, sessions and stages, and the schedule of
-// arrivals that follows from them and a seed. It has no input or output besides the bytes of a file.
+// Package plan describes a load run: its classes, sessions and stages, and the schedule of arrivals that
+// follows from them and a seed. It does no input or output; files are passed in as bytes.
 package plan
 
 import (
@@ -14,7 +14,7 @@
 	"lilaccove/internal/yamlfile"
 )
 
-// Kind is what a class asks.
+// Kind is the kind of statement that a class sends.
 type Kind string
 
 // The kinds of statements.
@@ -24,30 +24,30 @@
 	Write       Kind = "write"
 )
 
-// Class is one kind of request.
+// Class holds the settings of one request class.
 type Class struct {
 	Name     string        `json:"name"`
 	Kind     Kind          `json:"kind"`
-	Mix      float64       `json:"mix"` // share of the arrivals
+	Mix      float64       `json:"mix"` // share of all arrivals
 	Aim      time.Duration `json:"aim_ns"`
-	Deadline time.Duration `json:"deadline_ns"` // the client gives up then
+	Deadline time.Duration `json:"deadline_ns"` // the client gives up after it
 	Worth    float64       `json:"worth"`
-	Bound    time.Duration `json:"bound_ns"` // how old a bounded read's data may be
+	Bound    time.Duration `json:"bound_ns"` // staleness bound of a bounded read
 }
 
-// Stage is a part of the run: a rate that goes along straight lines.
+// Stage is a part of the run. Its arrival rate is piecewise linear.
 type Stage struct {
 	Name     string        `json:"name"`
 	Segments []RateSegment `json:"lines"`
 }
 
-// RateSegment is a rate that goes evenly from one to another.
+// RateSegment is a rate that changes linearly. Its fields are written to JSON under their Go names.
 type RateSegment struct {
-	From, To float64 // a second
+	From, To float64 // arrivals per second
 	For      time.Duration
 }
 
-// Event is something that the stand-ins do at a moment of the run.
+// Event is an action of the lab at a given time of the run.
 type Event struct {
 	At       time.Duration `json:"at_ns"`
 	Action   string        `json:"do"`
@@ -55,78 +55,78 @@
 	Duration time.Duration `json:"for_ns"`
 	Size     time.Duration `json:"size_ns"`
 
-	Gateways     []int         `json:"gateways,omitempty"` // whom it is done to; share of all where Some
-	GatewayShare float64       `json:"some,omitempty"`
-	RestartAfter time.Duration `json:"back_ns,omitempty"` // a killed gateway starts again after so long; 0: it does not
-	From         []int         `json:"from,omitempty"`    // links; empty: all
+	Gateways     []int         `json:"gateways,omitempty"` // affected gateways, unless GatewayShare is set
+	GatewayShare float64       `json:"some,omitempty"`     // share of the gateways that are affected
+	RestartAfter time.Duration `json:"back_ns,omitempty"`  // time until a killed gateway is started again; 0: never
+	From         []int         `json:"from,omitempty"`     // gateways at the sending end of the links; empty: all
 	To           []int         `json:"to,omitempty"`
 	Link         Link          `json:"link"`
 	Sides        [][]int       `json:"sides,omitempty"`
 }
 
-// Link is what goes wrong on the way from one gateway to another.
+// Link holds the faults of the link from one gateway to another.
 type Link struct {
-	Loss      float64       `json:"loss,omitempty"` // shares of the datagrams
+	Loss      float64       `json:"loss,omitempty"` // share of the datagrams, as the next three
 	Duplicate float64       `json:"duplicate,omitempty"`
 	Reorder   float64       `json:"reorder,omitempty"`
 	Corrupt   float64       `json:"corrupt,omitempty"`
 	Delay     time.Duration `json:"delay_ns,omitempty"`
 	Jitter    time.Duration `json:"jitter_ns,omitempty"`
-	Rate      float64       `json:"rate,omitempty"` // bytes a second; 0: as fast as it goes
+	Rate      float64       `json:"rate,omitempty"` // bytes per second; 0: unlimited
 	Cut       bool          `json:"cut,omitempty"`
 }
 
-// Actions are what may be asked of the stand-ins.
+// Actions lists the actions that an event may name.
 var Actions = []string{"roll", "lag", "pause", "reset-before", "reset-after", "silence", "spoil", "errors", "fail-over",
 	"kill-gateway", "stop-gateway", "roll-gateways", "links", "partition"}
 
-// Plan is a whole run.
+// Plan describes a whole run.
 type Plan struct {
 	Seed           uint64        `json:"seed"`
 	Groups         int           `json:"groups"`
 	Keys           int           `json:"keys"`
 	Sessions       int           `json:"sessions"`
-	FollowShare    float64       `json:"follow"` // share of writes that a read of their session follows
+	FollowShare    float64       `json:"follow"` // share of writes followed by a read of the same session
 	FollowAfter    time.Duration `json:"follow_after_ns"`
 	MaxRetries     int           `json:"retries"`
 	RetryPause     time.Duration `json:"retry_pause_ns"`
-	HonourShare    float64       `json:"honour"` // share of clients that heed a retry-after
-	EvenlySpaced   bool          `json:"even"`   // arrivals are evenly spaced, not Poisson
+	HonourShare    float64       `json:"honour"` // share of refused clients that wait for the retry-after time
+	EvenlySpaced   bool          `json:"even"`   // arrivals are evenly spaced instead of Poisson
 	MaxConnections int           `json:"connections"`
-	MaxOutstanding int           `json:"outstanding"` // requests at once, those that wait for connections included
-	MaxLateness    time.Duration `json:"stall_ns"`    // lateness of the generator's own that makes a run invalid
-	MaxArrivals    int           `json:"most"`        // arrivals
+	MaxOutstanding int           `json:"outstanding"` // concurrent requests, including those waiting for a connection
+	MaxLateness    time.Duration `json:"stall_ns"`    // a generator later than this invalidates the run
+	MaxArrivals    int           `json:"most"`
 	Classes        []Class       `json:"classes"`
 	Stages         []Stage       `json:"stages"`
 	Events         []Event       `json:"events"`
 	Lab            Lab           `json:"lab"`
 }
 
-// Lab is the world of stand-ins.
+// Lab configures the gateways and the stand-in databases.
 type Lab struct {
 	Gateways          int           `json:"gateways"`
-	AnnouncedGateways int           `json:"told,omitempty"` // how many gateways there are, as those are told; 0: the truth
+	AnnouncedGateways int           `json:"told,omitempty"` // number of gateways announced to the gateways; 0: the actual one
 	Members           int           `json:"members"`
 	Cores             int           `json:"cores"`
 	Queue             int           `json:"queue"`
-	Service           time.Duration `json:"service_ns"` // mean time of a statement
+	Service           time.Duration `json:"service_ns"` // mean time per statement
 	Delay             string        `json:"delay"`      // constant or exponential
 	Lag               time.Duration `json:"lag_ns"`     // of replicas
 	SlowStart         time.Duration `json:"cold_ns"`
-	Fleet             bool          `json:"fleet"`            // gateways have a fleet file, and relays between them
-	Budget            int           `json:"budget,omitempty"` // connections of all gateways to each database; 0: not divided
+	Fleet             bool          `json:"fleet"`            // gateways have a fleet file and are linked by relays
+	Budget            int           `json:"budget,omitempty"` // connections of all gateways to each database; 0: no shared budget
 	Lease             time.Duration `json:"lease_ns,omitempty"`
 	Subsets           bool          `json:"subsets,omitempty"`
-	Positions         bool          `json:"positions,omitempty"` // gateways tell each other of them
-	Primaries         bool          `json:"primaries,omitempty"` // likewise, of who answers as primary
-	MaxBytesPerSecond int           `json:"bytes,omitempty"`     // a second that either may send; 0: not bounded
-	Audit             bool          `json:"audit,omitempty"`     // gateways keep files of records
-	RetryShare        float64       `json:"repeats,omitempty"`   // of attempts, as a share of first ones; 0: not bounded
-	OverrideLifetime  time.Duration `json:"words,omitempty"`     // gateways keep operators' words on a disk, for so long; 0: they do not
-	FenceAfter        time.Duration `json:"fence,omitempty"`     // behind for so long a gateway shuts itself out; 0: never
+	Positions         bool          `json:"positions,omitempty"` // gateways gossip replication positions
+	Primaries         bool          `json:"primaries,omitempty"` // gateways gossip which database answers as primary
+	MaxBytesPerSecond int           `json:"bytes,omitempty"`     // fleet traffic that each gateway may send; 0: unlimited
+	Audit             bool          `json:"audit,omitempty"`     // gateways write audit files
+	RetryShare        float64       `json:"repeats,omitempty"`   // retry budget, as a share of first attempts; 0: unlimited
+	OverrideLifetime  time.Duration `json:"words,omitempty"`     // how long gateways keep operator overrides on disk; 0: they do not
+	FenceAfter        time.Duration `json:"fence,omitempty"`     // a gateway fences itself after lagging this long; 0: never
 }
 
-// Duration is how long the stages take.
+// Duration returns the total duration of the stages.
 func (p *Plan) Duration() (d time.Duration) {
 	for _, s := range p.Stages {
 		d += s.Duration()
@@ -134,7 +134,7 @@
 	return d
 }
 
-// Duration is how long the stage takes.
+// Duration returns the duration of the stage.
 func (s *Stage) Duration() (d time.Duration) {
 	for _, l := range s.Segments {
 		d += l.For
@@ -142,10 +142,10 @@
 	return d
 }
 
-// reader reads a plan.
+// reader reads the sections of a plan file.
 type reader struct{ *yamlfile.Reader }
 
-// Parse reads a plan. Everything that is wrong with it is told at once, with its place.
+// Parse reads a plan. The error lists everything that is wrong with the file, each with its line and column.
 func Parse(file string, text []byte) (*Plan, error) {
 	base, root, err := yamlfile.Parse(file, text, "plan")
 	if err != nil {
@@ -219,10 +219,10 @@
 
 func (r *reader) readClasses(p *Plan, node, root *yaml.Node) {
 	if node == nil {
-		r.AddError(root, "classes", "none are given")
+		r.AddError(root, "classes", "no classes are given")
 		return
 	}
-	r.Fields(node, "classes") // duplicates
+	r.Fields(node, "classes") // reports duplicate names
 	mixSum := 0.0
 	for i := 0; node.Kind == yaml.MappingNode && i+1 < len(node.Content); i += 2 {
 		name, classNode := node.Content[i].Value, node.Content[i+1]
@@ -256,7 +256,7 @@
 			r.AddError(fields["aim"], "aim", "later than the deadline")
 		}
 		if strings.ContainsAny(name, " ,=*/'") || name == "" {
-			r.AddError(node.Content[i], name, "a class is named without spaces, commas, quotes, =, * and /")
+			r.AddError(node.Content[i], name, "a class name must not be empty or contain spaces, commas, quotes, =, * or /")
 		}
 		mixSum += class.Mix
 		p.Classes = append(p.Classes, class)
@@ -271,7 +271,7 @@
 		if node == nil {
 			node = root
 		}
-		r.AddError(node, "stages", "a list of at least one stage is wanted")
+		r.AddError(node, "stages", "must be a list of at least one stage")
 		return
 	}
 	for i, stageNode := range node.Content {
@@ -285,7 +285,7 @@
 		require := func(key string) *yaml.Node {
 			used[key] = true
 			if fields[key] == nil {
-				r.AddError(stageNode, key, "missing; a stage of shape %q wants it", shape)
+				r.AddError(stageNode, key, "missing; a stage of shape %q requires it", shape)
 			}
 			return fields[key]
 		}
@@ -294,7 +294,7 @@
 			field := require(key)
 			d := r.Duration(field, key)
 			if field != nil && d <= 0 && len(r.Errors) == 0 {
-				r.AddError(field, key, "a stage of no length")
+				r.AddError(field, key, "the stage must last longer than 0 s")
 			}
 			return d
 		}
@@ -317,7 +317,7 @@
 			rates := require("rates")
 			d := readDuration("for")
 			if rates != nil && (rates.Kind != yaml.SequenceNode || len(rates.Content) == 0) {
-				r.AddError(rates, "rates", "a list of rates is wanted")
+				r.AddError(rates, "rates", "must be a list of rates")
 			} else if rates != nil {
 				for _, x := range rates.Content {
 					y := r.Rate(x, "rates")
@@ -344,7 +344,7 @@
 		return
 	}
 	if node.Kind != yaml.SequenceNode {
-		r.AddError(node, "events", "a list is wanted")
+		r.AddError(node, "events", "must be a list")
 		return
 	}
 	for _, eventNode := range node.Content {
@@ -374,7 +374,7 @@
 	}
 }
 
-// readFleetEvent reads what events do to gateways and to the links between them.
+// readFleetEvent reads the fields of an event that concern gateways and the links between them.
 func (r *reader) readFleetEvent(fields map[string]*yaml.Node, eventNode *yaml.Node, event *Event) {
 	if n := fields["gateways"]; n != nil && n.Kind == yaml.ScalarNode {
 		event.GatewayShare = r.Percentage(n, "gateways")
@@ -404,20 +404,20 @@
 	event.Link.Cut = r.Bool(fields["cut"], "cut")
 	if n := fields["sides"]; n != nil {
 		if n.Kind != yaml.SequenceNode || len(n.Content) < 2 {
-			r.AddError(n, "sides", "two lists or more are wanted, like [[0, 1], [2, 3]]")
+			r.AddError(n, "sides", "must be two or more lists, like [[0, 1], [2, 3]]")
 		} else {
 			for _, side := range n.Content {
 				event.Sides = append(event.Sides, r.readGatewayNumbers(side, "sides"))
 			}
 		}
 	} else if event.Action == "partition" {
-		r.AddError(eventNode, "sides", "missing; a partition wants them")
+		r.AddError(eventNode, "sides", "missing; a partition requires it")
 	}
 }
 
 func (r *reader) readGatewayNumbers(node *yaml.Node, key string) (list []int) {
 	if node != nil && node.Kind != yaml.SequenceNode {
-		r.AddError(node, key, "a list of numbers of gateways is wanted, like [0, 2]")
+		r.AddError(node, key, "must be a list of gateway numbers, like [0, 2]")
 		return nil
 	}
 	if node != nil {
@@ -464,7 +464,7 @@
 			}
 		}
 		if (event.Action == "links" || event.Action == "partition") && !p.Lab.Fleet {
-			r.AddError(node, "events", "event %d is about links between gateways; the lab wants fleet: true for that", i+1)
+			r.AddError(node, "events", "event %d concerns links between gateways, which require fleet: true in the lab", i+1)
 		}
 	}
 	if s, ok := r.Text(fields["delay"], "delay"); ok {
--- a/internal/load/plan/plan_test.go
+++ b/internal/load/plan/plan_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, []string{"warm", "2", "3", "4", "5"}, []string{p.Stages[0].Name, p.Stages[1].Name, p.Stages[2].Name, p.Stages[3].Name, p.Stages[4].Name})
 }
 
-// What is wrong is told with its line and column, all of it at once.
+// The error lists everything that is wrong, each with its line and column.
 func TestBadPlans(t *testing.T) {
 	swap := func(old, new string) string { return strings.Replace(goodPlan, old, new, 1) }
 	tests := []struct{ name, text, want string }{
@@ -56,19 +56,19 @@
 		{"not a number", swap("aim: 500 ms", "aim: .nan"), "is no figure"},
 		{"negative", swap("rate: 100/s", "rate: -100/s"), `p.yaml:9:41: rate: "-100/s" is below zero`},
 		{"rate without unit", swap("rate: 100/s", "rate: 100"), `"100" has no unit`},
-		{"stage of no length", swap("for: 5 s", "for: 0 s"), "p.yaml:9:53: for: a stage of no length"},
+		{"stage of no length", swap("for: 5 s", "for: 0 s"), "p.yaml:9:53: for: the stage must last longer than 0 s"},
 		{"missing length", swap(", for: 5 s", ""), "for: missing"},
 		{"unused", swap("shape: pause, for", "shape: pause, rate: 1/s, for"), "does not use it"},
 		{"shape", swap("shape: ramp", "shape: hill"), `"hill" is not constant`},
 		{"mix", swap("mix: 20%", "mix: 30%"), "p.yaml:5:3: classes: the mix adds up to 110%, not to 100%"},
 		{"mix over one", swap("mix: 20%", "mix: 120%"), "over 100%"},
-		{"aim behind the deadline", swap("deadline: 1200 ms", "deadline: 100 ms"), "later than the deadline"},
+		{"aim after the deadline", swap("deadline: 1200 ms", "deadline: 100 ms"), "later than the deadline"},
 		{"kind", swap("kind: write", "kind: delete"), `"delete" is not bounded-read`},
 		{"no kind", swap("kind: write, ", ""), "write: kind is missing"},
 		{"fraction", swap("groups: 3", "groups: 2.5"), "a whole number from 1 to 1000 is wanted"},
 		{"event", swap("do: roll", "do: burn"), `"burn" is not one of`},
 		{"alias", swap("groups: 3", "groups: &a 3\nkeys: *a"), "aliases are not read"},
-		{"no stages", goodPlan[:strings.Index(goodPlan, "stages:")], "a list of at least one stage"},
+		{"no stages", goodPlan[:strings.Index(goodPlan, "stages:")], "must be a list of at least one stage"},
 		{"a list for a mapping", swap("{count: 50, follow: 60%, after: 300 ms}", "[1]"), "a mapping of names"},
 	}
 	for _, tt := range tests {
@@ -81,8 +81,7 @@
 	assert.Len(t, err, 3, "all at once")
 }
 
-// The same plan gives the same schedule; the number of arrivals follows the integral of the rate, within each part of a
-// stage as well, and never jumps.
+// The same plan gives the same schedule. The number of arrivals follows the integral of the rate, also within a stage.
 func TestSchedule(t *testing.T) {
 	for _, arrivals := range []string{"even", "poisson"} {
 		p := parse(t, goodPlan+"arrivals: "+arrivals+"\n")
@@ -175,11 +174,11 @@
 	const head = "time,class,group,key,kind\n"
 	for _, tt := range []struct{ text, want string }{
 		{"", "t: the trace is empty"}, {head, "t: the trace is empty"},
-		{"when,class\n", "t:1:1: the first line names when,class"},
-		{head + "1,write,0,1,write\n0.5,write,0,1,write\n", "t:3:1: time: 0.5 goes back behind 1"},
-		{head + "1,other,0,1,\n", `t:2:3: class: the plan has no "other"`},
-		{head + "1,write,9,1,\n", "t:2:9: group: 9 is not one of the plan's 3"},
-		{head + "1,write,x,1,\n", `t:2:9: group: "x" is no number`},
+		{"when,class\n", "t:1:1: the header line is when,class"},
+		{head + "1,write,0,1,write\n0.5,write,0,1,write\n", "t:3:1: time: 0.5 is before the previous row's 1"},
+		{head + "1,other,0,1,\n", `t:2:3: class: "other" is not a class of the plan`},
+		{head + "1,write,9,1,\n", "t:2:9: group: 9 is not one of the plan's 3 groups"},
+		{head + "1,write,x,1,\n", `t:2:9: group: "x" is not a number`},
 		{head + "1,write,0,1,session-read\n", "t:2:13: kind"},
 		{head + "NaN,write,0,1,\n", "t:2:1: time"},
 		{head + "1,write,0\n", "t:2:1: wrong number of fields"},
--- a/internal/load/plan/trace.go
+++ b/internal/load/plan/trace.go
@@ -17,9 +17,10 @@
 	"lilaccove/internal/yamlfile"
 )
 
-// traceColumns are those of a trace; the last two may be empty.
+// traceColumns are the columns of a trace. Group, key and kind may be empty.
 var traceColumns = []string{"time", "class", "group", "key", "kind"}
 
+// traceRow is one recorded request.
 type traceRow struct {
 	Time  *float64 `json:"time"` // seconds
 	Class string   `json:"class"`
@@ -28,14 +29,14 @@
 	Kind  string   `json:"kind"`
 }
 
-// ParseTrace reads recorded arrivals in place of a schedule: CSV with a first line of names, or JSON lines. Time
-// is divided by speed; of the rows a share is kept, or each comes several times, drawn from the plan's seed. The
-// trace is one stage. Everything wrong with it is told with file, line and column.
-func ParseTrace(p *Plan, file string, text []byte, speed, rate float64) ([]Arrival, error) {
+// ParseTrace reads recorded arrivals that replace a schedule: CSV with a header line, or JSON lines. Times are
+// divided by speed. Each row is used rate times on average: a random share of the rows, drawn with the plan's
+// seed, if rate is below 1. The trace is one stage. The error lists all faults with file, line and column.
+func ParseTrace(plan *Plan, file string, text []byte, speed, rate float64) ([]Arrival, error) {
 	if !(speed > 0 && speed < 1e6) || !(rate > 0 && rate <= 1000) {
-		return nil, errors.New("a trace is scaled by figures above zero")
+		return nil, errors.New("speed and rate of a trace must be above zero, speed below 1000000 and rate at most 1000")
 	}
-	t := &traceReader{plan: p, faults: &reader{&yamlfile.Reader{File: file}}, rng: rand.New(rand.NewPCG(p.Seed, 0x7472)), speed: speed, rate: rate}
+	t := &traceReader{plan: plan, faults: &reader{&yamlfile.Reader{File: file}}, rng: rand.New(rand.NewPCG(plan.Seed, 0x7472)), speed: speed, rate: rate}
 	if trimmed := bytes.TrimSpace(text); len(trimmed) > 0 && trimmed[0] == '{' {
 		t.readJSONLines(text)
 	} else {
@@ -50,6 +51,7 @@
 	return t.arrivals, nil
 }
 
+// traceReader collects the arrivals and the errors of a trace.
 type traceReader struct {
 	plan        *Plan
 	faults      *reader
@@ -95,7 +97,7 @@
 		return
 	}
 	if err == nil && !slices.Equal(header, traceColumns) {
-		t.addFault(1, 1, "the first line names %s; %s are wanted", strings.Join(header, ","), strings.Join(traceColumns, ","))
+		t.addFault(1, 1, "the header line is %s; it must be %s", strings.Join(header, ","), strings.Join(traceColumns, ","))
 		return
 	}
 	for {
@@ -106,7 +108,7 @@
 		if parseErr := new(csv.ParseError); errors.As(err, &parseErr) {
 			t.addFault(parseErr.Line, parseErr.Column, "%v", parseErr.Err)
 			if !errors.Is(err, csv.ErrFieldCount) {
-				return // where the next row begins is not known
+				return // the start of the next row is unknown
 			}
 			continue
 		}
@@ -128,7 +130,7 @@
 		invalid := false
 		for i, err := range []error{0: timeErr, 2: groupErr, 3: keyErr} {
 			if err != nil {
-				t.addFault(line, columns[i], "%s: %q is no number", traceColumns[i], cells[i])
+				t.addFault(line, columns[i], "%s: %q is not a number", traceColumns[i], cells[i])
 				invalid = true
 			}
 		}
@@ -138,21 +140,22 @@
 	}
 }
 
+// addRow checks a row and adds its arrivals. The columns are those of its fields in the line.
 func (t *traceReader) addRow(row traceRow, line int, columns [5]int) {
 	class := slices.IndexFunc(t.plan.Classes, func(c Class) bool { return c.Name == row.Class })
 	switch seconds := *row.Time; {
 	case math.IsNaN(seconds) || seconds < 0 || seconds > 7*24*3600:
-		t.addFault(line, columns[0], "time: %v is no moment of a run", seconds)
+		t.addFault(line, columns[0], "time: %v is not between 0 s and 7 days", seconds)
 	case seconds < t.lastTime:
-		t.addFault(line, columns[0], "time: %v goes back behind %v", seconds, t.lastTime)
+		t.addFault(line, columns[0], "time: %v is before the previous row's %v", seconds, t.lastTime)
 	case class < 0:
-		t.addFault(line, columns[1], "class: the plan has no %q", row.Class)
+		t.addFault(line, columns[1], "class: %q is not a class of the plan", row.Class)
 	case row.Group < 0 || row.Group >= t.plan.Groups:
-		t.addFault(line, columns[2], "group: %d is not one of the plan's %d", row.Group, t.plan.Groups)
+		t.addFault(line, columns[2], "group: %d is not one of the plan's %d groups", row.Group, t.plan.Groups)
 	case row.Key < 0:
-		t.addFault(line, columns[3], "key: %d is below zero", row.Key)
+		t.addFault(line, columns[3], "key: %d is negative", row.Key)
 	case row.Kind != "" && Kind(row.Kind) != t.plan.Classes[class].Kind:
-		t.addFault(line, columns[4], "kind: %q, but the plan's %s is a %s", row.Kind, row.Class, t.plan.Classes[class].Kind)
+		t.addFault(line, columns[4], "kind: %q, but the plan's class %s is a %s", row.Kind, row.Class, t.plan.Classes[class].Kind)
 	default:
 		t.lastTime = seconds
 		for copies := t.rate; copies >= 1 || copies > 0 && t.rng.Float64() < copies; copies-- {
@@ -168,12 +171,12 @@
 	}
 }
 
-// WriteTrace writes arrivals as a trace that Trace reads.
-func WriteTrace(w io.Writer, p *Plan, arrivals []Arrival) error {
+// WriteTrace writes arrivals as a trace that [ParseTrace] reads.
+func WriteTrace(w io.Writer, plan *Plan, arrivals []Arrival) error {
 	writer := csv.NewWriter(w)
 	_ = writer.Write(traceColumns)
 	for _, arrival := range arrivals {
-		class := p.Classes[arrival.Class]
+		class := plan.Classes[arrival.Class]
 		_ = writer.Write([]string{
 			strconv.FormatFloat(arrival.At.Seconds(), 'f', 6, 64), class.Name, strconv.Itoa(arrival.Group), strconv.Itoa(arrival.Key), string(class.Kind),
 		})
--- a/internal/load/run/record.go
+++ b/internal/load/run/record.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	minLatencyMicros  = 1                // microsecond
-	maxLatencyMicros  = 60 * 1000 * 1000 // microseconds; what takes longer counts as that long
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60 * 1000 * 1000 // longer latencies are recorded as this
 	significantDigits = 3
 )
 
@@ -25,52 +25,54 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// Recorder keeps what a run is judged by; its size does not grow with the run but by seconds.
+// Recorder collects the statistics of a run. Its size grows with the duration of the run, not with the requests.
 type Recorder struct {
 	plan     *plan.Plan
 	mu       sync.Mutex
-	cells    map[[2]int]*classStage // by class and stage
+	cells    map[[2]int]*classStageStats // by class and stage
 	seconds  []second
 	lateness *hdrhistogram.Histogram
 	stalls   []Stall
 	samples  int
 }
 
-type classStage struct {
+// classStageStats holds the statistics of one class in one stage.
+type classStageStats struct {
 	counts           map[Outcome]int
-	latency, service *hdrhistogram.Histogram // of what was served
-	all              *hdrhistogram.Histogram // of everything that was sent
+	latency, service *hdrhistogram.Histogram // of served requests
+	all              *hdrhistogram.Histogram // of all requests sent
 	attempts         int
 }
 
+// second holds the totals of the arrivals due in one second of the run.
 type second struct {
 	Offered      int     `json:"offered"`
-	Served       int     `json:"served"` // in aim
+	Served       int     `json:"served"` // within the aim
 	Worth        float64 `json:"worth"`
 	WorthOffered float64 `json:"asked"`
 }
 
-// Stall is a moment at which the generator itself was late.
+// Stall is a request that the generator started late.
 type Stall struct {
 	At   time.Duration `json:"at_ns"`
 	Late time.Duration `json:"late_ns"`
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder.
 func NewRecorder(p *plan.Plan) *Recorder {
-	return &Recorder{plan: p, cells: map[[2]int]*classStage{}, lateness: newHistogram()}
+	return &Recorder{plan: p, cells: map[[2]int]*classStageStats{}, lateness: newHistogram()}
 }
 
-const maxStalls = 20 // kept one by one
+const maxStalls = 20 // listed in a report
 
-// Add takes in one request.
+// Add records one finished request.
 func (r *Recorder) Add(sample Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := [2]int{sample.Arrival.Class, sample.Arrival.Stage}
 	stats := r.cells[key]
 	if stats == nil {
-		stats = &classStage{counts: map[Outcome]int{}, latency: newHistogram(), service: newHistogram(), all: newHistogram()}
+		stats = &classStageStats{counts: map[Outcome]int{}, latency: newHistogram(), service: newHistogram(), all: newHistogram()}
 		r.cells[key] = stats
 	}
 	r.samples++
@@ -99,10 +101,10 @@
 	}
 }
 
-// Percentiles are those of reports.
+// Percentiles lists the percentiles in reports.
 var Percentiles = []float64{50, 90, 99, 99.9, 100}
 
-// Quantiles are milliseconds at those percentiles.
+// percentiles returns the values at [Percentiles], in ms.
 func percentiles(h *hdrhistogram.Histogram) (list []float64) {
 	for _, p := range Percentiles {
 		list = append(list, float64(h.ValueAtQuantile(p))/1000)
@@ -110,13 +112,13 @@
 	return list
 }
 
-// Report is a run as it is written down.
+// Report is the result of a run.
 type Report struct {
 	PlanID        string        `json:"plan"`
-	Schedule      int           `json:"schedule"` // arrivals drawn
+	Schedule      int           `json:"schedule"` // number of scheduled arrivals
 	Sent          int           `json:"sent"`
-	Partial       bool          `json:"partial"` // interrupted
-	Invalid       bool          `json:"invalid"` // the generator itself was late
+	Partial       bool          `json:"partial"` // the run was interrupted
+	Invalid       bool          `json:"invalid"` // the generator was late by more than the bound
 	Rows          []Row         `json:"rows"`
 	Total         Row           `json:"total"`
 	Seconds       []second      `json:"seconds"`
@@ -125,39 +127,39 @@
 	Lateness      []float64     `json:"lateness_ms"`
 	LatenessBound time.Duration `json:"lateness_bound_ns"`
 	Stalls        []Stall       `json:"stalls,omitempty"`
-	Goodput       float64       `json:"goodput"` // share of the worth asked for that was served in aim
+	Goodput       float64       `json:"goodput"` // share of the offered worth that was served within the aim
 	Faults        []string      `json:"faults,omitempty"`
 	World         any           `json:"world,omitempty"`
 	Curve         []Point       `json:"curve"`
 }
 
-// Point is one of the curve of latencies by percentile.
+// Point is a point of the curve of latency by percentile.
 type Point struct {
 	Percentile float64 `json:"p"`
 	Latency    float64 `json:"latency_ms"`
 	Service    float64 `json:"service_ms"`
 }
 
-// StageSpan is when a stage lasted, in seconds.
+// StageSpan is the begin and end of a stage, in seconds of the run.
 type StageSpan struct {
 	Name  string  `json:"name"`
 	Begin float64 `json:"from_s"`
 	End   float64 `json:"to_s"`
 }
 
-// Row is one class in one stage, or all.
+// Row holds the results of one class in one stage, or of the whole run.
 type Row struct {
 	Class    string          `json:"class"`
 	Stage    string          `json:"stage"`
 	Count    int             `json:"count"`
 	Attempts int             `json:"tries"`
 	Counts   map[Outcome]int `json:"outcomes"`
-	Latency  []float64       `json:"latency_ms"` // from the intended moment, at Percentiles, of what was served
+	Latency  []float64       `json:"latency_ms"` // from the scheduled time, at Percentiles, of served requests
 	Service  []float64       `json:"service_ms"`
-	All      []float64       `json:"all_ms"` // whatever became of it
+	All      []float64       `json:"all_ms"` // of all requests sent, whatever their outcome
 }
 
-// Report sums the run up.
+// Report returns the results recorded so far.
 func (r *Recorder) Report(schedule, sent int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +168,7 @@
 		Lateness: percentiles(r.lateness), LatenessBound: r.plan.MaxLateness, Stalls: r.stalls,
 		Invalid: time.Duration(r.lateness.Max())*time.Microsecond > r.plan.MaxLateness,
 	}
-	slices.SortFunc(report.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they came as they ended
+	slices.SortFunc(report.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they were added in the order in which requests finished
 	latency, service, all := newHistogram(), newHistogram(), newHistogram()
 	total := Row{Class: "all", Stage: "all", Counts: map[Outcome]int{}}
 	start := 0.0
@@ -208,6 +210,7 @@
 	return report
 }
 
+// steps returns the numbers from from up to but excluding to.
 func steps(from, to, by float64) (list []float64) {
 	for x := from; x < to; x += by {
 		list = append(list, x)
--- a/internal/load/run/report.go
+++ b/internal/load/run/report.go
@@ -17,13 +17,13 @@
 	"lilaccove/internal/load/plan"
 )
 
-// ID names a plan with its schedule: reports that differ in it are of different runs.
+// ID returns a hash of a plan and its number of arrivals. Only reports with the same ID can be compared.
 func ID(p *plan.Plan, schedule int) string {
 	text, _ := json.Marshal(p)
 	return fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(text, "%d", schedule)))[:16]
 }
 
-// WriteText writes the report for a person.
+// WriteText writes the report as text.
 func (r *Report) WriteText(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	header := "class\tstage\tcount\tin aim\tlate\trefused\tfailed\tgave up\tno conn\tmissed\tp50\tp99\tp99.9\tmax\tservice p50\tp99\t\n"
@@ -37,15 +37,15 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\nlatencies in ms from the intended moment, of what was served; service from the real sending\n")
-	fmt.Fprintf(w, "goodput %.3f of the worth asked for; %d of %d arrivals handed out\n", r.Goodput, r.Sent, r.Schedule)
-	fmt.Fprintf(w, "the generator's own lateness: p50 %.2f ms, p99 %.2f ms, at most %.2f ms; the bound is %v\n",
+	fmt.Fprintf(w, "\nlatencies of served requests in ms from the scheduled time; service from the time of sending\n")
+	fmt.Fprintf(w, "goodput %.3f of the offered worth; %d of %d arrivals started\n", r.Goodput, r.Sent, r.Schedule)
+	fmt.Fprintf(w, "lateness of the generator: p50 %.2f ms, p99 %.2f ms, max %.2f ms; bound %v\n",
 		r.Lateness[0], r.Lateness[2], r.Lateness[4], r.LatenessBound)
 	if r.Partial {
-		fmt.Fprintln(w, "PARTIAL: the run was ended early")
+		fmt.Fprintln(w, "PARTIAL: the run was interrupted")
 	}
 	if r.Invalid {
-		fmt.Fprintln(w, "INVALID: the generator was late itself; its latencies are not the gateway's alone")
+		fmt.Fprintln(w, "INVALID: the generator was late; the latencies include its own delays")
 		for _, s := range r.Stalls {
 			fmt.Fprintf(w, "  at %.3f s by %v\n", s.At.Seconds(), s.Late)
 		}
@@ -56,16 +56,16 @@
 	return nil
 }
 
-// Compare sets two reports of one plan side by side.
+// Compare writes two reports of one plan side by side.
 func Compare(w io.Writer, a, b *Report) error {
 	if a.PlanID != b.PlanID {
 		return fmt.Errorf("the reports are of different plans (%s and %s)", a.PlanID, b.PlanID)
 	}
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "class\tstage\tin aim A\tB\tchange\tp50 A\tB\tp99 A\tB\t\n")
-	findRow := func(r *Report, x Row) Row {
+	findRow := func(r *Report, target Row) Row {
 		for _, rowB := range append(r.Rows, r.Total) {
-			if x.Class == rowB.Class && x.Stage == rowB.Stage {
+			if target.Class == rowB.Class && target.Stage == rowB.Stage {
 				return rowB
 			}
 		}
@@ -83,16 +83,16 @@
 	fmt.Fprintf(w, "goodput %.3f and %.3f (%+.3f)\n", a.Goodput, b.Goodput, b.Goodput-a.Goodput)
 	for name, r := range map[string]*Report{"A": a, "B": b} {
 		if r.Invalid || r.Partial {
-			fmt.Fprintf(w, "%s is not to be trusted: invalid=%t partial=%t\n", name, r.Invalid, r.Partial)
+			fmt.Fprintf(w, "%s is not reliable: invalid=%t partial=%t\n", name, r.Invalid, r.Partial)
 		}
 	}
 	return nil
 }
 
-// ninesAxis is where a percentile stands on the usual axis, on which 90, 99 and 99.9 are as far apart.
+// ninesAxis returns the position of a percentile on a logarithmic axis, on which 90, 99 and 99.9 are equally spaced.
 func ninesAxis(percentile float64) float64 { return -math.Log10(1 - percentile/100) }
 
-// WritePlots writes two pictures: latency by percentile, and service over time with stages and events.
+// WritePlots writes two PNG files: latency by percentile, and service over time with stages and events.
 func (r *Report) WritePlots(prefix string) error {
 	curve := plot.New()
 	curve.Title.Text, curve.X.Label.Text, curve.Y.Label.Text = "Latency by percentile", "percentile", "ms"
@@ -106,7 +106,7 @@
 		ticks = append(ticks, plot.Tick{Value: ninesAxis(p), Label: fmt.Sprint(p)})
 	}
 	curve.X.Tick.Marker = ticks
-	if err := plotutil.AddLines(curve, "from the intended moment", latency, "from the real sending", service); err != nil {
+	if err := plotutil.AddLines(curve, "from the scheduled time", latency, "from the time of sending", service); err != nil {
 		return err
 	}
 	curve.Legend.Top, curve.Legend.Left = true, true
@@ -114,7 +114,7 @@
 		return err
 	}
 	timeline := plot.New()
-	timeline.Title.Text, timeline.X.Label.Text, timeline.Y.Label.Text = "Service over time", "s", "requests a second"
+	timeline.Title.Text, timeline.X.Label.Text, timeline.Y.Label.Text = "Service over time", "s", "requests per second"
 	var offered, served plotter.XYs
 	peak := 0.0
 	for i, s := range r.Seconds {
@@ -141,11 +141,11 @@
 		addMarker(e.At.Seconds(), peak*1.08, strings.TrimSpace(e.Action))
 	}
 	if len(labels.XYs) > 0 {
-		labels, err := plotter.NewLabels(labels)
+		markerLabels, err := plotter.NewLabels(labels)
 		if err != nil {
 			return err
 		}
-		timeline.Add(labels)
+		timeline.Add(markerLabels)
 	}
 	timeline.Y.Min, timeline.Y.Max = 0, peak*1.15+1
 	return timeline.Save(24*vg.Centimeter, 11*vg.Centimeter, prefix+"-service.png")
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -1,5 +1,6 @@
-// Package run plays a schedule of arrivals against gateways and measures what their clients see. The loop is
-// open: when a request is due it goes out, or waits while already counting, whatever became of those before it.
+// Package run plays a schedule of arrivals against gateways and measures what their clients see. The load is
+// open-loop: each request is started when it is due, whatever the state of earlier ones, and its latency
+// includes the time it waits for a connection.
 package run
 
 import (
@@ -21,81 +22,81 @@
 	"lilaccove/internal/pgwire"
 )
 
-// Outcome is how a request ended for its client, retries included.
+// Outcome is the final result of a request for its client, after all retries.
 type Outcome string
 
 // The outcomes.
 const (
 	InAim             Outcome = "in_aim"
 	Late              Outcome = "late"
-	RefusedRetryAfter Outcome = "refused_retry_after" // with a time to come back
+	RefusedRetryAfter Outcome = "refused_retry_after" // refused with a retry-after time
 	Refused           Outcome = "refused"
 	Failed            Outcome = "failed"
 	GaveUp            Outcome = "gave_up"
 	NoConnection      Outcome = "no_connection"
-	NotSent           Outcome = "missed" // never sent: too many were outstanding
+	NotSent           Outcome = "missed" // too many requests were outstanding
 	InvalidAnswer     Outcome = "bad_answer"
 )
 
-// Outcomes are all, in the order of reports.
+// Outcomes lists all outcomes in the order of reports.
 var Outcomes = []Outcome{InAim, Late, RefusedRetryAfter, Refused, Failed, GaveUp, NoConnection, NotSent, InvalidAnswer}
 
-// Sample is one request that has ended.
+// Sample is the measurement of one finished request.
 type Sample struct {
 	Arrival     plan.Arrival
 	Outcome     Outcome
-	Latency     time.Duration // from the intended moment
-	Service     time.Duration // of the last try, from when it was really sent
-	Lateness    time.Duration // the generator's own
+	Latency     time.Duration // from the scheduled time
+	Service     time.Duration // of the last attempt, from the time it was sent
+	Lateness    time.Duration // delay of the generator in starting the request
 	Attempts    int
-	LastAttempt Attempt // the last of them
+	LastAttempt Attempt
 }
 
-// Attempt is one request as a gateway had it.
+// Attempt is one sending of a request to a gateway.
 type Attempt struct {
-	Target     string    // whom it was sent to; empty: nobody
-	Sent       time.Time // when it was written
+	Target     string    // address of the gateway; empty: not sent
+	Sent       time.Time // when the statement was written
 	Ended      time.Time
-	Reused     bool // on a connection that had carried others
-	Unanswered bool // the connection ended, or the client's patience, without an answer
+	Reused     bool // the connection had carried earlier requests
+	Unanswered bool // the connection ended or the client timed out without an answer
 	ID         string
 }
 
-// Runner plays one schedule.
+// Runner sends the requests of one schedule.
 type Runner struct {
 	Plan         *plan.Plan
 	Arrivals     []plan.Arrival
 	Targets      []string
-	SelectTarget func(session int) (target string, ok bool) // whom a session is sent to; nil: one of Targets for good
-	OnSample     func(Sample)                               // called from many goroutines
-	ClientSlack  time.Duration                              // beyond its deadline in which an answer is still waited for
-	BeforeSend   func(time.Duration)                        // before each request is handed out; for tests of the generator itself
+	SelectTarget func(session int) (target string, ok bool) // gateway for a session; nil: a fixed one of Targets
+	OnSample     func(Sample)                               // receives each finished request; called concurrently
+	ClientSlack  time.Duration                              // how long after the deadline an answer is still awaited
+	BeforeSend   func(time.Duration)                        // called before each request is started; for tests of the generator
 
 	pools     map[string]*pool
 	startTime time.Time
 	mu        sync.Mutex
 	rng       *rand.Rand
-	commits   map[int]int64 // newest commit told to a session
+	commits   map[int]int64 // newest commit reported to each session
 	lastID    uint64
 }
 
-// CheckLoopback tells what is wrong with a target: load is sent to addresses of this machine only.
+// CheckLoopback returns an error unless target is a loopback address: load is sent to this machine only.
 func CheckLoopback(target string) error {
 	addr, err := netip.ParseAddrPort(target)
 	if err != nil {
-		return fmt.Errorf("target %q: an address like 127.0.0.1:5432 is wanted", target)
+		return fmt.Errorf("target %q: must be an address like 127.0.0.1:5432", target)
 	}
 	if !addr.Addr().IsLoopback() {
-		return fmt.Errorf("target %s is not a loopback address; load goes nowhere else", target)
+		return fmt.Errorf("target %s is not a loopback address; load is sent to no other", target)
 	}
 	return nil
 }
 
-// Play sends all arrivals, or those until ctx ends, and waits for their outcomes; it returns how many were
-// handed out.
+// Play starts the requests of all arrivals, or of those due before ctx ends, and waits for their outcomes. It
+// returns the number of requests started.
 func (r *Runner) Play(ctx context.Context) (sent int, err error) {
 	if len(r.Targets) == 0 && r.SelectTarget == nil {
-		return 0, errors.New("no target")
+		return 0, errors.New("no target is given")
 	}
 	for _, target := range r.Targets {
 		if err := CheckLoopback(target); err != nil {
@@ -114,7 +115,7 @@
 	r.rng = rand.New(rand.NewPCG(r.Plan.Seed, 0x72756e))
 	r.commits = map[int]int64{}
 	r.startTime = time.Now()
-	r.lastID = uint64(r.startTime.UnixNano()) << 24 // ids of one run are none of another's
+	r.lastID = uint64(r.startTime.UnixNano()) << 24 // keeps the IDs of different runs apart
 	outstanding := make(chan struct{}, r.Plan.MaxOutstanding)
 	var wg sync.WaitGroup
 	for i, arrival := range r.Arrivals {
@@ -146,7 +147,7 @@
 	return sent, nil
 }
 
-// waitUntil waits for a moment; false: ctx ended first.
+// waitUntil waits until deadline. It returns false if ctx ends first.
 func waitUntil(ctx context.Context, deadline time.Time) bool {
 	wait := time.Until(deadline)
 	if wait <= 0 {
@@ -162,7 +163,7 @@
 	}
 }
 
-// runRequest is the life of a request, with its retries.
+// runRequest sends one request and its retries and returns the result.
 func (r *Runner) runRequest(arrival plan.Arrival, due time.Time) Sample {
 	class := &r.Plan.Classes[arrival.Class]
 	ctx, cancel := context.WithDeadline(context.Background(), due.Add(class.Deadline+r.ClientSlack))
@@ -176,19 +177,19 @@
 			break
 		}
 		if !waitUntil(ctx, time.Now().Add(r.retryDelay(retryAfter, sample.Attempts))) {
-			break // it was refused; there is no time for another try
+			break // no time for another attempt: the refusal is the outcome
 		}
 	}
 	sample.Latency = time.Since(due)
 	if sample.Outcome == InAim && sample.Latency > class.Deadline {
-		sample.Outcome = GaveUp // it was heard out and earns nothing
+		sample.Outcome = GaveUp // answered after the deadline: worth nothing
 	} else if sample.Outcome == InAim && sample.Latency > class.Aim {
 		sample.Outcome = Late
 	}
 	return sample
 }
 
-// retryDelay is how long a client waits before it tries again.
+// retryDelay returns how long a client waits before its next attempt.
 func (r *Runner) retryDelay(retryAfter time.Duration, attempts int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +200,7 @@
 	return delay
 }
 
-// attempt sends the request once; service counts from when it really goes out, on a connection that is up.
+// attempt sends the request once. The service time counts from the write on an established connection.
 func (r *Runner) attempt(ctx context.Context, arrival plan.Arrival, class *plan.Class, isRetry bool) (outcome Outcome, retryAfter, service time.Duration, attempt Attempt) {
 	connections := r.poolFor(arrival.Session)
 	if connections == nil {
@@ -228,7 +229,7 @@
 	return outcome, retryAfter, attempt.Ended.Sub(attempt.Sent), attempt
 }
 
-// classify is what an answer comes to.
+// classify returns the outcome of an answer and its retry-after time.
 func (r *Runner) classify(ctx context.Context, arrival plan.Arrival, results []*pgconn.Result, err error) (Outcome, time.Duration) {
 	var pgErr *pgconn.PgError
 	switch {
@@ -250,12 +251,13 @@
 	return InAim, 0
 }
 
+// deadline returns the deadline of ctx, which must have one.
 func deadline(ctx context.Context) time.Time {
 	at, _ := ctx.Deadline()
 	return at
 }
 
-// recordCommit keeps the commit that a write was told, where the value names it.
+// recordCommit stores the commit position of the session if the answer contains one.
 func (r *Runner) recordCommit(arrival plan.Arrival, value string) {
 	if text, ok := strings.CutPrefix(value, "commit="); ok {
 		if ms, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -266,7 +268,7 @@
 	}
 }
 
-// buildStatement is what a client of the platform writes, and the id in it.
+// buildStatement returns a statement as clients of the platform write it, and the request ID in it.
 func (r *Runner) buildStatement(arrival plan.Arrival, class *plan.Class, remaining time.Duration, isRetry bool) (text, id string) {
 	r.mu.Lock()
 	r.lastID++
@@ -286,7 +288,7 @@
 	return pgwire.ClientStatement(head, key, class.Kind == plan.Write), id
 }
 
-// poolFor finds the connections to a session's gateway; nil: there is none.
+// poolFor returns the connection pool of a session's gateway, or nil if there is no gateway.
 func (r *Runner) poolFor(session int) *pool {
 	target, ok := r.SelectTarget(session)
 	if !ok || CheckLoopback(target) != nil {
@@ -302,7 +304,7 @@
 	return p
 }
 
-// pool keeps the connections to one gateway. Who waits for one is already counting.
+// pool holds the connections to one gateway. The latency of a request includes its wait for a connection.
 type pool struct {
 	target string
 	slots  chan struct{}
@@ -311,7 +313,7 @@
 	closed bool
 }
 
-// acquire waits for a connection; reused tells that it has carried requests.
+// acquire waits for a connection. It reports whether the connection has carried requests before.
 func (p *pool) acquire(ctx context.Context) (_ *pgconn.PgConn, reused bool, _ error) {
 	select {
 	case p.slots <- struct{}{}:
@@ -331,7 +333,7 @@
 		if isIdle(conn.Conn()) {
 			return conn, true, nil
 		}
-		p.discard(conn) // the gateway has closed it meanwhile
+		p.discard(conn) // closed by the gateway in the meantime
 	}
 	addr := netip.MustParseAddrPort(p.target)
 	config, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%d user=api dbname=ledger sslmode=disable", addr.Addr(), addr.Port()))
@@ -346,6 +348,7 @@
 	return conn, false, nil
 }
 
+// release returns a connection to the pool, or closes it if it is no longer usable.
 func (p *pool) release(c *pgconn.PgConn) {
 	p.mu.Lock()
 	keep := !p.closed && !c.IsClosed()
@@ -359,8 +362,8 @@
 	<-p.slots
 }
 
-// isIdle tells that nothing has come on a connection at rest, not even its end. It does not wait, as pgconn's own
-// check does for a millisecond, which would count as the gateway's.
+// isIdle reports whether an idle connection is open and has nothing to read. It does not block: pgconn's own
+// check waits for a millisecond, which would be added to the gateway's latency.
 func isIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -379,7 +382,7 @@
 	return err == nil && idle
 }
 
-// discard closes a connection at once; a gateway is not waited for.
+// discard closes a connection without waiting for the gateway.
 func (p *pool) discard(c *pgconn.PgConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/load/run/run_test.go
+++ b/internal/load/run/run_test.go
@@ -30,7 +30,7 @@
 	return p, list
 }
 
-// startDatabase is a gateway as good as can be: one stand-in, which answers after a time that is known.
+// startDatabase starts one stand-in database with a known delay, used in place of a gateway.
 func startDatabase(t *testing.T, opt standin.Options) (*standin.World, string) {
 	opt.Groups, opt.Members = 1, 1
 	world, err := standin.New(opt)
@@ -41,8 +41,8 @@
 	return world, list.Hosts[0].Dial
 }
 
-// Percentiles follow the curve from theory, on a clock of their own: exponential answers, and a full stall of a second
-// under steady arrivals, which counting from the real sending hides and counting from the intended moment shows.
+// Percentiles follow the theoretical curve, with computed latencies: exponential ones, and a full stall of a second
+// under steady arrivals. Latency from the scheduled time shows the stall, service from the time of sending hides it.
 func TestMeasuredCurves(t *testing.T) {
 	p, list := parsePlan(t, "{shape: constant, rate: 1000/s, for: 20 s}", "")
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -61,7 +61,7 @@
 	}
 
 	rec = NewRecorder(p)
-	for _, a := range list { // a worker that answers in 1 ms, but stands still from 5 s to 6 s
+	for _, a := range list { // a worker that answers in 1 ms but stalls from 5 s to 6 s
 		wait := time.Duration(0)
 		if a.At >= 5*time.Second && a.At < 6*time.Second {
 			wait = 6*time.Second - a.At
@@ -69,13 +69,13 @@
 		rec.Add(Sample{Arrival: a, Outcome: InAim, Latency: wait + time.Millisecond, Service: time.Millisecond, Attempts: 1})
 	}
 	r = rec.Report(len(list), len(list))
-	// One in twenty waited, evenly between nothing and a second: the 99th percentile is four fifths up.
+	// One in twenty waited, evenly between 0 and 1 s, so the 99th percentile is at 4/5 of a second.
 	assert.InDelta(t, 800, r.Total.Latency[2], 15)
-	assert.InDelta(t, 1, r.Total.Service[4], 0.1, "the real sending hides it")
+	assert.InDelta(t, 1, r.Total.Service[4], 0.1, "service from the time of sending hides the stall")
 }
 
-// On real sockets: a database of known delay that stalls once. Latency counts from the intended moment; so do requests
-// that wait for a connection.
+// On real sockets, with a database of known delay that stalls once: latency counts from the scheduled time, also for
+// requests that wait for a connection.
 func TestKnownDelayOnSockets(t *testing.T) {
 	w, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: 10 * time.Millisecond})
 	p, list := parsePlan(t, "{shape: constant, rate: 200/s, for: 2 s}", "connections: 20\nstall: 2 s\n")
@@ -90,15 +90,15 @@
 	out := rec.Report(len(list), sent)
 	assert.Equal(t, 400, out.Total.Count)
 	assert.Zero(t, out.Total.Counts[NotSent]+out.Total.Counts[Failed]+out.Total.Counts[NoConnection])
-	assert.GreaterOrEqual(t, out.Total.Latency[0], 10.0, "nothing is faster than the delay")
-	// A hundred of 400 came due in the half second of the stall: a tenth waited 200 ms and more. Of the sockets' twenty
-	// only were sent then, so the real sending shows far fewer.
+	assert.GreaterOrEqual(t, out.Total.Latency[0], 10.0, "no request is faster than the delay")
+	// 100 of the 400 requests were due during the stall of 0.5 s, and a tenth waited 200 ms or more. Only the 20 that
+	// had a connection were sent during it, so the service time shows far fewer.
 	slow := func(list []float64) float64 { return list[1] }
 	assert.Greater(t, slow(out.Total.Latency), 150.0)
 	assert.Less(t, slow(out.Total.Service), slow(out.Total.Latency)/2)
 }
 
-// Overload with a queue that only grows: latency grows with it; what exceeds the cap is counted, not dropped silently.
+// Under overload the queue and with it the latency grow. Requests beyond the limit of outstanding ones are counted.
 func TestOverloadIsBounded(t *testing.T) {
 	_, addr := startDatabase(t, standin.Options{Cores: 1, Queue: 10000, Service: 20 * time.Millisecond})
 	p, list := parsePlan(t, "{shape: constant, rate: 400/s, for: 2 s}", "connections: 50\noutstanding: 100\nstall: 2 s\n")
@@ -107,13 +107,13 @@
 	sent, err := r.Play(context.Background())
 	require.NoError(t, err)
 	out := rec.Report(len(list), sent)
-	assert.Equal(t, 800, out.Total.Count, "all are accounted for")
+	assert.Equal(t, 800, out.Total.Count, "all requests are counted")
 	assert.Greater(t, out.Total.Counts[NotSent], 400)
 	assert.Greater(t, out.Total.Latency[4], 1000.0)
 }
 
-// A stall of the generator itself is told apart from waiting for the gateway, and spoils the run; what was due meanwhile
-// is sent.
+// A stall of the generator is told apart from waiting for the gateway and makes the run invalid. Requests that were due
+// during the stall are still sent.
 func TestOwnStallInvalidatesRun(t *testing.T) {
 	_, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
 	p, list := parsePlan(t, "{shape: constant, rate: 100/s, for: 1 s}", "stall: 200 ms\n")
@@ -149,7 +149,7 @@
 	assert.ErrorContains(t, err, "not a loopback address")
 }
 
-// An interrupt ends the run with what was seen, marked.
+// An interrupted run is reported as partial, with the samples up to then.
 func TestInterruptedRunIsPartial(t *testing.T) {
 	_, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
 	p, list := parsePlan(t, "{shape: constant, rate: 100/s, for: 60 s}", "stall: 5 s\n")
--- a/internal/wan/lateness.go
+++ b/internal/wan/lateness.go
@@ -14,15 +14,15 @@
 type lateness struct {
 	buckets [latenessBuckets + 1]atomic.Uint64
 	sum     atomic.Int64
-	max     atomic.Int64 // since it was last taken
+	maximum atomic.Int64 // since it was last taken
 }
 
 func (l *lateness) add(ns int64) {
 	ns = max(0, ns)
 	l.buckets[min(latenessBuckets, ns/int64(latenessResolution))].Add(1)
 	l.sum.Add(ns)
-	if ns > l.max.Load() {
-		l.max.Store(ns)
+	if ns > l.maximum.Load() {
+		l.maximum.Store(ns)
 	}
 }
 
@@ -36,7 +36,7 @@
 
 // Lateness is that of all datagrams since an earlier one was taken; the zero one: since the begin. One goroutine may ask.
 func (r *Relay) Lateness(since Lateness) Lateness {
-	l := Lateness{buckets: make([]uint64, latenessBuckets+1), sum: r.lateness.sum.Load(), Max: time.Duration(r.lateness.max.Swap(0))}
+	l := Lateness{buckets: make([]uint64, latenessBuckets+1), sum: r.lateness.sum.Load(), Max: time.Duration(r.lateness.maximum.Swap(0))}
 	before := func(i int) uint64 {
 		if since.buckets == nil {
 			return 0
--- a/internal/wan/loop.go
+++ b/internal/wan/loop.go
@@ -56,8 +56,8 @@
 	_      [4]byte
 }
 
-func newLoop(r *Relay, rng *rand.Rand) *loop {
-	l := &loop{relay: r, rng: rng}
+func newLoop(relay *Relay, rng *rand.Rand) *loop {
+	l := &loop{relay: relay, rng: rng}
 	for _, messages := range []*messageBatch{&l.received, &l.outgoing} {
 		for i := range batchSize {
 			header := &messages.headers[i]
@@ -145,7 +145,7 @@
 func (l *loop) enqueue(i int) {
 	relay, header := l.relay, &l.received.headers[i]
 	var arrival int64
-	var destination [4]byte
+	var to [4]byte
 	for control := l.received.controls[i][:header.Controllen]; len(control) >= unix.SizeofCmsghdr; {
 		size := binary.NativeEndian.Uint64(control)
 		if size < unix.SizeofCmsghdr || size > uint64(len(control)) {
@@ -154,7 +154,7 @@
 		data := control[unix.SizeofCmsghdr:size]
 		switch kind := binary.NativeEndian.Uint32(control[12:]); {
 		case binary.NativeEndian.Uint32(control[8:]) == unix.IPPROTO_IP && kind == unix.IP_PKTINFO && len(data) >= unix.SizeofInet4Pktinfo:
-			destination = [4]byte(data[8:12])
+			to = [4]byte(data[8:12])
 		case binary.NativeEndian.Uint32(control[8:]) == unix.SOL_SOCKET && kind == unix.SO_TIMESTAMPNS && len(data) >= 16:
 			arrival = int64(binary.NativeEndian.Uint64(data))*1e9 + int64(binary.NativeEndian.Uint64(data[8:]))
 		}
@@ -164,10 +164,10 @@
 		relay.counts[countOversized].Add(1)
 		return
 	}
-	family, target, ok := relay.parseAddress(destination)
+	family, target, ok := relay.parseAddress(to)
 	zone, known := relay.senderZone(family)
-	senderFamily, sender, lives := relay.parseAddress(l.received.addrs[i].Addr)
-	if !ok || !known || !lives || senderFamily != gatewayFamily || zone >= 0 && zone != relay.zoneOf[sender] {
+	senderFamily, sender, inUse := relay.parseAddress(l.received.addrs[i].Addr)
+	if !ok || !known || !inUse || senderFamily != gatewayFamily || zone >= 0 && zone != relay.zoneOf[sender] {
 		relay.counts[countMisaddressed].Add(1)
 		return
 	}
--- a/internal/wan/stream.go
+++ b/internal/wan/stream.go
@@ -77,21 +77,21 @@
 	forwardDone := make(chan struct{})
 	go func() {
 		defer close(forwardDone)
-		r.relayDirection(receiver, dialer, out, newRand(0))
+		r.copy(receiver, dialer, out, newRand(0))
 	}()
-	r.relayDirection(dialer, receiver, in, newRand(1))
+	r.copy(dialer, receiver, in, newRand(1))
 	<-forwardDone
 }
 
-// relayDirection passes bytes on in one direction until it ends.
-func (r *Relay) relayDirection(to, from net.Conn, link func() *Link, rng *rand.Rand) {
+// copy passes bytes on in one direction until it ends.
+func (r *Relay) copy(to, from net.Conn, link func() *Link, rng *rand.Rand) {
 	inFlight := make(chan chunk, maxChunks)
 	go func() {
 		defer close(inFlight)
 		var last time.Time
 		for {
-			b := make([]byte, chunkSize)
-			n, err := from.Read(b)
+			data := make([]byte, chunkSize)
+			n, err := from.Read(data)
 			l := link()
 			wait := l.Delay
 			if l.Jitter > 0 {
@@ -104,7 +104,7 @@
 				last = due
 			}
 			select {
-			case inFlight <- chunk{due: last, data: b[:n], err: err}:
+			case inFlight <- chunk{due: last, data: data[:n], err: err}:
 			case <-r.done:
 				return
 			}
