--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -12,16 +12,16 @@
 const (
 	badClientPause   = 30 * time.Millisecond
 	badClientTimeout = time.Second
-	unknownCancelKey = 1<<32 | 2 // by which nothing can be cancelled
+	unknownCancelKey = 1<<32 | 2 // matches no request
 )
 
-// badClient is one connection that misbehaves. What it asks for is not judged by answers: databases judge what of it runs.
+// badClient is a connection that misbehaves. Its answers are not checked: the databases check the statements that run.
 type badClient struct {
 	net.Conn
 	s *soak
 }
 
-// connectBadClient connects to a gateway and greets it.
+// connectBadClient connects to a gateway and sends the startup message.
 func (s *soak) connectBadClient(i int) (*badClient, error) {
 	c, err := net.DialTimeout("tcp", s.lab.Node(i).ClientAddr, badClientTimeout)
 	if err != nil {
@@ -38,7 +38,7 @@
 
 var badClientIDs atomic.Uint64
 
-// statement is one that a client of the platform might write, of a class of reads or of writes.
+// statement returns a message with a statement as clients of the platform write it, of a read or a write class.
 func statement(write bool, deadline time.Duration) []byte {
 	id, class := fmt.Sprintf("%016x", 1<<63|badClientIDs.Add(1)), "browse"
 	if write {
@@ -50,17 +50,17 @@
 
 func (c *badClient) send(b []byte) { _, _ = c.Write(b) }
 
-// disconnect asks and closes at once, in one of four ways.
+// disconnect sends a read or a write and closes at once, with or without a reset.
 func (c *badClient) disconnect() {
 	c.send(statement(badClientIDs.Load()%2 == 0, badClientTimeout))
 	if badClientIDs.Load()%4 < 2 {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // with a reset
+			_ = tcp.SetLinger(0) // close sends a reset
 		}
 	}
 }
 
-// cancel asks, and sends a key that cancels nothing on a connection of its own.
+// cancel sends a statement, and a cancel request with an unknown key on another connection.
 func (c *badClient) cancel() {
 	c.send(statement(true, badClientTimeout))
 	cancelConn, err := net.DialTimeout("tcp", c.RemoteAddr().String(), badClientTimeout)
@@ -72,29 +72,29 @@
 	c.readUntilEnd()
 }
 
-// stopMidway writes half a statement and stays.
+// stopMidway sends half a statement and stays connected.
 func (c *badClient) stopMidway() {
 	text := statement(true, badClientTimeout)
 	c.send(text[:len(text)/2])
 	c.readUntilEnd()
 }
 
-// pipeline writes many statements at once, in pieces, and goes before all are answered.
+// pipeline sends many statements at once, in small pieces, and closes before all are answered.
 func (c *badClient) pipeline() {
 	var pending []byte
 	for k := range 20 {
 		pending = append(pending, statement(k%5 == 0, badClientTimeout)...)
 	}
 	for len(pending) > 0 {
-		n := min(97, len(pending))
-		c.send(pending[:n])
-		pending = pending[n:]
+		size := min(97, len(pending))
+		c.send(pending[:size])
+		pending = pending[size:]
 	}
 	_ = c.SetReadDeadline(time.Now().Add(badClientTimeout / 10))
 	c.readUntilEnd()
 }
 
-// idleThenQuery is idle on a connection for a while and then asks, whatever has become of it.
+// idleThenQuery leaves the connection idle for a while and then sends a statement, even if it was closed.
 func (c *badClient) idleThenQuery() {
 	_ = c.SetReadDeadline(time.Now().Add(badClientTimeout / 4))
 	c.readUntilEnd()
@@ -103,7 +103,7 @@
 	c.readUntilEnd()
 }
 
-// readUntilEnd reads until the deadline, or the end.
+// readUntilEnd reads until the deadline or the end of the connection.
 func (c *badClient) readUntilEnd() {
 	var b [4096]byte
 	for {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -1,5 +1,6 @@
-// Package soak runs many real gateways under troubles that overlap in time, drawn from a seed, and judges what became of each
-// request by the gateway that had it, from outside and by the gateways' own invariants.
+// Package soak runs many real gateways under overlapping faults drawn from a seed. It checks that each request was
+// answered by the gateway that received it, and collects the invariant violations that are observed from outside or
+// reported by the gateways.
 package soak
 
 import (
@@ -9,16 +10,16 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong for a while.
+// Fault is one injected fault.
 type Fault struct {
 	Number   int           `json:"number"`
 	Name     string        `json:"name"`
 	At       time.Duration `json:"at_ns"`
 	Duration time.Duration `json:"for_ns"`
-	Gateways []int         `json:"on,omitempty"` // whom it is done to; none: databases, discovery or clients
+	Gateways []int         `json:"on,omitempty"` // affected gateways; empty for faults of databases, discovery or links
 }
 
-// FaultNames are all troubles that may be drawn.
+// FaultNames returns the sorted names of all faults that may be drawn.
 func FaultNames() (list []string) {
 	for name := range faultKinds {
 		list = append(list, name)
@@ -27,19 +28,19 @@
 	return list
 }
 
-// Bounds of a schedule.
+// Limits of a schedule. Each range includes its minimum and excludes its maximum.
 const (
-	minQuiet         = 1 * time.Second // before the first trouble
+	minQuiet         = 1 * time.Second // before the first wave
 	maxQuiet         = 5 * time.Second
-	minWaveInterval  = 1500 * time.Millisecond // from the begin of some troubles to that of the next
+	minWaveInterval  = 1500 * time.Millisecond // between the starts of two waves
 	maxWaveInterval  = 3 * time.Second
-	waveSpread       = 800 * time.Millisecond // within which the troubles of a wave begin
-	minFaultDuration = 300 * time.Millisecond // how long one lasts
+	waveSpread       = 800 * time.Millisecond // within which the faults of a wave start
+	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
-	calmAtEnd        = 3 * time.Second // for what was begun to come to an end
+	calmAtEnd        = 3 * time.Second // without new faults, for the gateways to settle
 )
 
-// Draw is the schedule of a seed: waves of two or three troubles that overlap. It does not depend on how a run goes.
+// Draw returns the schedule of a seed: waves of two or three overlapping faults. It does not depend on the run.
 func Draw(seed uint64, gateways int, length time.Duration, names []string) (list []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	between := func(from, to time.Duration) time.Duration {
@@ -58,7 +59,7 @@
 	return list
 }
 
-// CountOverlaps is how many pairs of troubles were under way together.
+// CountOverlaps returns the number of pairs of faults that overlap in time.
 func CountOverlaps(faults []Fault) (n int) {
 	for i, a := range faults {
 		for _, b := range faults[i+1:] {
@@ -70,7 +71,7 @@
 	return n
 }
 
-// Select keeps the troubles with these numbers, to shrink a schedule that fails; none: all are kept.
+// Select returns the faults with these numbers, to reduce a failing schedule. Without numbers it returns all.
 func Select(faults []Fault, numbers []int) ([]Fault, error) {
 	if len(numbers) == 0 {
 		return faults, nil
@@ -78,7 +79,7 @@
 	var selected []Fault
 	for _, n := range numbers {
 		if n < 1 || n > len(faults) {
-			return nil, fmt.Errorf("there is no trouble %d: the seed draws %d", n, len(faults))
+			return nil, fmt.Errorf("there is no fault %d: the seed draws %d", n, len(faults))
 		}
 		selected = append(selected, faults[n-1])
 	}
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -12,7 +12,7 @@
 	"lilaccove/internal/load/run"
 )
 
-// A schedule follows from its seed, lies within the run, and its troubles overlap.
+// A schedule depends only on its seed, lies within the run and contains overlapping faults.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, gateways := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 40).Draw(t, "gateways")
@@ -45,8 +45,8 @@
 	assert.ErrorContains(t, err, "the seed draws")
 }
 
-// A request without an answer is the fault of the gateway that had it, unless that was killed or stood still meanwhile, or a
-// close between requests crossed it.
+// A request without an answer is a violation by its gateway, unless the gateway was killed or paused meanwhile, or closed
+// the idle connection at the same time.
 func TestJudge(t *testing.T) {
 	now := time.Now()
 	unanswered := func(reused bool, from, to time.Duration) run.Sample {
@@ -55,26 +55,26 @@
 		}}
 	}
 	for name, c := range map[string]struct {
-		excused interval
+		excused excuseInterval
 		sample  run.Sample
 		lost    int
 		crossed int
 	}{
-		"a gateway that lived":         {sample: unanswered(false, 0, time.Second), lost: 1},
-		"one that was killed":          {excused: interval{now.Add(time.Second / 2), now.Add(2 * time.Second)}, sample: unanswered(false, 0, time.Second)},
-		"one that is away":             {excused: interval{start: now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second)},
-		"one that came back before":    {excused: interval{now.Add(-2 * time.Second), now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second), lost: 1},
-		"a close between requests":     {sample: unanswered(true, 0, time.Millisecond), crossed: 1},
-		"no close between requests":    {sample: unanswered(true, 0, time.Second), lost: 1},
-		"a new connection that closes": {sample: unanswered(false, 0, time.Millisecond), lost: 1},
-		"an answer that says failed":   {sample: run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{Target: "127.0.0.1:1"}}},
-		"a gateway that nobody knows":  {sample: run.Sample{Outcome: run.GaveUp, LastAttempt: run.Attempt{Target: "127.0.0.1:2", Unanswered: true}}},
+		"a gateway that kept running":    {sample: unanswered(false, 0, time.Second), lost: 1},
+		"a gateway that was killed":      {excused: excuseInterval{now.Add(time.Second / 2), now.Add(2 * time.Second)}, sample: unanswered(false, 0, time.Second)},
+		"a gateway that is still down":   {excused: excuseInterval{start: now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second)},
+		"a gateway that was back before": {excused: excuseInterval{now.Add(-2 * time.Second), now.Add(-time.Second)}, sample: unanswered(false, 0, time.Second), lost: 1},
+		"a close between requests":       {sample: unanswered(true, 0, time.Millisecond), crossed: 1},
+		"no close between requests":      {sample: unanswered(true, 0, time.Second), lost: 1},
+		"a new connection that closes":   {sample: unanswered(false, 0, time.Millisecond), lost: 1},
+		"an answer with an error":        {sample: run.Sample{Outcome: run.Failed, LastAttempt: run.Attempt{Target: "127.0.0.1:1"}}},
+		"an unknown gateway":             {sample: run.Sample{Outcome: run.GaveUp, LastAttempt: run.Attempt{Target: "127.0.0.1:2", Unanswered: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := newJudge()
 			j.registerProcess(&lab.Node{Name: "n0", ClientAddr: "127.0.0.1:1"})
 			if !c.excused.start.IsZero() {
-				j.excused["n0"] = []interval{c.excused}
+				j.excused["n0"] = []excuseInterval{c.excused}
 			}
 			j.judgeRequest(c.sample)
 			assert.Equal(t, c.lost, j.requests.Lost)
@@ -84,7 +84,7 @@
 	}
 }
 
-// What gateways tell of themselves and what is seen from outside stand beside each other.
+// A violation or an invalid run makes the report an error. Violations that gateways log are counted by name.
 func TestReportErr(t *testing.T) {
 	assert.NoError(t, (&Report{Valid: true}).Err())
 	assert.ErrorContains(t, (&Report{InvalidReason: "late"}).Err(), "INVALID")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,17 +6,17 @@
 	"lilaccove/internal/standin"
 )
 
-// faultKind is how one trouble is done.
+// faultKind describes how a fault is injected.
 type faultKind struct {
-	gateways int // to how many; 0: to none of them
-	apply    func(s *soak, t Fault) error
+	gateways int // number of affected gateways; 0: it does not act on single gateways
+	apply    func(s *soak, fault Fault) error
 }
 
-// faultKinds are all troubles by their names.
+// faultKinds holds all kinds of faults by name.
 var faultKinds map[string]faultKind
 
-func init() { // the functions read the table of names through Draw
-
+// init fills faultKinds: an initializer would be a cycle, as the functions refer to the table.
+func init() {
 	faultKinds = map[string]faultKind{
 		"kill":                {2, (*soak).kill},
 		"end":                 {2, (*soak).gracefulRestart},
@@ -54,7 +54,8 @@
 	}
 }
 
-// reserve reserves a gateway, so that two troubles do not start and end processes of it at once; false: it has one.
+// reserve reserves a gateway, so that no two faults start and end its processes at once. It returns false if the
+// gateway is reserved already.
 func (s *soak) reserve(i int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,13 +66,14 @@
 	return true
 }
 
+// release ends the reservation of a gateway.
 func (s *soak) release(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.reserved, i)
 }
 
-// eachGateway does something to eachGateway gateway of a trouble that no other trouble has just now, side by side.
+// eachGateway calls do concurrently for each gateway of a fault that no other fault has reserved.
 func (s *soak) eachGateway(fault Fault, do func(i int) error) error {
 	results := make(chan error, len(fault.Gateways))
 	started := 0
@@ -94,12 +96,12 @@
 	return first
 }
 
-// clientFaults is a trouble in which bad clientFaults come to gateways, one after the other.
-func clientFaults(do func(c *badClient)) func(s *soak, t Fault) error {
-	return func(s *soak, t Fault) error {
-		end := time.Now().Add(t.Duration)
+// clientFaults returns a fault in which misbehaving clients connect to each gateway, one after the other.
+func clientFaults(do func(c *badClient)) func(s *soak, fault Fault) error {
+	return func(s *soak, fault Fault) error {
+		end := time.Now().Add(fault.Duration)
 		done := make(chan struct{})
-		for _, i := range t.Gateways {
+		for _, i := range fault.Gateways {
 			go func() {
 				defer func() { done <- struct{}{} }()
 				for time.Now().Before(end) {
@@ -111,7 +113,7 @@
 				}
 			}()
 		}
-		for range t.Gateways {
+		for range fault.Gateways {
 			<-done
 		}
 		return nil
--- a/internal/soak/gateways.go
+++ b/internal/soak/gateways.go
@@ -1,4 +1,4 @@
-// Troubles of gateways: their processes, machines, links and operators.
+// Faults of gateways: of their processes, machines and links, and instructions of operators.
 
 package soak
 
@@ -19,52 +19,54 @@
 	"lilaccove/internal/stats"
 )
 
-// restartPause is how long a gateway is away between two processes.
+// restartPause is the time between two processes of a gateway.
 const restartPause = 200 * time.Millisecond
 
-func (s *soak) kill(t Fault) error {
-	return s.eachGateway(t, func(i int) error {
+func (s *soak) kill(fault Fault) error {
+	return s.eachGateway(fault, func(i int) error {
 		defer s.judge.excuse(s.lab.Node(i).Name)()
 		s.lab.Node(i).Kill()
-		standin.Sleep(t.Duration/2, s.stop)
+		standin.Sleep(fault.Duration/2, s.stop)
 		return s.start(i)
 	})
 }
 
-// gracefulRestart ends a process in order. What it has read it owes; nothing is excused but the time in which nobody listens.
-func (s *soak) gracefulRestart(t Fault) error {
-	return s.eachGateway(t, func(i int) error {
+// gracefulRestart terminates a process gracefully and starts another one. The process must answer every request that it
+// has read: only the time in which no process listens is excused.
+func (s *soak) gracefulRestart(fault Fault) error {
+	return s.eachGateway(fault, func(i int) error {
 		s.terminate(s.lab.Node(i))
 		standin.Sleep(restartPause, s.stop)
 		return s.start(i)
 	})
 }
 
-func (s *soak) pauseProcess(t Fault) error {
-	return s.eachGateway(t, func(i int) error {
+// pauseProcess stops a process with a signal and lets it continue.
+func (s *soak) pauseProcess(fault Fault) error {
+	return s.eachGateway(fault, func(i int) error {
 		node := s.lab.Node(i)
 		defer s.judge.excuse(node.Name)()
 		if err := node.Pause(); err != nil {
 			return err
 		}
-		standin.Sleep(t.Duration, s.stop)
+		standin.Sleep(fault.Duration, s.stop)
 		if err := node.Resume(); err != nil {
 			return err
 		}
-		standin.Sleep(restartPause, s.stop) // what it stood still with is answered late
+		standin.Sleep(restartPause, s.stop) // requests that were pending during the pause are answered late
 		return nil
 	})
 }
 
-// reload moves a gateway from one address of discovery to the other and back, signals in quick succession.
-func (s *soak) reload(t Fault) error {
+// reload switches a gateway between two discovery addresses, with reload signals in quick succession.
+func (s *soak) reload(fault Fault) error {
 	s.lab.World().NoteWatchDisturbance()
-	for _, i := range t.Gateways {
+	for _, i := range fault.Gateways {
 		node := s.lab.Node(i)
 		for k := range 5 {
 			text, err := os.ReadFile(node.ConfigPath)
 			if errors.Is(err, fs.ErrNotExist) {
-				break // another trouble has taken its folder away
+				break // another fault has moved its directory away
 			}
 			if err != nil {
 				return err
@@ -85,20 +87,21 @@
 			if err := node.Signal(syscall.SIGHUP); err != nil {
 				return err
 			}
-			standin.Sleep(t.Duration/20, s.stop)
+			standin.Sleep(fault.Duration/20, s.stop)
 		}
 	}
 	return nil
 }
 
-// heldGateway is a gateway whose socket the lab holds, in a trouble's place for one.
-func (s *soak) heldGateway(t Fault) int {
-	return s.lab.HeldSockets[t.Gateways[0]%len(s.lab.HeldSockets)]
+// heldGateway returns the gateway for a fault that needs one whose socket is held by the lab.
+func (s *soak) heldGateway(fault Fault) int {
+	return s.lab.HeldSockets[fault.Gateways[0]%len(s.lab.HeldSockets)]
 }
 
-// withSuccessor starts a second process of a gateway whose socket the lab holds, waits until it is ready, and does something to both.
-func (s *soak) withSuccessor(t Fault, do func(i int, old, successor *lab.Node) error) error {
-	i := s.heldGateway(t)
+// withSuccessor starts a second process of a gateway whose socket the lab holds, waits until it is ready, and calls do
+// with both.
+func (s *soak) withSuccessor(fault Fault, do func(i int, old, successor *lab.Node) error) error {
+	i := s.heldGateway(fault)
 	if !s.reserve(i) {
 		return nil
 	}
@@ -107,58 +110,58 @@
 	if err := s.start(i); err != nil {
 		return err
 	}
-	next := s.lab.Node(i)
-	s.waitReady(next)
-	return do(i, old, next)
+	successor := s.lab.Node(i)
+	s.waitReady(successor)
+	return do(i, old, successor)
 }
 
-// terminate ends a process in order; one that does not end in time is a violation.
+// terminate shuts a process down gracefully. It is a violation if the process does not end in time.
 func (s *soak) terminate(node *lab.Node) {
 	if err := node.Terminate(); err != nil {
 		s.judge.recordViolation("no_end", 1, "%v", err)
 	}
 }
 
-func (s *soak) upgrade(t Fault) error {
-	return s.withSuccessor(t, func(_ int, old, _ *lab.Node) error {
+func (s *soak) upgrade(fault Fault) error {
+	return s.withSuccessor(fault, func(_ int, old, _ *lab.Node) error {
 		s.terminate(old)
 		return nil
 	})
 }
 
-// killSuccessor kills the process beside an old one that has begun to leave to it.
-func (s *soak) killSuccessor(t Fault) error {
-	return s.withSuccessor(t, func(i int, old, next *lab.Node) error {
+// killSuccessor kills the successor while its predecessor shuts down.
+func (s *soak) killSuccessor(fault Fault) error {
+	return s.withSuccessor(fault, func(i int, old, successor *lab.Node) error {
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			s.terminate(old)
 		}()
-		standin.Sleep(t.Duration/10, s.stop)
+		standin.Sleep(fault.Duration/10, s.stop)
 		defer s.judge.excuse(old.Name)()
-		next.Kill()
+		successor.Kill()
 		err := s.start(i)
 		<-ended
 		return err
 	})
 }
 
-// systemCallFaults has a gateway's process followed by one whose system calls fail for a while.
-func (s *soak) systemCallFaults(t Fault) error {
+// systemCallFaults replaces a gateway's process with one whose system calls fail for a while.
+func (s *soak) systemCallFaults(fault Fault) error {
 	if s.options.FaultyProgram == "" {
 		return nil
 	}
-	faults := drawSystemCallFaults(rand.New(rand.NewPCG(s.options.Seed, uint64(t.Number))), t.Duration)
-	return s.eachGateway(t, func(i int) error {
+	faults := drawSystemCallFaults(rand.New(rand.NewPCG(s.options.Seed, uint64(fault.Number))), fault.Duration)
+	return s.eachGateway(fault, func(i int) error {
 		s.terminate(s.lab.Node(i))
-		return s.startFaulty(t, i, map[string]any{"seed": s.options.Seed, "faults": faults})
+		return s.startFaulty(fault, i, map[string]any{"seed": s.options.Seed, "faults": faults})
 	})
 }
 
-// startFaulty runs a gateway anew whose system calls go by a plan.
-func (s *soak) startFaulty(t Fault, i int, plan map[string]any) error {
-	path := filepath.Join(s.dir, fmt.Sprintf("faults-%d-%d.json", t.Number, i))
-	text, err := json.Marshal(plan)
+// startFaulty starts a gateway with the fault plan of its system calls.
+func (s *soak) startFaulty(fault Fault, i int, faultPlan map[string]any) error {
+	path := filepath.Join(s.dir, fmt.Sprintf("faults-%d-%d.json", fault.Number, i))
+	text, err := json.Marshal(faultPlan)
 	if err == nil {
 		err = os.WriteFile(path, text, 0o600)
 	}
@@ -169,30 +172,31 @@
 	return err
 }
 
-// clockSteps are by how much wall clocks are stepped between two starts.
+// clockSteps are the offsets of the wall clock of a restarted gateway.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, -800 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second, time.Hour}
 
-// clockStep has a gateway killed, or ended, and started again with its wall clock off for good.
-func (s *soak) clockStep(t Fault) error {
+// clockStep kills or terminates a gateway and starts it again with a permanent offset of its wall clock.
+func (s *soak) clockStep(fault Fault) error {
 	if s.options.FaultyProgram == "" {
 		return nil
 	}
-	step := clockSteps[t.Number%len(clockSteps)]
-	return s.eachGateway(t, func(i int) error {
-		if node := s.lab.Node(i); t.Number%2 == 0 {
+	step := clockSteps[fault.Number%len(clockSteps)]
+	return s.eachGateway(fault, func(i int) error {
+		if node := s.lab.Node(i); fault.Number%2 == 0 {
 			defer s.judge.excuse(node.Name)()
 			node.Kill()
 		} else {
 			s.terminate(node)
 		}
-		return s.startFaulty(t, i, map[string]any{"wall_step_ms": step.Milliseconds()})
+		return s.startFaulty(fault, i, map[string]any{"wall_step_ms": step.Milliseconds()})
 	})
 }
 
-// removePrivateDir takes the private directory of a gateway away while an operator leaves a database out there, and starts a second
-// process when it is back. A yes that the operator had holds in that one, too.
-func (s *soak) removePrivateDir(t Fault) error {
-	i := s.heldGateway(t)
+// removePrivateDir moves the private directory of a gateway away while an operator suspends a database there, and
+// starts a second process when the directory is back. If the gateway accepted the override, it must be active in the
+// second process, too.
+func (s *soak) removePrivateDir(fault Fault) error {
+	i := s.heldGateway(fault)
 	if !s.reserve(i) {
 		return nil
 	}
@@ -201,30 +205,30 @@
 	if err != nil {
 		return err
 	}
-	old, id := s.lab.Node(i), s.pickReplica(t).ID
+	old, id := s.lab.Node(i), s.pickReplica(fault).ID
 	if err := os.Rename(dir, dir+"-away"); err != nil {
 		return err
 	}
 	_, suspendErr := old.Call("PUT", "/v1/databases/"+id+"/suspend")
-	standin.Sleep(t.Duration/4, s.stop)
+	standin.Sleep(fault.Duration/4, s.stop)
 	if err := os.Rename(dir+"-away", dir); err != nil {
 		return err
 	}
-	standin.Sleep(time.Second, s.stop) // the word is written again, which is due within a poll
+	standin.Sleep(time.Second, s.stop) // the gateway writes the override again within a poll interval
 	if err := s.start(i); err != nil {
 		return err
 	}
 	successor := s.lab.Node(i)
 	s.waitReady(successor)
 	if skipped := skippedDatabases(successor); suspendErr == nil && skipped == 0 {
-		s.judge.recordViolation("word_lost", 1, "%s does not know that %s is left out", successor.Name, id)
+		s.judge.recordViolation("word_lost", 1, "%s does not know that %s is suspended", successor.Name, id)
 	}
 	s.terminate(old)
-	_, _ = successor.Call("PUT", "/v1/databases/"+id+"/resume") // it may have left the list
+	_, _ = successor.Call("PUT", "/v1/databases/"+id+"/resume") // the database may have left the list
 	return nil
 }
 
-// skippedDatabases is how many databases a gateway sends nothing to.
+// skippedDatabases returns the number of databases to which a gateway sends no requests.
 func skippedDatabases(node *lab.Node) int {
 	text, err := node.Call("GET", "/v1/metrics")
 	if err != nil {
@@ -233,8 +237,8 @@
 	return int(stats.Parse(text)["skipped_databases"])
 }
 
-// drawSystemCallFaults are ways in which calls fail now and then, for so long.
-func drawSystemCallFaults(rng *rand.Rand, length time.Duration) (list []map[string]any) {
+// drawSystemCallFaults draws faults of system calls that last for duration, each on a share of the calls.
+func drawSystemCallFaults(rng *rand.Rand, duration time.Duration) (list []map[string]any) {
 	for _, fault := range []map[string]any{
 		{"call": "accept", "error": "ECONNABORTED"}, {"call": "accept", "error": "ENFILE"}, {"call": "accept", "error": "EPROTO"},
 		{"call": "socket", "error": "ENFILE"}, {"call": "connect", "error": "EADDRNOTAVAIL"}, {"call": "connect", "error": "ENETUNREACH"},
@@ -243,29 +247,29 @@
 		{"call": "create", "error": "ENOSPC"}, {"call": "write_file", "error": "ENOSPC"}, {"call": "rename", "error": "EIO"},
 	} {
 		if rng.IntN(2) == 0 {
-			fault["share"], fault["for_ms"] = 0.05+0.2*rng.Float64(), length.Milliseconds()
+			fault["share"], fault["for_ms"] = 0.05+0.2*rng.Float64(), duration.Milliseconds()
 			list = append(list, fault)
 		}
 	}
 	return list
 }
 
-func (s *soak) drainGateway(t Fault) error {
-	return s.eachGateway(t, func(i int) error {
+func (s *soak) drainGateway(fault Fault) error {
+	return s.eachGateway(fault, func(i int) error {
 		node := s.lab.Node(i)
 		if _, err := node.Call("PUT", "/v1/gateway/drain"); err != nil {
 			return err
 		}
-		standin.Sleep(t.Duration, s.stop)
+		standin.Sleep(fault.Duration, s.stop)
 		_, err := node.Call("PUT", "/v1/gateway/activate")
 		return err
 	})
 }
 
-// partition cuts some gateways off from the others.
-func (s *soak) partition(t Fault) error {
+// partition cuts the links between the affected gateways and the others.
+func (s *soak) partition(fault Fault) error {
 	isolated := map[int]bool{}
-	for _, i := range t.Gateways {
+	for _, i := range fault.Gateways {
 		isolated[i] = true
 	}
 	var rest []int
@@ -274,15 +278,15 @@
 			rest = append(rest, i)
 		}
 	}
-	s.lab.Mesh().Partition([][]int{t.Gateways, rest}, true)
-	standin.Sleep(t.Duration, s.stop)
-	s.lab.Mesh().Partition([][]int{t.Gateways, rest}, false)
+	s.lab.Mesh().Partition([][]int{fault.Gateways, rest}, true)
+	standin.Sleep(fault.Duration, s.stop)
+	s.lab.Mesh().Partition([][]int{fault.Gateways, rest}, false)
 	return nil
 }
 
-func (s *soak) lossyLinks(t Fault) error {
+func (s *soak) lossyLinks(fault Fault) error {
 	s.setLinks(plan.Link{Loss: 0.15, Duplicate: 0.1, Reorder: 0.2, Corrupt: 0.02, Delay: 20 * time.Millisecond, Jitter: 30 * time.Millisecond})
-	standin.Sleep(t.Duration, s.stop)
+	standin.Sleep(fault.Duration, s.stop)
 	s.setLinks(plan.Link{})
 	return nil
 }
@@ -297,13 +301,13 @@
 	}
 }
 
-// start runs a gateway anew.
+// start starts a new process of a gateway.
 func (s *soak) start(i int) error {
 	_, err := s.startCommand(i, s.lab.Gateway)
 	return err
 }
 
-// startCommand is start with another program. A process that does not start in time is one that crashed.
+// startCommand is start with a given command. It is a violation if the process does not start in time.
 func (s *soak) startCommand(i int, command []string, env ...string) (*lab.Node, error) {
 	start := time.Now()
 	node, err := s.lab.StartCommand(i, command, env...)
@@ -320,7 +324,7 @@
 		defer s.background.Done()
 		if s.waitReady(node) {
 			s.mu.Lock()
-			s.readyTimes = append(s.readyTimes, time.Since(start))
+			s.readyDurations = append(s.readyDurations, time.Since(start))
 			s.mu.Unlock()
 		}
 	}()
@@ -329,14 +333,15 @@
 
 const readyTimeout = 10 * time.Second
 
-// waitReady waits until a process says that it serves; false: it ends first, or does not in time.
+// waitReady waits until a process reports that it is ready. It returns false if the process ends first or is not ready
+// in time.
 func (s *soak) waitReady(node *lab.Node) bool {
 	for deadline := time.Now().Add(readyTimeout); node.Alive(); time.Sleep(20 * time.Millisecond) {
 		if _, err := node.Call("GET", "/v1/readyz"); err == nil {
 			return true
 		}
 		if time.Now().After(deadline) {
-			s.judge.recordViolation("not_ready", 1, "%s within %v", node.Name, readyTimeout)
+			s.judge.recordViolation("not_ready", 1, "%s is not ready within %v", node.Name, readyTimeout)
 			return false
 		}
 	}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -10,23 +10,24 @@
 	"lilaccove/internal/load/run"
 )
 
-// Bounds of a verdict on a request.
+// Time limits for judging a request.
 const (
-	lateAnswerLimit   = 500 * time.Millisecond // an answer later than that is none
-	excuseSlack       = 150 * time.Millisecond // of this machine's own
-	closeCrossingTime = 100 * time.Millisecond // a close that comes so soon may have crossed the request
+	lateAnswerLimit   = 500 * time.Millisecond // after the deadline; a later answer counts as none
+	excuseSlack       = 150 * time.Millisecond // delays of this machine after an excuse has ended
+	closeCrossingTime = 100 * time.Millisecond // a close this soon may have crossed the request
 )
 
-// interval is a time in which a gateway is excused: its process was killed, stood still or was replaced.
-type interval struct{ start, end time.Time }
+// excuseInterval is a period in which a gateway need not answer: its process was killed, paused or replaced. A zero
+// end means that it has not ended.
+type excuseInterval struct{ start, end time.Time }
 
-// judge keeps what was done to gateways, and what became of requests.
+// judge records the faults of gateways and the results of requests, and counts violations.
 type judge struct {
 	mu       sync.Mutex
-	gateways map[string]string     // by clients' address
-	excused  map[string][]interval // by gateway
-	inside   map[string]int        // violations that gateways told, by name
-	outside  map[string]int        // those seen from outside
+	gateways map[string]string           // name by client address
+	excused  map[string][]excuseInterval // by gateway
+	inside   map[string]int              // violations reported by gateways, by name
+	outside  map[string]int              // violations observed from outside, by name
 	examples []string
 	requests Requests
 }
@@ -34,21 +35,21 @@
 const maxExamples = 40
 
 func newJudge() *judge {
-	return &judge{gateways: map[string]string{}, excused: map[string][]interval{}, inside: map[string]int{}, outside: map[string]int{}}
+	return &judge{gateways: map[string]string{}, excused: map[string][]excuseInterval{}, inside: map[string]int{}, outside: map[string]int{}}
 }
 
-// registerProcess notes where a process serves.
+// registerProcess records the client address of a process.
 func (j *judge) registerProcess(node *lab.Node) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.gateways[node.ClientAddr] = node.Name
 }
 
-// excuse begins a time in which a gateway need not answer; the function returned ends it.
+// excuse begins a period in which a gateway need not answer. The returned function ends it.
 func (j *judge) excuse(gateway string) (end func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.excused[gateway] = append(j.excused[gateway], interval{start: time.Now()})
+	j.excused[gateway] = append(j.excused[gateway], excuseInterval{start: time.Now()})
 	i := len(j.excused[gateway]) - 1
 	return func() {
 		j.mu.Lock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// isExcused tells whether a gateway was excused at some moment of a time.
+// isExcused reports whether a gateway was excused at any time between start and end.
 func (j *judge) isExcused(gateway string, start, end time.Time) bool {
 	for _, excuse := range j.excused[gateway] {
 		if excuse.start.Before(end) && (excuse.end.IsZero() || excuse.end.Add(excuseSlack).After(start)) {
@@ -67,7 +68,7 @@
 	return false
 }
 
-// onLogLine takes in what gateways log of themselves.
+// onLogLine counts the violations that gateways log.
 func (j *judge) onLogLine(node *lab.Node, line string) {
 	_, event, _ := strings.Cut(line, " event=")
 	if !strings.HasPrefix(event, "violation ") {
@@ -79,13 +80,14 @@
 	j.addExample("%s %s", node.Name, event)
 }
 
+// addExample adds a text to the examples of the report, up to maxExamples.
 func (j *judge) addExample(format string, args ...any) {
 	if len(j.examples) < maxExamples {
 		j.examples = append(j.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// recordViolation notes one that was seen from outside.
+// recordViolation counts violations that were observed from outside.
 func (j *judge) recordViolation(name string, times int, format string, args ...any) {
 	if times == 0 {
 		return
@@ -96,7 +98,7 @@
 	j.addExample("%s: "+format, append([]any{name}, args...)...)
 }
 
-// judgeRequest judges one judgeRequest by the gateway that had it last.
+// judgeRequest counts the result of a request and attributes a missing answer to the gateway of its last attempt.
 func (j *judge) judgeRequest(sample run.Sample) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// judgeUnanswered judges a request that had no answer.
+// judgeUnanswered decides whether a request without an answer is a violation.
 func (j *judge) judgeUnanswered(attempt run.Attempt) {
 	requests, gateway := &j.requests, j.gateways[attempt.Target]
 	requests.Unanswered++
@@ -129,11 +131,11 @@
 	case attempt.Target == "" || gateway == "":
 	case j.isExcused(gateway, attempt.Sent, attempt.Ended):
 	case attempt.Reused && elapsed < closeCrossingTime:
-		requests.CrossedClose++ // a close between requests, which the client tries again
+		requests.CrossedClose++ // the gateway closed the idle connection; clients retry after that
 	default:
 		requests.Lost++
 		j.outside["lost"]++
-		j.addExample("lost: request %s at %s, begun at %s, ended after %v, on a connection that was used: %t",
+		j.addExample("lost: request %s at %s, sent at %s, ended after %v, on a reused connection: %t",
 			attempt.ID, gateway, attempt.Sent.Format("15:04:05.000"), elapsed.Round(time.Millisecond), attempt.Reused)
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -18,66 +18,67 @@
 	"lilaccove/internal/stats"
 )
 
-// Options are a soak's.
+// Options configures a soak.
 type Options struct {
 	Gateways      int           `json:"gateways"`
 	Databases     int           `json:"databases"`
 	Duration      time.Duration `json:"for_ns"`
 	Seed          uint64        `json:"seed"`
-	FaultNames    []string      `json:"-"` // that may be drawn; none: all
-	OnlyFaults    []int         `json:"-"` // numbers of the troubles drawn that are played; none: all
-	Program       string        `json:"-"` // the gateway's
-	FaultyProgram string        `json:"-"` // the gateway's, built with the tag faults; empty: no system calls fail
-	Log           io.Writer     `json:"-"` // what gateways say; nil: nowhere
+	FaultNames    []string      `json:"-"` // faults that may be drawn; empty: all
+	OnlyFaults    []int         `json:"-"` // numbers of the drawn faults that are injected; empty: all
+	Program       string        `json:"-"` // path of the gateway program
+	FaultyProgram string        `json:"-"` // the same, built with the tag faults; empty: no system calls fail
+	Log           io.Writer     `json:"-"` // receives the logs of the gateways; may be nil
 }
 
-// Bounds of a run.
+// Sizes and limits of a run.
 const (
-	databasesPerGroup         = 4   // databases
-	requestsPerTwelveGateways = 300 // requests a second for each twelve gateways
-	heldSocketGateways        = 3   // of which two processes may serve side by side
+	databasesPerGroup         = 4
+	requestsPerTwelveGateways = 300 // per second
+	heldSocketGateways        = 3   // gateways that can run two processes at a time, on a socket held by the lab
 	maxProcesses              = 300
-	memoryDivisor             = 2                      // of the machine's: half of it
-	maxGeneratorLateness      = 250 * time.Millisecond // of the generator: beyond it this machine starved the run
+	memoryDivisor             = 2                      // the run may use half of the machine's memory
+	maxGeneratorLateness      = 250 * time.Millisecond // beyond it the run was short of CPU and is invalid
 	clientSlack               = lateAnswerLimit + excuseSlack
-	firstListVersion          = 1_000_000 // of the list: discovery may be restored with lower ones
+	firstListVersion          = 1_000_000 // leaves lower ones for a restored discovery
 )
 
-// Requests are how many there were, by what became of them.
+// Requests counts the requests by their result.
 type Requests struct {
 	Sent         int `json:"sent"`
 	Served       int `json:"served"`
 	Refused      int `json:"refused"`
 	Failed       int `json:"failed"`
-	Unanswered   int `json:"unanswered"` // whoever's fault: those of gateways that were killed are among them
-	Lost         int `json:"lost"`       // unanswered by a gateway that lived on
-	CrossedClose int `json:"crossed"`    // on a resting connection that was closed at that moment
-	Unsent       int `json:"unsent"`     // too many were outstanding
+	Unanswered   int `json:"unanswered"` // whatever the cause, including gateways that were killed
+	Lost         int `json:"lost"`       // unanswered by a gateway that kept running
+	CrossedClose int `json:"crossed"`    // sent on an idle connection while the gateway closed it
+	Unsent       int `json:"unsent"`     // too many requests were outstanding
 	Duplicate    int `json:"duplicate"`
 	Stale        int `json:"stale"`
 }
 
-// ViolationCount is how often an invariant was violated, as seen from outside and as gateways told themselves.
+// ViolationCount counts the violations of an invariant: those observed from outside the gateways, and those that
+// the gateways reported themselves.
 type ViolationCount struct {
 	Outside int `json:"outside"`
 	Inside  int `json:"inside"`
 }
 
-// Percentiles are seconds.
+// Percentiles summarizes durations, in seconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
 	Max float64 `json:"max"`
 }
 
-// Report is a run as it is written down.
+// Report is the result of a run.
 type Report struct {
 	Seed          uint64                    `json:"seed"`
 	Gateways      int                       `json:"gateways"`
 	Databases     int                       `json:"databases"`
-	Pushed        bool                      `json:"pushed"` // lists are pushed to an agent of each gateway
+	Pushed        bool                      `json:"pushed"` // discovery pushes its list to an agent of each gateway
 	Valid         bool                      `json:"valid"`
-	InvalidReason string                    `json:"invalid,omitempty"` // why not
+	InvalidReason string                    `json:"invalid,omitempty"` // why the run is not valid
 	ProcessesMax  int                       `json:"processes_max"`
 	MemoryMBMax   int                       `json:"memory_mb_max"`
 	Faults        []Fault                   `json:"troubles"`
@@ -89,7 +90,7 @@
 	ReadySeconds  Percentiles               `json:"ready_s"`
 }
 
-// Err tells what the exit status says: nil where the run is valid and nothing was violated.
+// Err returns nil if the run is valid and found no violation.
 func (r *Report) Err() error {
 	switch {
 	case len(r.Violations) > 0:
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// soak is a run.
+// soak is the state of one run.
 type soak struct {
 	options     Options
 	lab         *lab.Lab
@@ -110,16 +111,16 @@
 	stop        chan struct{}
 	background  sync.WaitGroup
 
-	mu            sync.Mutex
-	reserved      map[int]bool // gateways whose processes a trouble starts and ends
-	restarts      int
-	readyTimes    []time.Duration
-	peakProcesses int
-	peakMemoryMB  int // MB
-	invalidReason string
+	mu             sync.Mutex
+	reserved       map[int]bool // gateways whose processes a fault starts and ends
+	restarts       int
+	readyDurations []time.Duration
+	peakProcesses  int
+	peakMemoryMB   int
+	invalidReason  string
 }
 
-// loadPlan is the load: reads of bounded age, of sessions, and writes.
+// loadPlan returns the plan of the load: bounded reads, session reads and writes.
 func loadPlan(options Options) (*plan.Plan, error) {
 	text := fmt.Sprintf(`seed: %d
 groups: %d
@@ -138,20 +139,20 @@
 	return plan.Parse("soak", []byte(text))
 }
 
-// Run plays a soak.
+// Run runs a soak.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Gateways < 4 || options.Databases < databasesPerGroup || options.Duration < 5*time.Second {
-		return nil, errors.New("a soak takes 4 gateways, 4 databases and 5 s at least")
+		return nil, errors.New("a soak needs at least 4 gateways, 4 databases and 5 s")
 	}
 	if options.Gateways+heldSocketGateways > maxProcesses {
-		return nil, fmt.Errorf("%d gateways are too many: %d processes are the most", options.Gateways, maxProcesses)
+		return nil, fmt.Errorf("%d gateways are too many: the maximum is %d processes", options.Gateways, maxProcesses)
 	}
 	if len(options.FaultNames) == 0 {
 		options.FaultNames = FaultNames()
 	}
 	for _, name := range options.FaultNames {
 		if _, known := faultKinds[name]; !known {
-			return nil, fmt.Errorf("there is no trouble %q; these are: %s", name, strings.Join(FaultNames(), ", "))
+			return nil, fmt.Errorf("unknown fault %q; must be one of: %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
 	drawn := Draw(options.Seed, options.Gateways, options.Duration, options.FaultNames)
@@ -187,7 +188,7 @@
 	return s.play(ctx, played)
 }
 
-// play runs load and troubles in a lab that is open, and judges.
+// play runs load and faults in an open lab and returns the report.
 func (s *soak) play(ctx context.Context, faults []Fault) (*Report, error) {
 	second, err := s.lab.World().AddDiscovery()
 	if err != nil {
@@ -208,7 +209,7 @@
 			defer running.Done()
 			if standin.Sleep(time.Until(start.Add(fault.At)), s.stop) {
 				if err := faultKinds[fault.Name].apply(s, fault); err != nil {
-					faultErrors <- fmt.Errorf("trouble %d, %s: %w", fault.Number, fault.Name, err)
+					faultErrors <- fmt.Errorf("fault %d, %s: %w", fault.Number, fault.Name, err)
 				}
 			}
 		}()
@@ -228,7 +229,7 @@
 	return s.report(loadReport, faults), nil
 }
 
-// collectViolationMetrics adds what living gateways have counted and not logged, for the log is bounded in rate.
+// collectViolationMetrics reads the violation counters of running gateways, as their logs are limited in rate.
 func (s *soak) collectViolationMetrics() {
 	counted := map[string]int{}
 	for i := range s.options.Gateways {
@@ -251,13 +252,13 @@
 	}
 }
 
-// report writes the run down.
+// report returns the report of the run.
 func (s *soak) report(loadReport *run.Report, faults []Fault) *Report {
 	world := s.lab.World().Counts()
 	for name, n := range map[string]int{
 		"duplicate": world.Duplicates, "stale": world.Stale, "foreign": world.Foreign, "to_draining": world.Drained, "cold_fell": world.Fell,
 	} {
-		s.judge.recordViolation(name, n, "%d times; twice ran %v, stale were %v", n, world.TwiceIDs, world.StaleIDs)
+		s.judge.recordViolation(name, n, "%d times; executed twice: %v, stale: %v", n, world.TwiceIDs, world.StaleIDs)
 	}
 	for _, fault := range loadReport.Faults {
 		if strings.Contains(fault, "ended by itself") {
@@ -274,7 +275,7 @@
 	report := &Report{
 		Seed: s.options.Seed, Gateways: s.options.Gateways, Databases: s.options.Databases, Pushed: s.lab.PushDiscovery, Valid: s.invalidReason == "", InvalidReason: s.invalidReason,
 		ProcessesMax: s.peakProcesses, MemoryMBMax: s.peakMemoryMB, Faults: faults, Overlaps: CountOverlaps(faults),
-		Violations: map[string]ViolationCount{}, Examples: s.judge.examples, Requests: s.judge.requests, Restarts: s.restarts, ReadySeconds: percentiles(s.readyTimes),
+		Violations: map[string]ViolationCount{}, Examples: s.judge.examples, Requests: s.judge.requests, Restarts: s.restarts, ReadySeconds: percentiles(s.readyDurations),
 	}
 	report.Requests.Duplicate, report.Requests.Stale = world.Duplicates, world.Stale
 	for name, n := range s.judge.outside {
@@ -286,6 +287,7 @@
 	return report
 }
 
+// percentiles sorts durations and summarizes them.
 func percentiles(durations []time.Duration) (p Percentiles) {
 	if len(durations) == 0 {
 		return p
@@ -295,7 +297,8 @@
 	return Percentiles{P50: quantile(0.5), P90: quantile(0.9), Max: quantile(1)}
 }
 
-// watchResources watches how many processes there are and what memory they and this one hold; beyond the bounds the run is invalid.
+// watchResources records the number of gateway processes and the memory of them and of this process. A run that
+// exceeds the memory limit is invalid.
 func (s *soak) watchResources() {
 	defer s.background.Done()
 	limit := lab.MachineMemory() / memoryDivisor
@@ -310,7 +313,7 @@
 		s.mu.Lock()
 		s.peakProcesses, s.peakMemoryMB = max(s.peakProcesses, processes), max(s.peakMemoryMB, int(bytes)>>20)
 		if limit > 0 && bytes > limit {
-			s.invalidReason = fmt.Sprintf("%.0f bytes of memory are held, %.0f are the most", bytes, limit)
+			s.invalidReason = fmt.Sprintf("%.0f bytes of memory are in use, the limit is %.0f", bytes, limit)
 		}
 		s.mu.Unlock()
 		if !standin.Sleep(time.Second, s.stop) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// buildPrograms builds the gateway, as users have it and with system calls that fail by a plan.
+// buildPrograms builds the gateway, without and with injected system call faults.
 func buildPrograms(t *testing.T) (plain, faulty string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,7 +25,7 @@
 	return plain, faulty
 }
 
-// Two short seeds, one of them with lists that are pushed. Twenty and more of a minute are played by hand: docs/soak.md.
+// Two short runs, one of them with pushed lists. Twenty and more runs of a minute are done by hand: docs/soak.md.
 func TestSoakOfTwoSeeds(t *testing.T) {
 	plain, faulty := buildPrograms(t)
 	for _, seed := range []uint64{1, 3} {
@@ -50,10 +50,10 @@
 func TestBadOptions(t *testing.T) {
 	good := Options{Gateways: 8, Databases: 8, Duration: 10 * time.Second}
 	for message, change := range map[string]func(o *Options){
-		"at least":             func(o *Options) { o.Gateways = 1 },
-		"too many":             func(o *Options) { o.Gateways = 299 },
-		"there is no trouble ": func(o *Options) { o.FaultNames = []string{"storm"} },
-		"the seed draws":       func(o *Options) { o.OnlyFaults = []int{9999} },
+		"at least":       func(o *Options) { o.Gateways = 1 },
+		"too many":       func(o *Options) { o.Gateways = 299 },
+		"unknown fault ": func(o *Options) { o.FaultNames = []string{"storm"} },
+		"the seed draws": func(o *Options) { o.OnlyFaults = []int{9999} },
 	} {
 		o := good
 		change(&o)
