--- a/internal/wan/lateness.go
+++ b/internal/wan/lateness.go
@@ -7,26 +7,26 @@
 
 const (
 	latenessResolution = 100 * time.Microsecond
-	latenessBuckets    = 2000 // beyond them all is one
+	latenessBuckets    = 2000 // one more holds all that is later
 )
 
-// lateness counts by how much datagrams were passed on later than they were due. The loop writes, anybody reads.
+// lateness is a histogram of how late datagrams were forwarded. Only the loop writes it; reads are concurrent.
 type lateness struct {
 	buckets [latenessBuckets + 1]atomic.Uint64
-	sum     atomic.Int64
-	maximum atomic.Int64 // since it was last taken
+	sum     atomic.Int64 // in ns
+	maximum atomic.Int64 // in ns, since the last call of Relay.Lateness
 }
 
-func (l *lateness) add(ns int64) {
-	ns = max(0, ns)
-	l.buckets[min(latenessBuckets, ns/int64(latenessResolution))].Add(1)
-	l.sum.Add(ns)
-	if ns > l.maximum.Load() {
-		l.maximum.Store(ns)
+func (l *lateness) add(nanoseconds int64) {
+	nanoseconds = max(0, nanoseconds)
+	l.buckets[min(latenessBuckets, nanoseconds/int64(latenessResolution))].Add(1)
+	l.sum.Add(nanoseconds)
+	if nanoseconds > l.maximum.Load() {
+		l.maximum.Store(nanoseconds)
 	}
 }
 
-// Lateness is by how much datagrams were passed on later than they were due, the time included for which they waited unread.
+// Lateness summarizes how late datagrams were forwarded, including the time they waited to be read.
 type Lateness struct {
 	Count          uint64
 	Mean, P99, Max time.Duration // P99 is rounded up to 0.1 ms
@@ -34,7 +34,8 @@
 	sum            int64
 }
 
-// Lateness is that of all datagrams since an earlier one was taken; the zero one: since the begin. One goroutine may ask.
+// Lateness returns the lateness of all datagrams since an earlier call, or since the start for the zero value. It must
+// not be called concurrently.
 func (r *Relay) Lateness(since Lateness) Lateness {
 	l := Lateness{buckets: make([]uint64, latenessBuckets+1), sum: r.lateness.sum.Load(), Max: time.Duration(r.lateness.maximum.Swap(0))}
 	before := func(i int) uint64 {
--- a/internal/wan/loop.go
+++ b/internal/wan/loop.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	batchSize     = 128                    // datagrams for one call of the system
-	maxDatagram   = 2048                   // bytes of a datagram, as a gateway reads at most
-	roundInterval = 250 * time.Microsecond // between rounds, so that one has a batch to work on
+	batchSize     = 128                    // datagrams per system call
+	maxDatagram   = 2048                   // bytes; gateways read no more
+	roundInterval = 250 * time.Microsecond // between rounds, so that datagrams arrive in batches
 )
 
-// loop passes datagrams on. It has a thread of its own, which alone touches what is here.
+// loop forwards datagrams. It runs on its own thread; no other goroutine uses its fields.
 type loop struct {
 	relay              *Relay
 	rng                *rand.Rand
-	queue              []datagram // a heap by due
-	lastArrival        int64      // when the last datagram came
+	queue              []datagram // a heap, ordered by due
+	lastArrival        int64      // arrival time of the last datagram, in ns
 	sequence           uint64
 	freeBuffers        []*[maxDatagram]byte
 	received, outgoing messageBatch
 }
 
-// datagram is a datagram on its way.
+// datagram is a datagram in flight.
 type datagram struct {
-	due      int64 // in ns of the system's clock
+	due      int64 // wall clock, in ns
 	sequence uint64
 	from, to int
 	size     int
@@ -40,7 +40,7 @@
 	return a.due < b.due || a.due == b.due && a.sequence < b.sequence
 }
 
-// messageBatch is what one call of the system reads or writes.
+// messageBatch holds the arguments of one recvmmsg or sendmmsg call.
 type messageBatch struct {
 	headers  [batchSize]mmsghdr
 	iovecs   [batchSize]unix.Iovec
@@ -69,7 +69,7 @@
 	}
 	for i := range batchSize {
 		l.received.setBuffer(i, l.takeBuffer())
-		// The source is set for each datagram; the rest stays.
+		// sendDue sets the source address for each datagram; the rest stays.
 		control := l.outgoing.controls[i][:]
 		binary.NativeEndian.PutUint64(control, uint64(unix.CmsgLen(unix.SizeofInet4Pktinfo)))
 		binary.NativeEndian.PutUint32(control[8:], unix.IPPROTO_IP)
@@ -86,17 +86,17 @@
 }
 
 func (l *loop) takeBuffer() *[maxDatagram]byte {
-	if n := len(l.freeBuffers); n > 0 {
-		b := l.freeBuffers[n-1]
-		l.freeBuffers = l.freeBuffers[:n-1]
-		return b
+	if count := len(l.freeBuffers); count > 0 {
+		buffer := l.freeBuffers[count-1]
+		l.freeBuffers = l.freeBuffers[:count-1]
+		return buffer
 	}
 	return new([maxDatagram]byte)
 }
 
 func (l *loop) run() {
 	runtime.LockOSThread()
-	defer runtime.UnlockOSThread() // a thread that ended would take the processes along that were started on it
+	defer runtime.UnlockOSThread() // if the thread ended, child processes started on it with a parent-death signal would be killed
 	lastRound := time.Now()
 	for {
 		timeout := (*unix.Timespec)(nil)
@@ -120,7 +120,7 @@
 	}
 }
 
-// receive takes in all that has come, a bounded number of calls at a time.
+// receive reads the datagrams that have arrived, with a bounded number of system calls.
 func (l *loop) receive() {
 	for range 16 {
 		for i := range batchSize {
@@ -141,10 +141,10 @@
 	}
 }
 
-// enqueue decides on one datagram.
+// enqueue drops a received datagram or queues it with its delay.
 func (l *loop) enqueue(i int) {
 	relay, header := l.relay, &l.received.headers[i]
-	var arrival int64
+	var timestamp int64
 	var to [4]byte
 	for control := l.received.controls[i][:header.Controllen]; len(control) >= unix.SizeofCmsghdr; {
 		size := binary.NativeEndian.Uint64(control)
@@ -156,7 +156,7 @@
 		case binary.NativeEndian.Uint32(control[8:]) == unix.IPPROTO_IP && kind == unix.IP_PKTINFO && len(data) >= unix.SizeofInet4Pktinfo:
 			to = [4]byte(data[8:12])
 		case binary.NativeEndian.Uint32(control[8:]) == unix.SOL_SOCKET && kind == unix.SO_TIMESTAMPNS && len(data) >= 16:
-			arrival = int64(binary.NativeEndian.Uint64(data))*1e9 + int64(binary.NativeEndian.Uint64(data[8:]))
+			timestamp = int64(binary.NativeEndian.Uint64(data))*1e9 + int64(binary.NativeEndian.Uint64(data[8:]))
 		}
 		control = control[min(len(control), int(size+7)&^7):]
 	}
@@ -180,35 +180,35 @@
 		relay.counts[countLost].Add(1)
 		return
 	}
-	if arrival == 0 {
-		arrival = time.Now().UnixNano()
+	if timestamp == 0 {
+		timestamp = time.Now().UnixNano()
 	}
-	// The system begins to stamp datagrams a moment after it was asked to; one that it has not stamped bears the time of its
-	// reading, which is later than the stamps of those read behind it.
-	arrival = max(arrival, l.lastArrival)
-	l.lastArrival = arrival
-	arrival += int64(link.Delay)
+	// The kernel starts to timestamp datagrams shortly after SO_TIMESTAMPNS is set. A datagram without a timestamp gets the
+	// time it was read, which is later than the timestamps of those read after it.
+	timestamp = max(timestamp, l.lastArrival)
+	l.lastArrival = timestamp
+	timestamp += int64(link.Delay)
 	if link.Jitter > 0 {
-		arrival += l.rng.Int64N(int64(link.Jitter))
+		timestamp += l.rng.Int64N(int64(link.Jitter))
 	}
 	l.sequence++
-	l.push(datagram{due: arrival, sequence: l.sequence, from: sender, to: target, size: int(header.length), buffer: l.received.buffers[i]})
+	l.push(datagram{due: timestamp, sequence: l.sequence, from: sender, to: target, size: int(header.length), buffer: l.received.buffers[i]})
 	l.received.setBuffer(i, l.takeBuffer())
 }
 
-// sendDue sends all that is due.
+// sendDue sends all datagrams that are due.
 func (l *loop) sendDue() {
 	for {
 		now, count := time.Now().UnixNano(), 0
 		for count < batchSize && len(l.queue) > 0 && l.queue[0].due <= now {
-			p := l.pop()
-			l.relay.lateness.add(now - p.due)
-			l.relay.counts[countBytes].Add(uint64(p.size))
-			l.outgoing.setBuffer(count, p.buffer)
-			l.outgoing.iovecs[count].SetLen(p.size)
-			l.outgoing.addrs[count] = unix.RawSockaddrInet4{Family: unix.AF_INET, Addr: address(gatewayFamily, p.to)}
+			next := l.pop()
+			l.relay.lateness.add(now - next.due)
+			l.relay.counts[countBytes].Add(uint64(next.size))
+			l.outgoing.setBuffer(count, next.buffer)
+			l.outgoing.iovecs[count].SetLen(next.size)
+			l.outgoing.addrs[count] = unix.RawSockaddrInet4{Family: unix.AF_INET, Addr: addressOf(gatewayFamily, next.to)}
 			binary.BigEndian.PutUint16((*[2]byte)(unsafe.Pointer(&l.outgoing.addrs[count].Port))[:], l.relay.gatewayPort)
-			source := address(gatewayFamily, p.from)
+			source := addressOf(gatewayFamily, next.from)
 			copy(l.outgoing.controls[count][unix.SizeofCmsghdr+4:], source[:])
 			count++
 		}
@@ -265,7 +265,7 @@
 	}
 }
 
-// overflowed is how many datagrams the kernel dropped before the relay read them.
+// overflowed returns the number of datagrams that the kernel dropped before the relay read them.
 func (r *Relay) overflowed() uint64 {
 	const drops = 8 // SK_MEMINFO_DROPS
 	var info [9]uint32
--- a/internal/wan/loop_test.go
+++ b/internal/wan/loop_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What is due at one moment goes out in the order in which it came, all else by when it is due.
+// Datagrams leave the queue in the order of their due times, and those due at the same time in the order of arrival.
 func TestScaleRelayQueueKeepsTheOrder(t *testing.T) {
 	l, rnd := &loop{}, rand.New(rand.NewPCG(1, 1))
 	for i := range 1000 {
--- a/internal/wan/stream.go
+++ b/internal/wan/stream.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	retransmitDelay = 200 * time.Millisecond // by which a lost piece of a connection is late
-	cutDialTimeout  = 3 * time.Second        // for which a new connection waits for a link that is cut
-	maxChunks       = 64                     // of one direction under way
-	chunkSize       = 16 << 10
+	retransmitDelay = 200 * time.Millisecond // added to a chunk that is drawn as lost
+	cutDialTimeout  = 3 * time.Second        // how long a new connection waits while its link is cut
+	maxChunks       = 64                     // in flight per direction
+	chunkSize       = 16 << 10               // bytes
 )
 
-// chunk is some bytes of a connection on their way; none: it ends here.
+// chunk is data of a connection in flight. err is set if the connection ends after it.
 type chunk struct {
 	due  time.Time
 	data []byte
 	err  error
 }
 
+// acceptConnections accepts connections until the relay is closed.
 func (r *Relay) acceptConnections() {
 	defer r.wg.Done()
 	for {
@@ -40,22 +41,22 @@
 	}
 }
 
-// relayConnection passes a connection on, each direction as its link has it. The dialler's connection is up at once; its first bytes wait
-// for the round trip that a real one would have taken.
+// relayConnection forwards a connection, each direction with the delays of its link. The dialer's connection is
+// established at once, but its first bytes wait for the round trip that a real handshake would take.
 func (r *Relay) relayConnection(dialer net.Conn, zone, gateway int, number uint64) {
 	defer r.wg.Done()
 	r.track(dialer)
 	defer r.untrack(dialer)
-	forward, back := &Link{}, &Link{}
+	forward, backward := &Link{}, &Link{}
 	link := func(from, to int) func() *Link {
 		if zone < 0 {
 			return func() *Link { return &Link{} }
 		}
 		return r.links[from*r.zones+to].Load
 	}
-	out, in := link(zone, r.zoneOf[gateway]), link(r.zoneOf[gateway], zone)
+	forwardLink, backwardLink := link(zone, r.zoneOf[gateway]), link(r.zoneOf[gateway], zone)
 	for start := time.Now(); ; {
-		if forward, back = out(), in(); !forward.Cut && !back.Cut {
+		if forward, backward = forwardLink(), backwardLink(); !forward.Cut && !backward.Cut {
 			break
 		}
 		if time.Since(start) > cutDialTimeout || !r.sleep(20*time.Millisecond) {
@@ -63,7 +64,7 @@
 			return
 		}
 	}
-	if !r.sleep(forward.Delay + back.Delay) {
+	if !r.sleep(forward.Delay + backward.Delay) {
 		return
 	}
 	receiver, err := net.DialTimeout("tcp4", r.ListenAddr(gateway).String(), time.Second)
@@ -77,13 +78,13 @@
 	forwardDone := make(chan struct{})
 	go func() {
 		defer close(forwardDone)
-		r.copy(receiver, dialer, out, newRand(0))
+		r.copy(receiver, dialer, forwardLink, newRand(0))
 	}()
-	r.copy(dialer, receiver, in, newRand(1))
+	r.copy(dialer, receiver, backwardLink, newRand(1))
 	<-forwardDone
 }
 
-// copy passes bytes on in one direction until it ends.
+// copy forwards data in one direction until it ends.
 func (r *Relay) copy(to, from net.Conn, link func() *Link, rng *rand.Rand) {
 	inFlight := make(chan chunk, maxChunks)
 	go func() {
@@ -141,7 +142,7 @@
 	}
 }
 
-// waitUncut waits until a link is not cut; false: the relay is closed.
+// waitUncut waits until a link is not cut. It returns false if the relay is closed.
 func (r *Relay) waitUncut(link func() *Link) bool {
 	for link().Cut {
 		if !r.sleep(20 * time.Millisecond) {
@@ -151,20 +152,22 @@
 	return true
 }
 
+// sleep waits for d. It returns false if the relay is closed.
 func (r *Relay) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-r.done:
 		return false
 	}
 }
 
+// track registers a connection, so that Close closes it.
 func (r *Relay) track(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,6 +179,7 @@
 	}
 }
 
+// untrack closes a connection and removes it from the registered ones.
 func (r *Relay) untrack(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/wan/thread_test.go
+++ b/internal/wan/thread_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// onEachThread runs do on so many threads at once, so that each thread of this process that is free has run it.
+// onEachThread runs do on that many threads at once, so that every idle thread of this process has run it.
 func onEachThread(threads int, do func()) {
 	var running, done sync.WaitGroup
 	running.Add(threads)
@@ -22,14 +22,14 @@
 			defer runtime.UnlockOSThread()
 			do()
 			running.Done()
-			running.Wait() // nobody gives its thread to another before all have one
+			running.Wait() // no thread is released before every goroutine has its own
 		})
 	}
 	done.Wait()
 }
 
-// A relay that closes takes no processes along: the system kills one that was started with a parent-death signal when the
-// thread that started it ends, though the process of that thread lives on.
+// Closing a relay must not kill child processes. The kernel sends a parent-death signal when the thread that started
+// the child ends, even if the process of that thread keeps running.
 func TestScaleRelayCloseKeepsChildProcesses(t *testing.T) {
 	const threads = 24
 	var mu sync.Mutex
@@ -54,7 +54,7 @@
 	}
 	select {
 	case err := <-ended:
-		t.Errorf("a process ended with a relay: %v", err)
+		t.Errorf("a child process ended when a relay was closed: %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
 	for _, c := range started {
--- a/internal/wan/wan.go
+++ b/internal/wan/wan.go
@@ -1,10 +1,10 @@
-// Package wan is the network between many gateways on one machine: one relay that all their datagrams and connections pass, which
-// delays, loses and cuts them by ordered pair of zones. It stays on the loopback interface.
+// Package wan simulates the network between many gateways on one machine. A relay forwards all their datagrams and
+// connections, and delays, drops and cuts them by ordered pair of zones. It uses the loopback interface only.
 //
-// Each gateway has an address of its own in 127.0.0.0/8, which tells who sent a datagram, and the relay stands at one more for each
-// gateway and zone of senders, which tells whom a datagram or a connection is for and from where. All of the relay's addresses are
-// of one socket, so that nothing here grows with the number of pairs. What is passed on comes from the sender's own address, at the
-// relay's port: a receiver that counts by sender counts right.
+// Each gateway has its own address in 127.0.0.0/8, by which the relay identifies the sender of a datagram. For each
+// pair of a gateway and a zone of senders the relay has one more address, which identifies the receiver and the
+// sender's zone. One socket serves all addresses of the relay, so no resource grows with the number of pairs. The relay
+// forwards datagrams with the sender's address and the relay's port, so that receivers can tell senders apart.
 package wan
 
 import (
@@ -22,41 +22,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of one relay.
+// Limits of one relay.
 const (
 	MaxZones    = 64
 	MaxGateways = 250 * 250
 )
 
-// The second byte of addresses.
+// Address families: the second byte of an address.
 const (
 	gatewayFamily   = 20
-	anyZoneFamily   = 99 // the relay, for senders of any zone: a datagram's source tells it
-	firstZoneFamily = 100
+	anyZoneFamily   = 99  // of the relay, for senders of any zone; the zone follows from a datagram's source
+	firstZoneFamily = 100 // of the relay, for senders of zone 0; one for each zone follows
 )
 
-// Link is what happens on the way from one zone to another.
+// Link holds the properties of the network path from one zone to another.
 type Link struct {
 	Delay  time.Duration // one way
-	Jitter time.Duration // up to so much more, drawn evenly
-	Loss   float64       // share of the datagrams; a piece of a connection is late by repeatTime instead
-	Cut    bool          // nothing passes; connections stand still
+	Jitter time.Duration // maximum of an additional delay, uniformly distributed
+	Loss   float64       // share of the datagrams; data of a connection is delayed by retransmitDelay instead
+	Cut    bool          // datagrams are dropped and connections stall
 }
 
-// Counts are datagrams by what became of them, and connections.
+// Counts holds the numbers of datagrams by result, of their bytes, and of connections.
 type Counts struct {
 	Forwarded, Lost, Cut, Misaddressed, Oversized, Unsent, Bytes uint64
-	Overflowed                                                   uint64 // came faster than the relay read: the kernel dropped them
+	Overflowed                                                   uint64 // dropped by the kernel because the relay read too slowly
 	Streams, StreamsCut                                          uint64
 }
 
-// Relay is the network.
+// Relay is the simulated network.
 type Relay struct {
 	zones       int
-	zoneOf      []int // the zone of each gateway
+	zoneOf      []int // zone of each gateway
 	links       []atomic.Pointer[Link]
-	relayPort   uint16 // of the relay
-	gatewayPort uint16 // of the gateways
+	relayPort   uint16
+	gatewayPort uint16
 
 	fd, wakeFD int
 	listener   net.Listener
@@ -66,12 +66,13 @@
 	counts     [countKinds]atomic.Uint64
 	seed       uint64
 	streams    atomic.Uint64
-	mu         sync.Mutex // of conns alone
+	mu         sync.Mutex // guards conns
 	conns      map[net.Conn]bool
 	done       chan struct{}
 	wg         sync.WaitGroup
 }
 
+// Indexes of Relay.counts.
 const (
 	countForwarded = iota
 	countLost
@@ -85,14 +86,14 @@
 	countKinds
 )
 
-// Open starts a relay for gateways, of each of which the zone is given.
+// Open starts a relay. zoneOf gives the zone of each gateway.
 func Open(zones int, zoneOf []int, seed uint64) (*Relay, error) {
 	if zones < 1 || zones > MaxZones || len(zoneOf) > MaxGateways {
-		return nil, fmt.Errorf("relay: %d zones and %d gateways; 1 to %d and up to %d would do", zones, len(zoneOf), MaxZones, MaxGateways)
+		return nil, fmt.Errorf("relay: %d zones and %d gateways; allowed are 1 to %d zones and up to %d gateways", zones, len(zoneOf), MaxZones, MaxGateways)
 	}
 	for g, z := range zoneOf {
 		if z < 0 || z >= zones {
-			return nil, fmt.Errorf("relay: gateway %d is in zone %d of %d", g, z, zones)
+			return nil, fmt.Errorf("relay: gateway %d is in zone %d, but there are %d zones", g, z, zones)
 		}
 	}
 	r := &Relay{zones: zones, zoneOf: zoneOf, links: make([]atomic.Pointer[Link], zones*zones), seed: seed, conns: map[net.Conn]bool{}, done: make(chan struct{}), fd: -1, wakeFD: -1}
@@ -113,10 +114,10 @@
 	return r, nil
 }
 
-// reservePort finds the port of the gateways: nobody else gets it while the relay is open.
+// reservePort finds the port of the gateways and keeps it from other programs while the relay is open.
 func (r *Relay) reservePort() error {
 	var err error
-	for range 8 { // a port may be free for one kind and taken for the other
+	for range 8 { // a port may be free for TCP and in use for UDP
 		var ln net.Listener
 		if ln, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
 			return err
@@ -133,9 +134,9 @@
 	return err
 }
 
-// openSockets opens the relay's two sockets at every address of the loopback interface and of no other.
+// openSockets opens the relay's two sockets on all addresses of the loopback interface, and of no other interface.
 func (r *Relay) openSockets() (err error) {
-	const buffer = 16 << 20 // as much of it as the system gives
+	const buffer = 16 << 20 // bytes; the system may grant less
 	for range 8 {
 		config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
@@ -167,18 +168,19 @@
 	return err
 }
 
-// address is that of gateway g in one of the families above.
-func address(family, g int) [4]byte {
+// addressOf returns the address of gateway g in a family.
+func addressOf(family, g int) [4]byte {
 	return [4]byte{127, byte(family), byte(g / 250), byte(g%250 + 1)}
 }
 
-// parseAddress is the reverse: which it is, and the family. False: it is none.
+// parseAddress is the inverse of addressOf. It returns false if the address belongs to no gateway.
 func (r *Relay) parseAddress(a [4]byte) (family, g int, ok bool) {
 	g = int(a[2])*250 + int(a[3]) - 1
 	return int(a[1]), g, a[0] == 127 && a[3] >= 1 && a[3] <= 250 && g < len(r.zoneOf)
 }
 
-// senderZone is the zone that an address of the relay stands for; -1: any. False: it stands for none.
+// senderZone returns the zone of senders for a family of the relay's addresses; -1: any zone. It returns false for
+// other families.
 func (r *Relay) senderZone(family int) (zone int, ok bool) {
 	if family == anyZoneFamily {
 		return -1, true
@@ -186,45 +188,45 @@
 	return family - firstZoneFamily, family >= firstZoneFamily && family < firstZoneFamily+r.zones
 }
 
-// ListenAddr is where gateway g is to listen for others.
+// ListenAddr returns the address on which gateway g must listen.
 func (r *Relay) ListenAddr(g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(gatewayFamily, g)), r.gatewayPort)
+	return netip.AddrPortFrom(netip.AddrFrom4(addressOf(gatewayFamily, g)), r.gatewayPort)
 }
 
-// DialAddr is where a gateway in a zone finds gateway g.
+// DialAddr returns the address at which gateways of a zone reach gateway g.
 func (r *Relay) DialAddr(zone, g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(firstZoneFamily+zone, g)), r.relayPort)
+	return netip.AddrPortFrom(netip.AddrFrom4(addressOf(firstZoneFamily+zone, g)), r.relayPort)
 }
 
-// AdvertiseAddr is where gateways of any zone find g. A connection there has no delay and is never cut, as nothing tells from which
-// zone it comes.
+// AdvertiseAddr returns the address at which gateways of any zone reach g. Connections to it have no delay and are never
+// cut, as the relay cannot tell the zone they come from.
 func (r *Relay) AdvertiseAddr(g int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4(address(anyZoneFamily, g)), r.relayPort)
+	return netip.AddrPortFrom(netip.AddrFrom4(addressOf(anyZoneFamily, g)), r.relayPort)
 }
 
-// SetLink says what happens on the way from one zone to another from now on. What is on its way already arrives as it was.
-func (r *Relay) SetLink(from, to int, l Link) { r.links[from*r.zones+to].Store(&l) }
+// SetLink sets the link from one zone to another. Datagrams that are in flight keep their delay.
+func (r *Relay) SetLink(from, to int, link Link) { r.links[from*r.zones+to].Store(&link) }
 
-// Link is what happens there now.
+// Link returns the current link from one zone to another.
 func (r *Relay) Link(from, to int) Link { return *r.links[from*r.zones+to].Load() }
 
-// SetCut takes the way from one zone to another away, or gives it back.
+// SetCut cuts or restores the link from one zone to another.
 func (r *Relay) SetCut(from, to int, on bool) {
-	l := r.Link(from, to)
-	l.Cut = on
-	r.SetLink(from, to, l)
+	link := r.Link(from, to)
+	link.Cut = on
+	r.SetLink(from, to, link)
 }
 
-// Counts are what has happened so far.
+// Counts returns the counts since the relay was opened.
 func (r *Relay) Counts() Counts {
-	n := func(kind int) uint64 { return r.counts[kind].Load() }
+	count := func(kind int) uint64 { return r.counts[kind].Load() }
 	return Counts{
-		Forwarded: n(countForwarded), Lost: n(countLost), Cut: n(countCut), Misaddressed: n(countMisaddressed), Oversized: n(countOversized), Unsent: n(countUnsent), Bytes: n(countBytes),
-		Overflowed: r.overflowed(), Streams: n(countStreams), StreamsCut: n(countStreamsCut),
+		Forwarded: count(countForwarded), Lost: count(countLost), Cut: count(countCut), Misaddressed: count(countMisaddressed), Oversized: count(countOversized), Unsent: count(countUnsent), Bytes: count(countBytes),
+		Overflowed: r.overflowed(), Streams: count(countStreams), StreamsCut: count(countStreamsCut),
 	}
 }
 
-// Close ends the relay and all connections over it.
+// Close stops the relay and closes all connections through it.
 func (r *Relay) Close() {
 	close(r.done)
 	_, _ = unix.Write(r.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
@@ -247,7 +249,7 @@
 			unix.Close(fd)
 		}
 	}
-	for _, c := range r.reserved {
-		c.Close()
+	for _, socket := range r.reserved {
+		socket.Close()
 	}
 }
--- a/internal/wan/wan_test.go
+++ b/internal/wan/wan_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// socket stands for a gateway.
+// socket is the UDP socket of a gateway.
 type socket struct {
 	t *testing.T
 	*net.UDPConn
@@ -39,7 +39,7 @@
 	require.NoError(s.t, err)
 }
 
-// receive returns what comes next; empty: nothing does for so long.
+// receive returns the next datagram and its source, or an empty text after the timeout.
 func (s socket) receive(timeout time.Duration) (string, netip.AddrPort) {
 	var b [maxDatagram]byte
 	_ = s.SetReadDeadline(time.Now().Add(timeout))
@@ -51,25 +51,25 @@
 }
 
 const (
-	receiveTimeout = 5 * time.Second // by when what has to come comes, on a busy machine too
+	receiveTimeout = 5 * time.Second // generous, for a busy machine
 	silenceTime    = 150 * time.Millisecond
 )
 
-func TestScaleRelayNamesTheSender(t *testing.T) {
+func TestScaleRelayKeepsTheSenderAddress(t *testing.T) {
 	r, s := openRelay(t, 2, []int{0, 0, 1}, 1)
 	for round := range 3 {
 		for g := range 2 {
 			s[g].send(r.DialAddr(0, 2), fmt.Sprint(g, round))
 			text, from := s[2].receive(receiveTimeout)
 			assert.Equal(t, fmt.Sprint(g, round), text)
-			assert.Equal(t, r.ListenAddr(g).Addr(), from.Addr(), "the source tells who sent it")
+			assert.Equal(t, r.ListenAddr(g).Addr(), from.Addr(), "the source address is the sender's")
 		}
 	}
 	s[0].send(r.AdvertiseAddr(2), "any")
 	text, from := s[2].receive(receiveTimeout)
 	assert.Equal(t, "any", text)
 	assert.Equal(t, r.ListenAddr(0).Addr(), from.Addr())
-	// Who names the address of another zone, or is none of the gateways, is not passed on.
+	// Datagrams to the address for another zone, and those from no gateway, are not forwarded.
 	s[0].send(r.DialAddr(1, 2), "wrong zone")
 	c, err := net.Dial("udp4", r.DialAddr(0, 2).String())
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	assert.Equal(t, uint64(7), r.Counts().Forwarded)
 }
 
-// Each ordered pair has its own delay, and what goes the other way or elsewhere has none of it.
+// Each ordered pair of zones has its own delay, which does not apply in the other direction or to other pairs.
 func TestScaleRelayDelays(t *testing.T) {
 	r, s := openRelay(t, 2, []int{0, 1, 0}, 1)
 	const delay, jitter = 200 * time.Millisecond, 50 * time.Millisecond
@@ -97,7 +97,7 @@
 	assert.Equal(t, "back", text)
 	text, _ = s[2].receive(receiveTimeout)
 	assert.Equal(t, "beside", text)
-	assert.Less(t, time.Since(start), delay, "neither waits for the pair that is slow")
+	assert.Less(t, time.Since(start), delay, "neither waits for the slow pair")
 	for i := range 50 {
 		text, _ = s[1].receive(receiveTimeout)
 		require.Equal(t, fmt.Sprint(i), text, "equal delays keep the order")
@@ -117,18 +117,18 @@
 		order, last = order && i > last, i
 		require.GreaterOrEqual(t, time.Since(start), delay)
 	}
-	assert.False(t, order, "each has a jitter of its own")
-	late := r.Lateness(Lateness{})
-	assert.Equal(t, uint64(252), late.Count)
-	assert.Less(t, time.Since(sent), delay+jitter+late.Max+receiveTimeout/10, "and none waits for longer than it and what the relay owns to")
+	assert.False(t, order, "each datagram has its own jitter")
+	lateness := r.Lateness(Lateness{})
+	assert.Equal(t, uint64(252), lateness.Count)
+	assert.Less(t, time.Since(sent), delay+jitter+lateness.Max+receiveTimeout/10, "no datagram takes longer than delay, jitter and the reported lateness")
 }
 
-// exchange sends so many numbers and returns those that come.
-func exchange(t *testing.T, seed uint64, n int) (forward, back []uint32, lost uint64) {
+// exchange sends n numbers in each direction over a lossy link, and returns those received and the number of lost ones.
+func exchange(t *testing.T, seed uint64, n int) (forward, backward []uint32, lost uint64) {
 	r, s := openRelay(t, 2, []int{0, 1}, seed)
 	r.SetLink(0, 1, Link{Loss: 0.3})
 	var b [4]byte
-	// receiveAll takes in what comes until all that was said so far is accounted for, however long this machine takes.
+	// receiveAll reads until all datagrams sent so far were counted and the forwarded ones received, or the timeout.
 	receiveAll := func(s socket, sent, before uint64) (got []uint32) {
 		for deadline := time.Now().Add(receiveTimeout); ; {
 			c := r.Counts()
@@ -149,9 +149,9 @@
 		binary.BigEndian.PutUint32(b[:], uint32(i))
 		s[1].send(r.DialAddr(1, 0), string(b[:]))
 	}
-	back = receiveAll(s[0], uint64(2*n), uint64(len(forward)))
+	backward = receiveAll(s[0], uint64(2*n), uint64(len(forward)))
 	assert.Zero(t, r.Counts().Overflowed)
-	return forward, back, r.Counts().Lost
+	return forward, backward, r.Counts().Lost
 }
 
 func TestScaleRelayLosesByItsSeed(t *testing.T) {
@@ -159,7 +159,7 @@
 	forward, back, lost := exchange(t, 7, n)
 	assert.Len(t, back, n, "the other direction loses nothing")
 	assert.Equal(t, n-len(forward), int(lost))
-	assert.InDelta(t, 0.3*n, float64(lost), 0.06*n) // four times its spread
+	assert.InDelta(t, 0.3*n, float64(lost), 0.06*n) // four standard deviations
 	again, _, _ := exchange(t, 7, n)
 	assert.Equal(t, forward, again)
 	other, _, _ := exchange(t, 8, n)
@@ -182,56 +182,56 @@
 	r.SetCut(0, 1, false)
 	s[0].send(r.DialAddr(0, 1), "healed")
 	text, _ = s[1].receive(receiveTimeout)
-	assert.Equal(t, "healed", text, "and what came during the cut does not come after it")
+	assert.Equal(t, "healed", text, "datagrams sent during the cut are not delivered after it")
 	assert.Equal(t, time.Millisecond, r.Link(0, 1).Delay)
 	assert.Equal(t, uint64(1), r.Counts().Cut)
 }
 
-// A connection has the delays of both directions, stands still while it is cut, and goes on with all its bytes.
+// A connection has the delays of both directions, stalls while its link is cut, and continues without losing data.
 func TestScaleRelayStreams(t *testing.T) {
 	r, _ := openRelay(t, 2, []int{0, 1}, 1)
-	const there, back = 100 * time.Millisecond, 50 * time.Millisecond
-	r.SetLink(0, 1, Link{Delay: there})
-	r.SetLink(1, 0, Link{Delay: back})
+	const forward, backward = 100 * time.Millisecond, 50 * time.Millisecond
+	r.SetLink(0, 1, Link{Delay: forward})
+	r.SetLink(1, 0, Link{Delay: backward})
 	ln, err := net.Listen("tcp4", r.ListenAddr(1).String())
 	require.NoError(t, err)
 	defer ln.Close()
 	start := time.Now()
-	c, err := net.Dial("tcp4", r.DialAddr(0, 1).String())
+	dialer, err := net.Dial("tcp4", r.DialAddr(0, 1).String())
 	require.NoError(t, err)
-	defer c.Close()
-	_, err = c.Write([]byte("hello"))
+	defer dialer.Close()
+	_, err = dialer.Write([]byte("hello"))
 	require.NoError(t, err)
-	d, err := ln.Accept()
+	accepted, err := ln.Accept()
 	require.NoError(t, err)
-	defer d.Close()
+	defer accepted.Close()
 	b := make([]byte, 5)
-	_, err = io.ReadFull(d, b)
+	_, err = io.ReadFull(accepted, b)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(b))
-	assert.GreaterOrEqual(t, time.Since(start), 2*there+back, "a round trip to open it, and the way")
+	assert.GreaterOrEqual(t, time.Since(start), 2*forward+backward, "a round trip to open it, and the delay of the data")
 	start = time.Now()
-	_, err = d.Write([]byte("world"))
+	_, err = accepted.Write([]byte("world"))
 	require.NoError(t, err)
-	_, err = io.ReadFull(c, b)
+	_, err = io.ReadFull(dialer, b)
 	require.NoError(t, err)
 	assert.Equal(t, "world", string(b))
-	assert.GreaterOrEqual(t, time.Since(start), back)
+	assert.GreaterOrEqual(t, time.Since(start), backward)
 
 	r.SetCut(0, 1, true)
-	_, err = c.Write([]byte("still"))
+	_, err = dialer.Write([]byte("still"))
 	require.NoError(t, err)
-	require.NoError(t, d.SetReadDeadline(time.Now().Add(there+silenceTime)))
-	_, err = io.ReadFull(d, b)
+	require.NoError(t, accepted.SetReadDeadline(time.Now().Add(forward+silenceTime)))
+	_, err = io.ReadFull(accepted, b)
 	assert.Error(t, err, "cut")
 	r.SetCut(0, 1, false)
-	require.NoError(t, d.SetReadDeadline(time.Now().Add(receiveTimeout)))
-	_, err = io.ReadFull(d, b)
+	require.NoError(t, accepted.SetReadDeadline(time.Now().Add(receiveTimeout)))
+	_, err = io.ReadFull(accepted, b)
 	require.NoError(t, err)
 	assert.Equal(t, "still", string(b))
-	require.NoError(t, c.(*net.TCPConn).CloseWrite())
-	_, err = io.ReadFull(d, b[:1])
-	assert.Equal(t, io.EOF, err, "its end is passed on")
+	require.NoError(t, dialer.(*net.TCPConn).CloseWrite())
+	_, err = io.ReadFull(accepted, b[:1])
+	assert.Equal(t, io.EOF, err, "the end of the connection is forwarded")
 }
 
 func TestScaleRelayRefusesInvalidZones(t *testing.T) {
@@ -243,7 +243,7 @@
 	assert.ErrorContains(t, err, "0 zones")
 }
 
-// BenchmarkScaleRelay is one datagram passed on between eleven zones, 60 ms each way, by 110 gateways.
+// BenchmarkScaleRelay forwards datagrams of 110 gateways between eleven zones with a delay of 60 ms each way.
 func BenchmarkScaleRelay(b *testing.B) {
 	of := make([]int, 110)
 	for g := range of {
@@ -281,9 +281,9 @@
 		_, _ = list[i%110].WriteToUDPAddrPort(text, r.DialAddr(i%11, (i*7+i/110)%110))
 	}
 	time.Sleep(100 * time.Millisecond)
-	late, c := r.Lateness(Lateness{}), r.Counts()
-	b.ReportMetric(float64(late.P99.Microseconds()), "p99-late-us")
-	b.ReportMetric(float64(late.Max.Microseconds()), "most-late-us")
-	b.ReportMetric(float64(c.Overflowed), "dropped")
-	b.ReportMetric(float64(c.Forwarded), "passed")
+	lateness, counts := r.Lateness(Lateness{}), r.Counts()
+	b.ReportMetric(float64(lateness.P99.Microseconds()), "p99-late-us")
+	b.ReportMetric(float64(lateness.Max.Microseconds()), "most-late-us")
+	b.ReportMetric(float64(counts.Overflowed), "dropped")
+	b.ReportMetric(float64(counts.Forwarded), "passed")
 }
