--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -119,7 +119,7 @@
 	Subsets           bool          `json:"subsets,omitempty"`
 	Positions         bool          `json:"positions,omitempty"` // gateways gossip replication positions
 	Primaries         bool          `json:"primaries,omitempty"` // gateways gossip which database answers as primary
-	MaxBytesPerSecond int           `json:"bytes,omitempty"`     // fleet traffic that each gateway may send; 0: unlimited
+	MaxBytesPerSecond int           `json:"bytes,omitempty"`     // limit for each gateway's gossip of positions, and for that of primaries; 0: none
 	Audit             bool          `json:"audit,omitempty"`     // gateways write audit files
 	RetryShare        float64       `json:"repeats,omitempty"`   // retry budget, as a share of first attempts; 0: unlimited
 	OverrideLifetime  time.Duration `json:"words,omitempty"`     // how long gateways keep operator overrides on disk; 0: they do not
--- a/internal/load/plan/plan_test.go
+++ b/internal/load/plan/plan_test.go
@@ -56,9 +56,9 @@
 		{"not a number", swap("aim: 500 ms", "aim: .nan"), "is no figure"},
 		{"negative", swap("rate: 100/s", "rate: -100/s"), `p.yaml:9:41: rate: "-100/s" is below zero`},
 		{"rate without unit", swap("rate: 100/s", "rate: 100"), `"100" has no unit`},
-		{"stage of no length", swap("for: 5 s", "for: 0 s"), "p.yaml:9:53: for: the stage must last longer than 0 s"},
+		{"stage without length", swap("for: 5 s", "for: 0 s"), "p.yaml:9:53: for: the stage must last longer than 0 s"},
 		{"missing length", swap(", for: 5 s", ""), "for: missing"},
-		{"unused", swap("shape: pause, for", "shape: pause, rate: 1/s, for"), "does not use it"},
+		{"unused key", swap("shape: pause, for", "shape: pause, rate: 1/s, for"), "does not use it"},
 		{"shape", swap("shape: ramp", "shape: hill"), `"hill" is not constant`},
 		{"mix", swap("mix: 20%", "mix: 30%"), "p.yaml:5:3: classes: the mix adds up to 110%, not to 100%"},
 		{"mix over one", swap("mix: 20%", "mix: 120%"), "over 100%"},
@@ -78,7 +78,7 @@
 		}
 	}
 	_, err := Parse("p.yaml", []byte(swap("groups: 3", "groups: 0")+"rats: 3\nmice: 4\n"))
-	assert.Len(t, err, 3, "all at once")
+	assert.Len(t, err, 3, "all errors are listed")
 }
 
 // The same plan gives the same schedule. The number of arrivals follows the integral of the rate, also within a stage.
--- a/internal/load/run/run_test.go
+++ b/internal/load/run/run_test.go
@@ -112,7 +112,7 @@
 	assert.Greater(t, out.Total.Latency[4], 1000.0)
 }
 
-// A stall of the generator is told apart from waiting for the gateway and makes the run invalid. Requests that were due
+// A stall of the generator is reported apart from waiting for the gateway and makes the run invalid. Requests that were due
 // during the stall are still sent.
 func TestOwnStallInvalidatesRun(t *testing.T) {
 	_, addr := startDatabase(t, standin.Options{Cores: 50, Queue: 1000, Service: time.Millisecond})
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -105,9 +105,9 @@
 
 // readUntilEnd reads until the deadline or the end of the connection.
 func (c *badClient) readUntilEnd() {
-	var b [4096]byte
+	var buffer [4096]byte
 	for {
-		if _, err := c.Read(b[:]); err != nil {
+		if _, err := c.Read(buffer[:]); err != nil {
 			return
 		}
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -37,7 +37,7 @@
 	waveSpread       = 800 * time.Millisecond // within which the faults of a wave start
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
-	calmAtEnd        = 3 * time.Second // without new faults, for the gateways to settle
+	calmAtEnd        = 3 * time.Second // without new faults, for those in progress to end
 )
 
 // Draw returns the schedule of a seed: waves of two or three overlapping faults. It does not depend on the run.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -96,7 +96,7 @@
 	return first
 }
 
-// clientFaults returns a fault in which misbehaving clients connect to each gateway, one after the other.
+// clientFaults returns a fault in which misbehaving clients connect to each gateway, one at a time.
 func clientFaults(do func(c *badClient)) func(s *soak, fault Fault) error {
 	return func(s *soak, fault Fault) error {
 		end := time.Now().Add(fault.Duration)
--- a/internal/soak/gateways.go
+++ b/internal/soak/gateways.go
@@ -272,15 +272,15 @@
 	for _, i := range fault.Gateways {
 		isolated[i] = true
 	}
-	var rest []int
+	var others []int
 	for i := range s.options.Gateways {
 		if !isolated[i] {
-			rest = append(rest, i)
+			others = append(others, i)
 		}
 	}
-	s.lab.Mesh().Partition([][]int{fault.Gateways, rest}, true)
+	s.lab.Mesh().Partition([][]int{fault.Gateways, others}, true)
 	standin.Sleep(fault.Duration, s.stop)
-	s.lab.Mesh().Partition([][]int{fault.Gateways, rest}, false)
+	s.lab.Mesh().Partition([][]int{fault.Gateways, others}, false)
 	return nil
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -120,8 +120,8 @@
 	invalidReason  string
 }
 
-// loadPlan returns the plan of the load: bounded reads, session reads and writes.
-func loadPlan(options Options) (*plan.Plan, error) {
+// buildLoadPlan returns the plan of the load: bounded reads, session reads and writes.
+func buildLoadPlan(options Options) (*plan.Plan, error) {
 	text := fmt.Sprintf(`seed: %d
 groups: %d
 sessions: {count: %d, follow: 30%%, after: 100 ms}
@@ -156,11 +156,11 @@
 		}
 	}
 	drawn := Draw(options.Seed, options.Gateways, options.Duration, options.FaultNames)
-	played, err := Select(drawn, options.OnlyFaults)
+	selected, err := Select(drawn, options.OnlyFaults)
 	if err != nil {
 		return nil, err
 	}
-	loadPlan, err := loadPlan(options)
+	loadPlan, err := buildLoadPlan(options)
 	if err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 		return nil, err
 	}
 	defer s.lab.Close()
-	return s.play(ctx, played)
+	return s.play(ctx, selected)
 }
 
 // play runs load and faults in an open lab and returns the report.
