--- a/internal/load/run/record.go
+++ b/internal/load/run/record.go
@@ -12,109 +12,113 @@
 )
 
 const (
-	finest  = 1                // microsecond
-	longest = 60 * 1000 * 1000 // microseconds; what takes longer counts as that long
-	digits  = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60 * 1000 * 1000 // longer latencies are recorded as this
+	significantDigits = 3
 )
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(finest, longest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+}
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), finest), longest))
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// Recorder keeps what a run is judged by; its size does not grow with the run but by seconds.
+// Recorder collects the statistics of a run. Its size grows with the duration of the run, not with the requests.
 type Recorder struct {
-	plan *plan.Plan
-	mu   sync.Mutex
-	cell map[[2]int]*cell // by class and stage
-	secs []second
-	late *hdrhistogram.Histogram
-	bad  []Stall
-	n    int
+	plan     *plan.Plan
+	mu       sync.Mutex
+	cells    map[[2]int]*classStageStats // by class and stage
+	seconds  []second
+	lateness *hdrhistogram.Histogram
+	stalls   []Stall
+	samples  int
 }
 
-type cell struct {
+// classStageStats holds the statistics of one class in one stage.
+type classStageStats struct {
 	counts           map[Outcome]int
-	latency, service *hdrhistogram.Histogram // of what was served
-	all              *hdrhistogram.Histogram // of everything that was sent
-	tries            int
+	latency, service *hdrhistogram.Histogram // of served requests
+	all              *hdrhistogram.Histogram // of all requests sent
+	attempts         int
 }
 
+// second holds the totals of the arrivals due in one second of the run.
 type second struct {
-	Offered int     `json:"offered"`
-	Served  int     `json:"served"` // in aim
-	Worth   float64 `json:"worth"`
-	Asked   float64 `json:"asked"`
+	Offered      int     `json:"offered"`
+	Served       int     `json:"served"` // within the aim
+	Worth        float64 `json:"worth"`
+	WorthOffered float64 `json:"asked"`
 }
 
-// Stall is a moment at which the generator itself was late.
+// Stall is a request that the generator started late.
 type Stall struct {
 	At   time.Duration `json:"at_ns"`
 	Late time.Duration `json:"late_ns"`
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder.
 func NewRecorder(p *plan.Plan) *Recorder {
-	return &Recorder{plan: p, cell: map[[2]int]*cell{}, late: histogram()}
+	return &Recorder{plan: p, cells: map[[2]int]*classStageStats{}, lateness: newHistogram()}
 }
 
-const mostStalls = 20 // kept one by one
+const maxStalls = 20 // listed in a report
 
-// Add takes in one request.
-func (r *Recorder) Add(s Sample) {
+// Add records one finished request.
+func (r *Recorder) Add(sample Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := [2]int{s.Arrival.Class, s.Arrival.Stage}
-	c := r.cell[at]
-	if c == nil {
-		c = &cell{counts: map[Outcome]int{}, latency: histogram(), service: histogram(), all: histogram()}
-		r.cell[at] = c
+	key := [2]int{sample.Arrival.Class, sample.Arrival.Stage}
+	stats := r.cells[key]
+	if stats == nil {
+		stats = &classStageStats{counts: map[Outcome]int{}, latency: newHistogram(), service: newHistogram(), all: newHistogram()}
+		r.cells[key] = stats
 	}
-	r.n++
-	c.counts[s.Outcome]++
-	c.tries += s.Attempts
-	record(r.late, s.Lateness)
-	if s.Lateness > r.plan.MaxLateness && len(r.bad) < mostStalls {
-		r.bad = append(r.bad, Stall{At: s.Arrival.At, Late: s.Lateness})
+	r.samples++
+	stats.counts[sample.Outcome]++
+	stats.attempts += sample.Attempts
+	record(r.lateness, sample.Lateness)
+	if sample.Lateness > r.plan.MaxLateness && len(r.stalls) < maxStalls {
+		r.stalls = append(r.stalls, Stall{At: sample.Arrival.At, Late: sample.Lateness})
 	}
-	i, worth := int(s.Arrival.At/time.Second), r.plan.Classes[s.Arrival.Class].Worth
-	for len(r.secs) <= i {
-		r.secs = append(r.secs, second{})
+	sec, worth := int(sample.Arrival.At/time.Second), r.plan.Classes[sample.Arrival.Class].Worth
+	for len(r.seconds) <= sec {
+		r.seconds = append(r.seconds, second{})
 	}
-	r.secs[i].Offered++
-	r.secs[i].Asked += worth
-	if s.Outcome != NotSent {
-		record(c.all, s.Latency)
+	r.seconds[sec].Offered++
+	r.seconds[sec].WorthOffered += worth
+	if sample.Outcome != NotSent {
+		record(stats.all, sample.Latency)
 	}
-	if s.Outcome == InAim || s.Outcome == Late {
-		record(c.latency, s.Latency)
-		record(c.service, s.Service)
+	if sample.Outcome == InAim || sample.Outcome == Late {
+		record(stats.latency, sample.Latency)
+		record(stats.service, sample.Service)
 	}
-	if s.Outcome == InAim {
-		r.secs[i].Served++
-		r.secs[i].Worth += worth
+	if sample.Outcome == InAim {
+		r.seconds[sec].Served++
+		r.seconds[sec].Worth += worth
 	}
 }
 
-// Percentiles are those of reports.
+// Percentiles lists the percentiles in reports.
 var Percentiles = []float64{50, 90, 99, 99.9, 100}
 
-// Quantiles are milliseconds at those percentiles.
-func quantiles(h *hdrhistogram.Histogram) (list []float64) {
+// percentiles returns the values at [Percentiles], in ms.
+func percentiles(h *hdrhistogram.Histogram) (list []float64) {
 	for _, p := range Percentiles {
 		list = append(list, float64(h.ValueAtQuantile(p))/1000)
 	}
 	return list
 }
 
-// Report is a run as it is written down.
+// Report is the result of a run.
 type Report struct {
 	PlanID        string        `json:"plan"`
-	Schedule      int           `json:"schedule"` // arrivals drawn
+	Schedule      int           `json:"schedule"` // number of scheduled arrivals
 	Sent          int           `json:"sent"`
-	Partial       bool          `json:"partial"` // interrupted
-	Invalid       bool          `json:"invalid"` // the generator itself was late
+	Partial       bool          `json:"partial"` // the run was interrupted
+	Invalid       bool          `json:"invalid"` // the generator was late by more than the bound
 	Rows          []Row         `json:"rows"`
 	Total         Row           `json:"total"`
 	Seconds       []second      `json:"seconds"`
@@ -123,89 +127,90 @@
 	Lateness      []float64     `json:"lateness_ms"`
 	LatenessBound time.Duration `json:"lateness_bound_ns"`
 	Stalls        []Stall       `json:"stalls,omitempty"`
-	Goodput       float64       `json:"goodput"` // share of the worth asked for that was served in aim
+	Goodput       float64       `json:"goodput"` // share of the offered worth that was served within the aim
 	Faults        []string      `json:"faults,omitempty"`
 	World         any           `json:"world,omitempty"`
 	Curve         []Point       `json:"curve"`
 }
 
-// Point is one of the curve of latencies by percentile.
+// Point is a point of the curve of latency by percentile.
 type Point struct {
 	Percentile float64 `json:"p"`
 	Latency    float64 `json:"latency_ms"`
 	Service    float64 `json:"service_ms"`
 }
 
-// StageSpan is when a stage lasted, in seconds.
+// StageSpan is the begin and end of a stage, in seconds of the run.
 type StageSpan struct {
 	Name  string  `json:"name"`
 	Begin float64 `json:"from_s"`
 	End   float64 `json:"to_s"`
 }
 
-// Row is one class in one stage, or all.
+// Row holds the results of one class in one stage, or of the whole run.
 type Row struct {
 	Class    string          `json:"class"`
 	Stage    string          `json:"stage"`
 	Count    int             `json:"count"`
 	Attempts int             `json:"tries"`
 	Counts   map[Outcome]int `json:"outcomes"`
-	Latency  []float64       `json:"latency_ms"` // from the intended moment, at Percentiles, of what was served
+	Latency  []float64       `json:"latency_ms"` // from the scheduled time, at Percentiles, of served requests
 	Service  []float64       `json:"service_ms"`
-	All      []float64       `json:"all_ms"` // whatever became of it
+	All      []float64       `json:"all_ms"` // of all requests sent, whatever their outcome
 }
 
-// Report sums the run up.
+// Report returns the results recorded so far.
 func (r *Recorder) Report(schedule, sent int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Report{
-		PlanID: ID(r.plan, schedule), Schedule: schedule, Sent: sent, Partial: sent < schedule, Seconds: r.secs, Events: r.plan.Events,
-		Lateness: quantiles(r.late), LatenessBound: r.plan.MaxLateness, Stalls: r.bad,
-		Invalid: time.Duration(r.late.Max())*time.Microsecond > r.plan.MaxLateness,
+	report := &Report{
+		PlanID: ID(r.plan, schedule), Schedule: schedule, Sent: sent, Partial: sent < schedule, Seconds: r.seconds, Events: r.plan.Events,
+		Lateness: percentiles(r.lateness), LatenessBound: r.plan.MaxLateness, Stalls: r.stalls,
+		Invalid: time.Duration(r.lateness.Max())*time.Microsecond > r.plan.MaxLateness,
 	}
-	slices.SortFunc(out.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they came as they ended
-	latency, service, all := histogram(), histogram(), histogram()
+	slices.SortFunc(report.Stalls, func(a, b Stall) int { return cmp.Compare(a.At, b.At) }) // they were added in the order in which requests finished
+	latency, service, all := newHistogram(), newHistogram(), newHistogram()
 	total := Row{Class: "all", Stage: "all", Counts: map[Outcome]int{}}
-	at := 0.0
-	for i, s := range r.plan.Stages {
-		end := at + s.Duration().Seconds()
-		out.Stages = append(out.Stages, StageSpan{Name: s.Name, Begin: at, End: end})
-		at = end
-		for j, class := range r.plan.Classes {
-			c := r.cell[[2]int{j, i}]
-			if c == nil {
+	start := 0.0
+	for stageIndex, stage := range r.plan.Stages {
+		end := start + stage.Duration().Seconds()
+		report.Stages = append(report.Stages, StageSpan{Name: stage.Name, Begin: start, End: end})
+		start = end
+		for classIndex, class := range r.plan.Classes {
+			stats := r.cells[[2]int{classIndex, stageIndex}]
+			if stats == nil {
 				continue
 			}
-			row := Row{Class: class.Name, Stage: s.Name, Attempts: c.tries, Counts: c.counts, Latency: quantiles(c.latency), Service: quantiles(c.service), All: quantiles(c.all)}
-			for _, o := range Outcomes {
-				row.Count += c.counts[o]
-				total.Counts[o] += c.counts[o]
+			row := Row{Class: class.Name, Stage: stage.Name, Attempts: stats.attempts, Counts: stats.counts, Latency: percentiles(stats.latency), Service: percentiles(stats.service), All: percentiles(stats.all)}
+			for _, outcome := range Outcomes {
+				row.Count += stats.counts[outcome]
+				total.Counts[outcome] += stats.counts[outcome]
 			}
 			total.Count += row.Count
 			total.Attempts += row.Attempts
-			latency.Merge(c.latency)
-			service.Merge(c.service)
-			all.Merge(c.all)
-			out.Rows = append(out.Rows, row)
+			latency.Merge(stats.latency)
+			service.Merge(stats.service)
+			all.Merge(stats.all)
+			report.Rows = append(report.Rows, row)
 		}
 	}
-	total.Latency, total.Service, total.All = quantiles(latency), quantiles(service), quantiles(all)
-	out.Total = total
+	total.Latency, total.Service, total.All = percentiles(latency), percentiles(service), percentiles(all)
+	report.Total = total
 	for _, p := range slices.Concat(steps(0, 90, 2), steps(90, 99, 0.5), steps(99, 99.95, 0.05)) {
-		out.Curve = append(out.Curve, Point{p, float64(latency.ValueAtQuantile(p)) / 1000, float64(service.ValueAtQuantile(p)) / 1000})
+		report.Curve = append(report.Curve, Point{p, float64(latency.ValueAtQuantile(p)) / 1000, float64(service.ValueAtQuantile(p)) / 1000})
 	}
-	worth, asked := 0.0, 0.0
-	for _, s := range r.secs {
+	worth, offered := 0.0, 0.0
+	for _, s := range r.seconds {
 		worth += s.Worth
-		asked += s.Asked
+		offered += s.WorthOffered
 	}
-	if asked > 0 {
-		out.Goodput = worth / asked
+	if offered > 0 {
+		report.Goodput = worth / offered
 	}
-	return out
+	return report
 }
 
+// steps returns the numbers from from up to but excluding to.
 func steps(from, to, by float64) (list []float64) {
 	for x := from; x < to; x += by {
 		list = append(list, x)
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -1,5 +1,6 @@
-// Package run plays a schedule of arrivals against gateways and measures what their clients see. The loop is
-// open: when a request is due it goes out, or waits while already counting, whatever became of those before it.
+// Package run plays a schedule of arrivals against gateways and measures what their clients see. The load is
+// open-loop: each request is started when it is due, whatever the state of earlier ones, and its latency
+// includes the time it waits for a connection.
 package run
 
 import (
@@ -21,84 +22,84 @@
 	"lilaccove/internal/pgwire"
 )
 
-// Outcome is how a request ended for its client, retries included.
+// Outcome is the final result of a request for its client, after all retries.
 type Outcome string
 
 // The outcomes.
 const (
 	InAim             Outcome = "in_aim"
 	Late              Outcome = "late"
-	RefusedRetryAfter Outcome = "refused_retry_after" // with a time to come back
+	RefusedRetryAfter Outcome = "refused_retry_after" // refused with a retry-after time
 	Refused           Outcome = "refused"
 	Failed            Outcome = "failed"
 	GaveUp            Outcome = "gave_up"
 	NoConnection      Outcome = "no_connection"
-	NotSent           Outcome = "missed" // never sent: too many were outstanding
+	NotSent           Outcome = "missed" // too many requests were outstanding
 	InvalidAnswer     Outcome = "bad_answer"
 )
 
-// Outcomes are all, in the order of reports.
+// Outcomes lists all outcomes in the order of reports.
 var Outcomes = []Outcome{InAim, Late, RefusedRetryAfter, Refused, Failed, GaveUp, NoConnection, NotSent, InvalidAnswer}
 
-// Sample is one request that has ended.
+// Sample is the measurement of one finished request.
 type Sample struct {
 	Arrival     plan.Arrival
 	Outcome     Outcome
-	Latency     time.Duration // from the intended moment
-	Service     time.Duration // of the last try, from when it was really sent
-	Lateness    time.Duration // the generator's own
+	Latency     time.Duration // from the scheduled time
+	Service     time.Duration // of the last attempt, from the time it was sent
+	Lateness    time.Duration // delay of the generator in starting the request
 	Attempts    int
-	LastAttempt Attempt // the last of them
+	LastAttempt Attempt
 }
 
-// Attempt is one request as a gateway had it.
+// Attempt is one sending of a request to a gateway.
 type Attempt struct {
-	Target     string    // whom it was sent to; empty: nobody
-	Sent       time.Time // when it was written
+	Target     string    // address of the gateway; empty: not sent
+	Sent       time.Time // when the statement was written
 	Ended      time.Time
-	Reused     bool // on a connection that had carried others
-	Unanswered bool // the connection ended, or the client's patience, without an answer
+	Reused     bool // the connection had carried earlier requests
+	Unanswered bool // the connection ended or the client timed out without an answer
 	ID         string
 }
 
-// Runner plays one schedule.
+// Runner sends the requests of one schedule.
 type Runner struct {
 	Plan         *plan.Plan
 	Arrivals     []plan.Arrival
 	Targets      []string
-	SelectTarget func(session int) (target string, ok bool) // whom a session is sent to; nil: one of Targets for good
-	OnSample     func(Sample)                               // called from many goroutines
-	ClientSlack  time.Duration                              // beyond its deadline in which an answer is still waited for
-	BeforeSend   func(time.Duration)                        // before each request is handed out; for tests of the generator itself
+	SelectTarget func(session int) (target string, ok bool) // gateway for a session; nil: a fixed one of Targets
+	OnSample     func(Sample)                               // receives each finished request; called concurrently
+	ClientSlack  time.Duration                              // how long after the deadline an answer is still awaited
+	BeforeSend   func(time.Duration)                        // called before each request is started; for tests of the generator
 
-	pools   map[string]*pool
-	begun   time.Time
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	commits map[int]int64 // newest commit told to a session
-	nonce   uint64
+	pools     map[string]*pool
+	startTime time.Time
+	mu        sync.Mutex
+	rng       *rand.Rand
+	commits   map[int]int64 // newest commit reported to each session
+	lastID    uint64
 }
 
-// CheckLoopback tells what is wrong with a target: load is sent to addresses of this machine only.
+// CheckLoopback returns an error unless target is a loopback address: load is sent to this machine only.
 func CheckLoopback(target string) error {
-	a, err := netip.ParseAddrPort(target)
+	addr, err := netip.ParseAddrPort(target)
 	if err != nil {
-		return fmt.Errorf("target %q: an address like 127.0.0.1:5432 is wanted", target)
+		return fmt.Errorf("target %q: must be an address like 127.0.0.1:5432", target)
 	}
-	if !a.Addr().IsLoopback() {
-		return fmt.Errorf("target %s is not a loopback address; load goes nowhere else", target)
+	if !addr.Addr().IsLoopback() {
+		return fmt.Errorf("target %s is not a loopback address; load is sent to no other", target)
 	}
 	return nil
 }
 
-// Play sends all arrivals, or those until ctx ends, and waits for their outcomes; it returns how many were
-// handed out.
+// Play starts the requests of all arrivals, or of those due before ctx ends, and waits for their outcomes. It
+// returns the number of requests started.
 func (r *Runner) Play(ctx context.Context) (sent int, err error) {
 	if len(r.Targets) == 0 && r.SelectTarget == nil {
-		return 0, errors.New("no target")
+		return 0, errors.New("no target is given")
 	}
-	for _, t := range r.Targets {
-		if err := CheckLoopback(t); err != nil {
+	for _, target := range r.Targets {
+		if err := CheckLoopback(target); err != nil {
 			return 0, err
 		}
 	}
@@ -111,133 +112,133 @@
 			p.close()
 		}
 	}()
-	r.rnd = rand.New(rand.NewPCG(r.Plan.Seed, 0x72756e))
+	r.rng = rand.New(rand.NewPCG(r.Plan.Seed, 0x72756e))
 	r.commits = map[int]int64{}
-	r.begun = time.Now()
-	r.nonce = uint64(r.begun.UnixNano()) << 24 // ids of one run are none of another's
+	r.startTime = time.Now()
+	r.lastID = uint64(r.startTime.UnixNano()) << 24 // keeps the IDs of different runs apart
 	outstanding := make(chan struct{}, r.Plan.MaxOutstanding)
 	var wg sync.WaitGroup
-	for i, a := range r.Arrivals {
-		due := r.begun.Add(a.At)
-		if !until(ctx, due) {
+	for i, arrival := range r.Arrivals {
+		due := r.startTime.Add(arrival.At)
+		if !waitUntil(ctx, due) {
 			break
 		}
 		if r.BeforeSend != nil {
-			r.BeforeSend(a.At)
+			r.BeforeSend(arrival.At)
 		}
 		lateness := time.Since(due)
 		sent = i + 1
 		select {
 		case outstanding <- struct{}{}:
 		default:
-			r.OnSample(Sample{Arrival: a, Outcome: NotSent, Lateness: lateness})
+			r.OnSample(Sample{Arrival: arrival, Outcome: NotSent, Lateness: lateness})
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s := r.one(a, due)
-			s.Lateness = lateness
+			sample := r.runRequest(arrival, due)
+			sample.Lateness = lateness
 			<-outstanding
-			r.OnSample(s)
+			r.OnSample(sample)
 		}()
 	}
 	wg.Wait()
 	return sent, nil
 }
 
-// until waits for a moment; false: ctx ended first.
-func until(ctx context.Context, at time.Time) bool {
-	d := time.Until(at)
-	if d <= 0 {
+// waitUntil waits until deadline. It returns false if ctx ends first.
+func waitUntil(ctx context.Context, deadline time.Time) bool {
+	wait := time.Until(deadline)
+	if wait <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// one is the life of a request, with its retries.
-func (r *Runner) one(a plan.Arrival, due time.Time) Sample {
-	class := &r.Plan.Classes[a.Class]
+// runRequest sends one request and its retries and returns the result.
+func (r *Runner) runRequest(arrival plan.Arrival, due time.Time) Sample {
+	class := &r.Plan.Classes[arrival.Class]
 	ctx, cancel := context.WithDeadline(context.Background(), due.Add(class.Deadline+r.ClientSlack))
 	defer cancel()
-	s := Sample{Arrival: a}
+	sample := Sample{Arrival: arrival}
 	for {
-		s.Attempts++
-		outcome, after, service, last := r.try(ctx, a, class, s.Attempts > 1)
-		s.Service, s.LastAttempt = service, last
-		if s.Outcome = outcome; outcome != Refused && outcome != RefusedRetryAfter && outcome != NoConnection || s.Attempts > r.Plan.MaxRetries {
+		sample.Attempts++
+		outcome, retryAfter, service, attempt := r.attempt(ctx, arrival, class, sample.Attempts > 1)
+		sample.Service, sample.LastAttempt = service, attempt
+		if sample.Outcome = outcome; outcome != Refused && outcome != RefusedRetryAfter && outcome != NoConnection || sample.Attempts > r.Plan.MaxRetries {
 			break
 		}
-		if !until(ctx, time.Now().Add(r.pause(after, s.Attempts))) {
-			break // it was refused; there is no time for another try
+		if !waitUntil(ctx, time.Now().Add(r.retryDelay(retryAfter, sample.Attempts))) {
+			break // no time for another attempt: the refusal is the outcome
 		}
 	}
-	s.Latency = time.Since(due)
-	if s.Outcome == InAim && s.Latency > class.Deadline {
-		s.Outcome = GaveUp // it was heard out and earns nothing
-	} else if s.Outcome == InAim && s.Latency > class.Aim {
-		s.Outcome = Late
+	sample.Latency = time.Since(due)
+	if sample.Outcome == InAim && sample.Latency > class.Deadline {
+		sample.Outcome = GaveUp // answered after the deadline: worth nothing
+	} else if sample.Outcome == InAim && sample.Latency > class.Aim {
+		sample.Outcome = Late
 	}
-	return s
+	return sample
 }
 
-// pause is how long a client waits before it tries again.
-func (r *Runner) pause(after time.Duration, tries int) time.Duration {
+// retryDelay returns how long a client waits before its next attempt.
+func (r *Runner) retryDelay(retryAfter time.Duration, attempts int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := time.Duration(float64(r.Plan.RetryPause<<min(tries-1, 5)) * (0.5 + r.rnd.Float64()))
-	if after > 0 && r.rnd.Float64() < r.Plan.HonourShare {
-		d = max(d, after)
+	delay := time.Duration(float64(r.Plan.RetryPause<<min(attempts-1, 5)) * (0.5 + r.rng.Float64()))
+	if retryAfter > 0 && r.rng.Float64() < r.Plan.HonourShare {
+		delay = max(delay, retryAfter)
 	}
-	return d
+	return delay
 }
 
-// try sends the request once; service counts from when it really goes out, on a connection that is up.
-func (r *Runner) try(ctx context.Context, a plan.Arrival, class *plan.Class, again bool) (o Outcome, after, service time.Duration, last Attempt) {
-	p := r.pool(a.Session)
-	if p == nil {
-		return NoConnection, 0, 0, last
+// attempt sends the request once. The service time counts from the write on an established connection.
+func (r *Runner) attempt(ctx context.Context, arrival plan.Arrival, class *plan.Class, isRetry bool) (outcome Outcome, retryAfter, service time.Duration, attempt Attempt) {
+	connections := r.poolFor(arrival.Session)
+	if connections == nil {
+		return NoConnection, 0, 0, attempt
 	}
-	c, reused, err := p.get(ctx)
+	conn, reused, err := connections.acquire(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
-			return GaveUp, 0, 0, last
+			return GaveUp, 0, 0, attempt
 		}
-		return NoConnection, 0, 0, last
+		return NoConnection, 0, 0, attempt
 	}
-	left := time.Until(deadline(ctx)) - r.ClientSlack
-	if left <= 0 {
-		p.put(c)
-		return GaveUp, 0, 0, last
+	remaining := time.Until(deadline(ctx)) - r.ClientSlack
+	if remaining <= 0 {
+		connections.release(conn)
+		return GaveUp, 0, 0, attempt
 	}
-	text, id := r.statement(a, class, left, again)
-	last = Attempt{Target: p.target, Sent: time.Now(), Reused: reused, ID: id}
-	results, err := c.Exec(ctx, text).ReadAll()
-	last.Ended = time.Now()
-	var said *pgconn.PgError
-	last.Unanswered = err != nil && !errors.As(err, &said)
-	p.put(c)
-	o, after = r.outcome(ctx, a, results, err)
-	return o, after, last.Ended.Sub(last.Sent), last
+	text, id := r.buildStatement(arrival, class, remaining, isRetry)
+	attempt = Attempt{Target: connections.target, Sent: time.Now(), Reused: reused, ID: id}
+	results, err := conn.Exec(ctx, text).ReadAll()
+	attempt.Ended = time.Now()
+	var pgErr *pgconn.PgError
+	attempt.Unanswered = err != nil && !errors.As(err, &pgErr)
+	connections.release(conn)
+	outcome, retryAfter = r.classify(ctx, arrival, results, err)
+	return outcome, retryAfter, attempt.Ended.Sub(attempt.Sent), attempt
 }
 
-// outcome is what an answer comes to.
-func (r *Runner) outcome(ctx context.Context, a plan.Arrival, results []*pgconn.Result, err error) (Outcome, time.Duration) {
-	var said *pgconn.PgError
+// classify returns the outcome of an answer and its retry-after time.
+func (r *Runner) classify(ctx context.Context, arrival plan.Arrival, results []*pgconn.Result, err error) (Outcome, time.Duration) {
+	var pgErr *pgconn.PgError
 	switch {
-	case errors.As(err, &said) && (said.Code == "53300" || said.Code == "57P03"):
-		if ms, err := strconv.Atoi(said.Detail); err == nil && ms > 0 {
+	case errors.As(err, &pgErr) && (pgErr.Code == "53300" || pgErr.Code == "57P03"):
+		if ms, err := strconv.Atoi(pgErr.Detail); err == nil && ms > 0 {
 			return RefusedRetryAfter, time.Duration(ms) * time.Millisecond
 		}
 		return Refused, 0
-	case errors.As(err, &said):
+	case errors.As(err, &pgErr):
 		return Failed, 0
 	case err != nil && ctx.Err() != nil:
 		return GaveUp, 0
@@ -246,48 +247,49 @@
 	case len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) != 1:
 		return InvalidAnswer, 0
 	}
-	r.learn(a, string(results[0].Rows[0][0]))
+	r.recordCommit(arrival, string(results[0].Rows[0][0]))
 	return InAim, 0
 }
 
+// deadline returns the deadline of ctx, which must have one.
 func deadline(ctx context.Context) time.Time {
 	at, _ := ctx.Deadline()
 	return at
 }
 
-// learn keeps the commit that a write was told, where the value names it.
-func (r *Runner) learn(a plan.Arrival, value string) {
+// recordCommit stores the commit position of the session if the answer contains one.
+func (r *Runner) recordCommit(arrival plan.Arrival, value string) {
 	if text, ok := strings.CutPrefix(value, "commit="); ok {
 		if ms, err := strconv.ParseInt(text, 10, 64); err == nil {
 			r.mu.Lock()
-			r.commits[a.Session] = max(r.commits[a.Session], ms)
+			r.commits[arrival.Session] = max(r.commits[arrival.Session], ms)
 			r.mu.Unlock()
 		}
 	}
 }
 
-// statement is what a client of the platform writes, and the id in it.
-func (r *Runner) statement(a plan.Arrival, class *plan.Class, left time.Duration, again bool) (text, id string) {
+// buildStatement returns a statement as clients of the platform write it, and the request ID in it.
+func (r *Runner) buildStatement(arrival plan.Arrival, class *plan.Class, remaining time.Duration, isRetry bool) (text, id string) {
 	r.mu.Lock()
-	r.nonce++
-	id = fmt.Sprintf("%016x", r.nonce)
-	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, class.Name, max(1, left.Milliseconds()), a.Group)
-	if after := r.commits[a.Session]; after > 0 && class.Kind == plan.SessionRead {
-		head += fmt.Sprintf(",after=%d", after)
+	r.lastID++
+	id = fmt.Sprintf("%016x", r.lastID)
+	head := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, class.Name, max(1, remaining.Milliseconds()), arrival.Group)
+	if commit := r.commits[arrival.Session]; commit > 0 && class.Kind == plan.SessionRead {
+		head += fmt.Sprintf(",after=%d", commit)
 	}
 	r.mu.Unlock()
-	if again {
+	if isRetry {
 		head += ",r=1"
 	}
-	key := fmt.Sprintf("%016x", a.Key)
+	key := fmt.Sprintf("%016x", arrival.Key)
 	if class.Kind == plan.SessionRead {
-		key = fmt.Sprintf("%016x", a.Session)
+		key = fmt.Sprintf("%016x", arrival.Session)
 	}
 	return pgwire.ClientStatement(head, key, class.Kind == plan.Write), id
 }
 
-// pool finds the connections to a session's gateway; nil: there is none.
-func (r *Runner) pool(session int) *pool {
+// poolFor returns the connection pool of a session's gateway, or nil if there is no gateway.
+func (r *Runner) poolFor(session int) *pool {
 	target, ok := r.SelectTarget(session)
 	if !ok || CheckLoopback(target) != nil {
 		return nil
@@ -302,7 +304,7 @@
 	return p
 }
 
-// pool keeps the connections to one gateway. Who waits for one is already counting.
+// pool holds the connections to one gateway. The latency of a request includes its wait for a connection.
 type pool struct {
 	target string
 	slots  chan struct{}
@@ -311,8 +313,8 @@
 	closed bool
 }
 
-// get waits for a connection; reused tells that it has carried requests.
-func (p *pool) get(ctx context.Context) (_ *pgconn.PgConn, reused bool, _ error) {
+// acquire waits for a connection. It reports whether the connection has carried requests before.
+func (p *pool) acquire(ctx context.Context) (_ *pgconn.PgConn, reused bool, _ error) {
 	select {
 	case p.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -320,33 +322,34 @@
 	}
 	for {
 		p.mu.Lock()
-		n := len(p.idle)
-		if n == 0 {
+		count := len(p.idle)
+		if count == 0 {
 			p.mu.Unlock()
 			break
 		}
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
+		conn := p.idle[count-1]
+		p.idle = p.idle[:count-1]
 		p.mu.Unlock()
-		if silent(c.Conn()) {
-			return c, true, nil
+		if isIdle(conn.Conn()) {
+			return conn, true, nil
 		}
-		p.end(c) // the gateway has closed it meanwhile
+		p.discard(conn) // closed by the gateway in the meantime
 	}
-	a := netip.MustParseAddrPort(p.target)
-	cfg, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%d user=api dbname=ledger sslmode=disable", a.Addr(), a.Port()))
-	var c *pgconn.PgConn
+	addr := netip.MustParseAddrPort(p.target)
+	config, err := pgconn.ParseConfig(fmt.Sprintf("host=%s port=%d user=api dbname=ledger sslmode=disable", addr.Addr(), addr.Port()))
+	var conn *pgconn.PgConn
 	if err == nil {
-		c, err = pgconn.ConnectConfig(ctx, cfg)
+		conn, err = pgconn.ConnectConfig(ctx, config)
 	}
 	if err != nil {
 		<-p.slots
 		return nil, false, err
 	}
-	return c, false, nil
+	return conn, false, nil
 }
 
-func (p *pool) put(c *pgconn.PgConn) {
+// release returns a connection to the pool, or closes it if it is no longer usable.
+func (p *pool) release(c *pgconn.PgConn) {
 	p.mu.Lock()
 	keep := !p.closed && !c.IsClosed()
 	if keep {
@@ -354,33 +357,33 @@
 	}
 	p.mu.Unlock()
 	if !keep {
-		p.end(c)
+		p.discard(c)
 	}
 	<-p.slots
 }
 
-// silent tells that nothing has come on a connection at rest, not even its end. It does not wait, as pgconn's own
-// check does for a millisecond, which would count as the gateway's.
-func silent(c net.Conn) bool {
-	t, ok := c.(*net.TCPConn)
+// isIdle reports whether an idle connection is open and has nothing to read. It does not block: pgconn's own
+// check waits for a millisecond, which would be added to the gateway's latency.
+func isIdle(c net.Conn) bool {
+	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, e := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		var peeked [1]byte
+		_, _, errno := unix.Recvfrom(int(fd), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = errno == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// end closes a connection at once; a gateway is not waited for.
-func (p *pool) end(c *pgconn.PgConn) {
+// discard closes a connection without waiting for the gateway.
+func (p *pool) discard(c *pgconn.PgConn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = c.Close(ctx)
@@ -391,7 +394,7 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
-		p.end(c)
+		p.discard(c)
 	}
 	p.idle = nil
 }
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -1,5 +1,6 @@
-// Package soak runs many real gateways under troubles that overlap in time, drawn from a seed, and judges what became of each
-// request by the gateway that had it, from outside and by the gateways' own invariants.
+// Package soak runs many real gateways under overlapping faults drawn from a seed. It checks that each request was
+// answered by the gateway that received it, and collects the invariant violations that are observed from outside or
+// reported by the gateways.
 package soak
 
 import (
@@ -9,59 +10,59 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong for a while.
+// Fault is one injected fault.
 type Fault struct {
 	Number   int           `json:"number"`
 	Name     string        `json:"name"`
 	At       time.Duration `json:"at_ns"`
 	Duration time.Duration `json:"for_ns"`
-	Gateways []int         `json:"on,omitempty"` // whom it is done to; none: databases, discovery or clients
+	Gateways []int         `json:"on,omitempty"` // affected gateways; empty for faults of databases, discovery or links
 }
 
-// FaultNames are all troubles that may be drawn.
+// FaultNames returns the sorted names of all faults that may be drawn.
 func FaultNames() (list []string) {
-	for name := range kinds {
+	for name := range faultKinds {
 		list = append(list, name)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// Bounds of a schedule.
+// Limits of a schedule. Each range includes its minimum and excludes its maximum.
 const (
-	quietLeast = 1 * time.Second // before the first trouble
-	quietMost  = 5 * time.Second
-	waveLeast  = 1500 * time.Millisecond // from the begin of some troubles to that of the next
-	waveMost   = 3 * time.Second
-	waveSpread = 800 * time.Millisecond // within which the troubles of a wave begin
-	lastLeast  = 300 * time.Millisecond // how long one lasts
-	lastMost   = 2500 * time.Millisecond
-	calmAtEnd  = 3 * time.Second // for what was begun to come to an end
+	minQuiet         = 1 * time.Second // before the first wave
+	maxQuiet         = 5 * time.Second
+	minWaveInterval  = 1500 * time.Millisecond // between the starts of two waves
+	maxWaveInterval  = 3 * time.Second
+	waveSpread       = 800 * time.Millisecond // within which the faults of a wave start
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
+	calmAtEnd        = 3 * time.Second // without new faults, for those in progress to end
 )
 
-// Draw is the schedule of a seed: waves of two or three troubles that overlap. It does not depend on how a run goes.
+// Draw returns the schedule of a seed: waves of two or three overlapping faults. It does not depend on the run.
 func Draw(seed uint64, gateways int, length time.Duration, names []string) (list []Fault) {
-	rnd := rand.New(rand.NewPCG(seed, 0x736f616b))
-	span := func(from, to time.Duration) time.Duration {
-		return from + time.Duration(rnd.Int64N(int64(to-from)))
+	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
+	between := func(from, to time.Duration) time.Duration {
+		return from + time.Duration(rng.Int64N(int64(to-from)))
 	}
-	for at := span(quietLeast, quietMost); at < length-calmAtEnd-lastMost; at += span(waveLeast, waveMost) {
-		kindsOfWave := rnd.Perm(len(names))
-		for _, k := range kindsOfWave[:min(2+rnd.IntN(2), len(names))] {
-			t := Fault{Number: len(list) + 1, Name: names[k], At: at + span(0, waveSpread), Duration: span(lastLeast, lastMost)}
-			if n := kinds[t.Name].gateways; n > 0 {
-				t.Gateways = rnd.Perm(gateways)[:min(n, gateways)]
+	for waveStart := between(minQuiet, maxQuiet); waveStart < length-calmAtEnd-maxFaultDuration; waveStart += between(minWaveInterval, maxWaveInterval) {
+		shuffled := rng.Perm(len(names))
+		for _, k := range shuffled[:min(2+rng.IntN(2), len(names))] {
+			fault := Fault{Number: len(list) + 1, Name: names[k], At: waveStart + between(0, waveSpread), Duration: between(minFaultDuration, maxFaultDuration)}
+			if count := faultKinds[fault.Name].gateways; count > 0 {
+				fault.Gateways = rng.Perm(gateways)[:min(count, gateways)]
 			}
-			list = append(list, t)
+			list = append(list, fault)
 		}
 	}
 	return list
 }
 
-// CountOverlaps is how many pairs of troubles were under way together.
-func CountOverlaps(list []Fault) (n int) {
-	for i, a := range list {
-		for _, b := range list[i+1:] {
+// CountOverlaps returns the number of pairs of faults that overlap in time.
+func CountOverlaps(faults []Fault) (n int) {
+	for i, a := range faults {
+		for _, b := range faults[i+1:] {
 			if a.At < b.At+b.Duration && b.At < a.At+a.Duration {
 				n++
 			}
@@ -70,17 +71,17 @@
 	return n
 }
 
-// Select keeps the troubles with these numbers, to shrink a schedule that fails; none: all are kept.
-func Select(list []Fault, numbers []int) ([]Fault, error) {
+// Select returns the faults with these numbers, to reduce a failing schedule. Without numbers it returns all.
+func Select(faults []Fault, numbers []int) ([]Fault, error) {
 	if len(numbers) == 0 {
-		return list, nil
+		return faults, nil
 	}
-	var kept []Fault
+	var selected []Fault
 	for _, n := range numbers {
-		if n < 1 || n > len(list) {
-			return nil, fmt.Errorf("there is no trouble %d: the seed draws %d", n, len(list))
+		if n < 1 || n > len(faults) {
+			return nil, fmt.Errorf("there is no fault %d: the seed draws %d", n, len(faults))
 		}
-		kept = append(kept, list[n-1])
+		selected = append(selected, faults[n-1])
 	}
-	return kept, nil
+	return selected, nil
 }
