--- a/internal/wan/wan.go
+++ b/internal/wan/wan.go
@@ -43,11 +43,11 @@
 	Cut    bool          // datagrams are dropped and connections stall
 }
 
-// Counts holds the numbers of datagrams by result, of their bytes, and of connections.
+// Counts holds the numbers of datagrams by result, of their bytes, and of connections. Scale reports write them under these names.
 type Counts struct {
-	Forwarded, Lost, Cut, Misaddressed, Oversized, Unsent, Bytes uint64
-	Overflowed                                                   uint64 // dropped by the kernel because the relay read too slowly
-	Streams, StreamsCut                                          uint64
+	Passed, Lost, Cut, Foreign, Large, Unsent, Bytes uint64
+	Overflowed                                       uint64 // dropped by the kernel because the relay read too slowly
+	Streams, StreamsCut                              uint64
 }
 
 // Relay is the simulated network.
@@ -221,7 +221,7 @@
 func (r *Relay) Counts() Counts {
 	count := func(kind int) uint64 { return r.counts[kind].Load() }
 	return Counts{
-		Forwarded: count(countForwarded), Lost: count(countLost), Cut: count(countCut), Misaddressed: count(countMisaddressed), Oversized: count(countOversized), Unsent: count(countUnsent), Bytes: count(countBytes),
+		Passed: count(countForwarded), Lost: count(countLost), Cut: count(countCut), Foreign: count(countMisaddressed), Large: count(countOversized), Unsent: count(countUnsent), Bytes: count(countBytes),
 		Overflowed: r.overflowed(), Streams: count(countStreams), StreamsCut: count(countStreamsCut),
 	}
 }
--- a/internal/wan/wan_test.go
+++ b/internal/wan/wan_test.go
@@ -78,8 +78,8 @@
 	require.NoError(t, err)
 	text, _ = s[2].receive(silenceTime)
 	assert.Empty(t, text)
-	assert.Equal(t, uint64(2), r.Counts().Misaddressed)
-	assert.Equal(t, uint64(7), r.Counts().Forwarded)
+	assert.Equal(t, uint64(2), r.Counts().Foreign)
+	assert.Equal(t, uint64(7), r.Counts().Passed)
 }
 
 // Each ordered pair of zones has its own delay, which does not apply in the other direction or to other pairs.
@@ -132,7 +132,7 @@
 	receiveAll := func(s socket, sent, before uint64) (got []uint32) {
 		for deadline := time.Now().Add(receiveTimeout); ; {
 			c := r.Counts()
-			if c.Forwarded+c.Lost+c.Overflowed >= sent && c.Forwarded-before == uint64(len(got)) || time.Now().After(deadline) {
+			if c.Passed+c.Lost+c.Overflowed >= sent && c.Passed-before == uint64(len(got)) || time.Now().After(deadline) {
 				return got
 			}
 			if text, _ := s.receive(silenceTime); text != "" {
@@ -285,5 +285,5 @@
 	b.ReportMetric(float64(lateness.P99.Microseconds()), "p99-late-us")
 	b.ReportMetric(float64(lateness.Max.Microseconds()), "most-late-us")
 	b.ReportMetric(float64(counts.Overflowed), "dropped")
-	b.ReportMetric(float64(counts.Forwarded), "passed")
+	b.ReportMetric(float64(counts.Passed), "passed")
 }
