--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -23,77 +23,77 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
-	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{routers: map[int]*policy.Router{}}
+	reader := wire.NewReader(in)
+	writer := bufio.NewWriterSize(out, 1<<16)
+	routers := routerSet{routers: map[int]*policy.Router{}}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.answer(b); err != nil {
+		if err := routers.handleBatch(batch); err != nil {
 			return err
 		}
-		if err := h.reply.Flush(w, b.Seq); err != nil {
+		if err := routers.reply.Flush(writer, batch.Seq); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// host keeps the routers of this process; they share nothing.
-type host struct {
+// routerSet keeps the routers of this process; they share nothing.
+type routerSet struct {
 	routers map[int]*policy.Router
 	reply   wire.Reply
 }
 
-func (h *host) answer(b wire.Batch) error {
+func (s *routerSet) handleBatch(batch wire.Batch) error {
 	var order []int
 	events := map[int][]policy.Event{}
-	for _, it := range b.Items {
-		switch it.Kind {
+	for _, item := range batch.Items {
+		switch item.Kind {
 		case wire.RouterStart:
-			p, err := policy.New(it.Settings, it.Seed)
+			router, err := policy.New(item.Settings, item.Seed)
 			if err != nil {
-				return fmt.Errorf("router %d: %w", it.Router, err)
+				return fmt.Errorf("router %d: %w", item.Router, err)
 			}
-			h.routers[it.Router] = p
-			events[it.Router] = nil
+			s.routers[item.Router] = router
+			events[item.Router] = nil
 		case wire.RouterStop:
-			delete(h.routers, it.Router)
-			delete(events, it.Router)
+			delete(s.routers, item.Router)
+			delete(events, item.Router)
 		default:
-			if h.routers[it.Router] == nil {
-				return fmt.Errorf("router %d: event before its start", it.Router)
+			if s.routers[item.Router] == nil {
+				return fmt.Errorf("router %d: event before its start", item.Router)
 			}
-			events[it.Router] = append(events[it.Router], it.Event)
+			events[item.Router] = append(events[item.Router], item.Event)
 		}
-		if !slices.Contains(order, it.Router) {
-			order = append(order, it.Router)
+		if !slices.Contains(order, item.Router) {
+			order = append(order, item.Router)
 		}
 	}
-	for _, n := range order {
-		if p := h.routers[n]; p != nil && len(events[n]) > 0 {
-			h.reply.BeginRouter(n)
-			h.step(p, b.Now, events[n])
+	for _, number := range order {
+		if router := s.routers[number]; router != nil && len(events[number]) > 0 {
+			s.reply.BeginRouter(number)
+			s.stepRouter(router, batch.Now, events[number])
 		}
 	}
 	return nil
 }
 
-// step runs one router; a panic in it is reported and ends in GIVE_IN.
-func (h *host) step(p *policy.Router, now time.Duration, events []policy.Event) {
+// stepRouter runs one router; a panic in it is reported and ends in GIVE_IN.
+func (s *routerSet) stepRouter(router *policy.Router, now time.Duration, events []policy.Event) {
 	defer func() {
 		if e := recover(); e != nil {
-			h.reply.Failed(fmt.Sprint(e))
+			s.reply.Failed(fmt.Sprint(e))
 		}
 	}()
-	for _, a := range p.Step(now, events) {
-		h.reply.Action(a)
+	for _, a := range router.Step(now, events) {
+		s.reply.Action(a)
 	}
 }
--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -20,22 +20,22 @@
 	exitUnreachable = 3 // a gateway did not answer
 )
 
-// status is an error with the exit status it leads to.
-type status struct {
-	code int
-	why  string
+// exitStatus is an error with the exit exitStatus it leads to.
+type exitStatus struct {
+	code    int
+	message string
 }
 
-func (s status) Error() string { return s.why }
+func (s exitStatus) Error() string { return s.message }
 
-// asking makes a command that asks gateways and prints what they say.
-func asking(use, short, long string, do func(w io.Writer, at []string, asJSON bool, wait time.Duration) error) *cobra.Command {
+// queryCommand makes a command that asks gateways and prints what they say.
+func queryCommand(use, short, long string, run func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error) *cobra.Command {
 	var at []string
 	var asJSON bool
 	var wait time.Duration
 	c := &cobra.Command{
 		Use: use + " --at 127.0.0.1:7510", Short: short, Long: long, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return do(c.OutOrStdout(), at, asJSON, wait) },
+		RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout(), at, asJSON, wait) },
 	}
 	c.Flags().StringArrayVar(&at, "at", nil, "a gateway's operators' address; may be given several times")
 	c.Flags().BoolVar(&asJSON, "json", false, "print what the gateways said, as JSON")
@@ -44,23 +44,23 @@
 	return c
 }
 
-// show prints what was said as JSON, or the table.
-func show(w io.Writer, asJSON bool, said any, table func() error) error {
+// printResult prints what was said as JSON, or the table.
+func printResult(w io.Writer, asJSON bool, result any, printTable func() error) error {
 	if !asJSON {
-		return table()
+		return printTable()
 	}
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	return e.Encode(said)
+	return e.Encode(result)
 }
 
-// verdict is what the exit status says: who does not answer goes before what was found.
-func verdict(silent, findings []string) error {
+// exitError is what the exit status says: who does not answer goes before what was found.
+func exitError(unreachable, findings []string) error {
 	switch {
-	case len(silent) > 0:
-		return status{exitUnreachable, "no answer from " + strings.Join(silent, ", ")}
+	case len(unreachable) > 0:
+		return exitStatus{exitUnreachable, "no answer from " + strings.Join(unreachable, ", ")}
 	case len(findings) > 0:
-		return status{exitFinding, strings.Join(findings, "; ")}
+		return exitStatus{exitFinding, strings.Join(findings, "; ")}
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "lilacctl: "+err.Error())
-	var s status
+	var s exitStatus
 	if errors.As(err, &s) {
 		os.Exit(s.code)
 	}
@@ -85,22 +85,22 @@
 			"Exit status: 0 all is as it should be, 1 the call was wrong, 2 something was found, 3 a gateway did not answer.",
 	}
 	var all bool
-	members := asking("members", "Which gateways know which others", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
-		if list := ask(at, wait); asJSON {
-			return list.json(w)
+	members := queryCommand("members", "Which gateways know which others", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
+		if list := queryMembers(at, wait); asJSON {
+			return list.printJSON(w)
 		} else {
-			return list.table(w, all)
+			return list.printTable(w, all)
 		}
 	})
 	members.Flags().BoolVar(&all, "all", false, "list those that have ended as well")
 	root.AddCommand(members,
-		asking("state", "What operators told the whole fleet, and whether all have it", "", state),
-		asking("versions", "Which gateway acts on which versions, and who is behind",
+		queryCommand("state", "What operators told the whole fleet, and whether all have it", "", printState),
+		queryCommand("versions", "Which gateway acts on which versions, and who is behind",
 			"Each gateway knows the versions of the others; the first that answers is enough. With several the newest telling of\n"+
-				"each gateway counts.", versions),
+				"each gateway counts.", printVersions),
 		auditCommand(),
-		wordCommand("suspend", "Leave a database out"), wordCommand("resume", "Have a database serve again"),
-		sayCommand("drain", "GATEWAY", "Empty a gateway of the fleet, told at any of them", func() string { return "/v1/fleet/gateways/" }),
-		sayCommand("activate", "GATEWAY", "Have a gateway of the fleet work again", func() string { return "/v1/fleet/gateways/" }))
+		databaseCommand("suspend", "Leave a database out"), databaseCommand("resume", "Have a database serve again"),
+		overrideCommand("drain", "GATEWAY", "Empty a gateway of the fleet, told at any of them", func() string { return "/v1/fleet/gateways/" }),
+		overrideCommand("activate", "GATEWAY", "Have a gateway of the fleet work again", func() string { return "/v1/fleet/gateways/" }))
 	return root
 }
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -15,25 +15,25 @@
 	"lilaccove/internal/peer"
 )
 
-// answer is what one gateway said, or why it did not.
-type answer struct {
+// membersAnswer is what one gateway said, or why it did not.
+type membersAnswer struct {
 	At    string       `json:"at"`
 	Error string       `json:"error,omitempty"`
 	Fleet *peer.Report `json:"fleet,omitempty"`
 }
 
-type answers []answer
+type membersAnswers []membersAnswer
 
-// ask asks all gateways at once.
-func ask(at []string, wait time.Duration) answers {
-	list := make(answers, len(at))
+// queryMembers asks all gateways at once.
+func queryMembers(addresses []string, timeout time.Duration) membersAnswers {
+	list := make(membersAnswers, len(addresses))
 	var all sync.WaitGroup
-	for i, a := range at {
+	for i, a := range addresses {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			list[i] = answer{At: a}
-			r, err := members(a, wait)
+			list[i] = membersAnswer{At: a}
+			r, err := fetchMembers(a, timeout)
 			if err != nil {
 				list[i].Error = err.Error()
 			} else {
@@ -45,33 +45,33 @@
 	return list
 }
 
-const mostAnswer = 8 << 20
+const maxAnswerBytes = 8 << 20
 
-// call asks one gateway; a status that is not 200 is an error with what it says.
-func call(at, method, path string, wait time.Duration) ([]byte, error) {
-	if _, err := netip.ParseAddrPort(at); err != nil {
-		return nil, fmt.Errorf("%q is no address; write it like 127.0.0.1:7510", at)
+// callGateway asks one gateway; a status that is not 200 is an error with what it says.
+func callGateway(addr, method, path string, timeout time.Duration) ([]byte, error) {
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return nil, fmt.Errorf("%q is no address; write it like 127.0.0.1:7510", addr)
 	}
-	q, err := http.NewRequest(method, "http://"+at+path, nil)
+	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
-	got, err := client.Do(q)
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer got.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(got.Body, mostAnswer))
-	if err == nil && got.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(body)))
 	}
-	return text, err
+	return body, err
 }
 
 // fetch asks for something in JSON.
-func fetch[T any](at, path string, wait time.Duration) (*T, error) {
-	text, err := call(at, http.MethodGet, path, wait)
+func fetch[T any](addr, path string, timeout time.Duration) (*T, error) {
+	text, err := callGateway(addr, http.MethodGet, path, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -82,17 +82,17 @@
 	return r, nil
 }
 
-func members(at string, wait time.Duration) (*peer.Report, error) {
-	return fetch[peer.Report](at, "/v1/fleet/members", wait)
+func fetchMembers(addr string, timeout time.Duration) (*peer.Report, error) {
+	return fetch[peer.Report](addr, "/v1/fleet/members", timeout)
 }
 
-// verdict is the exit status: who does not answer goes before what was found.
-func (list answers) verdict() error {
-	var silent, findings []string
+// exitError is the exit status: who does not answer goes before what was found.
+func (list membersAnswers) exitError() error {
+	var unreachable, findings []string
 	digests := map[string][]string{}
 	for _, a := range list {
 		if a.Fleet == nil {
-			silent = append(silent, a.At)
+			unreachable = append(unreachable, a.At)
 			continue
 		}
 		digests[a.Fleet.View.Digest] = append(digests[a.Fleet.View.Digest], a.Fleet.Name)
@@ -108,20 +108,20 @@
 	if len(digests) > 1 {
 		findings = append(findings, fmt.Sprintf("%d different views", len(digests)))
 	}
-	return verdict(silent, findings)
+	return exitError(unreachable, findings)
 }
 
-func (list answers) json(w io.Writer) error {
-	if err := show(w, true, list, nil); err != nil {
+func (list membersAnswers) printJSON(w io.Writer) error {
+	if err := printResult(w, true, list, nil); err != nil {
 		return err
 	}
-	return list.verdict()
+	return list.exitError()
 }
 
-// table prints a line for each gateway that was asked, then one for each gateway that any of them knows.
-func (list answers) table(w io.Writer, all bool) error {
-	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "ASKED\tNAME\tMEMBER\tHEALTH\tVIEW\tMEMBERS\tDIGEST")
+// printTable prints a line for each gateway that was asked, then one for each gateway that any of them knows.
+func (list membersAnswers) printTable(w io.Writer, all bool) error {
+	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "ASKED\tNAME\tMEMBER\tHEALTH\tVIEW\tMEMBERS\tDIGEST")
 	type row struct{ addr, session, states string }
 	known := map[string]row{}
 	names := []string{}
@@ -134,29 +134,29 @@
 			known[m.Name] = r
 		}
 	}
-	for _, a := range list {
-		if a.Fleet == nil {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\t%s\n", a.At, a.Error)
+	for _, answer := range list {
+		if answer.Fleet == nil {
+			fmt.Fprintf(table, "%s\t-\t-\t-\t-\t-\t%s\n", answer.At, answer.Error)
 			continue
 		}
-		r := a.Fleet
-		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%d\t%d\t%s\n", a.At, r.Name, r.Member, r.Health, r.View.Version, len(r.View.Members), r.View.Digest)
-		for _, m := range r.Known {
+		report := answer.Fleet
+		fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%d\t%d\t%s\n", answer.At, report.Name, report.Member, report.Health, report.View.Version, len(report.View.Members), report.View.Digest)
+		for _, m := range report.Known {
 			if all || m.State == "alive" || m.State == "suspect" {
-				add(m, r.Name, m.State)
+				add(m, report.Name, m.State)
 			}
 		}
-		if r.Member {
-			add(peer.ReportMember{Name: r.Name, Addr: r.Addr, Session: r.Session}, r.Name, "self")
+		if report.Member {
+			add(peer.ReportMember{Name: report.Name, Addr: report.Addr, Session: report.Session}, report.Name, "self")
 		}
 	}
-	fmt.Fprintln(t, "\nGATEWAY\tADDRESS\tSESSION\tAS SEEN BY")
+	fmt.Fprintln(table, "\nGATEWAY\tADDRESS\tSESSION\tAS SEEN BY")
 	slices.Sort(names)
 	for _, n := range names {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", n, known[n].addr, known[n].session, known[n].states)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", n, known[n].addr, known[n].session, known[n].states)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	return list.verdict()
+	return list.exitError()
 }
--- a/cmd/lilacctl/members_test.go
+++ b/cmd/lilacctl/members_test.go
@@ -37,12 +37,12 @@
 	c.SetErr(&out)
 	c.SetArgs(args)
 	err := c.Execute()
-	var s status
+	var s exitStatus
 	switch {
 	case err == nil:
 		return out.String(), 0
 	case errors.As(err, &s):
-		return out.String() + s.why, s.code
+		return out.String() + s.message, s.code
 	}
 	return out.String() + err.Error(), exitTrouble
 }
--- a/cmd/lilacctl/plot.go
+++ b/cmd/lilacctl/plot.go
@@ -15,13 +15,13 @@
 
 func byTime(a, b audit.ChainedRecord) int { return cmp.Compare(a.From, b.From) }
 
-// drawLists draws the list that each process acted on over time, a step for each record.
-func drawLists(path string, records []audit.ChainedRecord) error {
+// plotListVersions draws the list that each process acted on over time, a step for each record.
+func plotListVersions(path string, records []audit.ChainedRecord) error {
 	if len(records) == 0 {
 		return fmt.Errorf("--plot: there is no record to draw")
 	}
-	begun := slices.MinFunc(records, byTime).From
-	seconds := func(s audit.Timestamp) float64 { return (s.WallTime() - begun.WallTime()).Seconds() }
+	start := slices.MinFunc(records, byTime).From
+	seconds := func(s audit.Timestamp) float64 { return (s.WallTime() - start.WallTime()).Seconds() }
 	lines := map[string]plotter.XYs{}
 	var names []string
 	slices.SortFunc(records, byTime)
@@ -37,14 +37,14 @@
 	p.Title.Text = "the list that each gateway acted on"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "version of the list"
 	for i, n := range names {
-		l, err := plotter.NewLine(lines[n])
+		line, err := plotter.NewLine(lines[n])
 		if err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
-		l.Color, l.Dashes = plotutil.Color(i), plotutil.Dashes(i/7)
-		p.Add(l)
+		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i/7)
+		p.Add(line)
 		if len(names) <= 16 {
-			p.Legend.Add(n, l)
+			p.Legend.Add(n, line)
 		}
 	}
 	if err := p.Save(24*vg.Centimeter, 12*vg.Centimeter, path); err != nil {
--- a/cmd/lilacctl/versions.go
+++ b/cmd/lilacctl/versions.go
@@ -9,46 +9,46 @@
 	"lilaccove/internal/peer"
 )
 
-// versions tells which gateway acts on which versions, in one screen.
-func versions(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
-	var silent, findings []string
-	said := map[string]*peer.VersionsReport{}
+// printVersions tells which gateway acts on which printVersions, in one screen.
+func printVersions(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error {
+	var unreachable, findings []string
+	reports := map[string]*peer.VersionsReport{}
 	newest := map[string]peer.VersionReport{}
 	var names []string
-	for _, a := range at {
-		r, err := fetch[peer.VersionsReport](a, "/v1/fleet/versions", wait)
-		if said[a] = r; err != nil {
-			silent = append(silent, a+" ("+err.Error()+")")
+	for _, addr := range addresses {
+		report, err := fetch[peer.VersionsReport](addr, "/v1/fleet/versions", timeout)
+		if reports[addr] = report; err != nil {
+			unreachable = append(unreachable, addr+" ("+err.Error()+")")
 			continue
 		}
-		for _, v := range r.Versions {
-			old, known := newest[v.Name]
+		for _, version := range report.Versions {
+			old, known := newest[version.Name]
 			if !known {
-				names = append(names, v.Name)
+				names = append(names, version.Name)
 			}
-			if !known || v.Name == r.Name || old.ReceivedMS > v.ReceivedMS {
-				newest[v.Name] = v
+			if !known || version.Name == report.Name || old.ReceivedMS > version.ReceivedMS {
+				newest[version.Name] = version
 			}
 		}
 	}
-	list := int64(0)
-	for _, v := range newest {
-		list = max(list, v.ListVersion)
+	newestList := int64(0)
+	for _, version := range newest {
+		newestList = max(newestList, version.ListVersion)
 	}
-	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "GATEWAY\tLIST\tBEHIND\tWORDS\tVIEW\tCONFIG\tFLEET FILE\tBUILD\tHEARD")
-	for _, n := range names {
-		v := newest[n]
-		behind := "-"
-		if v.ListVersion < list {
-			behind = (time.Duration(v.LaggingMS) * time.Millisecond).String()
-			findings = append(findings, fmt.Sprintf("%s acts on list %d, the newest is %d", n, v.ListVersion, list))
+	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "GATEWAY\tLIST\tBEHIND\tWORDS\tVIEW\tCONFIG\tFLEET FILE\tBUILD\tHEARD")
+	for _, name := range names {
+		v := newest[name]
+		lagging := "-"
+		if v.ListVersion < newestList {
+			lagging = (time.Duration(v.LaggingMS) * time.Millisecond).String()
+			findings = append(findings, fmt.Sprintf("%s acts on list %d, the newest is %d", name, v.ListVersion, newestList))
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%x\t%x\t%s\t%s\t%s\t%v ago\n", n, v.ListVersion, behind, v.OverridesDigest, v.ViewDigest, v.ConfigDigest, v.FleetFileDigest, v.Build,
+		fmt.Fprintf(table, "%s\t%d\t%s\t%x\t%x\t%s\t%s\t%s\t%v ago\n", name, v.ListVersion, lagging, v.OverridesDigest, v.ViewDigest, v.ConfigDigest, v.FleetFileDigest, v.Build,
 			time.Duration(v.ReceivedMS)*time.Millisecond)
 	}
-	if err := show(w, asJSON, said, t.Flush); err != nil {
+	if err := printResult(w, asJSON, reports, table.Flush); err != nil {
 		return err
 	}
-	return verdict(silent, findings)
+	return exitError(unreachable, findings)
 }
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -9,9 +9,9 @@
 
 // History is what happened in a run, a JSON object a line, for checkers that read it afterwards.
 type History struct {
-	mu    sync.Mutex
-	out   *json.Encoder
-	begun time.Time
+	mu      sync.Mutex
+	encoder *json.Encoder
+	start   time.Time
 }
 
 // HistoryEntry is one line of it.
@@ -31,27 +31,27 @@
 	if w == nil {
 		return nil
 	}
-	return &History{out: json.NewEncoder(w), begun: time.Now()}
+	return &History{encoder: json.NewEncoder(w), start: time.Now()}
 }
 
 // SetStart sets the moment that is 0.
-func (h *History) SetStart(at time.Time) {
+func (h *History) SetStart(start time.Time) {
 	if h != nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.begun = at
+		h.start = start
 	}
 }
 
 // Add writes a line.
-func (h *History) Add(e HistoryEntry) {
+func (h *History) Add(entry HistoryEntry) {
 	if h == nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e.AtMS = millis(time.Since(h.begun))
-	_ = h.out.Encode(e)
+	entry.AtMS = millis(time.Since(h.start))
+	_ = h.encoder.Encode(entry)
 }
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -38,43 +38,43 @@
 	ClientSlack       time.Duration              // of clients beyond their deadlines
 	ListVersion       int                        // of the list at first; 0: 1
 
-	world *standin.World
-	apart map[int]*standin.Discovery
-	mesh  *Mesh
-	front *Balancer
-	dir   string
-	rnd   *rand.Rand
+	world               *standin.World
+	separateDiscoveries map[int]*standin.Discovery
+	mesh                *Mesh
+	balancer            *Balancer
+	dir                 string
+	rng                 *rand.Rand
 
-	mu     sync.Mutex
-	nodes  []*Node // the newest process of each gateway, then of each twin
-	all    []*Node
-	faults []string
-	dirs   map[string]string
-	socks  map[string]held // clients' sockets that are held
-	kept   []io.Closer
+	mu          sync.Mutex
+	nodes       []*Node // the newest process of each gateway, then of each twin
+	started     []*Node
+	faults      []string
+	sharedDirs  map[string]string
+	sockets     map[string]heldSocket // clients' sockets that are held
+	heldClosers []io.Closer
 }
 
 const (
-	startTime = 10 * time.Second
-	endTime   = 6 * time.Second
-	drainTime = 4 * time.Second // of a database in a rolling deploy
+	startTimeout      = 10 * time.Second
+	shutdownTimeout   = 6 * time.Second
+	databaseDrainTime = 4 * time.Second // of a database in a rolling deploy
 )
 
 // Open starts the world and the gateways. Close ends all of it.
 func (l *Lab) Open() (err error) {
 	p := l.Plan
-	opt := standin.Options{
+	options := standin.Options{
 		Groups: p.Groups, Members: p.Lab.Members, Cores: p.Lab.Cores, Queue: p.Lab.Queue, Service: p.Lab.Service,
 		Exponential: p.Lab.Delay == "exponential", Lag: p.Lab.Lag, SlowStart: p.Lab.SlowStart, Seed: p.Seed, Bounds: map[string]time.Duration{},
 		ListVersion: l.ListVersion,
 	}
 	for _, c := range p.Classes {
 		if c.Kind == plan.BoundedRead {
-			opt.Bounds[c.Name] = c.Bound
+			options.Bounds[c.Name] = c.Bound
 		}
 	}
-	l.rnd = rand.New(rand.NewPCG(p.Seed, 0x6c6162))
-	if l.world, err = standin.New(opt); err != nil {
+	l.rng = rand.New(rand.NewPCG(p.Seed, 0x6c6162))
+	if l.world, err = standin.New(options); err != nil {
 		return err
 	}
 	defer func() {
@@ -82,19 +82,19 @@
 			l.Close()
 		}
 	}()
-	l.apart = map[int]*standin.Discovery{}
+	l.separateDiscoveries = map[int]*standin.Discovery{}
 	for _, i := range l.SeparateDiscovery {
-		if l.apart[i], err = l.world.AddDiscovery(); err != nil {
+		if l.separateDiscoveries[i], err = l.world.AddDiscovery(); err != nil {
 			return err
 		}
 	}
 	if l.dir, err = os.MkdirTemp("", "lilacload-"); err != nil {
 		return err
 	}
-	l.dirs, l.socks = map[string]string{}, map[string]held{}
+	l.sharedDirs, l.sockets = map[string]string{}, map[string]heldSocket{}
 	slots := p.Lab.Gateways + len(l.Siblings)
 	l.nodes = make([]*Node, slots)
-	if err = l.hold(); err != nil {
+	if err = l.openHeldSockets(); err != nil {
 		return err
 	}
 	if p.Lab.Fleet {
@@ -106,7 +106,7 @@
 			return err
 		}
 	}
-	l.front = NewBalancer(p.Lab.Gateways, func(i int, in bool) {
+	l.balancer = NewBalancer(p.Lab.Gateways, func(i int, in bool) {
 		l.History.Add(HistoryEntry{Kind: "front", Gateway: l.name(i), What: map[bool]string{true: "admitted", false: "left"}[in]})
 	})
 	for i := range p.Lab.Gateways {
@@ -114,11 +114,11 @@
 			return err
 		}
 	}
-	late := time.After(startTime)
-	for l.front.Admitted() < p.Lab.Gateways {
+	timeout := time.After(startTimeout)
+	for l.balancer.Admitted() < p.Lab.Gateways {
 		select {
-		case <-late:
-			return fmt.Errorf("the front admits %d of %d gateways in %v", l.front.Admitted(), p.Lab.Gateways, startTime)
+		case <-timeout:
+			return fmt.Errorf("the front admits %d of %d gateways in %v", l.balancer.Admitted(), p.Lab.Gateways, startTimeout)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -127,17 +127,17 @@
 
 // Close ends all that was started.
 func (l *Lab) Close() {
-	if l.front != nil {
-		l.front.Close()
+	if l.balancer != nil {
+		l.balancer.Close()
 	}
-	l.stop()
+	l.stopProcesses()
 	if l.mesh != nil {
 		l.mesh.Close()
 	}
 	if l.world != nil {
 		l.world.Close()
 	}
-	for _, c := range l.kept {
+	for _, c := range l.heldClosers {
 		c.Close()
 	}
 	if l.dir != "" {
@@ -147,7 +147,7 @@
 
 // Discovery is where a gateway asks for the list.
 func (l *Lab) Discovery(i int) *standin.Discovery {
-	if d := l.apart[i]; d != nil {
+	if d := l.separateDiscoveries[i]; d != nil {
 		return d
 	}
 	return l.world.Discovery()
@@ -160,7 +160,7 @@
 func (l *Lab) Mesh() *Mesh { return l.mesh }
 
 // Balancer is what hands gateways out.
-func (l *Lab) Balancer() *Balancer { return l.front }
+func (l *Lab) Balancer() *Balancer { return l.balancer }
 
 // Play opens the lab, runs the plan's load and events, and closes it. What broke a rule is told in the report's faults.
 func (l *Lab) Play(ctx context.Context) (*run.Report, error) {
@@ -174,9 +174,9 @@
 // Run runs the load and events in a lab that is open.
 func (l *Lab) Run(ctx context.Context) (*run.Report, error) {
 	p := l.Plan
-	rec := run.NewRecorder(p)
-	r := &run.Runner{Plan: p, Arrivals: l.Arrivals, SelectTarget: l.front.Pick, ClientSlack: l.ClientSlack, OnSample: func(s run.Sample) {
-		rec.Add(s)
+	recorder := run.NewRecorder(p)
+	runner := &run.Runner{Plan: p, Arrivals: l.Arrivals, SelectTarget: l.balancer.Pick, ClientSlack: l.ClientSlack, OnSample: func(s run.Sample) {
+		recorder.Add(s)
 		if l.OnSample != nil {
 			l.OnSample(s)
 		}
@@ -186,59 +186,59 @@
 	}}
 	stop := make(chan struct{})
 	var events sync.WaitGroup
-	begun := time.Now()
-	l.History.SetStart(begun)
+	start := time.Now()
+	l.History.SetStart(start)
 	for _, e := range p.Events {
 		events.Add(1)
 		go func() {
 			defer events.Done()
-			if !standin.Sleep(time.Until(begun.Add(e.At)), stop) {
+			if !standin.Sleep(time.Until(start.Add(e.At)), stop) {
 				return
 			}
-			if err := l.event(e, stop); err != nil {
+			if err := l.playEvent(e, stop); err != nil {
 				l.RecordFault("%v", err)
 			}
 		}()
 	}
-	sent, err := r.Play(ctx)
+	sent, err := runner.Play(ctx)
 	close(stop)
 	events.Wait()
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range l.processes() {
-		if !n.Alive() && !n.expected() {
+		if !n.Alive() && !n.isEndExpected() {
 			l.RecordFault("gateway %s ended by itself", n.Name)
 		}
 	}
-	c := l.world.Counts()
-	out := rec.Report(len(l.Arrivals), sent)
-	out.World = c
-	if c.Duplicates > 0 {
-		l.RecordFault("%d writes ran twice, the first: %s", c.Duplicates, strings.Join(c.TwiceIDs, " "))
+	counts := l.world.Counts()
+	report := recorder.Report(len(l.Arrivals), sent)
+	report.World = counts
+	if counts.Duplicates > 0 {
+		l.RecordFault("%d writes ran twice, the first: %s", counts.Duplicates, strings.Join(counts.TwiceIDs, " "))
 	}
-	if c.Stale > 0 {
-		l.RecordFault("%d reads were answered from data too old, the first: %s", c.Stale, strings.Join(c.StaleIDs, " "))
+	if counts.Stale > 0 {
+		l.RecordFault("%d reads were answered from data too old, the first: %s", counts.Stale, strings.Join(counts.StaleIDs, " "))
 	}
-	if c.Foreign > 0 {
-		l.RecordFault("%d statements that no client sends", c.Foreign)
+	if counts.Foreign > 0 {
+		l.RecordFault("%d statements that no client sends", counts.Foreign)
 	}
-	if c.Drained > 0 {
-		l.RecordFault("%d statements to databases that were draining for over 2 s", c.Drained)
+	if counts.Drained > 0 {
+		l.RecordFault("%d statements to databases that were draining for over 2 s", counts.Drained)
 	}
-	if c.Fell > 0 {
-		l.RecordFault("%d cold databases got more than they bear, one %.2f times that", c.Fell, c.MostCold)
+	if counts.Fell > 0 {
+		l.RecordFault("%d cold databases got more than they bear, one %.2f times that", counts.Fell, counts.MostCold)
 	}
-	if n := out.Total.Counts[run.InvalidAnswer]; n > 0 {
+	if n := report.Total.Counts[run.InvalidAnswer]; n > 0 {
 		l.RecordFault("%d requests had no answer, or two", n)
 	}
-	if out.Total.Count != sent {
-		l.RecordFault("%d of %d requests are accounted for", out.Total.Count, sent)
+	if report.Total.Count != sent {
+		l.RecordFault("%d of %d requests are accounted for", report.Total.Count, sent)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out.Faults = l.faults
-	return out, nil
+	report.Faults = l.faults
+	return report, nil
 }
 
 // RecordFault notes that something went against a rule.
@@ -248,23 +248,23 @@
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
 }
 
-// event has the world do something, and takes it back when its time is over.
-func (l *Lab) event(e plan.Event, stop <-chan struct{}) error {
+// playEvent has the world do something, and takes it back when its time is over.
+func (l *Lab) playEvent(event plan.Event, stop <-chan struct{}) error {
 	faults := standin.Faults{}
-	switch e.Action {
+	switch event.Action {
 	case "roll":
 		members := l.world.Members()
-		n := int(e.Share*float64(len(members)) + 0.5)
+		n := int(event.Share*float64(len(members)) + 0.5)
 		var all sync.WaitGroup
 		failed := make(chan error, n)
 		for i, h := range members[:n] {
-			if i > 0 && !standin.Sleep(e.Duration/time.Duration(n), stop) {
+			if i > 0 && !standin.Sleep(event.Duration/time.Duration(n), stop) {
 				break
 			}
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				failed <- l.world.Replace(h, drainTime, stop)
+				failed <- l.world.Replace(h, databaseDrainTime, stop)
 			}()
 		}
 		all.Wait()
@@ -276,67 +276,67 @@
 		}
 		return nil
 	case "lag":
-		l.world.SetLag(e.Share, e.Size)
-		standin.Sleep(e.Duration, stop)
+		l.world.SetLag(event.Share, event.Size)
+		standin.Sleep(event.Duration, stop)
 		l.world.SetLag(1, 0)
 		return nil
 	case "fail-over":
-		l.world.FailOver(e.Share)
+		l.world.FailOver(event.Share)
 		return nil
 	case "pause":
-		resume := l.world.Pause(e.Share)
-		standin.Sleep(e.Duration, stop)
+		resume := l.world.Pause(event.Share)
+		standin.Sleep(event.Duration, stop)
 		resume()
 		return nil
 	case "kill-gateway", "stop-gateway", "roll-gateways", "links", "partition":
-		return l.fleetEvent(e, stop)
+		return l.fleetEvent(event, stop)
 	case "reset-before":
-		faults.ResetBefore = e.Share
+		faults.ResetBefore = event.Share
 	case "reset-after":
-		faults.ResetAfter = e.Share
+		faults.ResetAfter = event.Share
 	case "silence":
-		faults.Silence = e.Share
+		faults.Silence = event.Share
 	case "spoil":
-		faults.Malformed = e.Share
+		faults.Malformed = event.Share
 	case "errors":
-		faults.Errors = e.Share
+		faults.Errors = event.Share
 	}
 	l.world.SetFaults(faults)
-	standin.Sleep(e.Duration, stop)
+	standin.Sleep(event.Duration, stop)
 	l.world.SetFaults(standin.Faults{})
 	return nil
 }
 
 // Config is what the platform would tell a gateway of this plan.
 func (l *Lab) Config(i int) map[string]any {
-	c := Config(l.Plan, l.name(i), l.Discovery(i).Addr, l.Plan.Seed+uint64(i)+1, l.world.List())
+	config := Config(l.Plan, l.name(i), l.Discovery(i).Addr, l.Plan.Seed+uint64(i)+1, l.world.List())
 	if l.PushDiscovery {
-		c["settings"].(map[string]any)["Discovery"] = "push"
+		config["settings"].(map[string]any)["Discovery"] = "push"
 	}
-	if s, ok := l.socks[l.name(i)]; ok {
-		c["listen"] = s.addr
+	if s, ok := l.sockets[l.name(i)]; ok {
+		config["listen"] = s.addr
 	}
-	return c
+	return config
 }
 
 // Config is what the platform would tell a gateway of a plan that asks at a discovery; known is the list to start from.
 func Config(p *plan.Plan, name, discovery string, seed uint64, known json.RawMessage) map[string]any {
-	var lanes []any
+	var classes []any
 	var levels []string
 	var bounds []int64
 	for _, c := range p.Classes {
-		repeat := "retryable"
+		retrySafety := "retryable"
 		level := "own_writes"
 		bound := int64(0)
 		switch c.Kind {
 		case plan.Write:
-			repeat, level = "fragile", "update"
+			retrySafety, level = "fragile", "update"
 		case plan.BoundedRead:
 			level, bound = "recent", c.Bound.Microseconds()
 		}
 		levels, bounds = append(levels, level), append(bounds, bound)
-		lanes = append(lanes, map[string]any{
-			"Name": c.Name, "GoalTimeUs": c.Aim.Microseconds(), "DeadlineUs": c.Deadline.Microseconds(), "Repeat": repeat, "Worth": c.Worth,
+		classes = append(classes, map[string]any{
+			"Name": c.Name, "GoalTimeUs": c.Aim.Microseconds(), "DeadlineUs": c.Deadline.Microseconds(), "Repeat": retrySafety, "Worth": c.Worth,
 		})
 	}
 	return map[string]any{
@@ -347,7 +347,7 @@
 				"Probes": true, "RetryAfter": true, "TryLimit": 6},
 			"Discovery": "ask", "Domain": map[string]any{"Behind": "none", "ClassBoundUs": bounds, "ReadLevel": levels, "ShowsRole": "delayed",
 				"SessionMarks": "client"},
-			"Instances": cmp.Or(p.Lab.AnnouncedGateways, p.Lab.Gateways), "Lanes": lanes, "Localities": []string{"a"}, "ResolutionUs": 5000, "Zone": 0,
+			"Instances": cmp.Or(p.Lab.AnnouncedGateways, p.Lab.Gateways), "Lanes": classes, "Localities": []string{"a"}, "ResolutionUs": 5000, "Zone": 0,
 			"Rules": map[string]any{"AnswerSlackUs": 20000, "ColdUs": max(1, p.Lab.SlowStart.Microseconds()), "DrainGraceUs": 2000000, "FallMultiple": 2,
 				"FallUs": 1000000, "MustAskInUs": 10000000, "StartCapacity": standin.StartCapacity},
 		},
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -31,10 +31,10 @@
 	ConfigPath     string         // the path of its configuration
 
 	*Process
-	slot   int
-	mu     sync.Mutex
-	meant  bool // it was ended by the plan
-	events []string
+	slot        int
+	mu          sync.Mutex
+	endExpected bool // it was ended by the plan
+	fleetEvents []string
 }
 
 // name is that of a gateway; a twin has the name of its first process.
@@ -56,7 +56,7 @@
 func (l *Lab) processes() []*Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]*Node(nil), l.all...)
+	return append([]*Node(nil), l.started...)
 }
 
 // StartSibling starts a second process under the name of gateway Twins[k].
@@ -65,46 +65,46 @@
 // Start runs a gateway and waits until it says where it listens.
 func (l *Lab) Start(i int) (*Node, error) { return l.StartCommand(i, l.Gateway) }
 
-// folder is the private directory of a gateway's process. Processes that share a socket share it as well.
-func (l *Lab) folder(i int) (string, error) {
+// processDir is the private directory of a gateway's process. Processes that share a socket share it as well.
+func (l *Lab) processDir(i int) (string, error) {
 	name := l.name(i)
-	if _, ok := l.socks[name]; !ok {
+	if _, ok := l.sockets[name]; !ok {
 		return os.MkdirTemp(l.dir, name+"-")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dirs[name] == "" {
+	if l.sharedDirs[name] == "" {
 		dir, err := os.MkdirTemp(l.dir, name+"-")
 		if err != nil {
 			return "", err
 		}
-		l.dirs[name] = dir
+		l.sharedDirs[name] = dir
 	}
-	return l.dirs[name], nil
+	return l.sharedDirs[name], nil
 }
 
 // PrivateDir is the private directory of a gateway whose socket the lab holds, whichever process it is.
-func (l *Lab) PrivateDir(i int) (string, error) { return l.folder(i) }
+func (l *Lab) PrivateDir(i int) (string, error) { return l.processDir(i) }
 
-// held is a clients' socket that the lab holds open.
-type held struct {
+// heldSocket is a clients' socket that the lab holds open.
+type heldSocket struct {
 	*os.File
 	addr string
 }
 
-// hold opens the clients' sockets that the lab holds.
-func (l *Lab) hold() error {
+// openHeldSockets opens the clients' sockets that the lab holds.
+func (l *Lab) openHeldSockets() error {
 	for _, i := range l.HeldSockets {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		f, err := ln.(*net.TCPListener).File()
+		file, err := listener.(*net.TCPListener).File()
 		if err != nil {
 			return err
 		}
-		l.socks[l.name(i)] = held{f, ln.Addr().String()}
-		l.kept = append(l.kept, ln, f)
+		l.sockets[l.name(i)] = heldSocket{file, listener.Addr().String()}
+		l.heldClosers = append(l.heldClosers, listener, file)
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 // StartCommand is Start with another command, and more of an environment.
 func (l *Lab) StartCommand(i int, command []string, env ...string) (*Node, error) {
 	name := l.name(i)
-	dir, err := l.folder(i)
+	dir, err := l.processDir(i)
 	if err != nil {
 		return nil, err
 	}
@@ -124,37 +124,37 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	n := &Node{Name: name, Process: NewProcess(exec.Command(command[0], command[1:]...)), slot: i, ConfigPath: path}
-	n.cmd.Env = append(append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+dir, "GW_MANAGEMENT=127.0.0.1:0"), l.Env...)
-	n.cmd.Env = append(n.cmd.Env, env...)
-	if s, ok := l.socks[name]; ok {
-		n.cmd.ExtraFiles = []*os.File{nil, s.File} // descriptor 4
-		n.cmd.Env = append(n.cmd.Env, "GW_INHERITED_FD=4")
+	node := &Node{Name: name, Process: NewProcess(exec.Command(command[0], command[1:]...)), slot: i, ConfigPath: path}
+	node.cmd.Env = append(append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+dir, "GW_MANAGEMENT=127.0.0.1:0"), l.Env...)
+	node.cmd.Env = append(node.cmd.Env, env...)
+	if s, ok := l.sockets[name]; ok {
+		node.cmd.ExtraFiles = []*os.File{nil, s.File} // descriptor 4
+		node.cmd.Env = append(node.cmd.Env, "GW_INHERITED_FD=4")
 	}
 	if l.mesh != nil {
 		file := filepath.Join(dir, "fleet.yaml")
 		if err := os.WriteFile(file, l.fleetFile(i), 0o600); err != nil {
 			return nil, err
 		}
-		n.cmd.Env = append(n.cmd.Env, "GW_FLEET="+file)
+		node.cmd.Env = append(node.cmd.Env, "GW_FLEET="+file)
 	}
-	if err := n.Launch(func(line string) { l.heard(n, line) }, func() { l.lead(name) }); err != nil {
+	if err := node.Launch(func(line string) { l.handleLogLine(node, line) }, func() { l.routeToNewest(name) }); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
-	l.all = append(l.all, n)
+	l.started = append(l.started, node)
 	l.mu.Unlock()
-	if _, err := n.WaitStarted(startTime); err != nil {
+	if _, err := node.WaitStarted(startTimeout); err != nil {
 		return nil, fmt.Errorf("gateway %s %w", name, err)
 	}
 	l.mu.Lock()
-	l.nodes[i] = n
+	l.nodes[i] = node
 	l.mu.Unlock()
-	l.lead(name)
+	l.routeToNewest(name)
 	if i < l.Plan.Lab.Gateways {
-		l.front.SetAddr(i, n.ClientAddr)
+		l.balancer.SetAddr(i, node.ClientAddr)
 	}
-	return n, nil
+	return node, nil
 }
 
 // OverridesDir is where a gateway keeps operators' words, whichever process it is.
@@ -163,48 +163,48 @@
 // AuditFile is where a gateway keeps its records, whichever process it is.
 func (l *Lab) AuditFile(i int) string { return filepath.Join(l.dir, l.name(i)+"-audit.jsonl") }
 
-// heard takes a line of a gateway's log.
-func (l *Lab) heard(n *Node, line string) {
+// handleLogLine takes a line of a gateway's log.
+func (l *Lab) handleLogLine(node *Node, line string) {
 	if l.Log != nil {
 		l.mu.Lock()
-		fmt.Fprintf(l.Log, "%s/%d %s\n", n.Name, n.Pid(), line)
+		fmt.Fprintf(l.Log, "%s/%d %s\n", node.Name, node.Pid(), line)
 		l.mu.Unlock()
 	}
 	if l.OnLogLine != nil {
-		l.OnLogLine(n, line)
+		l.OnLogLine(node, line)
 	}
 	_, event, _ := strings.Cut(line, " event=")
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	switch kind, _, _ := strings.Cut(event, " "); {
 	case kind == "fleet_started":
-		n.PeerAddr, _ = netip.ParseAddrPort(LogField(event, "listen"))
+		node.PeerAddr, _ = netip.ParseAddrPort(LogField(event, "listen"))
 	case kind == "started":
-		n.ClientAddr, n.ManagementAddr = LogField(event, "listen"), LogField(event, "management")
+		node.ClientAddr, node.ManagementAddr = LogField(event, "listen"), LogField(event, "management")
 	}
 	if strings.HasPrefix(event, "violation ") {
-		l.RecordFault("gateway %s: %s", n.Name, event)
+		l.RecordFault("gateway %s: %s", node.Name, event)
 	}
 	if strings.HasPrefix(event, "fleet_") || strings.HasPrefix(event, "policy ") {
-		n.events = append(n.events, event)
-		l.History.Add(HistoryEntry{Kind: "log", Gateway: n.Name, What: event})
+		node.fleetEvents = append(node.fleetEvents, event)
+		l.History.Add(HistoryEntry{Kind: "log", Gateway: node.Name, What: event})
 	}
 }
 
-// lead has the relays to a name lead to the process of it that was started last and lives.
-func (l *Lab) lead(name string) {
+// routeToNewest has the relays to a name routeToNewest to the process of it that was started last and lives.
+func (l *Lab) routeToNewest(name string) {
 	if l.mesh == nil {
 		return
 	}
-	to := netip.AddrPort{}
+	target := netip.AddrPort{}
 	for _, n := range l.processes() {
 		n.mu.Lock()
 		if n.Name == name && n.Alive() && n.ClientAddr != "" {
-			to = n.PeerAddr
+			target = n.PeerAddr
 		}
 		n.mu.Unlock()
 	}
-	l.mesh.Route(name, to)
+	l.mesh.Route(name, target)
 }
 
 // fleetFile is what a gateway is told of the fleet: it finds all others behind relays of its own.
@@ -230,15 +230,15 @@
 	if l.Plan.Lab.Subsets {
 		b = append(b, "subsets: true\n"...)
 	}
-	told := "true"
+	setting := "true"
 	if n := l.Plan.Lab.MaxBytesPerSecond; n > 0 && !slices.Contains(l.WithoutByteBudget, i) {
-		told = fmt.Sprintf("{bytes: %d/s}", n)
+		setting = fmt.Sprintf("{bytes: %d/s}", n)
 	}
 	if l.Plan.Lab.Positions {
-		b = fmt.Appendf(b, "positions: %s\n", told)
+		b = fmt.Appendf(b, "positions: %s\n", setting)
 	}
 	if l.Plan.Lab.Primaries {
-		b = fmt.Appendf(b, "primaries: %s\n", told)
+		b = fmt.Appendf(b, "primaries: %s\n", setting)
 	}
 	if d := l.Plan.Lab.FenceAfter; d > 0 {
 		b = fmt.Appendf(b, "fence: %d ms\n", d.Milliseconds())
@@ -261,43 +261,43 @@
 	return b
 }
 
-func (n *Node) expected() bool {
+func (n *Node) isEndExpected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.meant
+	return n.endExpected
 }
 
-func (n *Node) mean() {
+func (n *Node) expectEnd() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.meant = true
+	n.endExpected = true
 }
 
 // FleetEvents are its log lines about the fleet and the breakers, from the event's name on.
 func (n *Node) FleetEvents() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.events...)
+	return append([]string(nil), n.fleetEvents...)
 }
 
 // Kill ends it at once.
 func (n *Node) Kill() {
-	n.mean()
+	n.expectEnd()
 	n.Process.Kill()
 }
 
 // Terminate asks it to end in order and waits until it has.
 func (n *Node) Terminate() error {
-	n.mean()
+	n.expectEnd()
 	if err := n.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case <-n.end:
+	case <-n.done:
 		return nil
-	case <-time.After(endTime):
+	case <-time.After(shutdownTimeout):
 		n.Process.Kill()
-		return fmt.Errorf("gateway %s does not end within %v", n.Name, endTime)
+		return fmt.Errorf("gateway %s does not end within %v", n.Name, shutdownTimeout)
 	}
 }
 
@@ -307,21 +307,21 @@
 }
 
 // CallManagement asks a gateway's operators' address and returns what it says.
-func CallManagement(method, manage, path string) ([]byte, error) {
-	q, err := http.NewRequest(method, "http://"+manage+path, nil)
+func CallManagement(method, managementAddr, path string) ([]byte, error) {
+	request, err := http.NewRequest(method, "http://"+managementAddr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := (&http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
+	response, err := (&http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	if err == nil && answer.StatusCode/100 != 2 {
-		err = fmt.Errorf("%s %s: %d %s", method, path, answer.StatusCode, strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err == nil && response.StatusCode/100 != 2 {
+		err = fmt.Errorf("%s %s: %d %s", method, path, response.StatusCode, strings.TrimSpace(string(body)))
 	}
-	return text, err
+	return body, err
 }
 
 // Fleet is what it knows of the others.
@@ -333,8 +333,8 @@
 	return r, err
 }
 
-// stop ends all processes, in order if they can.
-func (l *Lab) stop() {
+// stopProcesses ends all processes, in order if they can.
+func (l *Lab) stopProcesses() {
 	var all sync.WaitGroup
 	for _, n := range l.processes() {
 		if !n.Alive() {
@@ -345,38 +345,38 @@
 			defer all.Done()
 			_ = n.Resume()
 			_ = n.Terminate()
-			<-n.end
+			<-n.done
 		}()
 	}
 	all.Wait()
 }
 
-// whom are the gateways of an event.
-func (l *Lab) whom(e plan.Event) []int {
-	if e.GatewayShare == 0 {
-		return e.Gateways
+// selectGateways are the gateways of an event.
+func (l *Lab) selectGateways(event plan.Event) []int {
+	if event.GatewayShare == 0 {
+		return event.Gateways
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.Plan.Lab.Gateways
-	return l.rnd.Perm(n)[:int(e.GatewayShare*float64(n)+0.5)]
+	return l.rng.Perm(n)[:int(event.GatewayShare*float64(n)+0.5)]
 }
 
 // fleetEvent does something to gateways, or to the links between them.
-func (l *Lab) fleetEvent(e plan.Event, stop <-chan struct{}) error {
-	list := l.whom(e)
-	l.History.Add(HistoryEntry{Kind: "fault", What: e.Action, Gateway: fmt.Sprint(list)})
-	switch e.Action {
+func (l *Lab) fleetEvent(event plan.Event, stop <-chan struct{}) error {
+	selected := l.selectGateways(event)
+	l.History.Add(HistoryEntry{Kind: "fault", What: event.Action, Gateway: fmt.Sprint(selected)})
+	switch event.Action {
 	case "kill-gateway":
-		for _, i := range list {
+		for _, i := range selected {
 			l.Node(i).Kill()
 		}
-		if e.RestartAfter == 0 || !standin.Sleep(e.RestartAfter, stop) {
+		if event.RestartAfter == 0 || !standin.Sleep(event.RestartAfter, stop) {
 			return nil
 		}
 		var all sync.WaitGroup
-		failed := make([]error, len(list))
-		for k, i := range list {
+		failed := make([]error, len(selected))
+		for k, i := range selected {
 			all.Add(1)
 			go func() {
 				defer all.Done()
@@ -386,20 +386,20 @@
 		all.Wait()
 		return errors.Join(failed...)
 	case "stop-gateway":
-		for _, i := range list {
+		for _, i := range selected {
 			if err := l.Node(i).Pause(); err != nil {
 				return err
 			}
 		}
-		standin.Sleep(e.Duration, stop)
-		for _, i := range list {
+		standin.Sleep(event.Duration, stop)
+		for _, i := range selected {
 			if err := l.Node(i).Resume(); err != nil {
 				return err
 			}
 		}
 	case "roll-gateways":
-		for k, i := range list {
-			if k > 0 && !standin.Sleep(e.Duration/time.Duration(len(list)), stop) {
+		for k, i := range selected {
+			if k > 0 && !standin.Sleep(event.Duration/time.Duration(len(selected)), stop) {
 				return nil
 			}
 			if err := l.Node(i).Terminate(); err != nil {
@@ -410,21 +410,21 @@
 			}
 		}
 	case "links":
-		l.links(e, e.Link)
-		standin.Sleep(e.Duration, stop)
-		l.links(e, plan.Link{})
+		l.setLinks(event, event.Link)
+		standin.Sleep(event.Duration, stop)
+		l.setLinks(event, plan.Link{})
 	case "partition":
-		l.mesh.Partition(e.Sides, true)
-		standin.Sleep(e.Duration, stop)
-		l.mesh.Partition(e.Sides, false)
+		l.mesh.Partition(event.Sides, true)
+		standin.Sleep(event.Duration, stop)
+		l.mesh.Partition(event.Sides, false)
 	}
-	l.History.Add(HistoryEntry{Kind: "fault", What: "end of " + e.Action, Gateway: fmt.Sprint(list)})
+	l.History.Add(HistoryEntry{Kind: "fault", What: "end of " + event.Action, Gateway: fmt.Sprint(selected)})
 	return nil
 }
 
-// links gives the links of an event these faults.
-func (l *Lab) links(e plan.Event, to plan.Link) {
-	in := func(list []int, i int) bool {
+// setLinks gives the setLinks of an event these faults.
+func (l *Lab) setLinks(event plan.Event, link plan.Link) {
+	matches := func(list []int, i int) bool {
 		for _, j := range list {
 			if i == j {
 				return true
@@ -434,9 +434,9 @@
 	}
 	for i := range l.nodes {
 		for j := range l.nodes {
-			if i != j && in(e.From, i) && in(e.To, j) {
-				l.mesh.SetLink(i, j, to)
-				l.mesh.SetCut(i, j, to.Cut)
+			if i != j && matches(event.From, i) && matches(event.To, j) {
+				l.mesh.SetLink(i, j, link)
+				l.mesh.SetCut(i, j, link.Cut)
 			}
 		}
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-const stopTime = 5 * time.Second // by when a process that was told to stand still does
+const pauseTimeout = 5 * time.Second // by when a process that was told to stand still does
 
 // Process is one of the gateway's, which says in its log when it has started. It does not outlive the lab.
 type Process struct {
-	cmd     *exec.Cmd
-	end     chan struct{}
-	err     error  // how it ended; read once end is closed
-	last    string // its last line, once end is closed
-	started chan string
+	cmd          *exec.Cmd
+	done         chan struct{}
+	exitErr      error  // how it ended; read once end is closed
+	lastLine     string // its last line, once end is closed
+	startedEvent chan string
 }
 
 // NewProcess is one that Launch is to start.
 func NewProcess(cmd *exec.Cmd) *Process {
-	return &Process{cmd: cmd, end: make(chan struct{}), started: make(chan string, 1)}
+	return &Process{cmd: cmd, done: make(chan struct{}), startedEvent: make(chan string, 1)}
 }
 
 // Setenv gives it variables besides those of this process.
 func (p *Process) Setenv(list ...string) { p.cmd.Env = append(os.Environ(), list...) }
 
 // Launch starts it. Each line of its log is handed to each, on a goroutine of its own; ended is called when it is over.
-func (p *Process) Launch(each func(line string), ended func()) error {
+func (p *Process) Launch(onLine func(line string), onExit func()) error {
 	if p.cmd.SysProcAttr == nil {
 		p.cmd.SysProcAttr = &syscall.SysProcAttr{}
 	}
@@ -48,37 +48,37 @@
 		last := ""
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			last = lines.Text()
-			each(last)
+			onLine(last)
 			if _, event, _ := strings.Cut(last, " event="); strings.HasPrefix(event, "started ") {
-				p.started <- event
+				p.startedEvent <- event
 			}
 		}
-		p.err, p.last = p.cmd.Wait(), last
-		close(p.end)
-		ended()
+		p.exitErr, p.lastLine = p.cmd.Wait(), last
+		close(p.done)
+		onExit()
 	}()
 	return nil
 }
 
 // WaitStarted waits until it says that it has started, and returns what it says.
-func (p *Process) WaitStarted(patience time.Duration) (event string, err error) {
+func (p *Process) WaitStarted(timeout time.Duration) (event string, err error) {
 	select {
-	case event = <-p.started:
+	case event = <-p.startedEvent:
 		return event, nil
-	case <-p.end:
-		return "", fmt.Errorf("does not start: %s", p.last)
-	case <-time.After(patience):
-		return "", fmt.Errorf("does not start within %v", patience)
+	case <-p.done:
+		return "", fmt.Errorf("does not start: %s", p.lastLine)
+	case <-time.After(timeout):
+		return "", fmt.Errorf("does not start within %v", timeout)
 	}
 }
 
 // Wait waits for its end and returns how it ended.
-func (p *Process) Wait(patience time.Duration) error {
+func (p *Process) Wait(timeout time.Duration) error {
 	select {
-	case <-p.end:
-		return p.err
-	case <-time.After(patience):
-		return fmt.Errorf("does not end within %v", patience)
+	case <-p.done:
+		return p.exitErr
+	case <-time.After(timeout):
+		return fmt.Errorf("does not end within %v", timeout)
 	}
 }
 
@@ -88,7 +88,7 @@
 // Alive tells whether it has not ended.
 func (p *Process) Alive() bool {
 	select {
-	case <-p.end:
+	case <-p.done:
 		return false
 	default:
 		return true
@@ -98,7 +98,7 @@
 // Kill ends it at once.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
-	<-p.end
+	<-p.done
 }
 
 // Signal sends it a signal; one that has ended gets none.
@@ -115,16 +115,16 @@
 		return err
 	}
 	// The signal is taken by one thread after the other; until the last has, the process goes on.
-	for late := time.Now().Add(stopTime); p.Alive() && !p.stands(); time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			return fmt.Errorf("process %d does not stand still within %v", p.Pid(), stopTime)
+	for deadline := time.Now().Add(pauseTimeout); p.Alive() && !p.allThreadsStopped(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("process %d does not stand still within %v", p.Pid(), pauseTimeout)
 		}
 	}
 	return nil
 }
 
-// stands tells whether all threads are stopped.
-func (p *Process) stands() bool {
+// allThreadsStopped tells whether all threads are stopped.
+func (p *Process) allThreadsStopped() bool {
 	list, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid()))
 	for _, path := range list {
 		text, err := os.ReadFile(path)
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	drainGrace = 2 * time.Second
-	toldWithin = 6 * time.Second  // of a change, whatever becomes of watches and calls
-	mostWaits  = 10 * time.Minute // of a silent answer
-	keepIDs    = 5
-	closeSeen  = 150 * time.Millisecond // by when a connection that was closed is noticed, with all cores busy
+	drainTime       = 2 * time.Second
+	announceTimeout = 6 * time.Second  // of a change, whatever becomes of watches and calls
+	maxSilence      = 10 * time.Minute // of a silent answer
+	maxReportedIDs  = 5
+	closeNoticeTime = 150 * time.Millisecond // by when a connection that was closed is noticed, with all cores busy
 )
 
 func (h *Host) accept() {
-	defer h.w.wg.Done()
+	defer h.world.wg.Done()
 	for {
-		c, err := h.ln.Accept()
+		c, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
-		w := h.w
+		w := h.world
 		w.mu.Lock()
 		if w.closed {
 			w.mu.Unlock()
@@ -37,7 +37,7 @@
 		}
 		now := time.Now()
 		h.conns[c] = now
-		time.AfterFunc(closeSeen, func() { h.count(now) })
+		time.AfterFunc(closeNoticeTime, func() { h.countOpen(now) })
 		w.counts.Connections++
 		w.wg.Add(1)
 		w.mu.Unlock()
@@ -66,24 +66,24 @@
 	if _, err := io.CopyN(io.Discard, in, n); err != nil {
 		return
 	}
-	if !h.admits(c) {
+	if !h.greet(c) {
 		return
 	}
 	defer func() {
-		h.w.mu.Lock()
-		defer h.w.mu.Unlock()
-		h.hangups++
+		h.world.mu.Lock()
+		defer h.world.mu.Unlock()
+		h.ended++
 	}()
 	for {
-		text, ok := h.query(c, in)
-		if !ok || !h.answer(c, text) {
+		text, ok := h.readStatement(c, in)
+		if !ok || !h.handleStatement(c, text) {
 			return
 		}
 	}
 }
 
-// query reads one statement; false: the connection is over.
-func (h *Host) query(c net.Conn, in *bufio.Reader) (string, bool) {
+// readStatement reads one statement; false: the connection is over.
+func (h *Host) readStatement(c net.Conn, in *bufio.Reader) (string, bool) {
 	var head [5]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil || head[0] != pgwire.Query {
 		return "", false
@@ -92,13 +92,13 @@
 	if n < 1 || n > pgwire.MaxQuery {
 		return "", false
 	}
-	h.w.mu.Lock()
-	reset := h.w.draw(h.w.faults.ResetBefore)
-	h.w.mu.Unlock()
+	h.world.mu.Lock()
+	reset := h.world.draw(h.world.faults.ResetBefore)
+	h.world.mu.Unlock()
 	body := make([]byte, n)
 	if reset {
 		_, _ = io.ReadFull(in, body[:n/2])
-		reset0(c)
+		resetConn(c)
 		return "", false
 	}
 	if _, err := io.ReadFull(in, body); err != nil || body[n-1] != 0 {
@@ -107,22 +107,22 @@
 	return string(body[:n-1]), true
 }
 
-// reset0 ends a connection with a reset.
-func reset0(c net.Conn) {
+// resetConn ends a connection with a reset.
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	c.Close()
 }
 
-func refusal(code, why string) []byte {
+func errorResponse(code, why string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, why, ""))
 }
 
-// answer runs a statement; false: the connection is over.
-func (h *Host) answer(c net.Conn, text string) bool {
-	w, arrived := h.w, time.Now()
-	if h.hangs() {
+// handleStatement runs a statement; false: the connection is over.
+func (h *Host) handleStatement(c net.Conn, text string) bool {
+	w, arrived := h.world, time.Now()
+	if h.waitIfHanging() {
 		return false
 	}
 	if !strings.HasPrefix(text, "/*") {
@@ -131,7 +131,7 @@
 		}
 		return write(c, Row("1", "")) // a probe: it tells that the process runs
 	}
-	if h.scripted(c, text) {
+	if h.runScript(c, text) {
 		return true
 	}
 	head, err := pgwire.ParseHead([]byte(text))
@@ -139,28 +139,28 @@
 		w.mu.Lock()
 		w.counts.Foreign++
 		w.mu.Unlock()
-		return write(c, refusal(pgwire.CodeProtocolViolation, "no client sends this"))
+		return write(c, errorResponse(pgwire.CodeProtocolViolation, "no client sends this"))
 	}
 	isWrite := strings.HasPrefix(text[strings.Index(text, "*/")+2:], " INSERT")
 	w.mu.Lock()
-	h.begun++
-	h.bears(arrived)
-	if h.health != "in_service" && time.Since(h.told) > drainGrace+50*time.Millisecond+w.toldLate(h.told) {
+	h.statementCount++
+	h.checkColdLoad(arrived)
+	if h.health != "in_service" && time.Since(h.drainingSince) > drainTime+50*time.Millisecond+w.announceDelayAllowed(h.drainingSince) {
 		w.counts.Drained++
 	}
 	if isWrite && !h.primary {
 		w.counts.Misses++
-		note := h.note(time.Time{})
+		statuses := h.statusMessages(time.Time{})
 		w.mu.Unlock()
-		return write(c, append(note, refusal(pgwire.CodeReadOnly, "this is no primary")...))
+		return write(c, append(statuses, errorResponse(pgwire.CodeReadOnly, "this is no primary")...))
 	}
-	h.came(string(head.ID), text)
-	if h.waiting >= w.opt.Cores+w.opt.Queue {
+	h.countAttempt(string(head.ID), text)
+	if h.pending >= w.options.Cores+w.options.Queue {
 		w.counts.Full++
 		w.mu.Unlock()
-		return write(c, refusal(pgwire.CodeTooManyConnections, "the queue is full"))
+		return write(c, errorResponse(pgwire.CodeTooManyConnections, "the queue is full"))
 	}
-	h.waiting++
+	h.pending++
 	paused := h.paused
 	w.mu.Unlock()
 	if paused != nil {
@@ -170,73 +170,73 @@
 		}
 	}
 	h.slots <- struct{}{}
-	time.Sleep(h.service())
+	time.Sleep(h.drawServiceTime())
 	<-h.slots
 
 	w.mu.Lock()
-	h.waiting--
-	f := w.faults
-	failed := w.draw(f.Errors)
+	h.pending--
+	faults := w.faults
+	failed := w.draw(faults.Errors)
 	if !failed || w.draw(0.5) {
-		h.run(head, isWrite, arrived)
+		h.recordExecution(head, isWrite, arrived)
 	}
-	reset, silent, spoilt := w.draw(f.ResetAfter), w.draw(f.Silence), w.draw(f.Malformed)
+	reset, silent, malformed := w.draw(faults.ResetAfter), w.draw(faults.Silence), w.draw(faults.Malformed)
 	now := time.Now()
-	note := h.note(now)
+	statuses := h.statusMessages(now)
 	position := h.position(now)
 	w.mu.Unlock()
 	switch {
 	case failed:
-		return write(c, refusal("XX000", "internal error"))
+		return write(c, errorResponse("XX000", "internal error"))
 	case reset:
-		reset0(c)
+		resetConn(c)
 		return false
 	case silent:
-		_ = c.SetReadDeadline(time.Now().Add(mostWaits))
+		_ = c.SetReadDeadline(time.Now().Add(maxSilence))
 		_, _ = c.Read(make([]byte, 1)) // until the gateway gives up
 		return false
-	case spoilt:
+	case malformed:
 		return write(c, []byte("T\xff\xff\xff\xffnoise"))
 	case isWrite:
-		return write(c, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(note)))
+		return write(c, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(statuses)))
 	}
-	return write(c, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(note)))
+	return write(c, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(statuses)))
 }
 
-// came counts a statement as the first or a further attempt at one try of a client, which marks its own retries.
-func (h *Host) came(id, text string) {
-	try, _, _ := strings.Cut(text, "*/")
-	if _, mark, again := strings.Cut(try, ",r="); again {
+// countAttempt counts a statement as the first or a further attempt at one try of a client, which marks its own retries.
+func (h *Host) countAttempt(id, text string) {
+	head, _, _ := strings.Cut(text, "*/")
+	if _, mark, isRetry := strings.Cut(head, ",r="); isRetry {
 		id += "," + strings.TrimSpace(mark)
 	}
-	if w := h.w; w.tried[id] {
+	if w := h.world; w.attempted[id] {
 		w.counts.Repeats++
 	} else {
-		w.tried[id] = true
+		w.attempted[id] = true
 		w.counts.Firsts++
 	}
 }
 
-// service draws how long a statement takes.
-func (h *Host) service() time.Duration {
-	w := h.w
+// drawServiceTime draws how long a statement takes.
+func (h *Host) drawServiceTime() time.Duration {
+	w := h.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d := float64(w.opt.Service)
-	if w.opt.Exponential {
-		d *= w.rnd.ExpFloat64()
+	d := float64(w.options.Service)
+	if w.options.Exponential {
+		d *= w.rng.ExpFloat64()
 	}
-	return time.Duration(d / h.warmth(time.Now()))
+	return time.Duration(d / h.speedShare(time.Now()))
 }
 
-// run counts a statement that has had its effect, and whether it must not have.
-func (h *Host) run(head pgwire.Head, isWrite bool, arrived time.Time) {
-	w, id := h.w, string(head.ID)
+// recordExecution counts a statement that has had its effect, and whether it must not have.
+func (h *Host) recordExecution(head pgwire.Head, isWrite bool, arrived time.Time) {
+	w, id := h.world, string(head.ID)
 	if isWrite {
 		w.counts.Writes++
-		if w.ran[id]++; w.ran[id] == 2 {
+		if w.executions[id]++; w.executions[id] == 2 {
 			w.counts.Duplicates++
-			if len(w.counts.TwiceIDs) < keepIDs {
+			if len(w.counts.TwiceIDs) < maxReportedIDs {
 				w.counts.TwiceIDs = append(w.counts.TwiceIDs, id)
 			}
 		}
@@ -246,12 +246,12 @@
 		w.counts.PrimaryReads++
 	}
 	position := h.position(time.Now())
-	bound := w.opt.Bounds[string(head.Class)]
+	bound := w.options.Bounds[string(head.Class)]
 	// The bound counts from the last byte of the sending.
-	old := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
-	if old || head.After > 0 && position.UnixMilli()+1 < head.After { // commits are told rounded up
+	tooOld := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
+	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // commits are told rounded up
 		w.counts.Stale++
-		if len(w.counts.StaleIDs) < keepIDs {
+		if len(w.counts.StaleIDs) < maxReportedIDs {
 			w.counts.StaleIDs = append(w.counts.StaleIDs, id)
 		}
 	}
@@ -259,18 +259,18 @@
 
 // position is up to when all commits are applied; it never goes back.
 func (h *Host) position(now time.Time) time.Time {
-	at := now
+	position := now
 	if !h.primary {
-		at = now.Add(-h.lag)
+		position = now.Add(-h.lag)
 	}
-	if at.After(h.applied) {
-		h.applied = at
+	if position.After(h.applied) {
+		h.applied = position
 	}
 	return h.applied
 }
 
-// note tells the role and position with an answer.
-func (h *Host) note(now time.Time) []byte {
+// statusMessages tells the role and position with an answer.
+func (h *Host) statusMessages(now time.Time) []byte {
 	if now.IsZero() {
 		now = time.Now()
 	}
@@ -278,10 +278,10 @@
 	if h.primary {
 		role = "primary"
 	}
-	return status(status(nil, "role", role), "applied_ms", fmt.Sprint(h.position(now).UnixMilli()))
+	return appendParameterStatus(appendParameterStatus(nil, "role", role), "applied_ms", fmt.Sprint(h.position(now).UnixMilli()))
 }
 
-func status(b []byte, name, value string) []byte {
+func appendParameterStatus(b []byte, name, value string) []byte {
 	b = append(b, pgwire.ParameterStatus)
 	b = binary.BigEndian.AppendUint32(b, uint32(4+len(name)+1+len(value)+1))
 	b = append(append(b, name...), 0)
@@ -289,7 +289,7 @@
 }
 
 // Row is an answer with one value; notes are the messages that go with it.
-func Row(value, notes string) []byte {
+func Row(value, statuses string) []byte {
 	var b bytes.Buffer
 	b.WriteString("T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	n := uint32(len(value))
@@ -298,7 +298,7 @@
 	b.WriteString("\x00\x01")
 	b.Write(binary.BigEndian.AppendUint32(nil, n))
 	b.WriteString(value)
-	b.WriteString("C\x00\x00\x00\x0dSELECT 1\x00" + notes)
+	b.WriteString("C\x00\x00\x00\x0dSELECT 1\x00" + statuses)
 	return pgwire.AppendReady(b.Bytes())
 }
 
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// restoreBehind is by how many versions a discovery that is restored from a backup is behind.
-const restoreBehind = 1000
+// restoreVersionGap is by how many versions a discovery that is restored from a backup is behind.
+const restoreVersionGap = 1000
 
 // Discovery serves the list and its changes.
 type Discovery struct {
-	Addr  string
-	w     *World
-	srv   *http.Server
-	stop  chan struct{}
-	calls Calls
-	stuck []byte // the list that it goes on telling; nil: it tells the truth
-	at    int    // its version
+	Addr          string
+	world         *World
+	srv           *http.Server
+	stop          chan struct{}
+	calls         Calls
+	frozenList    []byte // the list that it goes on telling; nil: it tells the truth
+	frozenVersion int    // its version
 }
 
-type listing struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+type discoveryMessage struct {
+	Seq   int              `json:"seq"`
+	Whole bool             `json:"whole"`
+	Hosts []discoveryEntry `json:"hosts"`
 }
 
-type entry struct {
+type discoveryEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -42,34 +42,34 @@
 	Role   string  `json:"role"`
 }
 
-func (h *Host) entry() entry {
-	dial := h.dial
+func (h *Host) listEntry() discoveryEntry {
+	dial := h.announcedAddr
 	if dial == "" {
-		dial = h.ln.Addr().String()
+		dial = h.listener.Addr().String()
 	}
-	e := entry{Host: h.ID, Dial: dial, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
+	e := discoveryEntry{Host: h.ID, Dial: dial, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
 	if h.primary {
 		e.Role = "primary"
 	}
-	if !h.born.IsZero() {
-		e.BornMS = h.born.UnixMilli()
+	if !h.startedAt.IsZero() {
+		e.BornMS = h.startedAt.UnixMilli()
 	}
 	return e
 }
 
 // Freeze has this discovery go on telling the list as it is now, to all who ask or watch, or the truth again: those who
 // watch are let go, as they have missed something.
-func (d *Discovery) Freeze(on bool) {
-	w := d.w
+func (d *Discovery) Freeze(frozen bool) {
+	w := d.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if d.stuck, d.at = nil, w.seq; on {
-		d.stuck = w.list()
+	if d.frozenList, d.frozenVersion = nil, w.listVersion; frozen {
+		d.frozenList = w.listMessage()
 		return
 	}
-	for ch, of := range w.watch {
+	for ch, of := range w.watches {
 		if of == d {
-			delete(w.watch, ch)
+			delete(w.watches, ch)
 			close(ch)
 		}
 	}
@@ -79,67 +79,67 @@
 func (w *World) List() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.list()
+	return w.listMessage()
 }
 
-func (w *World) list() []byte {
-	l := listing{Seq: w.seq, Whole: true}
+func (w *World) listMessage() []byte {
+	l := discoveryMessage{Seq: w.listVersion, Whole: true}
 	for _, h := range w.hosts {
-		l.Hosts = append(l.Hosts, h.entry())
+		l.Hosts = append(l.Hosts, h.listEntry())
 	}
 	b, _ := json.Marshal(l)
 	return b
 }
 
-// tell passes a change on to all that watch.
-func (w *World) tell(h *Host) {
-	w.seq++
-	b, _ := json.Marshal(listing{Seq: w.seq, Hosts: []entry{h.entry()}})
-	w.pass(b)
+// announce passes a change on to all that watch.
+func (w *World) announce(h *Host) {
+	w.listVersion++
+	b, _ := json.Marshal(discoveryMessage{Seq: w.listVersion, Hosts: []discoveryEntry{h.listEntry()}})
+	w.broadcast(b)
 }
 
 // SilenceWatches has the watches that are on now say nothing any more, though their connections stay open.
 func (w *World) SilenceWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.disturbed = time.Now()
-	for ch := range w.watch {
-		w.muted[ch] = true
+	w.watchesDisturbedAt = time.Now()
+	for ch := range w.watches {
+		w.silenced[ch] = true
 	}
-	clear(w.watch)
+	clear(w.watches)
 }
 
-func (w *World) mutes(ch chan []byte) bool {
+func (w *World) isSilenced(ch chan []byte) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.muted[ch]
+	return w.silenced[ch]
 }
 
-// pass sends a line to all that watch. One that does not read is let go: it asks again.
-func (w *World) pass(b []byte) {
-	for ch, d := range w.watch {
-		if d.stuck != nil {
+// broadcast sends a line to all that watch. One that does not read is let go: it asks again.
+func (w *World) broadcast(b []byte) {
+	for ch, d := range w.watches {
+		if d.frozenList != nil {
 			continue
 		}
 		select {
 		case ch <- b:
 		default:
-			delete(w.watch, ch)
+			delete(w.watches, ch)
 			close(ch)
 		}
 	}
 }
 
-func newDiscovery(w *World) (*Discovery, error) {
+func newDiscovery(world *World) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{w: w, Addr: ln.Addr().String(), stop: make(chan struct{})}
+	d := &Discovery{world: world, Addr: ln.Addr().String(), stop: make(chan struct{})}
 	d.srv = &http.Server{Handler: d}
-	w.wg.Add(1)
+	world.wg.Add(1)
 	go func() {
-		defer w.wg.Done()
+		defer world.wg.Done()
 		_ = d.srv.Serve(ln)
 	}()
 	return d, nil
@@ -150,66 +150,66 @@
 	d.srv.Close()
 }
 
-func (d *Discovery) ServeHTTP(out http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/api/targets" {
-		http.NotFound(out, q)
+func (d *Discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/api/targets" {
+		http.NotFound(response, request)
 		return
 	}
-	if q.URL.Query().Get("watch") == "" {
-		_, _ = out.Write(append(d.w.List(), '\n'))
+	if request.URL.Query().Get("watch") == "" {
+		_, _ = response.Write(append(d.world.List(), '\n'))
 		return
 	}
-	after, _ := strconv.Atoi(q.URL.Query().Get("after"))
-	ch := make(chan []byte, 256)
-	d.w.mu.Lock()
+	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
+	changes := make(chan []byte, 256)
+	d.world.mu.Lock()
 	d.calls.Requests++
-	d.calls.LastAfter = q.URL.Query().Get("after")
-	slow, turned := d.w.slow, d.w.crowd > 0 && d.w.rnd.Float64() < d.w.crowd
-	d.w.mu.Unlock()
-	Sleep(slow, d.stop)
-	d.w.mu.Lock()
-	if d.w.down || turned {
-		d.w.mu.Unlock()
-		out.WriteHeader(http.StatusServiceUnavailable)
+	d.calls.LastAfter = request.URL.Query().Get("after")
+	delay, refused := d.world.discoveryDelay, d.world.discoveryRefusals > 0 && d.world.rng.Float64() < d.world.discoveryRefusals
+	d.world.mu.Unlock()
+	Sleep(delay, d.stop)
+	d.world.mu.Lock()
+	if d.world.discoveryDown || refused {
+		d.world.mu.Unlock()
+		response.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	d.calls.Watches++
 	// What changed is not kept: it is the whole list, or nothing, which is told as well.
-	list, version := d.stuck, d.at
-	if d.stuck == nil {
-		list, version = d.w.list(), d.w.seq
+	list, version := d.frozenList, d.frozenVersion
+	if d.frozenList == nil {
+		list, version = d.world.listMessage(), d.world.listVersion
 	}
 	first := fmt.Appendf(nil, "{\"seq\":%d,\"hosts\":[]}\n", version)
 	if after != version {
 		first = append(slices.Clone(list), '\n')
 	}
-	d.w.watch[ch] = d
-	d.w.mu.Unlock()
+	d.world.watches[changes] = d
+	d.world.mu.Unlock()
 	defer func() {
-		d.w.mu.Lock()
-		delete(d.w.watch, ch)
-		delete(d.w.muted, ch)
+		d.world.mu.Lock()
+		delete(d.world.watches, changes)
+		delete(d.world.silenced, changes)
 		d.calls.Watches--
-		d.w.mu.Unlock()
+		d.world.mu.Unlock()
 	}()
-	_, _ = out.Write(first)
+	_, _ = response.Write(first)
 	tick := time.NewTicker(2 * time.Second)
 	defer tick.Stop()
 	for {
-		_ = http.NewResponseController(out).Flush()
+		_ = http.NewResponseController(response).Flush()
 		select {
-		case b, on := <-ch:
-			if !on {
+		case b, open := <-changes:
+			if !open {
 				return
 			}
-			_, _ = out.Write(b) // shared with all who watch
-			_, _ = out.Write([]byte{'\n'})
+			_, _ = response.Write(b) // shared with all who watch
+			_, _ = response.Write([]byte{'\n'})
 		case <-tick.C:
-			if d.w.mutes(ch) {
+			if d.world.isSilenced(changes) {
 				continue
 			}
-			_, _ = out.Write([]byte{'\n'})
-		case <-q.Context().Done():
+			_, _ = response.Write([]byte{'\n'})
+		case <-request.Context().Done():
 			return
 		case <-d.stop:
 			return
--- a/internal/standin/open.go
+++ b/internal/standin/loads.go
@@ -14,7 +14,7 @@
 	list := make([]DatabaseLoad, 0, len(w.hosts))
 	for _, h := range w.hosts {
 		if h.health == "in_service" {
-			list = append(list, DatabaseLoad{Primary: h.primary, Connections: len(h.conns), Begun: h.begun})
+			list = append(list, DatabaseLoad{Primary: h.primary, Connections: len(h.conns), Begun: h.statementCount})
 		}
 	}
 	return list
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -16,11 +16,11 @@
 
 // What a database that has just started bears, as the platform's settings have it.
 const (
-	StartCapacity = 0.25 // of its speed
-	fallMore      = 2    // times what it can do
-	fallTime      = time.Second
+	StartCapacity      = 0.25 // of its speed
+	coldOverloadFactor = 2    // times what it can do
+	coldOverloadWindow = time.Second
 
-	unheard = "127.0.0.1:9" // where databases are said to be that listen nowhere
+	unusedAddr = "127.0.0.1:9" // where databases are said to be that listen nowhere
 )
 
 // Options are the world.
@@ -70,74 +70,74 @@
 
 // World is all databases and their discovery.
 type World struct {
-	opt Options
+	options Options
 	mu  sync.Mutex
-	rnd *rand.Rand
-
-	hosts     []*Host
-	seq       int
-	slow      time.Duration // that calls to discovery take
-	crowd     float64       // share of them that wait and are turned away
-	named     int
-	watch     map[chan []byte]*Discovery
-	muted     map[chan []byte]bool
-	tried     map[string]bool // clients' tries that came
-	ran       map[string]int
-	counts    Counts
-	faults    Faults
-	closed    bool
-	done      chan struct{} // closed at the end
-	wg        sync.WaitGroup
-	discs     []*Discovery // the first is that of the start
-	down      bool         // they refuse all calls
-	disturbed time.Time    // when watches were last made to fail or to fall silent
+	rng *rand.Rand
+
+	hosts              []*Host
+	listVersion        int
+	discoveryDelay     time.Duration // that calls to discovery take
+	discoveryRefusals  float64       // share of them that wait and are turned away
+	databasesCreated   int
+	watches            map[chan []byte]*Discovery
+	silenced           map[chan []byte]bool
+	attempted          map[string]bool // clients' tries that came
+	executions         map[string]int
+	counts             Counts
+	faults             Faults
+	closed             bool
+	done               chan struct{} // closed at the end
+	wg                 sync.WaitGroup
+	discoveries        []*Discovery // the first is that of the start
+	discoveryDown      bool         // they refuse all calls
+	watchesDisturbedAt time.Time    // when watches were last made to fail or to fall silent
 }
 
 // Host is one database.
 type Host struct {
-	w       *World
-	ID      string
-	Group   int
-	Site    string       // its zone
-	ln      net.Listener // nil: it listens nowhere
-	primary bool
-	health  string
-	told    time.Time // when it was to get nothing new
-	born    time.Time // zero: long ago
-	lag     time.Duration
-	applied time.Time // never goes back
-	slots   chan struct{}
-	waiting int
-	paused  chan struct{}          // closed when it goes on; nil: it runs
-	conns   map[net.Conn]time.Time // since when
-	begun   int                    // statements that came, whatever became of them
-	recent  []time.Time            // those of the last fallTime, while it is cold
-	fell    bool
-	dial    string // where discovery says it is; empty: where it is
-
-	script         func(c net.Conn, text string)
-	statements     []string      // that came while a script was set
-	shut, hung     bool          // it turns all connections away; it answers nothing
-	late           time.Duration // by which its greeting comes
-	dials, hangups int
+	world          *World
+	ID             string
+	Group          int
+	Site           string       // its zone
+	listener       net.Listener // nil: it listens nowhere
+	primary        bool
+	health         string
+	drainingSince  time.Time // when it was to get nothing new
+	startedAt      time.Time // zero: long ago
+	lag            time.Duration
+	applied        time.Time // never goes back
+	slots          chan struct{}
+	pending        int
+	paused         chan struct{}          // closed when it goes on; nil: it runs
+	conns          map[net.Conn]time.Time // since when
+	statementCount int                    // statements that came, whatever became of them
+	coldArrivals   []time.Time            // those of the last fallTime, while it is cold
+	overloadedCold bool
+	announcedAddr  string // where discovery says it is; empty: where it is
+
+	respond            func(c net.Conn, text string)
+	scriptedStatements []string      // that came while a script was set
+	refusing, hanging  bool          // it turns all connections away; it answers nothing
+	greetingDelay      time.Duration // by which its greeting comes
+	dials, ended       int
 }
 
 // New starts a world.
-func New(opt Options) (*World, error) {
-	w := &World{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 0x73746e64)), watch: map[chan []byte]*Discovery{}, muted: map[chan []byte]bool{}, tried: map[string]bool{}, ran: map[string]int{}, seq: max(1, opt.ListVersion), done: make(chan struct{})}
-	for g := range opt.Groups {
-		for m := range opt.Members {
-			if opt.MaxDatabases > 0 && len(w.hosts) == opt.MaxDatabases {
+func New(options Options) (*World, error) {
+	w := &World{options: options, rng: rand.New(rand.NewPCG(options.Seed, 0x73746e64)), watches: map[chan []byte]*Discovery{}, silenced: map[chan []byte]bool{}, attempted: map[string]bool{}, executions: map[string]int{}, listVersion: max(1, options.ListVersion), done: make(chan struct{})}
+	for g := range options.Groups {
+		for m := range options.Members {
+			if options.MaxDatabases > 0 && len(w.hosts) == options.MaxDatabases {
 				break
 			}
-			if _, err := w.add(opt.FirstGroup+g, m == 0, time.Time{}); err != nil {
+			if _, err := w.startHost(options.FirstGroup+g, m == 0, time.Time{}); err != nil {
 				w.Close()
 				return nil, err
 			}
 		}
 	}
-	for m := range opt.LastGroupMembers {
-		if _, err := w.add(opt.FirstGroup+opt.Groups, m == 0, time.Time{}); err != nil {
+	for m := range options.LastGroupMembers {
+		if _, err := w.startHost(options.FirstGroup+options.Groups, m == 0, time.Time{}); err != nil {
 			w.Close()
 			return nil, err
 		}
@@ -149,33 +149,33 @@
 	return w, nil
 }
 
-// add starts a database.
-func (w *World) add(group int, primary bool, born time.Time) (*Host, error) {
-	var ln net.Listener
-	if !w.opt.NoListeners {
+// startHost starts a database.
+func (w *World) startHost(group int, primary bool, startedAt time.Time) (*Host, error) {
+	var listener net.Listener
+	if !w.options.NoListeners {
 		var err error
-		if ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, fmt.Errorf("stand-in: %w", err)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	id := fmt.Sprintf("s-%04x", w.named+1)
-	if w.named < len(w.opt.Names) {
-		id = w.opt.Names[w.named]
+	id := fmt.Sprintf("s-%04x", w.databasesCreated+1)
+	if w.databasesCreated < len(w.options.Names) {
+		id = w.options.Names[w.databasesCreated]
 	}
 	site := "a"
-	if w.named < len(w.opt.Sites) {
-		site = w.opt.Sites[w.named]
+	if w.databasesCreated < len(w.options.Sites) {
+		site = w.options.Sites[w.databasesCreated]
 	}
-	w.named++
+	w.databasesCreated++
 	h := &Host{
-		w: w, ID: id, Group: group, Site: site, ln: ln, primary: primary, health: "in_service", born: born, lag: w.opt.Lag,
-		slots: make(chan struct{}, w.opt.Cores), conns: map[net.Conn]time.Time{},
+		world: w, ID: id, Group: group, Site: site, listener: listener, primary: primary, health: "in_service", startedAt: startedAt, lag: w.options.Lag,
+		slots: make(chan struct{}, w.options.Cores), conns: map[net.Conn]time.Time{},
 	}
 	w.hosts = append(w.hosts, h)
-	if ln == nil {
-		h.dial = unheard
+	if listener == nil {
+		h.announcedAddr = unusedAddr
 		return h, nil
 	}
 	w.wg.Add(1)
@@ -184,7 +184,7 @@
 }
 
 // Discovery is where the list is asked for.
-func (w *World) Discovery() *Discovery { return w.discs[0] }
+func (w *World) Discovery() *Discovery { return w.discoveries[0] }
 
 // Counts are what has happened so far.
 func (w *World) Counts() Counts {
@@ -203,10 +203,10 @@
 }
 
 // draw tells whether something of this probability happens.
-func (w *World) draw(p float64) bool { return p > 0 && w.rnd.Float64() < p }
+func (w *World) draw(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// some are a share of the databases in service, those of one group never all.
-func (w *World) some(part float64) (list []*Host) {
+// pickHosts are a share of the databases in service, those of one group never all.
+func (w *World) pickHosts(part float64) (picked []*Host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []*Host
@@ -215,41 +215,41 @@
 			all = append(all, h)
 		}
 	}
-	for _, i := range w.rnd.Perm(len(all)) {
-		if len(list) < int(part*float64(len(all))+0.5) {
-			list = append(list, all[i])
+	for _, i := range w.rng.Perm(len(all)) {
+		if len(picked) < int(part*float64(len(all))+0.5) {
+			picked = append(picked, all[i])
 		}
 	}
-	return list
+	return picked
 }
 
 // SetLag has a share of the replicas fall behind.
 func (w *World) SetLag(part float64, lag time.Duration) {
-	for _, h := range w.some(part) {
+	for _, h := range w.pickHosts(part) {
 		w.mu.Lock()
-		h.lag = max(lag, w.opt.Lag)
+		h.lag = max(lag, w.options.Lag)
 		w.mu.Unlock()
 	}
 }
 
 // Pause has a share of the databases stand still, their connections open, until the function is called.
 func (w *World) Pause(part float64) (resume func()) {
-	list := w.some(part)
-	on := make(chan struct{})
+	paused := w.pickHosts(part)
+	resumed := make(chan struct{})
 	w.mu.Lock()
-	for _, h := range list {
-		h.paused = on
+	for _, h := range paused {
+		h.paused = resumed
 	}
 	w.mu.Unlock()
 	return func() {
 		w.mu.Lock()
-		for _, h := range list {
-			if h.paused == on {
+		for _, h := range paused {
+			if h.paused == resumed {
 				h.paused = nil
 			}
 		}
 		w.mu.Unlock()
-		close(on)
+		close(resumed)
 	}
 }
 
@@ -258,16 +258,16 @@
 func (w *World) WithholdChanges() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(w.watch)
+	clear(w.watches)
 }
 
 // AddReplica adds a replica to a group.
 func (w *World) AddReplica(group int) error {
-	h, err := w.add(group, false, time.Now())
+	h, err := w.startHost(group, false, time.Now())
 	if err == nil {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.tell(h)
+		w.announce(h)
 	}
 	return err
 }
@@ -276,26 +276,26 @@
 // It is the step of a rolling deploy; stop ends it early.
 func (w *World) Replace(h *Host, drain time.Duration, stop <-chan struct{}) error {
 	w.mu.Lock()
-	h.health, h.told = "terminating", time.Now()
-	w.tell(h)
+	h.health, h.drainingSince = "terminating", time.Now()
+	w.announce(h)
 	w.mu.Unlock()
 	if !Sleep(drain/4, stop) {
 		return nil
 	}
 	w.handOver(h)
-	next, err := w.add(h.Group, false, time.Now())
+	next, err := w.startHost(h.Group, false, time.Now())
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.tell(next)
+	w.announce(next)
 	w.mu.Unlock()
 	if !Sleep(drain*3/4, stop) {
 		return nil
 	}
 	w.mu.Lock()
 	h.health = "terminated"
-	w.tell(h)
+	w.announce(h)
 	w.hosts = slices.DeleteFunc(w.hosts, func(o *Host) bool { return o == h })
 	w.mu.Unlock()
 	h.close()
@@ -325,16 +325,16 @@
 		return
 	}
 	var best *Host
-	for _, o := range w.hosts {
-		if o != h && o.Group == h.Group && o.health == "in_service" && (best == nil || o.lag < best.lag) {
-			best = o
+	for _, other := range w.hosts {
+		if other != h && other.Group == h.Group && other.health == "in_service" && (best == nil || other.lag < best.lag) {
+			best = other
 		}
 	}
 	if best == nil {
 		return
 	}
 	h.primary, best.primary = false, true
-	w.tell(best)
+	w.announce(best)
 }
 
 // Members are the databases now.
@@ -356,76 +356,76 @@
 	for _, h := range hosts {
 		h.close()
 	}
-	for _, d := range w.discs {
+	for _, d := range w.discoveries {
 		d.close()
 	}
 	w.wg.Wait()
 }
 
-// count notes how many connections stood together at a moment. It is called a while after that, when those that had
+// countOpen notes how many connections stood together at a moment. It is called a while after that, when those that had
 // been closed by then are out of the books.
-func (h *Host) count(at time.Time) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+func (h *Host) countOpen(at time.Time) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	n := 0
 	for _, since := range h.conns {
 		if !since.After(at) {
 			n++
 		}
 	}
-	h.w.counts.MostOpen = max(h.w.counts.MostOpen, n)
+	h.world.counts.MostOpen = max(h.world.counts.MostOpen, n)
 }
 
-// bears notes a statement that has come to a database that may still be cold. One that gets more in fallTime than fallMore
+// checkColdLoad notes a statement that has come to a database that may still be cold. One that gets more in fallTime than fallMore
 // times what it can do by then, and a little, would fall.
-func (h *Host) bears(now time.Time) {
-	warm := h.warmth(now)
-	if warm >= 1 {
-		h.recent = nil
+func (h *Host) checkColdLoad(now time.Time) {
+	share := h.speedShare(now)
+	if share >= 1 {
+		h.coldArrivals = nil
 		return
 	}
-	h.recent = append(h.recent, now)
-	for now.Sub(h.recent[0]) >= fallTime {
-		h.recent = h.recent[1:]
+	h.coldArrivals = append(h.coldArrivals, now)
+	for now.Sub(h.coldArrivals[0]) >= coldOverloadWindow {
+		h.coldArrivals = h.coldArrivals[1:]
 	}
-	w := h.w
-	n := fallMore * warm * float64(w.opt.Cores) * float64(fallTime) / float64(w.opt.Service)
-	most := n + 2*math.Sqrt(n) + 2 // what is beyond the budget is chance
-	w.counts.MostCold = max(w.counts.MostCold, float64(len(h.recent))/most)
-	if !h.fell && float64(len(h.recent)) > most {
-		h.fell = true
+	w := h.world
+	expected := coldOverloadFactor * share * float64(w.options.Cores) * float64(coldOverloadWindow) / float64(w.options.Service)
+	limit := expected + 2*math.Sqrt(expected) + 2 // what is beyond the budget is chance
+	w.counts.MostCold = max(w.counts.MostCold, float64(len(h.coldArrivals))/limit)
+	if !h.overloadedCold && float64(len(h.coldArrivals)) > limit {
+		h.overloadedCold = true
 		w.counts.Fell++
 	}
 }
 
-// warmth is the share of its speed that a database has.
-func (h *Host) warmth(now time.Time) float64 {
-	if age := now.Sub(h.born); !h.born.IsZero() && age < h.w.opt.SlowStart {
-		return StartCapacity + (1-StartCapacity)*float64(age)/float64(h.w.opt.SlowStart)
+// speedShare is the share of its speed that a database has.
+func (h *Host) speedShare(now time.Time) float64 {
+	if age := now.Sub(h.startedAt); !h.startedAt.IsZero() && age < h.world.options.SlowStart {
+		return StartCapacity + (1-StartCapacity)*float64(age)/float64(h.world.options.SlowStart)
 	}
 	return 1
 }
 
 // IsCold tells whether the database has not reached its full speed since it started.
 func (h *Host) IsCold() bool {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	return h.warmth(time.Now()) < 1
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	return h.speedShare(time.Now()) < 1
 }
 
 // StatementCount is how many statements of clients have come to the database.
 func (h *Host) StatementCount() int {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	return h.begun
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	return h.statementCount
 }
 
 func (h *Host) close() {
-	if h.ln != nil {
-		h.ln.Close()
+	if h.listener != nil {
+		h.listener.Close()
 	}
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	for c := range h.conns {
 		c.Close()
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -34,7 +34,7 @@
 	} {
 		h := head(t, "/* "+x.text+" */ SELECT")
 		w.mu.Lock()
-		x.h.run(h, x.write, now)
+		x.h.recordExecution(h, x.write, now)
 		w.mu.Unlock()
 	}
 	c := w.Counts()
@@ -73,7 +73,7 @@
 	assert.Equal(t, []string{"x", "y", "a"}, []string{list[0].Site, list[1].Site, list[2].Site})
 	assert.Equal(t, 1, list[4].Group)
 	for _, h := range list {
-		assert.Nil(t, h.ln)
+		assert.Nil(t, h.listener)
 	}
 	assert.Contains(t, string(w.List()), `"dial":"127.0.0.1:9","site":"y"`)
 	before := w.ListVersion()
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -10,70 +10,70 @@
 
 // fields is one line, split; err keeps the first thing found wrong with it.
 type fields struct {
-	part []string
-	err  error
+	values []string
+	err    error
 }
 
-func (f *fields) name() string { return f.part[0] }
+func (f *fields) name() string { return f.values[0] }
 
-func (f *fields) fail(format string, args ...any) {
+func (f *fields) setError(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", f.name(), fmt.Sprintf(format, args...))
 	}
 }
 
-// at returns a value, "" for an absent one; a line too short is an error.
-func (f *fields) at(i int) string {
-	if i >= len(f.part) {
-		f.fail("value %d is missing", i)
+// optional returns a value, "" for an absent one; a line too short is an error.
+func (f *fields) optional(index int) string {
+	if index >= len(f.values) {
+		f.setError("value %d is missing", index)
 		return ""
 	}
-	if f.part[i] == "-" {
+	if f.values[index] == "-" {
 		return ""
 	}
-	return f.part[i]
+	return f.values[index]
 }
 
-func (f *fields) need(i int) string {
-	s := f.at(i)
-	if s == "" {
-		f.fail("value %d is empty", i)
+func (f *fields) required(index int) string {
+	value := f.optional(index)
+	if value == "" {
+		f.setError("value %d is empty", index)
 	}
-	return s
+	return value
 }
 
-func (f *fields) int(i int) int64 {
-	s := f.at(i)
-	if s == "" {
+func (f *fields) int(index int) int64 {
+	text := f.optional(index)
+	if text == "" {
 		return 0
 	}
-	n, err := strconv.ParseInt(s, 10, 64)
+	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.fail("value %d: %q is no whole number", i, s)
+		f.setError("value %d: %q is no whole number", index, text)
 	}
 	return n
 }
 
-func (f *fields) num(i int) float64 {
-	s := f.at(i)
-	if s == "" {
+func (f *fields) float(index int) float64 {
+	text := f.optional(index)
+	if text == "" {
 		return 0
 	}
-	x, err := strconv.ParseFloat(s, 64)
+	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		f.fail("value %d: %q is no number", i, s)
+		f.setError("value %d: %q is no number", index, text)
 	}
 	return x
 }
 
-func (f *fields) time(i int) time.Duration {
-	return time.Duration(f.int(i)) * time.Microsecond
+func (f *fields) duration(index int) time.Duration {
+	return time.Duration(f.int(index)) * time.Microsecond
 }
 
-func word[T any](f *fields, i int, words map[string]T) T {
-	v, ok := words[f.at(i)]
+func enumValue[T any](f *fields, index int, values map[string]T) T {
+	v, ok := values[f.optional(index)]
 	if !ok {
-		f.fail("value %d: unknown word %q", i, f.at(i))
+		f.setError("value %d: unknown word %q", index, f.optional(index))
 	}
 	return v
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -41,64 +41,64 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	lists map[string][]policy.Member
-	zero  map[int]time.Duration // by router: where its positions count from
+	in             *bufio.Reader
+	lineNumber     int
+	lists          map[string][]policy.Member
+	positionEpochs map[int]time.Duration // by router: where its positions count from
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{
-		in:    bufio.NewReaderSize(r, 1<<16),
-		lists: map[string][]policy.Member{},
-		zero:  map[int]time.Duration{},
+		in:             bufio.NewReaderSize(r, 1<<16),
+		lists:          map[string][]policy.Member{},
+		positionEpochs: map[int]time.Duration{},
 	}
 }
 
 // Next returns the next batch, or io.EOF once the input ends between batches.
 // Any other error names the line and what is wrong with it.
 func (r *Reader) Next() (Batch, error) {
-	f, err := r.read()
+	f, err := r.readLine()
 	if err == io.EOF {
 		return Batch{}, io.EOF
 	}
 	if err == nil {
 		var b Batch
-		if b, err = r.batch(f); err == nil {
+		if b, err = r.readBatch(f); err == nil {
 			return b, nil
 		}
 	}
 	if err == io.EOF {
 		err = fmt.Errorf("input ends inside a batch")
 	}
-	return Batch{}, fmt.Errorf("line %d: %w", r.line, err)
+	return Batch{}, fmt.Errorf("line %d: %w", r.lineNumber, err)
 }
 
-func (r *Reader) read() (fields, error) {
+func (r *Reader) readLine() (fields, error) {
 	s, err := r.in.ReadString('\n')
 	if err == io.EOF && s != "" {
-		r.line++
+		r.lineNumber++
 		return fields{}, fmt.Errorf("line is cut off")
 	}
 	if err != nil {
 		return fields{}, err
 	}
-	r.line++
-	return fields{part: strings.Split(strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), "\t")}, nil
+	r.lineNumber++
+	return fields{values: strings.Split(strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), "\t")}, nil
 }
 
-func (r *Reader) batch(f fields) (Batch, error) {
+func (r *Reader) readBatch(f fields) (Batch, error) {
 	if f.name() != "SYNC" {
 		return Batch{}, fmt.Errorf("expected SYNC, found %q", f.name())
 	}
-	b := Batch{Now: f.time(1), Seq: f.need(2)}
+	b := Batch{Now: f.duration(1), Seq: f.required(2)}
 	if f.err != nil {
 		return b, f.err
 	}
-	router, chosen := 0, false
+	router, selected := 0, false
 	for {
-		f, err := r.read()
+		f, err := r.readLine()
 		if err != nil {
 			return b, err
 		}
@@ -106,21 +106,21 @@
 		case "EOF_BATCH":
 			return b, nil
 		case "SELECT":
-			router, chosen = int(f.int(1)), true
+			router, selected = int(f.int(1)), true
 		case "LEDGER":
-			if err := r.ledger(f); err != nil {
+			if err := r.readList(f); err != nil {
 				return b, err
 			}
 		default:
-			if !chosen {
+			if !selected {
 				return b, fmt.Errorf("%s before any SELECT", f.name())
 			}
-			it, known := r.item(&f, router)
+			item, known := r.parseItem(&f, router)
 			if f.err == nil && !known {
 				return b, fmt.Errorf("unknown message %q", f.name())
 			}
-			if it.Event != nil || it.Kind != RouterEvent {
-				b.Items = append(b.Items, it)
+			if item.Event != nil || item.Kind != RouterEvent {
+				b.Items = append(b.Items, item)
 			}
 		}
 		if f.err != nil {
@@ -129,8 +129,8 @@
 	}
 }
 
-func (r *Reader) ledger(f fields) error {
-	key, n := f.need(1), f.int(2)
+func (r *Reader) readList(f fields) error {
+	key, n := f.required(1), f.int(2)
 	if f.err == nil && (n < 0 || n > 1<<20) {
 		return fmt.Errorf("LEDGER: %d entries", n)
 	}
@@ -139,102 +139,102 @@
 	}
 	entries := make([]policy.Member, 0, n)
 	for range n {
-		e, err := r.read()
+		row, err := r.readLine()
 		if err != nil {
 			return err
 		}
-		if e.name() != "ROW" {
-			return fmt.Errorf("expected ROW, found %q", e.name())
+		if row.name() != "ROW" {
+			return fmt.Errorf("expected ROW, found %q", row.name())
 		}
-		m := policy.Member{
-			Host:      policy.HostID(e.need(1)),
-			Zone:      int(e.int(2)),
-			Group:     policy.GroupID(e.num(4)),
-			Status:    word(&e, 5, statuses),
-			Primary:   e.num(7) == 1,
-			StartedAt: e.time(8),
+		member := policy.Member{
+			Host:      policy.HostID(row.required(1)),
+			Zone:      int(row.int(2)),
+			Group:     policy.GroupID(row.float(4)),
+			Status:    enumValue(&row, 5, statuses),
+			Primary:   row.float(7) == 1,
+			StartedAt: row.duration(8),
 		}
-		if e.err != nil {
-			return e.err
+		if row.err != nil {
+			return row.err
 		}
-		entries = append(entries, m)
+		entries = append(entries, member)
 	}
 	r.lists[key] = entries
 	return nil
 }
 
-// item parses one message for one router; known is false for a strange name.
-func (r *Reader) item(f *fields, router int) (it Item, known bool) {
-	it = Item{Kind: RouterEvent, Router: router}
+// parseItem parses one message for one router; known is false for a strange name.
+func (r *Reader) parseItem(f *fields, router int) (item Item, known bool) {
+	item = Item{Kind: RouterEvent, Router: router}
 	switch f.name() {
 	case "PROVISION":
-		it.Kind, it.Seed = RouterStart, f.int(1)
-		set, err := settings.FromPairs(f.part[min(2, len(f.part)):])
+		item.Kind, item.Seed = RouterStart, f.int(1)
+		parsed, err := settings.FromPairs(f.values[min(2, len(f.values)):])
 		if err != nil {
-			f.fail("%v", err)
+			f.setError("%v", err)
 		}
-		it.Settings, r.zero[router] = set.Policy, set.PositionEpoch
+		item.Settings, r.positionEpochs[router] = parsed.Policy, parsed.PositionEpoch
 	case "RETIRE":
-		it.Kind = RouterStop
+		item.Kind = RouterStop
 	case "VIEW":
-		m := policy.ListUpdate{Kind: word(f, 2, listKinds)}
-		if m.Kind != policy.ListFailed {
-			list, ok := r.lists[f.need(1)]
+		update := policy.ListUpdate{Kind: enumValue(f, 2, listKinds)}
+		if update.Kind != policy.ListFailed {
+			list, ok := r.lists[f.required(1)]
 			if !ok && f.err == nil {
-				f.err = fmt.Errorf("VIEW: no list %q", f.at(1))
+				f.err = fmt.Errorf("VIEW: no list %q", f.optional(1))
 			}
-			m.Entries = list
+			update.Entries = list
 		}
-		it.Event = m
+		item.Event = update
 	case "SUBMIT":
-		it.Event = policy.Request{
-			ID:            policy.RequestID(f.need(1)),
+		item.Event = policy.Request{
+			ID:            policy.RequestID(f.required(1)),
 			Class:         int(f.int(2)),
 			Session:       policy.SessionID(f.int(4)),
-			Timeout:       f.time(5),
-			Group:         policy.GroupID(f.num(7)),
-			LastCommitAge: time.Duration(f.num(8) * float64(time.Millisecond)),
+			Timeout:       f.duration(5),
+			Group:         policy.GroupID(f.float(7)),
+			LastCommitAge: time.Duration(f.float(8) * float64(time.Millisecond)),
 		}
 	case "RESOLVED":
-		o := policy.Result{
-			Request:  policy.RequestID(f.need(1)),
+		result := policy.Result{
+			Request:  policy.RequestID(f.required(1)),
 			Attempt:  int(f.int(2)),
-			Host:     policy.HostID(f.need(3)),
-			Outcome:  word(f, 4, outcomes),
-			Latency:  f.time(5),
-			Finished: f.at(6) == "1",
-			Report:   r.report(f, 8, router),
+			Host:     policy.HostID(f.required(3)),
+			Outcome:  enumValue(f, 4, outcomes),
+			Latency:  f.duration(5),
+			Finished: f.optional(6) == "1",
+			Report:   r.parseReport(f, 8, router),
 		}
 		if note := f.int(7); note > 0 {
-			o.Role = roleOf(note % 4)
+			result.Role = parseRole(note % 4)
 			if note >= 4 {
-				o.Position, o.HasPosition = r.zero[router]+time.Duration(note/4)*time.Millisecond, true
+				result.Position, result.HasPosition = r.positionEpochs[router]+time.Duration(note/4)*time.Millisecond, true
 			}
 		}
-		it.Event = o
+		item.Event = result
 	case "PROBE_RESULT":
-		it.Event = policy.ProbeResult{
-			Latency: f.time(1),
-			Host:    policy.HostID(f.need(2)),
-			Outcome: word(f, 3, outcomes),
-			Report:  r.report(f, 4, router),
+		item.Event = policy.ProbeResult{
+			Latency: f.duration(1),
+			Host:    policy.HostID(f.required(2)),
+			Outcome: enumValue(f, 3, outcomes),
+			Report:  r.parseReport(f, 4, router),
 		}
 	case "LAPSED":
-		it.Event = policy.RequestAbandoned{Request: policy.RequestID(f.need(1))}
+		item.Event = policy.RequestAbandoned{Request: policy.RequestID(f.required(1))}
 	case "ELAPSED":
-		n, err := strconv.ParseUint(f.need(1), 10, 64)
+		id, err := strconv.ParseUint(f.required(1), 10, 64)
 		if err != nil && f.err == nil {
-			f.err = fmt.Errorf("ELAPSED: bad token %q", f.at(1))
+			f.err = fmt.Errorf("ELAPSED: bad token %q", f.optional(1))
 		}
-		it.Event = policy.TimerFired{ID: n}
+		item.Event = policy.TimerFired{ID: id}
 	case "FIRST_BYTE", "PEER": // nothing here is streamed, and routers do not talk
 	default:
-		return it, false
+		return item, false
 	}
-	return it, true
+	return item, true
 }
 
-func roleOf(n int64) policy.Role {
+func parseRole(n int64) policy.Role {
 	switch n {
 	case 1:
 		return policy.Primary
@@ -244,32 +244,32 @@
 	return policy.RoleUnknown
 }
 
-// report parses name:value pairs and skips names it does not know.
-func (r *Reader) report(f *fields, i, router int) policy.Report {
-	s := f.at(i)
-	if s == "" {
+// parseReport parses name:value pairs and skips names it does not know.
+func (r *Reader) parseReport(f *fields, i, router int) policy.Report {
+	text := f.optional(i)
+	if text == "" {
 		return policy.Report{}
 	}
-	rep := policy.Report{}
-	for pair := range strings.SplitSeq(s, ",") {
-		name, val, ok := strings.Cut(pair, ":")
-		x, err := strconv.ParseFloat(val, 64)
+	report := policy.Report{}
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(pair, ":")
+		number, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			f.fail("bad report %q", s)
-			return rep
+			f.setError("bad report %q", text)
+			return report
 		}
 		switch name {
 		case "x0":
-			rep.Position = r.zero[router] + time.Duration(x*float64(time.Second))
-			rep.HasPosition = true
+			report.Position = r.positionEpochs[router] + time.Duration(number*float64(time.Second))
+			report.HasPosition = true
 		case "x1":
-			rep.Role = policy.Replica
-			if x == 1 {
-				rep.Role = policy.Primary
+			report.Role = policy.Replica
+			if number == 1 {
+				report.Role = policy.Primary
 			}
 		}
 	}
-	return rep
+	return report
 }
 
 // Reply encodes the actions that answer one batch.
