--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter hosts routers on a line protocol: batches of events on
-// standard input, one reply per batch on standard output.
+// Command adapter runs routers for the simulator's line protocol: it reads
+// batches of events from standard input and writes one reply per batch to
+// standard output.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	writer := bufio.NewWriterSize(out, 1<<16)
@@ -46,12 +47,13 @@
 	}
 }
 
-// routerSet keeps the routers of this process; they share nothing.
+// routerSet holds the routers of this process. They share no state.
 type routerSet struct {
 	routers map[int]*policy.Router
 	reply   wire.Reply
 }
 
+// handleBatch starts and stops routers as the batch says, then gives each router its events of the batch in one step.
 func (s *routerSet) handleBatch(batch wire.Batch) error {
 	var order []int
 	events := map[int][]policy.Event{}
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// stepRouter runs one router; a panic in it is reported and ends in GIVE_IN.
+// stepRouter runs one step of a router. A panic in it is reported to the simulator as GIVE_IN.
 func (s *routerSet) stepRouter(router *policy.Router, now time.Duration, events []policy.Event) {
 	defer func() {
 		if e := recover(); e != nil {
--- a/cmd/lilacctl/audit.go
+++ b/cmd/lilacctl/audit.go
@@ -29,10 +29,10 @@
 
 // auditResult is what --json prints.
 type auditResult struct {
-	Findings []audit.Finding       `json:"findings"`
-	Records  []audit.ChainedRecord `json:"records"`
-	Silent   []string              `json:"silent,omitempty"`
-	Notes    []string              `json:"notes,omitempty"`
+	Findings    []audit.Finding       `json:"findings"`
+	Records     []audit.ChainedRecord `json:"records"`
+	Unreachable []string              `json:"silent,omitempty"`
+	Notes       []string              `json:"notes,omitempty"`
 }
 
 func auditCommand() *cobra.Command {
@@ -114,7 +114,7 @@
 	if n := len(result.Findings); n > 0 {
 		findings = append(findings, fmt.Sprintf("%d findings", n))
 	}
-	return exitError(result.Silent, findings)
+	return exitError(result.Unreachable, findings)
 }
 
 // collect reads all records. A line that is none is a finding; a gateway that does not answer is a line.
@@ -139,7 +139,7 @@
 	for _, addr := range o.addresses {
 		report, err := fetch[peer.AuditReport](addr, "/v1/fleet/audit", o.timeout)
 		if err != nil {
-			r.Silent = append(r.Silent, addr+" ("+err.Error()+")")
+			r.Unreachable = append(r.Unreachable, addr+" ("+err.Error()+")")
 			continue
 		}
 		if report.Failure != "" {
@@ -169,7 +169,7 @@
 	}
 	var processes []*process
 	for _, record := range r.Records {
-		i := slices.IndexFunc(processes, func(l *process) bool { return l.gateway == record.Gateway && l.session == record.Session })
+		i := slices.IndexFunc(processes, func(p *process) bool { return p.gateway == record.Gateway && p.session == record.Session })
 		if i < 0 {
 			i = len(processes)
 			processes = append(processes, &process{gateway: record.Gateway, session: record.Session, from: record.From, lists: [2]int64{record.ListVersion, record.ListVersion}})
--- a/cmd/lilacctl/audit_test.go
+++ b/cmd/lilacctl/audit_test.go
@@ -96,7 +96,7 @@
 		"no such file":                 {"--file", filepath.Join(t.TempDir(), "none")},
 	} {
 		out, code := runs(append([]string{"audit"}, args...)...)
-		assert.Equal(t, exitTrouble, code)
+		assert.Equal(t, exitUsage, code)
 		assert.Contains(t, out, want)
 	}
 	out, code := runs("audit", "--at", "127.0.0.1:1")
--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -15,7 +15,7 @@
 
 // The exit statuses, for scripts.
 const (
-	exitTrouble     = 1 // the call itself was wrong
+	exitUsage       = 1 // the call itself was wrong
 	exitFinding     = 2 // gateways answered, and something is not as it should be
 	exitUnreachable = 3 // a gateway did not answer
 )
@@ -30,16 +30,16 @@
 
 // queryCommand makes a command that asks gateways and prints what they say.
 func queryCommand(use, short, long string, run func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error) *cobra.Command {
-	var at []string
+	var addresses []string
 	var asJSON bool
-	var wait time.Duration
+	var timeout time.Duration
 	c := &cobra.Command{
 		Use: use + " --at 127.0.0.1:7510", Short: short, Long: long, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout(), at, asJSON, wait) },
+		RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout(), addresses, asJSON, timeout) },
 	}
-	c.Flags().StringArrayVar(&at, "at", nil, "a gateway's operators' address; may be given several times")
+	c.Flags().StringArrayVar(&addresses, "at", nil, "a gateway's operators' address; may be given several times")
 	c.Flags().BoolVar(&asJSON, "json", false, "print what the gateways said, as JSON")
-	c.Flags().DurationVar(&wait, "timeout", 2*time.Second, "how long a gateway may take to answer")
+	c.Flags().DurationVar(&timeout, "timeout", 2*time.Second, "how long a gateway may take to answer")
 	_ = c.MarkFlagRequired("at")
 	return c
 }
@@ -75,7 +75,7 @@
 	if errors.As(err, &s) {
 		os.Exit(s.code)
 	}
-	os.Exit(exitTrouble)
+	os.Exit(exitUsage)
 }
 
 func command() *cobra.Command {
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -71,15 +71,15 @@
 
 // fetch asks for something in JSON.
 func fetch[T any](addr, path string, timeout time.Duration) (*T, error) {
-	text, err := callGateway(addr, http.MethodGet, path, timeout)
+	body, err := callGateway(addr, http.MethodGet, path, timeout)
 	if err != nil {
 		return nil, err
 	}
-	r := new(T)
-	if err := json.Unmarshal(text, r); err != nil {
+	report := new(T)
+	if err := json.Unmarshal(body, report); err != nil {
 		return nil, fmt.Errorf("the answer cannot be read: %w", err)
 	}
-	return r, nil
+	return report, nil
 }
 
 func fetchMembers(addr string, timeout time.Duration) (*peer.Report, error) {
@@ -90,16 +90,16 @@
 func (list membersAnswers) exitError() error {
 	var unreachable, findings []string
 	digests := map[string][]string{}
-	for _, a := range list {
-		if a.Fleet == nil {
-			unreachable = append(unreachable, a.At)
+	for _, answer := range list {
+		if answer.Fleet == nil {
+			unreachable = append(unreachable, answer.At)
 			continue
 		}
-		digests[a.Fleet.View.Digest] = append(digests[a.Fleet.View.Digest], a.Fleet.Name)
-		if a.Fleet.Superseded {
-			findings = append(findings, a.Fleet.Name+" at "+a.At+" has lost its name to another process")
+		digests[answer.Fleet.View.Digest] = append(digests[answer.Fleet.View.Digest], answer.Fleet.Name)
+		if answer.Fleet.Superseded {
+			findings = append(findings, answer.Fleet.Name+" at "+answer.At+" has lost its name to another process")
 		}
-		for _, m := range a.Fleet.View.Members {
+		for _, m := range answer.Fleet.View.Members {
 			if f := "two processes are named " + m.Name; m.DuplicateName && !slices.Contains(findings, f) {
 				findings = append(findings, f)
 			}
--- a/cmd/lilacctl/members_test.go
+++ b/cmd/lilacctl/members_test.go
@@ -44,7 +44,7 @@
 	case errors.As(err, &s):
 		return out.String() + s.message, s.code
 	}
-	return out.String() + err.Error(), exitTrouble
+	return out.String() + err.Error(), exitUsage
 }
 
 func TestMembers(t *testing.T) {
@@ -80,7 +80,7 @@
 		assert.Contains(t, out, want)
 	}
 	_, code := runs("members")
-	assert.Equal(t, exitTrouble, code)
+	assert.Equal(t, exitUsage, code)
 }
 
 func TestState(t *testing.T) {
--- a/internal/lab/balancer.go
+++ b/internal/lab/balancer.go
@@ -12,13 +12,13 @@
 
 const (
 	checkInterval  = 100 * time.Millisecond
-	checkTimeout   = 500 * time.Millisecond // for one check
-	silenceTimeout = 2500 * time.Millisecond
+	checkTimeout   = 500 * time.Millisecond  // of one check
+	silenceTimeout = 2500 * time.Millisecond // after which a gateway that does not answer is no longer admitted
 )
 
-// Balancer hands out gateways to sessions, as PROTOCOL has it: one is admitted once it has answered an empty query; one
-// that says no to it is left at once; one that is silent is taken for dead only after some seconds. A session
-// stays with its gateway as long as that is admitted.
+// Balancer assigns sessions to gateways as the platform's load balancer does by PROTOCOL: a gateway is admitted once it
+// has answered an empty query, removed at once if it refuses one, and removed only after silenceTimeout if it does not
+// answer. A session stays with its gateway while that is admitted.
 type Balancer struct {
 	mu       sync.Mutex
 	backends []backend
@@ -27,53 +27,54 @@
 	wg       sync.WaitGroup
 }
 
+// backend is one gateway.
 type backend struct {
-	addr        string
+	addr        string // empty until the gateway's first process has started
 	admitted    bool
-	lastSuccess time.Time // when it last said yes
+	lastSuccess time.Time // of a check
 }
 
-// NewBalancer begins to check gateways; tell hears of each that is admitted or left.
+// NewBalancer starts checking n gateways. onChange is called whenever one is admitted or removed.
 func NewBalancer(n int, onChange func(i int, admitted bool)) *Balancer {
-	f := &Balancer{backends: make([]backend, n), onChange: onChange, done: make(chan struct{})}
+	b := &Balancer{backends: make([]backend, n), onChange: onChange, done: make(chan struct{})}
 	for i := range n {
-		f.wg.Add(1)
-		go f.checkLoop(i)
+		b.wg.Add(1)
+		go b.checkLoop(i)
 	}
-	return f
+	return b
 }
 
-// SetAddr says where a gateway's clients connect. A process that has started is admitted once it says yes.
-func (f *Balancer) SetAddr(i int, addr string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.backends[i] = backend{addr: addr}
+// SetAddr sets the address of a gateway for clients. The new process is admitted after its first successful check.
+func (b *Balancer) SetAddr(i int, addr string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.backends[i] = backend{addr: addr}
 }
 
-// Admitted counts the gateways in use.
-func (f *Balancer) Admitted() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, d := range f.backends {
-		if d.admitted {
+// Admitted returns the number of admitted gateways.
+func (b *Balancer) Admitted() (n int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, gateway := range b.backends {
+		if gateway.admitted {
 			n++
 		}
 	}
 	return n
 }
 
-// Pick is the gateway of a session; false: there is none.
-func (f *Balancer) Pick(session int) (string, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := len(f.backends)
-	if d := f.backends[session%n]; d.admitted {
-		return d.addr, true
+// Pick returns the address of a session's gateway, false if no gateway is admitted.
+func (b *Balancer) Pick(session int) (string, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := len(b.backends)
+	if gateway := b.backends[session%n]; gateway.admitted {
+		return gateway.addr, true
 	}
 	var admitted []string
-	for _, d := range f.backends {
-		if d.admitted {
-			admitted = append(admitted, d.addr)
+	for _, gateway := range b.backends {
+		if gateway.admitted {
+			admitted = append(admitted, gateway.addr)
 		}
 	}
 	if len(admitted) == 0 {
@@ -82,23 +83,24 @@
 	return admitted[session/n%len(admitted)], true
 }
 
-// Close ends the checks.
-func (f *Balancer) Close() {
-	close(f.done)
-	f.wg.Wait()
+// Close stops the checks.
+func (b *Balancer) Close() {
+	close(b.done)
+	b.wg.Wait()
 }
 
-func (f *Balancer) checkLoop(i int) {
-	defer f.wg.Done()
+// checkLoop checks gateway i until the balancer is closed.
+func (b *Balancer) checkLoop(i int) {
+	defer b.wg.Done()
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
-		f.mu.Lock()
-		addr := f.backends[i].addr
-		f.mu.Unlock()
+		b.mu.Lock()
+		addr := b.backends[i].addr
+		b.mu.Unlock()
 		healthy, refused := checkGateway(addr)
-		f.mu.Lock()
-		gateway := &f.backends[i]
+		b.mu.Lock()
+		gateway := &b.backends[i]
 		before := gateway.admitted
 		if gateway.addr == addr {
 			switch {
@@ -109,19 +111,19 @@
 			}
 		}
 		after := gateway.admitted
-		f.mu.Unlock()
-		if after != before && f.onChange != nil {
-			f.onChange(i, after)
+		b.mu.Unlock()
+		if after != before && b.onChange != nil {
+			b.onChange(i, after)
 		}
 		select {
-		case <-f.done:
+		case <-b.done:
 			return
 		case <-tick.C:
 		}
 	}
 }
 
-// checkGateway asks an empty query. Neither yes nor no: it is silent.
+// checkGateway sends an empty query. It returns false, false if the gateway does not answer.
 func checkGateway(addr string) (healthy, refused bool) {
 	if addr == "" {
 		return false, false
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// History is what happened in a run, a JSON object a line, for checkers that read it afterwards.
+// History writes what happened in a run as JSON lines, for checkers that read it afterwards. A nil History drops entries.
 type History struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
 	start   time.Time
 }
 
-// HistoryEntry is one line of it.
+// HistoryEntry is one line of a History.
 type HistoryEntry struct {
-	AtMS    float64 `json:"at_ms"` // since the begin of the run
+	AtMS    float64 `json:"at_ms"` // since the start of the run
 	Kind    string  `json:"kind"`  // fault, front, log, request
 	Gateway string  `json:"gateway,omitempty"`
 	What    string  `json:"what"`
@@ -26,7 +26,7 @@
 	Tries   int     `json:"tries,omitempty"`
 }
 
-// NewHistory writes to w; a nil one forgets.
+// NewHistory returns a History that writes to w, or nil if w is nil.
 func NewHistory(w io.Writer) *History {
 	if w == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return &History{encoder: json.NewEncoder(w), start: time.Now()}
 }
 
-// SetStart sets the moment that is 0.
+// SetStart sets the time from which AtMS counts.
 func (h *History) SetStart(start time.Time) {
 	if h != nil {
 		h.mu.Lock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// Add writes a line.
+// Add sets the entry's time and writes it.
 func (h *History) Add(entry HistoryEntry) {
 	if h == nil {
 		return
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -106,8 +106,8 @@
 			return err
 		}
 	}
-	l.balancer = NewBalancer(p.Lab.Gateways, func(i int, in bool) {
-		l.History.Add(HistoryEntry{Kind: "front", Gateway: l.name(i), What: map[bool]string{true: "admitted", false: "left"}[in]})
+	l.balancer = NewBalancer(p.Lab.Gateways, func(i int, admitted bool) {
+		l.History.Add(HistoryEntry{Kind: "front", Gateway: l.name(i), What: map[bool]string{true: "admitted", false: "left"}[admitted]})
 	})
 	for i := range p.Lab.Gateways {
 		if _, err = l.Start(i); err != nil {
@@ -175,27 +175,27 @@
 func (l *Lab) Run(ctx context.Context) (*run.Report, error) {
 	p := l.Plan
 	recorder := run.NewRecorder(p)
-	runner := &run.Runner{Plan: p, Arrivals: l.Arrivals, SelectTarget: l.balancer.Pick, ClientSlack: l.ClientSlack, OnSample: func(s run.Sample) {
-		recorder.Add(s)
+	runner := &run.Runner{Plan: p, Arrivals: l.Arrivals, SelectTarget: l.balancer.Pick, ClientSlack: l.ClientSlack, OnSample: func(sample run.Sample) {
+		recorder.Add(sample)
 		if l.OnSample != nil {
-			l.OnSample(s)
+			l.OnSample(sample)
 		}
 		l.History.Add(HistoryEntry{
-			Kind: "request", What: string(s.Outcome), Class: p.Classes[s.Arrival.Class].Name, DueMS: millis(s.Arrival.At), TookMS: millis(s.Latency), Tries: s.Attempts,
+			Kind: "request", What: string(sample.Outcome), Class: p.Classes[sample.Arrival.Class].Name, DueMS: millis(sample.Arrival.At), TookMS: millis(sample.Latency), Tries: sample.Attempts,
 		})
 	}}
 	stop := make(chan struct{})
 	var events sync.WaitGroup
 	start := time.Now()
 	l.History.SetStart(start)
-	for _, e := range p.Events {
+	for _, event := range p.Events {
 		events.Add(1)
 		go func() {
 			defer events.Done()
-			if !standin.Sleep(time.Until(start.Add(e.At)), stop) {
+			if !standin.Sleep(time.Until(start.Add(event.At)), stop) {
 				return
 			}
-			if err := l.playEvent(e, stop); err != nil {
+			if err := l.playEvent(event, stop); err != nil {
 				l.RecordFault("%v", err)
 			}
 		}()
@@ -254,22 +254,22 @@
 	switch event.Action {
 	case "roll":
 		members := l.world.Members()
-		n := int(event.Share*float64(len(members)) + 0.5)
-		var all sync.WaitGroup
-		failed := make(chan error, n)
-		for i, h := range members[:n] {
-			if i > 0 && !standin.Sleep(event.Duration/time.Duration(n), stop) {
+		replaced := int(event.Share*float64(len(members)) + 0.5)
+		var replacements sync.WaitGroup
+		errs := make(chan error, replaced)
+		for i, host := range members[:replaced] {
+			if i > 0 && !standin.Sleep(event.Duration/time.Duration(replaced), stop) {
 				break
 			}
-			all.Add(1)
+			replacements.Add(1)
 			go func() {
-				defer all.Done()
-				failed <- l.world.Replace(h, databaseDrainTime, stop)
+				defer replacements.Done()
+				errs <- l.world.Replace(host, databaseDrainTime, stop)
 			}()
 		}
-		all.Wait()
-		close(failed)
-		for err := range failed {
+		replacements.Wait()
+		close(errs)
+		for err := range errs {
 			if err != nil {
 				return err
 			}
--- a/internal/lab/memory.go
+++ b/internal/lab/memory.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// MachineMemory is the memory of this machine in bytes; 0: the system does not tell.
+// MachineMemory returns the memory of this machine in bytes, 0 if the system does not report it.
 func MachineMemory() float64 {
 	text, _ := os.ReadFile("/proc/meminfo")
 	_, rest, _ := strings.Cut(string(text), "MemTotal:")
@@ -19,7 +19,7 @@
 	return kb * 1024
 }
 
-// ResidentMemory is what a process holds of the machine's memory in bytes; 0: it has ended.
+// ResidentMemory returns the resident memory of a process in bytes, 0 if it has ended.
 func ResidentMemory(pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	fields := strings.Fields(string(text))
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -116,12 +116,12 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(l.Config(i))
+	config, err := json.Marshal(l.Config(i))
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
 	node := &Node{Name: name, Process: NewProcess(exec.Command(command[0], command[1:]...)), slot: i, ConfigPath: path}
@@ -209,56 +209,56 @@
 
 // fleetFile is what a gateway is told of the fleet: it finds all others behind relays of its own.
 func (l *Lab) fleetFile(i int) []byte {
-	b := []byte("fleet: lab\nlisten: 127.0.0.1:0\nseeds:\n")
+	file := []byte("fleet: lab\nlisten: 127.0.0.1:0\nseeds:\n")
 	if len(l.nodes) == 1 {
 		return []byte("fleet: lab\nlisten: 127.0.0.1:0\n")
 	}
-	dial := []byte("dial:\n")
+	dialEntries := []byte("dial:\n")
 	for j := range l.nodes {
-		a := l.mesh.RelayAddr(i, j)
-		if !a.IsValid() {
+		addr := l.mesh.RelayAddr(i, j)
+		if !addr.IsValid() {
 			continue
 		}
 		if j < 3 || i < 3 && j == 3 { // not all: newcomers learn the rest
-			b = fmt.Appendf(b, "  - %s\n", a)
+			file = fmt.Appendf(file, "  - %s\n", addr)
 		}
 		if j < l.Plan.Lab.Gateways {
-			dial = fmt.Appendf(dial, "  %s: %s\n", l.name(j), a)
+			dialEntries = fmt.Appendf(dialEntries, "  %s: %s\n", l.name(j), addr)
 		}
 	}
-	b = append(b, dial...)
+	file = append(file, dialEntries...)
 	if l.Plan.Lab.Subsets {
-		b = append(b, "subsets: true\n"...)
+		file = append(file, "subsets: true\n"...)
 	}
 	setting := "true"
-	if n := l.Plan.Lab.MaxBytesPerSecond; n > 0 && !slices.Contains(l.WithoutByteBudget, i) {
-		setting = fmt.Sprintf("{bytes: %d/s}", n)
+	if maxBytes := l.Plan.Lab.MaxBytesPerSecond; maxBytes > 0 && !slices.Contains(l.WithoutByteBudget, i) {
+		setting = fmt.Sprintf("{bytes: %d/s}", maxBytes)
 	}
 	if l.Plan.Lab.Positions {
-		b = fmt.Appendf(b, "positions: %s\n", setting)
+		file = fmt.Appendf(file, "positions: %s\n", setting)
 	}
 	if l.Plan.Lab.Primaries {
-		b = fmt.Appendf(b, "primaries: %s\n", setting)
+		file = fmt.Appendf(file, "primaries: %s\n", setting)
 	}
 	if d := l.Plan.Lab.FenceAfter; d > 0 {
-		b = fmt.Appendf(b, "fence: %d ms\n", d.Milliseconds())
+		file = fmt.Appendf(file, "fence: %d ms\n", d.Milliseconds())
 	}
 	if s := l.Plan.Lab.RetryShare; s > 0 {
-		b = fmt.Appendf(b, "repeats: %g%%\n", s*100)
+		file = fmt.Appendf(file, "repeats: %g%%\n", s*100)
 	}
 	if d := l.Plan.Lab.OverrideLifetime; d > 0 {
-		b = fmt.Appendf(b, "words: {dir: %q, keep: %d s}\n", l.OverridesDir(i), int(d.Seconds()))
+		file = fmt.Appendf(file, "words: {dir: %q, keep: %d s}\n", l.OverridesDir(i), int(d.Seconds()))
 	}
 	if l.Plan.Lab.Audit {
-		b = fmt.Appendf(b, "audit: {file: %q}\n", l.AuditFile(i))
+		file = fmt.Appendf(file, "audit: {file: %q}\n", l.AuditFile(i))
 	}
 	if p := l.Plan.Lab; p.Budget > 0 {
-		b = fmt.Appendf(b, "budgets:\n  connections: %d\n  lease: %d ms\n  holders:\n", p.Budget, max(1000, p.Lease.Milliseconds()))
+		file = fmt.Appendf(file, "budgets:\n  connections: %d\n  lease: %d ms\n  holders:\n", p.Budget, max(1000, p.Lease.Milliseconds()))
 		for j := range p.Gateways {
-			b = fmt.Appendf(b, "    - %s\n", l.name(j))
+			file = fmt.Appendf(file, "    - %s\n", l.name(j))
 		}
 	}
-	return b
+	return file
 }
 
 func (n *Node) isEndExpected() bool {
@@ -335,20 +335,20 @@
 
 // stopProcesses ends all processes, in order if they can.
 func (l *Lab) stopProcesses() {
-	var all sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, n := range l.processes() {
 		if !n.Alive() {
 			continue
 		}
-		all.Add(1)
+		stops.Add(1)
 		go func() {
-			defer all.Done()
+			defer stops.Done()
 			_ = n.Resume()
 			_ = n.Terminate()
 			<-n.done
 		}()
 	}
-	all.Wait()
+	stops.Wait()
 }
 
 // selectGateways are the gateways of an event.
@@ -374,17 +374,17 @@
 		if event.RestartAfter == 0 || !standin.Sleep(event.RestartAfter, stop) {
 			return nil
 		}
-		var all sync.WaitGroup
-		failed := make([]error, len(selected))
+		var starts sync.WaitGroup
+		errs := make([]error, len(selected))
 		for k, i := range selected {
-			all.Add(1)
+			starts.Add(1)
 			go func() {
-				defer all.Done()
-				_, failed[k] = l.Start(i)
+				defer starts.Done()
+				_, errs[k] = l.Start(i)
 			}()
 		}
-		all.Wait()
-		return errors.Join(failed...)
+		starts.Wait()
+		return errors.Join(errs...)
 	case "stop-gateway":
 		for _, i := range selected {
 			if err := l.Node(i).Pause(); err != nil {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -12,32 +12,33 @@
 	"time"
 )
 
-const pauseTimeout = 5 * time.Second // by when a process that was told to stand still does
+const pauseTimeout = 5 * time.Second // in which all threads of a process must be stopped after SIGSTOP
 
-// Process is one of the gateway's, which says in its log when it has started. It does not outlive the lab.
+// Process is an operating system process of a gateway. It logs an event when it has started, and is killed when the lab's
+// process ends.
 type Process struct {
 	cmd          *exec.Cmd
 	done         chan struct{}
-	exitErr      error  // how it ended; read once end is closed
-	lastLine     string // its last line, once end is closed
-	startedEvent chan string
+	exitErr      error       // how it ended; valid once done is closed
+	lastLine     string      // of its log; valid once done is closed
+	startedEvent chan string // receives the text of the started event
 }
 
-// NewProcess is one that Launch is to start.
+// NewProcess returns a process that Launch will start.
 func NewProcess(cmd *exec.Cmd) *Process {
 	return &Process{cmd: cmd, done: make(chan struct{}), startedEvent: make(chan string, 1)}
 }
 
-// Setenv gives it variables besides those of this process.
+// Setenv sets environment variables in addition to those of this process.
 func (p *Process) Setenv(list ...string) { p.cmd.Env = append(os.Environ(), list...) }
 
-// Launch starts it. Each line of its log is handed to each, on a goroutine of its own; ended is called when it is over.
+// Launch starts the process. On a separate goroutine, onLine is called for each line of its log and onExit after its end.
 func (p *Process) Launch(onLine func(line string), onExit func()) error {
 	if p.cmd.SysProcAttr == nil {
 		p.cmd.SysProcAttr = &syscall.SysProcAttr{}
 	}
 	p.cmd.SysProcAttr.Pdeathsig = syscall.SIGKILL
-	out, err := p.cmd.StderrPipe()
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
@@ -46,7 +47,7 @@
 	}
 	go func() {
 		last := ""
-		for lines := bufio.NewScanner(out); lines.Scan(); {
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			last = lines.Text()
 			onLine(last)
 			if _, event, _ := strings.Cut(last, " event="); strings.HasPrefix(event, "started ") {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// WaitStarted waits until it says that it has started, and returns what it says.
+// WaitStarted waits for the log event that the process has started, and returns its text.
 func (p *Process) WaitStarted(timeout time.Duration) (event string, err error) {
 	select {
 	case event = <-p.startedEvent:
@@ -72,7 +73,7 @@
 	}
 }
 
-// Wait waits for its end and returns how it ended.
+// Wait waits for the end of the process and returns its exit error.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
@@ -82,10 +83,10 @@
 	}
 }
 
-// Pid is the number of the process.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Alive tells whether it has not ended.
+// Alive reports whether the process has not ended.
 func (p *Process) Alive() bool {
 	select {
 	case <-p.done:
@@ -95,13 +96,13 @@
 	}
 }
 
-// Kill ends it at once.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Signal sends it a signal; one that has ended gets none.
+// Signal sends a signal. It is no error if the process has ended.
 func (p *Process) Signal(s os.Signal) error {
 	if err := p.cmd.Process.Signal(s); !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -109,37 +110,37 @@
 	return nil
 }
 
-// Pause has it stand still, Continue go on.
+// Pause stops the process with SIGSTOP until Resume is called.
 func (p *Process) Pause() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	// The signal is taken by one thread after the other; until the last has, the process goes on.
+	// Threads stop one after the other; until the last has, the process still does work.
 	for deadline := time.Now().Add(pauseTimeout); p.Alive() && !p.allThreadsStopped(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("process %d does not stand still within %v", p.Pid(), pauseTimeout)
+			return fmt.Errorf("process %d is not stopped within %v", p.Pid(), pauseTimeout)
 		}
 	}
 	return nil
 }
 
-// allThreadsStopped tells whether all threads are stopped.
+// allThreadsStopped reports whether the kernel has stopped every thread of the process.
 func (p *Process) allThreadsStopped() bool {
-	list, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid()))
-	for _, path := range list {
+	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid()))
+	for _, path := range paths {
 		text, err := os.ReadFile(path)
-		_, rest, ok := strings.Cut(string(text), ") ") // behind the name
+		_, rest, ok := strings.Cut(string(text), ") ") // the state follows the name in parentheses
 		if err == nil && (!ok || rest[0] != 'T') {
 			return false
 		}
 	}
-	return err == nil && len(list) > 0
+	return err == nil && len(paths) > 0
 }
 
-// Resume is the end of Stop.
+// Resume continues a process that was paused.
 func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// LogField is a value of a log line.
+// LogField returns the value of a key in a key=value log line, "" if the key is absent.
 func LogField(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(rest, " ")
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -12,40 +12,43 @@
 	"lilaccove/internal/load/plan"
 )
 
-// Mesh is the network between gateways: a relay for every ordered pair, UDP and TCP on one port. A gateway finds
-// each other at a relay of its own, so that faults go by pair and direction. Datagrams of i to j pass the link
-// from i to j alone; a connection that i opens to j uses it for what i says and the link from j to i for the rest.
+// Mesh is the network between gateways: one relay for each ordered pair, with UDP and TCP on the same port. Each gateway
+// reaches each other one through a separate relay, so that faults can be set by pair and direction. Datagrams from i to
+// j use only the link from i to j. A connection that i opens to j uses that link for what i sends, and the link from j
+// to i for what j sends.
 type Mesh struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	size    int
-	links   []plan.Link
+	links   []plan.Link // faults from i to j, at index i*size+j; cuts and relays likewise
 	cuts    []bool
-	targets map[string]netip.AddrPort // where the process of a name is now
+	targets map[string]netip.AddrPort // current address of the process of a name
 	relays  []*relay
 	counts  MeshCounts
 	done    chan struct{}
 	wg      sync.WaitGroup
 }
 
-// MeshCounts are datagrams, by what became of them.
+// MeshCounts counts datagrams by what happened to them.
 type MeshCounts struct {
 	Forwarded, Lost, Cut, Duplicated, Reordered, Corrupted, Unroutable int
-	Bytes                                                              int
+	Bytes                                                              int // forwarded
 }
 
+// relay forwards datagrams and connections from one gateway to another.
 type relay struct {
-	mesh             *Mesh
-	from, to         int
-	target           string // whom it leads to
-	udp              *net.UDPConn
-	listener         net.Listener
-	addr             netip.AddrPort
-	sendQueueEmptyAt time.Time // when a slow link has sent all it has
-	conns            map[net.Conn]bool
+	mesh               *Mesh
+	fromIndex, toIndex int
+	target             string // name of the gateway that it forwards to
+	udp                *net.UDPConn
+	listener           net.Listener
+	addr               netip.AddrPort
+	sendQueueEmptyAt   time.Time // for links with a limited rate
+	conns              map[net.Conn]bool
 }
 
-// NewMesh opens the relays for gateways of these names. A name may come twice: two processes of one name.
+// NewMesh opens the relays between gateways of these names. A name that occurs twice stands for two processes of one
+// gateway.
 func NewMesh(names []string, seed uint64) (*Mesh, error) {
 	size := len(names)
 	m := &Mesh{
@@ -68,21 +71,21 @@
 	return m, nil
 }
 
-func (m *Mesh) openRelay(i, j int, target string) (*relay, error) {
+func (mesh *Mesh) openRelay(i, j int, target string) (*relay, error) {
 	var err error
-	for range 8 { // a port may be free for one kind and taken for the other
+	for range 8 { // the TCP port that the system chose may be taken for UDP
 		var listener net.Listener
 		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			break
 		}
-		addr := netip.MustParseAddrPort(listener.Addr().String())
+		listenAddr := netip.MustParseAddrPort(listener.Addr().String())
 		var udp *net.UDPConn
-		if udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr)); err != nil {
+		if udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAddr)); err != nil {
 			listener.Close()
 			continue
 		}
-		r := &relay{mesh: m, from: i, to: j, target: target, udp: udp, listener: listener, addr: addr, conns: map[net.Conn]bool{}}
-		m.wg.Add(2)
+		r := &relay{mesh: mesh, fromIndex: i, toIndex: j, target: target, udp: udp, listener: listener, addr: listenAddr, conns: map[net.Conn]bool{}}
+		mesh.wg.Add(2)
 		go r.relayDatagrams()
 		go r.acceptConnections()
 		return r, nil
@@ -90,78 +93,78 @@
 	return nil, fmt.Errorf("relay: %w", err)
 }
 
-// RelayAddr is where gateway i finds gateway j.
-func (m *Mesh) RelayAddr(i, j int) netip.AddrPort {
-	if r := m.relays[i*m.size+j]; r != nil {
+// RelayAddr returns the address at which gateway i reaches gateway j, the zero address if there is no relay.
+func (mesh *Mesh) RelayAddr(i, j int) netip.AddrPort {
+	if r := mesh.relays[i*mesh.size+j]; r != nil {
 		return r.addr
 	}
 	return netip.AddrPort{}
 }
 
-// Route has the relays to a name lead to an address; an invalid one: nowhere.
-func (m *Mesh) Route(name string, target netip.AddrPort) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.targets[name] = target
+// Route makes all relays to a name forward to an address. With an invalid address they drop what they receive.
+func (mesh *Mesh) Route(name string, target netip.AddrPort) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	mesh.targets[name] = target
 }
 
-// SetLink gives the link from i to j its faults; the zero link has none.
-func (m *Mesh) SetLink(i, j int, link plan.Link) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.links[i*m.size+j] = link
+// SetLink sets the faults of the link from i to j; the zero Link has none.
+func (mesh *Mesh) SetLink(i, j int, link plan.Link) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	mesh.links[i*mesh.size+j] = link
 }
 
-// SetCut takes the link from i to j away, or gives it back. Connections over it stand still.
-func (m *Mesh) SetCut(i, j int, cut bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.cuts[i*m.size+j] = cut
+// SetCut cuts or restores the link from i to j. Connections over a cut link stay open and transfer nothing.
+func (mesh *Mesh) SetCut(i, j int, cut bool) {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	mesh.cuts[i*mesh.size+j] = cut
 }
 
-// Partition cuts all links between different sides; who is on no side keeps its links.
-func (m *Mesh) Partition(sides [][]int, cut bool) {
+// Partition cuts or restores all links between gateways on different sides. Gateways on no side keep their links.
+func (mesh *Mesh) Partition(sides [][]int, cut bool) {
 	side := map[int]int{}
 	for s, list := range sides {
 		for _, i := range list {
 			side[i] = s + 1
 		}
 	}
-	for i := range m.size {
-		for j := range m.size {
+	for i := range mesh.size {
+		for j := range mesh.size {
 			if side[i] != side[j] && side[i] > 0 && side[j] > 0 {
-				m.SetCut(i, j, cut)
+				mesh.SetCut(i, j, cut)
 			}
 		}
 	}
 }
 
-// Counts are what has happened so far.
-func (m *Mesh) Counts() MeshCounts {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.counts
+// Counts returns the counts so far.
+func (mesh *Mesh) Counts() MeshCounts {
+	mesh.mu.Lock()
+	defer mesh.mu.Unlock()
+	return mesh.counts
 }
 
-// Close ends the relays and all connections over them.
-func (m *Mesh) Close() {
-	close(m.done)
-	for _, r := range m.relays {
+// Close closes the relays and all connections over them.
+func (mesh *Mesh) Close() {
+	close(mesh.done)
+	for _, r := range mesh.relays {
 		if r == nil {
 			continue
 		}
 		r.listener.Close()
 		r.udp.Close()
-		m.mu.Lock()
+		mesh.mu.Lock()
 		for c := range r.conns {
 			c.Close()
 		}
-		m.mu.Unlock()
+		mesh.mu.Unlock()
 	}
-	m.wg.Wait()
+	mesh.wg.Wait()
 }
 
-// relayDatagrams passes on what comes, with the faults of the link.
+// relayDatagrams forwards datagrams with the faults of the link.
 func (r *relay) relayDatagrams() {
 	defer r.mesh.wg.Done()
 	buf := make([]byte, 64<<10)
@@ -174,15 +177,15 @@
 	}
 }
 
-// relayDatagram decides on one datagram.
+// relayDatagram drops, corrupts, duplicates, delays or forwards one datagram.
 func (r *relay) relayDatagram(datagram []byte) {
 	m := r.mesh
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	target := m.targets[r.target]
-	link := m.links[r.from*m.size+r.to]
+	link := m.links[r.fromIndex*m.size+r.toIndex]
 	switch {
-	case m.cuts[r.from*m.size+r.to]:
+	case m.cuts[r.fromIndex*m.size+r.toIndex]:
 		m.counts.Cut++
 		return
 	case !target.IsValid():
@@ -222,7 +225,7 @@
 	}
 }
 
-// queueDelay is how long a slow link has to send what is before so many bytes, and them.
+// queueDelay adds bytes to the queue of a link with a limited rate, and returns the time until they have been sent.
 func (r *relay) queueDelay(link plan.Link, bytes int) time.Duration {
 	if link.Rate <= 0 {
 		return 0
@@ -235,7 +238,7 @@
 	return r.sendQueueEmptyAt.Sub(now)
 }
 
-// corrupt damages a message: a bit, its end, or all of it.
+// corrupt damages a message: it cuts off the end, replaces every byte, or flips one bit.
 func corrupt(rng *rand.Rand, b []byte) []byte {
 	switch {
 	case len(b) == 0:
@@ -251,6 +254,7 @@
 	return b
 }
 
+// acceptConnections forwards connections; it closes them at once if the target has no process.
 func (r *relay) acceptConnections() {
 	defer r.mesh.wg.Done()
 	for {
@@ -270,7 +274,7 @@
 	}
 }
 
-// relayConnection passes a connection on, each direction with the faults of its link.
+// relayConnection forwards a connection, each direction with the faults of its link.
 func (r *relay) relayConnection(conn net.Conn, to netip.AddrPort) {
 	defer r.mesh.wg.Done()
 	targetConn, err := net.DialTimeout("tcp", to.String(), time.Second)
@@ -284,11 +288,11 @@
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		r.copyStream(targetConn, conn, r.from, r.to)
+		r.copy(targetConn, conn, r.fromIndex, r.toIndex)
 	}()
 	go func() {
 		defer both.Done()
-		r.copyStream(conn, targetConn, r.to, r.from)
+		r.copy(conn, targetConn, r.toIndex, r.fromIndex)
 	}()
 	both.Wait()
 }
@@ -310,15 +314,16 @@
 	}
 }
 
-// copyStream passes bytes on until one side ends; a loss costs a repeat's time, a cut holds all back until it is over.
-func (r *relay) copyStream(to, from net.Conn, i, j int) {
+// copy forwards bytes until one side closes. A loss adds the delay of a retransmission; a cut holds back all bytes
+// until the link is restored.
+func (r *relay) copy(to, from net.Conn, fromIndex, toIndex int) {
 	mesh := r.mesh
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			mesh.mu.Lock()
-			link := mesh.links[i*mesh.size+j]
+			link := mesh.links[fromIndex*mesh.size+toIndex]
 			wait := link.Delay
 			if mesh.rng.Float64() < link.Loss {
 				wait += 200 * time.Millisecond
@@ -326,16 +331,16 @@
 			if link.Rate > 0 {
 				wait += time.Duration(float64(n) / link.Rate * float64(time.Second))
 			}
-			b := buf[:n]
+			chunk := buf[:n]
 			if mesh.rng.Float64() < link.Corrupt {
 				mesh.counts.Corrupted++
-				b[mesh.rng.IntN(n)] ^= 1 << mesh.rng.IntN(8)
+				chunk[mesh.rng.IntN(n)] ^= 1 << mesh.rng.IntN(8)
 			}
 			mesh.mu.Unlock()
-			if wait > 0 && !mesh.sleep(wait) || !mesh.waitUntilUncut(i, j) {
+			if wait > 0 && !mesh.sleep(wait) || !mesh.waitUntilUncut(fromIndex, toIndex) {
 				return
 			}
-			if _, err := to.Write(b); err != nil {
+			if _, err := to.Write(chunk); err != nil {
 				return
 			}
 		}
@@ -350,28 +355,29 @@
 	}
 }
 
-// waitUntilUncut waits until the link is not cut; false: the mesh is over.
-func (m *Mesh) waitUntilUncut(i, j int) bool {
+// waitUntilUncut waits until the link is not cut, and returns false if the mesh is closed first.
+func (mesh *Mesh) waitUntilUncut(i, j int) bool {
 	for {
-		m.mu.Lock()
-		cut := m.cuts[i*m.size+j]
-		m.mu.Unlock()
+		mesh.mu.Lock()
+		cut := mesh.cuts[i*mesh.size+j]
+		mesh.mu.Unlock()
 		if !cut {
 			return true
 		}
-		if !m.sleep(20 * time.Millisecond) {
+		if !mesh.sleep(20 * time.Millisecond) {
 			return false
 		}
 	}
 }
 
-func (m *Mesh) sleep(d time.Duration) bool {
+// sleep returns false if the mesh is closed before d has passed.
+func (mesh *Mesh) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-m.done:
+	case <-mesh.done:
 		return false
 	}
 }
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -24,7 +24,7 @@
 func (h *Host) accept() {
 	defer h.world.wg.Done()
 	for {
-		c, err := h.listener.Accept()
+		conn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -32,41 +32,41 @@
 		w.mu.Lock()
 		if w.closed {
 			w.mu.Unlock()
-			c.Close()
+			conn.Close()
 			continue
 		}
 		now := time.Now()
-		h.conns[c] = now
+		h.conns[conn] = now
 		time.AfterFunc(closeNoticeTime, func() { h.countOpen(now) })
 		w.counts.Connections++
 		w.wg.Add(1)
 		w.mu.Unlock()
 		go func() {
 			defer w.wg.Done()
-			h.Serve(c)
+			h.Serve(conn)
 			w.mu.Lock()
-			delete(h.conns, c)
+			delete(h.conns, conn)
 			w.mu.Unlock()
-			c.Close()
+			conn.Close()
 		}()
 	}
 }
 
 // Serve greets c and answers one query after the other, as the protocol has it, until it is over.
-func (h *Host) Serve(c net.Conn) {
-	in := bufio.NewReader(c)
+func (h *Host) Serve(conn net.Conn) {
+	in := bufio.NewReader(conn)
 	var size [4]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
 		return
 	}
-	n := int64(binary.BigEndian.Uint32(size[:])) - 4
-	if n < 4 || n > 10_000 {
+	bodySize := int64(binary.BigEndian.Uint32(size[:])) - 4
+	if bodySize < 4 || bodySize > 10_000 {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, in, n); err != nil {
+	if _, err := io.CopyN(io.Discard, in, bodySize); err != nil {
 		return
 	}
-	if !h.greet(c) {
+	if !h.greet(conn) {
 		return
 	}
 	defer func() {
@@ -75,44 +75,44 @@
 		h.ended++
 	}()
 	for {
-		text, ok := h.readStatement(c, in)
-		if !ok || !h.handleStatement(c, text) {
+		text, ok := h.readStatement(conn, in)
+		if !ok || !h.handleStatement(conn, text) {
 			return
 		}
 	}
 }
 
 // readStatement reads one statement; false: the connection is over.
-func (h *Host) readStatement(c net.Conn, in *bufio.Reader) (string, bool) {
+func (h *Host) readStatement(conn net.Conn, in *bufio.Reader) (string, bool) {
 	var head [5]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil || head[0] != pgwire.Query {
 		return "", false
 	}
-	n := int(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 1 || n > pgwire.MaxQuery {
+	bodySize := int(binary.BigEndian.Uint32(head[1:])) - 4
+	if bodySize < 1 || bodySize > pgwire.MaxQuery {
 		return "", false
 	}
 	h.world.mu.Lock()
 	reset := h.world.draw(h.world.faults.ResetBefore)
 	h.world.mu.Unlock()
-	body := make([]byte, n)
+	body := make([]byte, bodySize)
 	if reset {
-		_, _ = io.ReadFull(in, body[:n/2])
-		resetConn(c)
+		_, _ = io.ReadFull(in, body[:bodySize/2])
+		resetConn(conn)
 		return "", false
 	}
-	if _, err := io.ReadFull(in, body); err != nil || body[n-1] != 0 {
+	if _, err := io.ReadFull(in, body); err != nil || body[bodySize-1] != 0 {
 		return "", false
 	}
-	return string(body[:n-1]), true
+	return string(body[:bodySize-1]), true
 }
 
 // resetConn ends a connection with a reset.
-func resetConn(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
 func errorResponse(code, why string) []byte {
@@ -120,18 +120,18 @@
 }
 
 // handleStatement runs a statement; false: the connection is over.
-func (h *Host) handleStatement(c net.Conn, text string) bool {
+func (h *Host) handleStatement(conn net.Conn, text string) bool {
 	w, arrived := h.world, time.Now()
 	if h.waitIfHanging() {
 		return false
 	}
 	if !strings.HasPrefix(text, "/*") {
 		if pgwire.IsEmptyQuery([]byte(text)) {
-			return write(c, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
+			return writeOK(conn, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 		}
-		return write(c, Row("1", "")) // a probe: it tells that the process runs
+		return writeOK(conn, Row("1", "")) // a probe: it tells that the process runs
 	}
-	if h.runScript(c, text) {
+	if h.runScript(conn, text) {
 		return true
 	}
 	head, err := pgwire.ParseHead([]byte(text))
@@ -139,7 +139,7 @@
 		w.mu.Lock()
 		w.counts.Foreign++
 		w.mu.Unlock()
-		return write(c, errorResponse(pgwire.CodeProtocolViolation, "no client sends this"))
+		return writeOK(conn, errorResponse(pgwire.CodeProtocolViolation, "no client sends this"))
 	}
 	isWrite := strings.HasPrefix(text[strings.Index(text, "*/")+2:], " INSERT")
 	w.mu.Lock()
@@ -152,13 +152,13 @@
 		w.counts.Misses++
 		statuses := h.statusMessages(time.Time{})
 		w.mu.Unlock()
-		return write(c, append(statuses, errorResponse(pgwire.CodeReadOnly, "this is no primary")...))
+		return writeOK(conn, append(statuses, errorResponse(pgwire.CodeReadOnly, "this is no primary")...))
 	}
 	h.countAttempt(string(head.ID), text)
 	if h.pending >= w.options.Cores+w.options.Queue {
 		w.counts.Full++
 		w.mu.Unlock()
-		return write(c, errorResponse(pgwire.CodeTooManyConnections, "the queue is full"))
+		return writeOK(conn, errorResponse(pgwire.CodeTooManyConnections, "the queue is full"))
 	}
 	h.pending++
 	paused := h.paused
@@ -187,20 +187,20 @@
 	w.mu.Unlock()
 	switch {
 	case failed:
-		return write(c, errorResponse("XX000", "internal error"))
+		return writeOK(conn, errorResponse("XX000", "internal error"))
 	case reset:
-		resetConn(c)
+		resetConn(conn)
 		return false
 	case silent:
-		_ = c.SetReadDeadline(time.Now().Add(maxSilence))
-		_, _ = c.Read(make([]byte, 1)) // until the gateway gives up
+		_ = conn.SetReadDeadline(time.Now().Add(maxSilence))
+		_, _ = conn.Read(make([]byte, 1)) // until the gateway gives up
 		return false
 	case malformed:
-		return write(c, []byte("T\xff\xff\xff\xffnoise"))
+		return writeOK(conn, []byte("T\xff\xff\xff\xffnoise"))
 	case isWrite:
-		return write(c, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(statuses)))
+		return writeOK(conn, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(statuses)))
 	}
-	return write(c, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(statuses)))
+	return writeOK(conn, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(statuses)))
 }
 
 // countAttempt counts a statement as the first or a further attempt at one try of a client, which marks its own retries.
@@ -302,7 +302,7 @@
 	return pgwire.AppendReady(b.Bytes())
 }
 
-func write(c net.Conn, b []byte) bool {
+func writeOK(c net.Conn, b []byte) bool {
 	_, err := c.Write(b)
 	return err == nil
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -17,7 +17,7 @@
 type Discovery struct {
 	Addr          string
 	world         *World
-	srv           *http.Server
+	server        *http.Server
 	stop          chan struct{}
 	calls         Calls
 	frozenList    []byte // the list that it goes on telling; nil: it tells the truth
@@ -43,11 +43,11 @@
 }
 
 func (h *Host) listEntry() discoveryEntry {
-	dial := h.announcedAddr
-	if dial == "" {
-		dial = h.listener.Addr().String()
+	addr := h.announcedAddr
+	if addr == "" {
+		addr = h.listener.Addr().String()
 	}
-	e := discoveryEntry{Host: h.ID, Dial: dial, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
+	e := discoveryEntry{Host: h.ID, Dial: addr, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
 	if h.primary {
 		e.Role = "primary"
 	}
@@ -67,87 +67,87 @@
 		d.frozenList = w.listMessage()
 		return
 	}
-	for ch, of := range w.watches {
-		if of == d {
-			delete(w.watches, ch)
-			close(ch)
+	for watch, discovery := range w.watches {
+		if discovery == d {
+			delete(w.watches, watch)
+			close(watch)
 		}
 	}
 }
 
 // List is the whole list as discovery would tell it now.
-func (w *World) List() []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.listMessage()
+func (world *World) List() []byte {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.listMessage()
 }
 
-func (w *World) listMessage() []byte {
-	l := discoveryMessage{Seq: w.listVersion, Whole: true}
-	for _, h := range w.hosts {
-		l.Hosts = append(l.Hosts, h.listEntry())
+func (world *World) listMessage() []byte {
+	message := discoveryMessage{Seq: world.listVersion, Whole: true}
+	for _, h := range world.hosts {
+		message.Hosts = append(message.Hosts, h.listEntry())
 	}
-	b, _ := json.Marshal(l)
+	b, _ := json.Marshal(message)
 	return b
 }
 
 // announce passes a change on to all that watch.
-func (w *World) announce(h *Host) {
-	w.listVersion++
-	b, _ := json.Marshal(discoveryMessage{Seq: w.listVersion, Hosts: []discoveryEntry{h.listEntry()}})
-	w.broadcast(b)
+func (world *World) announce(h *Host) {
+	world.listVersion++
+	b, _ := json.Marshal(discoveryMessage{Seq: world.listVersion, Hosts: []discoveryEntry{h.listEntry()}})
+	world.broadcast(b)
 }
 
 // SilenceWatches has the watches that are on now say nothing any more, though their connections stay open.
-func (w *World) SilenceWatches() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.watchesDisturbedAt = time.Now()
-	for ch := range w.watches {
-		w.silenced[ch] = true
+func (world *World) SilenceWatches() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
+	for watch := range world.watches {
+		world.silenced[watch] = true
 	}
-	clear(w.watches)
+	clear(world.watches)
 }
 
-func (w *World) isSilenced(ch chan []byte) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.silenced[ch]
+func (world *World) isSilenced(watch chan []byte) bool {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.silenced[watch]
 }
 
 // broadcast sends a line to all that watch. One that does not read is let go: it asks again.
-func (w *World) broadcast(b []byte) {
-	for ch, d := range w.watches {
-		if d.frozenList != nil {
+func (world *World) broadcast(line []byte) {
+	for watch, discovery := range world.watches {
+		if discovery.frozenList != nil {
 			continue
 		}
 		select {
-		case ch <- b:
+		case watch <- line:
 		default:
-			delete(w.watches, ch)
-			close(ch)
+			delete(world.watches, watch)
+			close(watch)
 		}
 	}
 }
 
 func newDiscovery(world *World) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{world: world, Addr: ln.Addr().String(), stop: make(chan struct{})}
-	d.srv = &http.Server{Handler: d}
+	d := &Discovery{world: world, Addr: listener.Addr().String(), stop: make(chan struct{})}
+	d.server = &http.Server{Handler: d}
 	world.wg.Add(1)
 	go func() {
 		defer world.wg.Done()
-		_ = d.srv.Serve(ln)
+		_ = d.server.Serve(listener)
 	}()
 	return d, nil
 }
 
 func (d *Discovery) close() {
 	close(d.stop)
-	d.srv.Close()
+	d.server.Close()
 }
 
 func (d *Discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
--- a/internal/standin/loads.go
+++ b/internal/standin/loads.go
@@ -8,11 +8,11 @@
 }
 
 // DatabaseLoads tells of each database in service how many connections it has now.
-func (w *World) DatabaseLoads() []DatabaseLoad {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	list := make([]DatabaseLoad, 0, len(w.hosts))
-	for _, h := range w.hosts {
+func (world *World) DatabaseLoads() []DatabaseLoad {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	list := make([]DatabaseLoad, 0, len(world.hosts))
+	for _, h := range world.hosts {
 		if h.health == "in_service" {
 			list = append(list, DatabaseLoad{Primary: h.primary, Connections: len(h.conns), Begun: h.statementCount})
 		}
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -28,7 +28,7 @@
 }
 
 // runScript answers a statement by the script; false: there is none.
-func (h *Host) runScript(c net.Conn, text string) bool {
+func (h *Host) runScript(conn net.Conn, text string) bool {
 	h.world.mu.Lock()
 	respond := h.respond
 	if respond != nil {
@@ -37,7 +37,7 @@
 	}
 	h.world.mu.Unlock()
 	if respond != nil {
-		respond(c, text)
+		respond(conn, text)
 	}
 	return respond != nil
 }
@@ -50,11 +50,11 @@
 }
 
 // Answer gives a value, with the note that goes with it.
-func (h *Host) Answer(c net.Conn, value string) {
+func (h *Host) Answer(conn net.Conn, value string) {
 	h.world.mu.Lock()
-	note := h.statusMessages(time.Now())
+	statuses := h.statusMessages(time.Now())
 	h.world.mu.Unlock()
-	write(c, Row(value, string(note)))
+	writeOK(conn, Row(value, string(statuses)))
 }
 
 // SetAdmitting tells whether the database lets anybody in; at first it does.
@@ -79,10 +79,10 @@
 	h.world.mu.Unlock()
 	Sleep(delay, h.world.done)
 	if refusing {
-		write(conn, pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
+		writeOK(conn, pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
 		return false
 	}
-	return write(conn, pgwire.AppendStartupReply(nil, 0))
+	return writeOK(conn, pgwire.AppendStartupReply(nil, 0))
 }
 
 // Dials is how many connections were greeted or turned away.
@@ -132,23 +132,23 @@
 }
 
 // FailOver has the primaries of a share of the groups hang, and a replica of each take its place; discovery does not know.
-func (w *World) FailOver(part float64) {
-	next := map[int]*Host{}
-	var old []*Host
-	for _, h := range w.Members() {
-		w.mu.Lock()
+func (world *World) FailOver(share float64) {
+	replicas := map[int]*Host{}
+	var primaries []*Host
+	for _, h := range world.Members() {
+		world.mu.Lock()
 		primary := h.primary
-		w.mu.Unlock()
-		if primary && len(old) < int(part*float64(w.options.Groups)+0.5) {
-			old = append(old, h)
-		} else if !primary && next[h.Group] == nil {
-			next[h.Group] = h
+		world.mu.Unlock()
+		if primary && len(primaries) < int(share*float64(world.options.Groups)+0.5) {
+			primaries = append(primaries, h)
+		} else if !primary && replicas[h.Group] == nil {
+			replicas[h.Group] = h
 		}
 	}
-	for _, h := range old {
-		if n := next[h.Group]; n != nil {
+	for _, h := range primaries {
+		if replica := replicas[h.Group]; replica != nil {
 			h.Hang()
-			n.Promote()
+			replica.Promote()
 		}
 	}
 }
@@ -173,73 +173,73 @@
 }
 
 // AddDiscovery starts discovery at one more address; the old one goes on.
-func (w *World) AddDiscovery() (*Discovery, error) {
-	d, err := newDiscovery(w)
+func (world *World) AddDiscovery() (*Discovery, error) {
+	d, err := newDiscovery(world)
 	if err == nil {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.discoveries = append(w.discoveries, d)
+		world.mu.Lock()
+		defer world.mu.Unlock()
+		world.discoveries = append(world.discoveries, d)
 	}
 	return d, err
 }
 
 // SetDiscoveryDown has discovery refuse all calls, until it is called with false.
-func (w *World) SetDiscoveryDown(down bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.discoveryDown = down
-	w.watchesDisturbedAt = time.Now()
+func (world *World) SetDiscoveryDown(down bool) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.discoveryDown = down
+	world.watchesDisturbedAt = time.Now()
 }
 
 // SlowDiscovery has calls to discovery take so long, and a share of them end with a refusal behind that, until it is called with zeros.
-func (w *World) SlowDiscovery(delay time.Duration, refusals float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.discoveryDelay, w.discoveryRefusals = delay, refusals
-	w.watchesDisturbedAt = time.Now()
+func (world *World) SlowDiscovery(delay time.Duration, refusals float64) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.discoveryDelay, world.discoveryRefusals = delay, refusals
+	world.watchesDisturbedAt = time.Now()
 }
 
 // RestoreDiscovery has discovery come back as from a backup: watches end, and its versions are far lower than those that it told.
-func (w *World) RestoreDiscovery() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.listVersion -= restoreVersionGap
-	w.watchesDisturbedAt = time.Now()
-	for ch := range w.watches {
-		delete(w.watches, ch)
-		close(ch)
+func (world *World) RestoreDiscovery() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.listVersion -= restoreVersionGap
+	world.watchesDisturbedAt = time.Now()
+	for watch := range world.watches {
+		delete(world.watches, watch)
+		close(watch)
 	}
 }
 
 // NoteWatchDisturbance tells that gateways may lose their watches about now, for other reasons than those of this world.
-func (w *World) NoteWatchDisturbance() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.watchesDisturbedAt = time.Now()
+func (world *World) NoteWatchDisturbance() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
 }
 
 // announceDelayAllowed is how much later than at once a change of some moment may count as told: watches were disturbed since, or a
 // little before, as one that fell silent is noticed only when its next message is due.
-func (w *World) announceDelayAllowed(change time.Time) time.Duration {
-	if w.discoveryDown || w.discoveryDelay > 0 || w.watchesDisturbedAt.After(change.Add(-announceTimeout)) {
+func (world *World) announceDelayAllowed(change time.Time) time.Duration {
+	if world.discoveryDown || world.discoveryDelay > 0 || world.watchesDisturbedAt.After(change.Add(-announceTimeout)) {
 		return announceTimeout
 	}
 	return 0
 }
 
 // SendToWatches sends a line as it is to all that watch.
-func (w *World) SendToWatches(line string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.watchesDisturbedAt = time.Now()
-	w.broadcast([]byte(line))
+func (world *World) SendToWatches(line string) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
+	world.broadcast([]byte(line))
 }
 
 // ListVersion is that of the list.
-func (w *World) ListVersion() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.listVersion
+func (world *World) ListVersion() int {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.listVersion
 }
 
 // Calls are what a discovery's callers did.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -71,8 +71,8 @@
 // World is all databases and their discovery.
 type World struct {
 	options Options
-	mu  sync.Mutex
-	rng *rand.Rand
+	mu      sync.Mutex
+	rng     *rand.Rand
 
 	hosts              []*Host
 	listVersion        int
@@ -150,182 +150,182 @@
 }
 
 // startHost starts a database.
-func (w *World) startHost(group int, primary bool, startedAt time.Time) (*Host, error) {
+func (world *World) startHost(group int, primary bool, startedAt time.Time) (*Host, error) {
 	var listener net.Listener
-	if !w.options.NoListeners {
+	if !world.options.NoListeners {
 		var err error
 		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, fmt.Errorf("stand-in: %w", err)
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	id := fmt.Sprintf("s-%04x", w.databasesCreated+1)
-	if w.databasesCreated < len(w.options.Names) {
-		id = w.options.Names[w.databasesCreated]
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	id := fmt.Sprintf("s-%04x", world.databasesCreated+1)
+	if world.databasesCreated < len(world.options.Names) {
+		id = world.options.Names[world.databasesCreated]
 	}
 	site := "a"
-	if w.databasesCreated < len(w.options.Sites) {
-		site = w.options.Sites[w.databasesCreated]
+	if world.databasesCreated < len(world.options.Sites) {
+		site = world.options.Sites[world.databasesCreated]
 	}
-	w.databasesCreated++
+	world.databasesCreated++
 	h := &Host{
-		world: w, ID: id, Group: group, Site: site, listener: listener, primary: primary, health: "in_service", startedAt: startedAt, lag: w.options.Lag,
-		slots: make(chan struct{}, w.options.Cores), conns: map[net.Conn]time.Time{},
+		world: world, ID: id, Group: group, Site: site, listener: listener, primary: primary, health: "in_service", startedAt: startedAt, lag: world.options.Lag,
+		slots: make(chan struct{}, world.options.Cores), conns: map[net.Conn]time.Time{},
 	}
-	w.hosts = append(w.hosts, h)
+	world.hosts = append(world.hosts, h)
 	if listener == nil {
 		h.announcedAddr = unusedAddr
 		return h, nil
 	}
-	w.wg.Add(1)
+	world.wg.Add(1)
 	go h.accept()
 	return h, nil
 }
 
 // Discovery is where the list is asked for.
-func (w *World) Discovery() *Discovery { return w.discoveries[0] }
+func (world *World) Discovery() *Discovery { return world.discoveries[0] }
 
 // Counts are what has happened so far.
-func (w *World) Counts() Counts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.counts
+func (world *World) Counts() Counts {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	c := world.counts
 	c.StaleIDs, c.TwiceIDs = slices.Clone(c.StaleIDs), slices.Clone(c.TwiceIDs)
 	return c
 }
 
 // SetFaults has answers go wrong from now on.
-func (w *World) SetFaults(f Faults) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults = f
+func (world *World) SetFaults(f Faults) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.faults = f
 }
 
 // draw tells whether something of this probability happens.
-func (w *World) draw(p float64) bool { return p > 0 && w.rng.Float64() < p }
+func (world *World) draw(p float64) bool { return p > 0 && world.rng.Float64() < p }
 
 // pickHosts are a share of the databases in service, those of one group never all.
-func (w *World) pickHosts(part float64) (picked []*Host) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var all []*Host
-	for _, h := range w.hosts {
+func (world *World) pickHosts(share float64) (picked []*Host) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	var serving []*Host
+	for _, h := range world.hosts {
 		if h.health == "in_service" {
-			all = append(all, h)
+			serving = append(serving, h)
 		}
 	}
-	for _, i := range w.rng.Perm(len(all)) {
-		if len(picked) < int(part*float64(len(all))+0.5) {
-			picked = append(picked, all[i])
+	for _, i := range world.rng.Perm(len(serving)) {
+		if len(picked) < int(share*float64(len(serving))+0.5) {
+			picked = append(picked, serving[i])
 		}
 	}
 	return picked
 }
 
 // SetLag has a share of the replicas fall behind.
-func (w *World) SetLag(part float64, lag time.Duration) {
-	for _, h := range w.pickHosts(part) {
-		w.mu.Lock()
-		h.lag = max(lag, w.options.Lag)
-		w.mu.Unlock()
+func (world *World) SetLag(share float64, lag time.Duration) {
+	for _, h := range world.pickHosts(share) {
+		world.mu.Lock()
+		h.lag = max(lag, world.options.Lag)
+		world.mu.Unlock()
 	}
 }
 
 // Pause has a share of the databases stand still, their connections open, until the function is called.
-func (w *World) Pause(part float64) (resume func()) {
-	paused := w.pickHosts(part)
+func (world *World) Pause(share float64) (resume func()) {
+	paused := world.pickHosts(share)
 	resumed := make(chan struct{})
-	w.mu.Lock()
+	world.mu.Lock()
 	for _, h := range paused {
 		h.paused = resumed
 	}
-	w.mu.Unlock()
+	world.mu.Unlock()
 	return func() {
-		w.mu.Lock()
+		world.mu.Lock()
 		for _, h := range paused {
 			if h.paused == resumed {
 				h.paused = nil
 			}
 		}
-		w.mu.Unlock()
+		world.mu.Unlock()
 		close(resumed)
 	}
 }
 
 // WithholdChanges has the watches that are on now hear of no change any more, though they are not silent: a list that
 // stays old without a sign. Who asks again is told all.
-func (w *World) WithholdChanges() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.watches)
+func (world *World) WithholdChanges() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	clear(world.watches)
 }
 
 // AddReplica adds a replica to a group.
-func (w *World) AddReplica(group int) error {
-	h, err := w.startHost(group, false, time.Now())
+func (world *World) AddReplica(group int) error {
+	h, err := world.startHost(group, false, time.Now())
 	if err == nil {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.announce(h)
+		world.mu.Lock()
+		defer world.mu.Unlock()
+		world.announce(h)
 	}
 	return err
 }
 
 // Replace drains one database, hands its part as primary over, starts another in its place and takes it off the list.
 // It is the step of a rolling deploy; stop ends it early.
-func (w *World) Replace(h *Host, drain time.Duration, stop <-chan struct{}) error {
-	w.mu.Lock()
+func (world *World) Replace(h *Host, drain time.Duration, stop <-chan struct{}) error {
+	world.mu.Lock()
 	h.health, h.drainingSince = "terminating", time.Now()
-	w.announce(h)
-	w.mu.Unlock()
+	world.announce(h)
+	world.mu.Unlock()
 	if !Sleep(drain/4, stop) {
 		return nil
 	}
-	w.handOver(h)
-	next, err := w.startHost(h.Group, false, time.Now())
+	world.handOver(h)
+	replacement, err := world.startHost(h.Group, false, time.Now())
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	w.announce(next)
-	w.mu.Unlock()
+	world.mu.Lock()
+	world.announce(replacement)
+	world.mu.Unlock()
 	if !Sleep(drain*3/4, stop) {
 		return nil
 	}
-	w.mu.Lock()
+	world.mu.Lock()
 	h.health = "terminated"
-	w.announce(h)
-	w.hosts = slices.DeleteFunc(w.hosts, func(o *Host) bool { return o == h })
-	w.mu.Unlock()
+	world.announce(h)
+	world.hosts = slices.DeleteFunc(world.hosts, func(o *Host) bool { return o == h })
+	world.mu.Unlock()
 	h.close()
 	return nil
 }
 
 // ChangePrimary has a group's primary hand over to a replica, and discovery tell so. False: the group has no other member.
-func (w *World) ChangePrimary(group int) bool {
-	for _, h := range w.Members() {
-		w.mu.Lock()
+func (world *World) ChangePrimary(group int) bool {
+	for _, h := range world.Members() {
+		world.mu.Lock()
 		primary := h.primary
-		w.mu.Unlock()
+		world.mu.Unlock()
 		if h.Group == group && primary {
-			before := w.ListVersion()
-			w.handOver(h)
-			return w.ListVersion() != before
+			before := world.ListVersion()
+			world.handOver(h)
+			return world.ListVersion() != before
 		}
 	}
 	return false
 }
 
 // handOver makes the replica that has most of the log the primary in h's place.
-func (w *World) handOver(h *Host) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (world *World) handOver(h *Host) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
 	if !h.primary {
 		return
 	}
 	var best *Host
-	for _, other := range w.hosts {
+	for _, other := range world.hosts {
 		if other != h && other.Group == h.Group && other.health == "in_service" && (best == nil || other.lag < best.lag) {
 			best = other
 		}
@@ -334,32 +334,32 @@
 		return
 	}
 	h.primary, best.primary = false, true
-	w.announce(best)
+	world.announce(best)
 }
 
 // Members are the databases now.
-func (w *World) Members() []*Host {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.hosts)
+func (world *World) Members() []*Host {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return slices.Clone(world.hosts)
 }
 
 // Close ends the world; every connection is closed and every goroutine has ended when it returns.
-func (w *World) Close() {
-	w.mu.Lock()
-	if !w.closed {
-		close(w.done)
-	}
-	w.closed = true
-	hosts := slices.Clone(w.hosts)
-	w.mu.Unlock()
+func (world *World) Close() {
+	world.mu.Lock()
+	if !world.closed {
+		close(world.done)
+	}
+	world.closed = true
+	hosts := slices.Clone(world.hosts)
+	world.mu.Unlock()
 	for _, h := range hosts {
 		h.close()
 	}
-	for _, d := range w.discoveries {
+	for _, d := range world.discoveries {
 		d.close()
 	}
-	w.wg.Wait()
+	world.wg.Wait()
 }
 
 // countOpen notes how many connections stood together at a moment. It is called a while after that, when those that had
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire speaks the line protocol between the routers' host process and
-// the decision module: it frames batches, parses events and encodes actions.
+// Package wire implements the simulator's line protocol between the process
+// that hosts the routers and their decision code: it frames batches, parses
+// events and encodes actions.
 package wire
 
 import (
@@ -14,37 +15,37 @@
 	"lilaccove/policy"
 )
 
-// ItemKind tells what an Item of a batch is.
+// ItemKind is the kind of an Item.
 type ItemKind uint8
 
 const (
-	RouterStart ItemKind = iota // a router comes up
+	RouterStart ItemKind = iota // a router starts
 	RouterStop                  // a router was killed
-	RouterEvent
+	RouterEvent                 // an event for a running router
 )
 
-// Item is one event of a batch, for one router.
+// Item is one entry of a batch, for one router.
 type Item struct {
 	Kind     ItemKind
 	Router   int
-	Seed     int64
-	Settings policy.Settings
-	Event    policy.Event
+	Seed     int64           // of a start
+	Settings policy.Settings // of a start
+	Event    policy.Event    // of a RouterEvent
 }
 
-// Batch is all that happened at one moment.
+// Batch holds all items of one point in simulated time.
 type Batch struct {
 	Now   time.Duration
-	Seq   string
+	Seq   string // echoed in the reply
 	Items []Item
 }
 
-// Reader reads batches.
+// Reader parses batches from an input stream.
 type Reader struct {
 	in             *bufio.Reader
 	lineNumber     int
-	lists          map[string][]policy.Member
-	positionEpochs map[int]time.Duration // by router: where its positions count from
+	lists          map[string][]policy.Member // lists of databases, by the key of their LEDGER message
+	positionEpochs map[int]time.Duration      // by router: the time from which its replication positions count
 }
 
 // NewReader returns a Reader on r.
@@ -57,7 +58,7 @@
 }
 
 // Next returns the next batch, or io.EOF once the input ends between batches.
-// Any other error names the line and what is wrong with it.
+// Any other error names the line and the fault in it.
 func (r *Reader) Next() (Batch, error) {
 	f, err := r.readLine()
 	if err == io.EOF {
@@ -75,6 +76,7 @@
 	return Batch{}, fmt.Errorf("line %d: %w", r.lineNumber, err)
 }
 
+// readLine reads and splits one line. io.EOF means that the input ended at a line's end.
 func (r *Reader) readLine() (fields, error) {
 	s, err := r.in.ReadString('\n')
 	if err == io.EOF && s != "" {
@@ -88,6 +90,7 @@
 	return fields{values: strings.Split(strings.TrimSuffix(strings.TrimSuffix(s, "\n"), "\r"), "\t")}, nil
 }
 
+// readBatch reads the batch that begins with the line f.
 func (r *Reader) readBatch(f fields) (Batch, error) {
 	if f.name() != "SYNC" {
 		return Batch{}, fmt.Errorf("expected SYNC, found %q", f.name())
@@ -129,6 +132,7 @@
 	}
 }
 
+// readList reads the rows of a LEDGER message and keeps the list for later VIEW messages.
 func (r *Reader) readList(f fields) error {
 	key, n := f.required(1), f.int(2)
 	if f.err == nil && (n < 0 || n > 1<<20) {
@@ -163,7 +167,7 @@
 	return nil
 }
 
-// parseItem parses one message for one router; known is false for a strange name.
+// parseItem parses one message for one router. known is false if no message has that name.
 func (r *Reader) parseItem(f *fields, router int) (item Item, known bool) {
 	item = Item{Kind: RouterEvent, Router: router}
 	switch f.name() {
@@ -227,13 +231,14 @@
 			f.err = fmt.Errorf("ELAPSED: bad token %q", f.optional(1))
 		}
 		item.Event = policy.TimerFired{ID: id}
-	case "FIRST_BYTE", "PEER": // nothing here is streamed, and routers do not talk
+	case "FIRST_BYTE", "PEER": // ignored: answers are not streamed, and routers exchange no messages
 	default:
 		return item, false
 	}
 	return item, true
 }
 
+// parseRole maps the protocol's role codes.
 func parseRole(n int64) policy.Role {
 	switch n {
 	case 1:
@@ -244,7 +249,7 @@
 	return policy.RoleUnknown
 }
 
-// parseReport parses name:value pairs and skips names it does not know.
+// parseReport parses a database's report, name:value pairs, and skips unknown names.
 func (r *Reader) parseReport(f *fields, i, router int) policy.Report {
 	text := f.optional(i)
 	if text == "" {
@@ -272,13 +277,13 @@
 	return report
 }
 
-// Reply encodes the actions that answer one batch.
+// Reply encodes the actions returned for one batch.
 type Reply struct{ buf strings.Builder }
 
-// BeginRouter starts the actions of one router.
+// BeginRouter begins the actions of one router.
 func (w *Reply) BeginRouter(n int) { fmt.Fprintf(&w.buf, "FOR\t%d\n", n) }
 
-// Failed reports that the decision code of the current router broke down.
+// Failed reports that the decision code of the current router panicked.
 func (w *Reply) Failed(text string) { fmt.Fprintf(&w.buf, "GIVE_IN\t%s\n", oneLine(text)) }
 
 // Action adds one action of the current router.
@@ -297,7 +302,7 @@
 	case policy.CloseIdleConnections:
 		fmt.Fprintf(&w.buf, "HANG_UP\t%s\n", a.Host)
 	case policy.SetTimer:
-		// A timer never comes early: part of a microsecond counts as a whole one.
+		// Rounded up to whole microseconds, as a timer may not fire early.
 		us := (a.After + time.Microsecond - 1) / time.Microsecond
 		fmt.Fprintf(&w.buf, "AFTER\t%d\t%d\n", us, a.ID)
 	case policy.Subscribe:
@@ -307,7 +312,7 @@
 	}
 }
 
-// Flush ends the reply to batch seq and writes it out.
+// Flush ends the reply to batch seq, writes it to out and resets w for the next batch.
 func (w *Reply) Flush(out io.Writer, seq string) error {
 	fmt.Fprintf(&w.buf, "EOR\t%s\n", seq)
 	_, err := io.WriteString(out, w.buf.String())
@@ -315,6 +320,7 @@
 	return err
 }
 
+// oneLine replaces tabs and line breaks, which separate values and messages, with spaces.
 func oneLine(s string) string {
 	return strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(s)
 }
