--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,6 @@
-// Package lab plays a plan in a world of its own: stand-ins, real gateways as processes, and the load, all on
-// loopback ports. It ends all that it started.
+// Package lab runs a load plan in a test environment of its own: stand-ins of the databases and of discovery, real
+// gateways as processes, relays between them and the load generator, all on loopback ports. Closing the lab ends
+// everything it started.
 package lab
 
 import (
@@ -20,23 +21,23 @@
 	"lilaccove/internal/standin"
 )
 
-// Lab is one run.
+// Lab is the environment of one run. Its exported fields are set before Open.
 type Lab struct {
 	Plan              *plan.Plan
 	Arrivals          []plan.Arrival
-	Gateway           []string                   // the command of a gateway
-	Env               []string                   // more of its environment
-	Log               io.Writer                  // what gateways say; nil: nowhere
-	History           *History                   // nil: nowhere
-	SeparateDiscovery []int                      // gateways that ask at a discovery of their own, see Discovery
-	Siblings          []int                      // gateways of which a second process may be started, for Twin
-	WithoutByteBudget []int                      // gateways without the plan's budget of bytes, as before a change-over
-	HeldSockets       []int                      // gateways whose clients' sockets the lab holds open, so that two processes may serve side by side
-	PushDiscovery     bool                       // gateways take discovery for an agent of their own
-	OnLogLine         func(n *Node, line string) // each line of each gateway's log; nil: nobody listens
-	OnSample          func(run.Sample)           // each request; nil: nobody listens
-	ClientSlack       time.Duration              // of clients beyond their deadlines
-	ListVersion       int                        // of the list at first; 0: 1
+	Gateway           []string                   // command line of a gateway
+	Env               []string                   // additional environment variables of gateways
+	Log               io.Writer                  // receives the gateways' logs, unless nil
+	History           *History                   // may be nil
+	SeparateDiscovery []int                      // gateways with a discovery server of their own, see Discovery
+	Siblings          []int                      // gateways of which StartSibling may start a second process
+	WithoutByteBudget []int                      // gateways without the plan's limit of bytes per second, as before a migration to it
+	HeldSockets       []int                      // gateways whose client socket the lab opens and passes on, so that two processes can serve at once
+	PushDiscovery     bool                       // gateways treat discovery as a local agent that pushes the list
+	OnLogLine         func(n *Node, line string) // called for each line of each gateway's log, unless nil
+	OnSample          func(run.Sample)           // called for each request, unless nil
+	ClientSlack       time.Duration              // how long clients wait beyond their deadlines
+	ListVersion       int                        // initial version of discovery's list; 0 stands for 1
 
 	world               *standin.World
 	separateDiscoveries map[int]*standin.Discovery
@@ -46,21 +47,21 @@
 	rng                 *rand.Rand
 
 	mu          sync.Mutex
-	nodes       []*Node // the newest process of each gateway, then of each twin
-	started     []*Node
+	nodes       []*Node // the newest process of each gateway, then of each of Siblings
+	started     []*Node // every process so far
 	faults      []string
-	sharedDirs  map[string]string
-	sockets     map[string]heldSocket // clients' sockets that are held
-	heldClosers []io.Closer
+	sharedDirs  map[string]string     // private directories of gateways with a held socket, by name
+	sockets     map[string]heldSocket // by name of the gateway
+	heldClosers []io.Closer           // the held sockets' listeners and files
 }
 
 const (
-	startTimeout      = 10 * time.Second
-	shutdownTimeout   = 6 * time.Second
-	databaseDrainTime = 4 * time.Second // of a database in a rolling deploy
+	startTimeout      = 10 * time.Second // of a gateway's process, and of the first admission of all gateways
+	shutdownTimeout   = 6 * time.Second  // of a gateway's process after SIGTERM
+	databaseDrainTime = 4 * time.Second  // of a database in a rolling deployment
 )
 
-// Open starts the world and the gateways. Close ends all of it.
+// Open starts the stand-ins and the gateways, and waits until every gateway is admitted. Close ends all of them.
 func (l *Lab) Open() (err error) {
 	p := l.Plan
 	options := standin.Options{
@@ -118,14 +119,14 @@
 	for l.balancer.Admitted() < p.Lab.Gateways {
 		select {
 		case <-timeout:
-			return fmt.Errorf("the front admits %d of %d gateways in %v", l.balancer.Admitted(), p.Lab.Gateways, startTimeout)
+			return fmt.Errorf("the load balancer admits %d of %d gateways within %v", l.balancer.Admitted(), p.Lab.Gateways, startTimeout)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// Close ends all that was started.
+// Close ends everything that was started.
 func (l *Lab) Close() {
 	if l.balancer != nil {
 		l.balancer.Close()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Discovery is where a gateway asks for the list.
+// Discovery returns the discovery server that gateway i asks.
 func (l *Lab) Discovery(i int) *standin.Discovery {
 	if d := l.separateDiscoveries[i]; d != nil {
 		return d
@@ -153,16 +154,16 @@
 	return l.world.Discovery()
 }
 
-// World is the databases and their discovery, Mesh the links between gateways, Front what hands them out.
+// World returns the stand-ins of the databases and of discovery.
 func (l *Lab) World() *standin.World { return l.world }
 
-// Mesh is the links between gateways; nil without a fleet.
+// Mesh returns the relays between gateways, nil without a fleet.
 func (l *Lab) Mesh() *Mesh { return l.mesh }
 
-// Balancer is what hands gateways out.
+// Balancer returns the load balancer that assigns sessions to gateways.
 func (l *Lab) Balancer() *Balancer { return l.balancer }
 
-// Play opens the lab, runs the plan's load and events, and closes it. What broke a rule is told in the report's faults.
+// Play opens the lab, runs the plan's load and events, and closes the lab. Broken rules are listed in the report's faults.
 func (l *Lab) Play(ctx context.Context) (*run.Report, error) {
 	if err := l.Open(); err != nil {
 		return nil, err
@@ -171,7 +172,7 @@
 	return l.Run(ctx)
 }
 
-// Run runs the load and events in a lab that is open.
+// Run runs the load and events in an open lab.
 func (l *Lab) Run(ctx context.Context) (*run.Report, error) {
 	p := l.Plan
 	recorder := run.NewRecorder(p)
@@ -218,22 +219,22 @@
 		l.RecordFault("%d writes ran twice, the first: %s", counts.Duplicates, strings.Join(counts.TwiceIDs, " "))
 	}
 	if counts.Stale > 0 {
-		l.RecordFault("%d reads were answered from data too old, the first: %s", counts.Stale, strings.Join(counts.StaleIDs, " "))
+		l.RecordFault("%d reads were answered from data that was too old, the first: %s", counts.Stale, strings.Join(counts.StaleIDs, " "))
 	}
 	if counts.Foreign > 0 {
-		l.RecordFault("%d statements that no client sends", counts.Foreign)
+		l.RecordFault("%d statements that no client of the protocol sends", counts.Foreign)
 	}
 	if counts.Drained > 0 {
-		l.RecordFault("%d statements to databases that were draining for over 2 s", counts.Drained)
+		l.RecordFault("%d statements reached databases that had been draining for more than 2 s", counts.Drained)
 	}
 	if counts.Fell > 0 {
-		l.RecordFault("%d cold databases got more than they bear, one %.2f times that", counts.Fell, counts.MostCold)
+		l.RecordFault("%d cold databases were overloaded, one received %.2f times its limit", counts.Fell, counts.MostCold)
 	}
 	if n := report.Total.Counts[run.InvalidAnswer]; n > 0 {
-		l.RecordFault("%d requests had no answer, or two", n)
+		l.RecordFault("%d requests had no answer or two answers", n)
 	}
 	if report.Total.Count != sent {
-		l.RecordFault("%d of %d requests are accounted for", report.Total.Count, sent)
+		l.RecordFault("%d of %d sent requests were recorded", report.Total.Count, sent)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,14 +242,14 @@
 	return report, nil
 }
 
-// RecordFault notes that something went against a rule.
+// RecordFault records that a rule was broken.
 func (l *Lab) RecordFault(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
 }
 
-// playEvent has the world do something, and takes it back when its time is over.
+// playEvent runs one event of the plan, and reverts its effect after the event's duration or once stop is closed.
 func (l *Lab) playEvent(event plan.Event, stop <-chan struct{}) error {
 	faults := standin.Faults{}
 	switch event.Action {
@@ -307,7 +308,7 @@
 	return nil
 }
 
-// Config is what the platform would tell a gateway of this plan.
+// Config returns the configuration that the platform would give to gateway i.
 func (l *Lab) Config(i int) map[string]any {
 	config := Config(l.Plan, l.name(i), l.Discovery(i).Addr, l.Plan.Seed+uint64(i)+1, l.world.List())
 	if l.PushDiscovery {
@@ -319,7 +320,8 @@
 	return config
 }
 
-// Config is what the platform would tell a gateway of a plan that asks at a discovery; known is the list to start from.
+// Config returns the configuration that the platform would give to a gateway of a plan: its name, the address of its
+// discovery, the seed of its generator, and the list of databases to start from.
 func Config(p *plan.Plan, name, discovery string, seed uint64, known json.RawMessage) map[string]any {
 	var classes []any
 	var levels []string
@@ -354,16 +356,16 @@
 	}
 }
 
-// ErrFaults tells that a rule was broken, or the run is not to be trusted.
+// ErrFaults is the error of a run in which a rule was broken.
 var ErrFaults = errors.New("the run has faults")
 
-// Verdict is what a run's exit status says.
+// Verdict returns an error if a rule was broken or the load generator was too late for the results to be valid.
 func Verdict(r *run.Report) error {
 	switch {
 	case len(r.Faults) > 0:
 		return fmt.Errorf("%w: %s", ErrFaults, strings.Join(r.Faults, "; "))
 	case r.Invalid:
-		return fmt.Errorf("the generator was late by up to %.1f ms, over its bound of %v", r.Lateness[4], r.LatenessBound)
+		return fmt.Errorf("the generator was late by up to %.1f ms, above its limit of %v", r.Lateness[4], r.LatenessBound)
 	}
 	return nil
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -25,19 +25,19 @@
 // Node is one process of a gateway.
 type Node struct {
 	Name           string
-	ClientAddr     string         // where clients connect
-	ManagementAddr string         // the operators' address
-	PeerAddr       netip.AddrPort // where other gateways find it; invalid without a fleet
-	ConfigPath     string         // the path of its configuration
+	ClientAddr     string         // listening address for clients
+	ManagementAddr string         // listening address for operators
+	PeerAddr       netip.AddrPort // listening address for other gateways; invalid without a fleet
+	ConfigPath     string         // of its configuration file
 
 	*Process
-	slot        int
+	slot        int // its index in the lab's nodes
 	mu          sync.Mutex
-	endExpected bool // it was ended by the plan
+	endExpected bool // it was ended by the plan or a test
 	fleetEvents []string
 }
 
-// name is that of a gateway; a twin has the name of its first process.
+// name returns the name of a gateway; a sibling process has the same name as the first.
 func (l *Lab) name(i int) string {
 	if n := l.Plan.Lab.Gateways; i >= n {
 		i = l.Siblings[i-n]
@@ -45,27 +45,28 @@
 	return fmt.Sprintf("n%d", i)
 }
 
-// Node is the newest process of gateway i.
+// Node returns the newest process of gateway i.
 func (l *Lab) Node(i int) *Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.nodes[i]
 }
 
-// processes are all that were started.
+// processes returns every process that was started.
 func (l *Lab) processes() []*Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]*Node(nil), l.started...)
 }
 
-// StartSibling starts a second process under the name of gateway Twins[k].
+// StartSibling starts a second process under the name of gateway Siblings[k].
 func (l *Lab) StartSibling(k int) (*Node, error) { return l.Start(l.Plan.Lab.Gateways + k) }
 
-// Start runs a gateway and waits until it says where it listens.
+// Start starts a process of gateway i and waits until it logs its listening addresses.
 func (l *Lab) Start(i int) (*Node, error) { return l.StartCommand(i, l.Gateway) }
 
-// processDir is the private directory of a gateway's process. Processes that share a socket share it as well.
+// processDir returns the private directory of a new process of gateway i. Processes that share a held socket share the
+// directory as well.
 func (l *Lab) processDir(i int) (string, error) {
 	name := l.name(i)
 	if _, ok := l.sockets[name]; !ok {
@@ -83,16 +84,16 @@
 	return l.sharedDirs[name], nil
 }
 
-// PrivateDir is the private directory of a gateway whose socket the lab holds, whichever process it is.
+// PrivateDir returns the private directory of a gateway with a held socket. All its processes use the same one.
 func (l *Lab) PrivateDir(i int) (string, error) { return l.processDir(i) }
 
-// heldSocket is a clients' socket that the lab holds open.
+// heldSocket is a gateway's client socket that the lab has opened and passes to the gateway's processes.
 type heldSocket struct {
 	*os.File
 	addr string
 }
 
-// openHeldSockets opens the clients' sockets that the lab holds.
+// openHeldSockets opens the client sockets of HeldSockets.
 func (l *Lab) openHeldSockets() error {
 	for _, i := range l.HeldSockets {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// StartCommand is Start with another command, and more of an environment.
+// StartCommand is Start with another command line and additional environment variables.
 func (l *Lab) StartCommand(i int, command []string, env ...string) (*Node, error) {
 	name := l.name(i)
 	dir, err := l.processDir(i)
@@ -128,7 +129,7 @@
 	node.cmd.Env = append(append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+dir, "GW_MANAGEMENT=127.0.0.1:0"), l.Env...)
 	node.cmd.Env = append(node.cmd.Env, env...)
 	if s, ok := l.sockets[name]; ok {
-		node.cmd.ExtraFiles = []*os.File{nil, s.File} // descriptor 4
+		node.cmd.ExtraFiles = []*os.File{nil, s.File} // becomes descriptor 4
 		node.cmd.Env = append(node.cmd.Env, "GW_INHERITED_FD=4")
 	}
 	if l.mesh != nil {
@@ -157,13 +158,13 @@
 	return node, nil
 }
 
-// OverridesDir is where a gateway keeps operators' words, whichever process it is.
+// OverridesDir returns the directory in which all processes of a gateway store operator overrides.
 func (l *Lab) OverridesDir(i int) string { return filepath.Join(l.dir, l.name(i)+"-words") }
 
-// AuditFile is where a gateway keeps its records, whichever process it is.
+// AuditFile returns the file to which all processes of a gateway write their audit records.
 func (l *Lab) AuditFile(i int) string { return filepath.Join(l.dir, l.name(i)+"-audit.jsonl") }
 
-// handleLogLine takes a line of a gateway's log.
+// handleLogLine copies a line of a gateway's log, and reads addresses, violations and fleet events from it.
 func (l *Lab) handleLogLine(node *Node, line string) {
 	if l.Log != nil {
 		l.mu.Lock()
@@ -191,7 +192,7 @@
 	}
 }
 
-// routeToNewest has the relays to a name routeToNewest to the process of it that was started last and lives.
+// routeToNewest makes the relays to a name forward to its process that was started last and is alive.
 func (l *Lab) routeToNewest(name string) {
 	if l.mesh == nil {
 		return
@@ -207,7 +208,7 @@
 	l.mesh.Route(name, target)
 }
 
-// fleetFile is what a gateway is told of the fleet: it finds all others behind relays of its own.
+// fleetFile returns the fleet file of gateway i, in which the addresses of the others are those of its relays.
 func (l *Lab) fleetFile(i int) []byte {
 	file := []byte("fleet: lab\nlisten: 127.0.0.1:0\nseeds:\n")
 	if len(l.nodes) == 1 {
@@ -219,7 +220,7 @@
 		if !addr.IsValid() {
 			continue
 		}
-		if j < 3 || i < 3 && j == 3 { // not all: newcomers learn the rest
+		if j < 3 || i < 3 && j == 3 { // only some: gateways learn the other members through gossip
 			file = fmt.Appendf(file, "  - %s\n", addr)
 		}
 		if j < l.Plan.Lab.Gateways {
@@ -261,32 +262,35 @@
 	return file
 }
 
+// isEndExpected reports whether the plan or a test has ended the process.
 func (n *Node) isEndExpected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.endExpected
 }
 
+// expectEnd records that the end of the process is not a fault.
 func (n *Node) expectEnd() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.endExpected = true
 }
 
-// FleetEvents are its log lines about the fleet and the breakers, from the event's name on.
+// FleetEvents returns the log lines about the fleet and those of the policy, such as breaker changes, from the event's
+// name on.
 func (n *Node) FleetEvents() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.fleetEvents...)
 }
 
-// Kill ends it at once.
+// Kill ends the process with SIGKILL.
 func (n *Node) Kill() {
 	n.expectEnd()
 	n.Process.Kill()
 }
 
-// Terminate asks it to end in order and waits until it has.
+// Terminate sends SIGTERM and waits for the graceful shutdown. A process that takes too long is killed.
 func (n *Node) Terminate() error {
 	n.expectEnd()
 	if err := n.Signal(syscall.SIGTERM); err != nil {
@@ -301,12 +305,13 @@
 	}
 }
 
-// Call asks the operators' address and returns what it says.
+// Call sends a request to the gateway's management address and returns the body of the response.
 func (n *Node) Call(method, path string) ([]byte, error) {
 	return CallManagement(method, n.ManagementAddr, path)
 }
 
-// CallManagement asks a gateway's operators' address and returns what it says.
+// CallManagement sends a request to a management address and returns the body of the response. A status other than 2xx
+// is an error.
 func CallManagement(method, managementAddr, path string) ([]byte, error) {
 	request, err := http.NewRequest(method, "http://"+managementAddr+path, nil)
 	if err != nil {
@@ -324,7 +329,7 @@
 	return body, err
 }
 
-// Fleet is what it knows of the others.
+// Fleet returns the gateway's report of the fleet's members.
 func (n *Node) Fleet() (r peer.Report, err error) {
 	text, err := n.Call("GET", "/v1/fleet/members")
 	if err == nil {
@@ -333,7 +338,7 @@
 	return r, err
 }
 
-// stopProcesses ends all processes, in order if they can.
+// stopProcesses shuts all processes down gracefully, and kills those that take too long.
 func (l *Lab) stopProcesses() {
 	var stops sync.WaitGroup
 	for _, n := range l.processes() {
@@ -351,7 +356,7 @@
 	stops.Wait()
 }
 
-// selectGateways are the gateways of an event.
+// selectGateways returns the gateways of an event, drawn at random if it names a share of them.
 func (l *Lab) selectGateways(event plan.Event) []int {
 	if event.GatewayShare == 0 {
 		return event.Gateways
@@ -362,7 +367,7 @@
 	return l.rng.Perm(n)[:int(event.GatewayShare*float64(n)+0.5)]
 }
 
-// fleetEvent does something to gateways, or to the links between them.
+// fleetEvent runs an event of the plan that concerns gateways or the links between them.
 func (l *Lab) fleetEvent(event plan.Event, stop <-chan struct{}) error {
 	selected := l.selectGateways(event)
 	l.History.Add(HistoryEntry{Kind: "fault", What: event.Action, Gateway: fmt.Sprint(selected)})
@@ -422,7 +427,7 @@
 	return nil
 }
 
-// setLinks gives the setLinks of an event these faults.
+// setLinks sets the faults of all links that an event selects.
 func (l *Lab) setLinks(event plan.Event, link plan.Link) {
 	matches := func(list []int, i int) bool {
 		for _, j := range list {
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	drainTime       = 2 * time.Second
-	announceTimeout = 6 * time.Second  // of a change, whatever becomes of watches and calls
-	maxSilence      = 10 * time.Minute // of a silent answer
-	maxReportedIDs  = 5
-	closeNoticeTime = 150 * time.Millisecond // by when a connection that was closed is noticed, with all cores busy
+	drainTime       = 2 * time.Second        // in which a draining database may still receive statements
+	announceTimeout = 6 * time.Second        // in which a change reaches every gateway although watches or calls fail
+	maxSilence      = 10 * time.Minute       // how long a connection without an answer is kept open
+	maxReportedIDs  = 5                      // in Counts
+	closeNoticeTime = 150 * time.Millisecond // in which the close of a connection is noticed with all cores busy
 )
 
+// accept serves connections until the listener is closed.
 func (h *Host) accept() {
 	defer h.world.wg.Done()
 	for {
@@ -52,7 +53,7 @@
 	}
 }
 
-// Serve greets c and answers one query after the other, as the protocol has it, until it is over.
+// Serve runs the server side of the protocol on a connection: the startup, then one query after the other.
 func (h *Host) Serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	var size [4]byte
@@ -82,7 +83,7 @@
 	}
 }
 
-// readStatement reads one statement; false: the connection is over.
+// readStatement reads one statement. It returns false if the connection is to be closed.
 func (h *Host) readStatement(conn net.Conn, in *bufio.Reader) (string, bool) {
 	var head [5]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil || head[0] != pgwire.Query {
@@ -107,7 +108,7 @@
 	return string(body[:bodySize-1]), true
 }
 
-// resetConn ends a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -115,11 +116,12 @@
 	conn.Close()
 }
 
+// errorResponse is an ErrorResponse followed by ReadyForQuery.
 func errorResponse(code, why string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, why, ""))
 }
 
-// handleStatement runs a statement; false: the connection is over.
+// handleStatement runs and answers a statement. It returns false if the connection is to be closed.
 func (h *Host) handleStatement(conn net.Conn, text string) bool {
 	w, arrived := h.world, time.Now()
 	if h.waitIfHanging() {
@@ -129,7 +131,7 @@
 		if pgwire.IsEmptyQuery([]byte(text)) {
 			return writeOK(conn, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 		}
-		return writeOK(conn, Row("1", "")) // a probe: it tells that the process runs
+		return writeOK(conn, Row("1", "")) // a probe, answered while the process runs, even if the database is paused
 	}
 	if h.runScript(conn, text) {
 		return true
@@ -193,7 +195,7 @@
 		return false
 	case silent:
 		_ = conn.SetReadDeadline(time.Now().Add(maxSilence))
-		_, _ = conn.Read(make([]byte, 1)) // until the gateway gives up
+		_, _ = conn.Read(make([]byte, 1)) // returns when the gateway closes the connection
 		return false
 	case malformed:
 		return writeOK(conn, []byte("T\xff\xff\xff\xffnoise"))
@@ -203,7 +205,8 @@
 	return writeOK(conn, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(statuses)))
 }
 
-// countAttempt counts a statement as the first or a further attempt at one try of a client, which marks its own retries.
+// countAttempt counts a statement as the gateway's first or a further attempt at a client's request. A client's own
+// retry carries a mark and counts as another request.
 func (h *Host) countAttempt(id, text string) {
 	head, _, _ := strings.Cut(text, "*/")
 	if _, mark, isRetry := strings.Cut(head, ",r="); isRetry {
@@ -217,7 +220,7 @@
 	}
 }
 
-// drawServiceTime draws how long a statement takes.
+// drawServiceTime returns the execution time of a statement, longer on a cold database.
 func (h *Host) drawServiceTime() time.Duration {
 	w := h.world
 	w.mu.Lock()
@@ -229,7 +232,7 @@
 	return time.Duration(d / h.speedShare(time.Now()))
 }
 
-// recordExecution counts a statement that has had its effect, and whether it must not have.
+// recordExecution counts a statement that has run, and detects duplicate writes and stale reads.
 func (h *Host) recordExecution(head pgwire.Head, isWrite bool, arrived time.Time) {
 	w, id := h.world, string(head.ID)
 	if isWrite {
@@ -247,9 +250,9 @@
 	}
 	position := h.position(time.Now())
 	bound := w.options.Bounds[string(head.Class)]
-	// The bound counts from the last byte of the sending.
+	// The bound counts from the arrival of the statement's last byte; 50 ms are allowed for delays.
 	tooOld := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
-	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // commits are told rounded up
+	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // positions of commits are rounded up to milliseconds
 		w.counts.Stale++
 		if len(w.counts.StaleIDs) < maxReportedIDs {
 			w.counts.StaleIDs = append(w.counts.StaleIDs, id)
@@ -257,7 +260,7 @@
 	}
 }
 
-// position is up to when all commits are applied; it never goes back.
+// position returns the replication position: the time up to which all commits are applied. It never goes back.
 func (h *Host) position(now time.Time) time.Time {
 	position := now
 	if !h.primary {
@@ -269,7 +272,7 @@
 	return h.applied
 }
 
-// statusMessages tells the role and position with an answer.
+// statusMessages returns the messages that report role and position with an answer. The zero time stands for now.
 func (h *Host) statusMessages(now time.Time) []byte {
 	if now.IsZero() {
 		now = time.Now()
@@ -281,6 +284,7 @@
 	return appendParameterStatus(appendParameterStatus(nil, "role", role), "applied_ms", fmt.Sprint(h.position(now).UnixMilli()))
 }
 
+// appendParameterStatus appends a ParameterStatus message.
 func appendParameterStatus(b []byte, name, value string) []byte {
 	b = append(b, pgwire.ParameterStatus)
 	b = binary.BigEndian.AppendUint32(b, uint32(4+len(name)+1+len(value)+1))
@@ -288,7 +292,7 @@
 	return append(append(b, value...), 0)
 }
 
-// Row is an answer with one value; notes are the messages that go with it.
+// Row returns an answer with one value; statuses are the messages to send with it.
 func Row(value, statuses string) []byte {
 	var b bytes.Buffer
 	b.WriteString("T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
@@ -302,6 +306,7 @@
 	return pgwire.AppendReady(b.Bytes())
 }
 
+// writeOK writes b and reports whether that succeeded.
 func writeOK(c net.Conn, b []byte) bool {
 	_, err := c.Write(b)
 	return err == nil
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -10,26 +10,28 @@
 	"time"
 )
 
-// restoreVersionGap is by how many versions a discovery that is restored from a backup is behind.
+// restoreVersionGap is the number of list versions that RestoreDiscovery goes back.
 const restoreVersionGap = 1000
 
-// Discovery serves the list and its changes.
+// Discovery is a discovery server: it serves the list of databases and its changes.
 type Discovery struct {
 	Addr          string
 	world         *World
 	server        *http.Server
 	stop          chan struct{}
 	calls         Calls
-	frozenList    []byte // the list that it goes on telling; nil: it tells the truth
-	frozenVersion int    // its version
+	frozenList    []byte // the outdated list that it serves; nil: it serves the current one
+	frozenVersion int    // version of frozenList
 }
 
+// discoveryMessage is the whole list, or one change of it.
 type discoveryMessage struct {
 	Seq   int              `json:"seq"`
 	Whole bool             `json:"whole"`
 	Hosts []discoveryEntry `json:"hosts"`
 }
 
+// discoveryEntry is one database in a discoveryMessage.
 type discoveryEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -42,6 +44,7 @@
 	Role   string  `json:"role"`
 }
 
+// listEntry returns the database's current entry in the list.
 func (h *Host) listEntry() discoveryEntry {
 	addr := h.announcedAddr
 	if addr == "" {
@@ -57,8 +60,8 @@
 	return e
 }
 
-// Freeze has this discovery go on telling the list as it is now, to all who ask or watch, or the truth again: those who
-// watch are let go, as they have missed something.
+// Freeze makes this server keep serving the current list, without its later changes. When it is unfrozen, the server
+// ends its watches, as they have missed changes.
 func (d *Discovery) Freeze(frozen bool) {
 	w := d.world
 	w.mu.Lock()
@@ -75,7 +78,7 @@
 	}
 }
 
-// List is the whole list as discovery would tell it now.
+// List returns the whole list as discovery would serve it now.
 func (world *World) List() []byte {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -91,14 +94,14 @@
 	return b
 }
 
-// announce passes a change on to all that watch.
+// announce sends the current entry of a database to all watches, as a new version of the list.
 func (world *World) announce(h *Host) {
 	world.listVersion++
 	b, _ := json.Marshal(discoveryMessage{Seq: world.listVersion, Hosts: []discoveryEntry{h.listEntry()}})
 	world.broadcast(b)
 }
 
-// SilenceWatches has the watches that are on now say nothing any more, though their connections stay open.
+// SilenceWatches stops sending changes and heartbeats to the current watches. Their connections stay open.
 func (world *World) SilenceWatches() {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -115,7 +118,7 @@
 	return world.silenced[watch]
 }
 
-// broadcast sends a line to all that watch. One that does not read is let go: it asks again.
+// broadcast sends a line to all watches. It ends a watch whose buffer is full; that gateway has to watch again.
 func (world *World) broadcast(line []byte) {
 	for watch, discovery := range world.watches {
 		if discovery.frozenList != nil {
@@ -130,6 +133,7 @@
 	}
 }
 
+// newDiscovery starts a discovery server.
 func newDiscovery(world *World) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,11 +149,13 @@
 	return d, nil
 }
 
+// close ends the server and its watches.
 func (d *Discovery) close() {
 	close(d.stop)
 	d.server.Close()
 }
 
+// ServeHTTP serves the list, or with the parameter watch a stream of its changes and heartbeats.
 func (d *Discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/api/targets" {
 		http.NotFound(response, request)
@@ -174,7 +180,7 @@
 		return
 	}
 	d.calls.Watches++
-	// What changed is not kept: it is the whole list, or nothing, which is told as well.
+	// Earlier changes are not kept: the first message is the whole list, or states that nothing has changed.
 	list, version := d.frozenList, d.frozenVersion
 	if d.frozenList == nil {
 		list, version = d.world.listMessage(), d.world.listVersion
@@ -202,7 +208,7 @@
 			if !open {
 				return
 			}
-			_, _ = response.Write(b) // shared with all who watch
+			_, _ = response.Write(b) // not appended to, as all watches share it
 			_, _ = response.Write([]byte{'\n'})
 		case <-tick.C:
 			if d.world.isSilenced(changes) {
--- a/internal/standin/loads.go
+++ b/internal/standin/loads.go
@@ -1,13 +1,13 @@
 package standin
 
-// DatabaseLoad is what one database has at a moment.
+// DatabaseLoad is the load of one database at one time.
 type DatabaseLoad struct {
 	Primary     bool
 	Connections int
-	Begun       int // statements that came since the start
+	Begun       int // statements that have arrived since its start
 }
 
-// DatabaseLoads tells of each database in service how many connections it has now.
+// DatabaseLoads returns the load of each database in service.
 func (world *World) DatabaseLoads() []DatabaseLoad {
 	world.mu.Lock()
 	defer world.mu.Unlock()
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -8,15 +8,15 @@
 	"lilaccove/internal/pgwire"
 )
 
-// SetScript has f answer clients' statements in place of the database, on the connection's own goroutine; nil: the
-// database answers again. Probes and greetings stay as they are.
+// SetScript makes respond answer clients' statements instead of the database, on the connection's goroutine. With nil the
+// database answers again. Probes and startup messages are not affected.
 func (h *Host) SetScript(respond func(c net.Conn, text string)) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.respond = respond
 }
 
-// waitIfHanging waits for the end of the world, if the database is to stand still.
+// waitIfHanging blocks until the world is closed and returns true if the database hangs.
 func (h *Host) waitIfHanging() bool {
 	h.world.mu.Lock()
 	hanging := h.hanging
@@ -27,7 +27,7 @@
 	return hanging
 }
 
-// runScript answers a statement by the script; false: there is none.
+// runScript answers a statement by the script, and returns false if there is none.
 func (h *Host) runScript(conn net.Conn, text string) bool {
 	h.world.mu.Lock()
 	respond := h.respond
@@ -42,14 +42,14 @@
 	return respond != nil
 }
 
-// Statements are those that came while a script was set, oldest first.
+// Statements returns those that arrived while a script was set, oldest first.
 func (h *Host) Statements() []string {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return slices.Clone(h.scriptedStatements)
 }
 
-// Answer gives a value, with the note that goes with it.
+// Answer sends an answer with one value, the role and the position. It is meant for scripts.
 func (h *Host) Answer(conn net.Conn, value string) {
 	h.world.mu.Lock()
 	statuses := h.statusMessages(time.Now())
@@ -57,21 +57,21 @@
 	writeOK(conn, Row(value, string(statuses)))
 }
 
-// SetAdmitting tells whether the database lets anybody in; at first it does.
+// SetAdmitting sets whether the database accepts new connections, which it does initially.
 func (h *Host) SetAdmitting(admitting bool) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.refusing = !admitting
 }
 
-// DelayGreeting has connections come up only after so long.
+// DelayGreeting delays the reply to startup messages.
 func (h *Host) DelayGreeting(delay time.Duration) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.greetingDelay = delay
 }
 
-// greet greets c, or turns it away.
+// greet replies to a startup message. It returns false if the connection is refused or broken.
 func (h *Host) greet(conn net.Conn) bool {
 	h.world.mu.Lock()
 	refusing, delay := h.refusing, h.greetingDelay
@@ -85,42 +85,43 @@
 	return writeOK(conn, pgwire.AppendStartupReply(nil, 0))
 }
 
-// Dials is how many connections were greeted or turned away.
+// Dials returns how many connections have sent a startup message, refused ones included.
 func (h *Host) Dials() int {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return h.dials
 }
 
-// Hangups is how many connections that were greeted have ended.
+// Hangups returns how many accepted connections have ended.
 func (h *Host) Hangups() int {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return h.ended
 }
 
-// SetLag has this replica be so far behind.
+// SetLag sets the replication lag of this replica.
 func (h *Host) SetLag(lag time.Duration) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.lag = lag
 }
 
-// ClaimPrimary has this replica take writes as well, as after a split: there are two primaries, and discovery does not know.
+// ClaimPrimary makes this replica accept writes as well, as after a network partition: its group has two primaries. It
+// is not announced.
 func (h *Host) ClaimPrimary() {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.primary = true
 }
 
-// Hang has the database stand still for good, its connections open and new ones taken: nothing is answered.
+// Hang makes the database answer nothing from now on. Its connections stay open, and it accepts new ones.
 func (h *Host) Hang() {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	h.hanging = true
 }
 
-// Promote makes this replica the primary of its group; discovery does not know.
+// Promote makes this replica the only primary of its group, without announcing it.
 func (h *Host) Promote() {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// FailOver has the primaries of a share of the groups hang, and a replica of each take its place; discovery does not know.
+// FailOver makes the primaries of a share of the groups hang and promotes a replica of each, without announcing it.
 func (world *World) FailOver(share float64) {
 	replicas := map[int]*Host{}
 	var primaries []*Host
@@ -153,7 +154,7 @@
 	}
 }
 
-// Announce has discovery say this of the database: its health, and when it started (zero: long ago).
+// Announce makes discovery list the database with this health and start time (zero: long ago).
 func (h *Host) Announce(health string, startedAt time.Time) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
@@ -164,7 +165,7 @@
 	h.world.announce(h)
 }
 
-// AnnounceAddr has discovery say that the database is found at another address.
+// AnnounceAddr makes discovery list the database at another address.
 func (h *Host) AnnounceAddr(addr string) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
@@ -172,7 +173,7 @@
 	h.world.announce(h)
 }
 
-// AddDiscovery starts discovery at one more address; the old one goes on.
+// AddDiscovery starts one more discovery server. The others keep running.
 func (world *World) AddDiscovery() (*Discovery, error) {
 	d, err := newDiscovery(world)
 	if err == nil {
@@ -183,7 +184,7 @@
 	return d, err
 }
 
-// SetDiscoveryDown has discovery refuse all calls, until it is called with false.
+// SetDiscoveryDown sets whether discovery refuses all watch requests.
 func (world *World) SetDiscoveryDown(down bool) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -191,7 +192,8 @@
 	world.watchesDisturbedAt = time.Now()
 }
 
-// SlowDiscovery has calls to discovery take so long, and a share of them end with a refusal behind that, until it is called with zeros.
+// SlowDiscovery delays watch requests to discovery, and makes a share of them end with a refusal after the delay. Zeros
+// end both.
 func (world *World) SlowDiscovery(delay time.Duration, refusals float64) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -199,7 +201,8 @@
 	world.watchesDisturbedAt = time.Now()
 }
 
-// RestoreDiscovery has discovery come back as from a backup: watches end, and its versions are far lower than those that it told.
+// RestoreDiscovery simulates a discovery service restored from a backup: watches end, and list versions are far lower
+// than those served before.
 func (world *World) RestoreDiscovery() {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -211,15 +214,17 @@
 	}
 }
 
-// NoteWatchDisturbance tells that gateways may lose their watches about now, for other reasons than those of this world.
+// NoteWatchDisturbance records that gateways may lose their watches about now for a reason outside this world, so that a
+// later notice of changes is allowed.
 func (world *World) NoteWatchDisturbance() {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	world.watchesDisturbedAt = time.Now()
 }
 
-// announceDelayAllowed is how much later than at once a change of some moment may count as told: watches were disturbed since, or a
-// little before, as one that fell silent is noticed only when its next message is due.
+// announceDelayAllowed returns how long after a change gateways may still not have received it. A delay is allowed if
+// watches were disturbed since the change or shortly before it: a gateway notices a silent watch only when the next
+// heartbeat is due.
 func (world *World) announceDelayAllowed(change time.Time) time.Duration {
 	if world.discoveryDown || world.discoveryDelay > 0 || world.watchesDisturbedAt.After(change.Add(-announceTimeout)) {
 		return announceTimeout
@@ -227,7 +232,7 @@
 	return 0
 }
 
-// SendToWatches sends a line as it is to all that watch.
+// SendToWatches sends a raw line to all watches.
 func (world *World) SendToWatches(line string) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -235,38 +240,39 @@
 	world.broadcast([]byte(line))
 }
 
-// ListVersion is that of the list.
+// ListVersion returns the current version of the list.
 func (world *World) ListVersion() int {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	return world.listVersion
 }
 
-// Calls are what a discovery's callers did.
+// Calls counts the watch requests to a discovery server.
 type Calls struct {
-	Requests  int    // calls, those refused with them
-	Watches   int    // that are on
-	LastAfter string // the version that the last caller had
+	Requests  int    // refused ones included
+	Watches   int    // currently open
+	LastAfter string // parameter after of the last request: the list version that the gateway had
 }
 
-// Calls are those so far.
+// Calls returns the counts so far.
 func (d *Discovery) Calls() Calls {
 	d.world.mu.Lock()
 	defer d.world.mu.Unlock()
 	return d.calls
 }
 
-// Addr is where the database listens, whatever discovery says.
+// Addr returns the database's listening address, whichever one discovery lists.
 func (h *Host) Addr() string { return h.listener.Addr().String() }
 
-// CloseConnections closes all connections to the database, as a process that restarts does; new ones are taken.
+// CloseConnections closes all connections, as a restarting process does. New ones are accepted.
 func (h *Host) CloseConnections() { h.forEachConn(func(c net.Conn) { c.Close() }) }
 
-// SendUnrequested says something on all connections that nobody has asked for.
+// SendUnrequested sends text on all connections without a request.
 func (h *Host) SendUnrequested(text string) {
 	h.forEachConn(func(c net.Conn) { _, _ = c.Write([]byte(text)) })
 }
 
+// forEachConn calls do for each open connection, with the lock held.
 func (h *Host) forEachConn(do func(c net.Conn)) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
@@ -275,7 +281,7 @@
 	}
 }
 
-// IsReplica tells whether the database is in service and no primary.
+// IsReplica reports whether the database is in service and not a primary.
 func (h *Host) IsReplica() bool {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin is a world to try gateways in: databases in groups and the discovery service that lists
-// them, in one process, on loopback ports. It is written from the platform's protocol and counts what ran by
-// id, so that it finds by itself a write that ran twice or a read of data too old. It is ordinary Go, for tests
-// and experiments; the gateway does not use it.
+// Package standin simulates the platform around gateways: groups of databases and the discovery service that
+// lists them, in one process, on loopback ports. It is written from the platform's protocol and counts
+// statements by request ID, so that it detects a write that ran twice or a read of data that was too old. It is
+// for tests and experiments; the gateway does not use it.
 package standin
 
 import (
@@ -14,61 +14,61 @@
 	"time"
 )
 
-// What a database that has just started bears, as the platform's settings have it.
+// Capacity of a database that has just started, as in the platform's settings.
 const (
-	StartCapacity      = 0.25 // of its speed
-	coldOverloadFactor = 2    // times what it can do
-	coldOverloadWindow = time.Second
-
-	unusedAddr = "127.0.0.1:9" // where databases are said to be that listen nowhere
+	StartCapacity      = 0.25        // share of its full speed right after the start
+	coldOverloadFactor = 2           // multiple of its current capacity that overloads it
+	coldOverloadWindow = time.Second // in which arrivals are counted against that
 )
 
-// Options are the world.
+const unusedAddr = "127.0.0.1:9" // announced for databases without a listener
+
+// Options configure a World.
 type Options struct {
 	Groups, Members  int
-	FirstGroup       int           // the number of the first group
-	LastGroupMembers int           // databases of one more group, smaller than the others
-	Names            []string      // of the databases, group by group; those beyond are numbered
-	Sites            []string      // their zones, likewise; "a" for those beyond
-	MaxDatabases     int           // databases at most: the last group is smaller; 0: all groups are whole
-	NoListeners      bool          // they are listed and listen nowhere: for gateways that call none
-	Cores, Queue     int           // of a database: statements at work, and those that wait
-	Service          time.Duration // mean time of a statement
-	Exponential      bool          // drawn, else always the mean
-	Lag              time.Duration // of replicas
-	SlowStart        time.Duration // how long a new database takes to get from a quarter of its speed to all
-	Bounds           map[string]time.Duration
-	ListVersion      int // of the list at first; 0: 1. Restore takes restoreBehind off it
+	FirstGroup       int                      // number of the first group
+	LastGroupMembers int                      // databases of an additional, smaller group; 0: there is none
+	Names            []string                 // of the databases, group by group; further ones get numbered names
+	Sites            []string                 // zones of the databases, likewise; "a" for further ones
+	MaxDatabases     int                      // of all groups together: later groups are smaller or missing; 0: no limit
+	NoListeners      bool                     // databases are listed but do not listen, for gateways that connect to none
+	Cores, Queue     int                      // of a database: statements that run at once, and those that may wait
+	Service          time.Duration            // mean execution time of a statement
+	Exponential      bool                     // execution times are exponentially distributed, else constant
+	Lag              time.Duration            // of replicas
+	SlowStart        time.Duration            // time in which a new database goes from StartCapacity to its full speed
+	Bounds           map[string]time.Duration // staleness bounds, by class
+	ListVersion      int                      // initial version of discovery's list; 0 stands for 1. RestoreDiscovery lowers it by restoreVersionGap
 	Seed             uint64
 }
 
-// Faults are shares of the answers that go wrong. All are zero at first.
+// Faults are the shares of statements that fail in some way, initially zero.
 type Faults struct {
-	ResetBefore float64 // the connection ends before the statement has been read whole
-	ResetAfter  float64 // the statement runs, then the connection ends
-	Silence     float64 // it runs, and nothing is said
-	Malformed   float64 // it runs, and the answer cannot be read
-	Errors      float64 // XX000; half of those have run
+	ResetBefore float64 // the connection is reset before the statement has been read completely
+	ResetAfter  float64 // the statement runs, then the connection is reset
+	Silence     float64 // the statement runs, and no answer is sent
+	Malformed   float64 // the statement runs, and the answer is malformed
+	Errors      float64 // the answer is XX000; half of the statements have run
 }
 
-// Counts are what happened in the world.
+// Counts counts what happened at the databases.
 type Counts struct {
-	Reads, Writes      int // that ran
-	PrimaryReads       int // of the reads
-	Duplicates         int // writes that ran a second time
+	Reads, Writes      int // statements that ran
+	PrimaryReads       int // reads that ran at a primary
+	Duplicates         int // writes that ran twice
 	Stale              int // reads answered from data older than their class or session allows
-	Misses, Full       int
-	Firsts, Repeats    int // statements of a client's try that came for the first time, and again; those turned away are none
+	Misses, Full       int // writes refused by a replica; statements refused as the queue was full
+	Firsts, Repeats    int // first and further attempts at a request of a client, misses excluded
 	Foreign            int // statements that no client of the protocol sends
-	Drained            int // statements begun on a database two seconds after it was to get nothing new
+	Drained            int // statements that arrived later than drainTime after the database began to drain
 	Connections        int
-	MostOpen           int      // connections at one database at one time
-	Fell               int      // cold databases that got more than they bear, see Host.bears
-	MostCold           float64  // the most that one got, as a share of what it bears
-	StaleIDs, TwiceIDs []string // the first of them
+	MostOpen           int      // maximum of connections open to one database at a time
+	Fell               int      // cold databases that were overloaded, see Host.checkColdLoad
+	MostCold           float64  // maximum load of a cold database, as a multiple of its limit
+	StaleIDs, TwiceIDs []string // request IDs of the first stale reads and duplicate writes
 }
 
-// World is all databases and their discovery.
+// World is all databases and their discovery servers.
 type World struct {
 	options Options
 	mu      sync.Mutex
@@ -76,21 +76,21 @@
 
 	hosts              []*Host
 	listVersion        int
-	discoveryDelay     time.Duration // that calls to discovery take
-	discoveryRefusals  float64       // share of them that wait and are turned away
+	discoveryDelay     time.Duration // of each watch request to discovery
+	discoveryRefusals  float64       // share of watch requests refused after that delay
 	databasesCreated   int
-	watches            map[chan []byte]*Discovery
-	silenced           map[chan []byte]bool
-	attempted          map[string]bool // clients' tries that came
-	executions         map[string]int
+	watches            map[chan []byte]*Discovery // that receive changes
+	silenced           map[chan []byte]bool       // watches that receive not even heartbeats
+	attempted          map[string]bool            // requests of clients that have arrived, by ID and retry mark
+	executions         map[string]int             // of writes, by request ID
 	counts             Counts
 	faults             Faults
 	closed             bool
-	done               chan struct{} // closed at the end
+	done               chan struct{} // closed by Close
 	wg                 sync.WaitGroup
-	discoveries        []*Discovery // the first is that of the start
-	discoveryDown      bool         // they refuse all calls
-	watchesDisturbedAt time.Time    // when watches were last made to fail or to fall silent
+	discoveries        []*Discovery // the first was started by New
+	discoveryDown      bool         // discovery refuses all watch requests
+	watchesDisturbedAt time.Time    // when watches were last made to fail or to stay silent
 }
 
 // Host is one database.
@@ -98,31 +98,31 @@
 	world          *World
 	ID             string
 	Group          int
-	Site           string       // its zone
-	listener       net.Listener // nil: it listens nowhere
+	Site           string       // zone
+	listener       net.Listener // nil with Options.NoListeners
 	primary        bool
 	health         string
-	drainingSince  time.Time // when it was to get nothing new
-	startedAt      time.Time // zero: long ago
+	drainingSince  time.Time // when discovery first listed it as not in service
+	startedAt      time.Time // zero: long before the test
 	lag            time.Duration
-	applied        time.Time // never goes back
-	slots          chan struct{}
-	pending        int
-	paused         chan struct{}          // closed when it goes on; nil: it runs
-	conns          map[net.Conn]time.Time // since when
-	statementCount int                    // statements that came, whatever became of them
-	coldArrivals   []time.Time            // those of the last fallTime, while it is cold
+	applied        time.Time              // replication position; never goes back
+	slots          chan struct{}          // one for each statement that runs
+	pending        int                    // statements that run or wait
+	paused         chan struct{}          // closed when it resumes; nil: it is not paused
+	conns          map[net.Conn]time.Time // open connections and their start
+	statementCount int                    // statements that arrived, refused ones included
+	coldArrivals   []time.Time            // arrivals within coldOverloadWindow while it is cold
 	overloadedCold bool
-	announcedAddr  string // where discovery says it is; empty: where it is
+	announcedAddr  string // announced by discovery; empty: the listener's
 
-	respond            func(c net.Conn, text string)
-	scriptedStatements []string      // that came while a script was set
-	refusing, hanging  bool          // it turns all connections away; it answers nothing
-	greetingDelay      time.Duration // by which its greeting comes
-	dials, ended       int
+	respond            func(c net.Conn, text string) // set by SetScript
+	scriptedStatements []string                      // that arrived while a script was set
+	refusing, hanging  bool                          // refuses all connections; answers no statement
+	greetingDelay      time.Duration                 // delay of the reply to a startup message
+	dials, ended       int                           // connections accepted; connections that ended after the greeting
 }
 
-// New starts a world.
+// New starts the databases and one discovery server.
 func New(options Options) (*World, error) {
 	w := &World{options: options, rng: rand.New(rand.NewPCG(options.Seed, 0x73746e64)), watches: map[chan []byte]*Discovery{}, silenced: map[chan []byte]bool{}, attempted: map[string]bool{}, executions: map[string]int{}, listVersion: max(1, options.ListVersion), done: make(chan struct{})}
 	for g := range options.Groups {
@@ -149,7 +149,7 @@
 	return w, nil
 }
 
-// startHost starts a database.
+// startHost starts a database. It does not announce it.
 func (world *World) startHost(group int, primary bool, startedAt time.Time) (*Host, error) {
 	var listener net.Listener
 	if !world.options.NoListeners {
@@ -183,10 +183,10 @@
 	return h, nil
 }
 
-// Discovery is where the list is asked for.
+// Discovery returns the first discovery server.
 func (world *World) Discovery() *Discovery { return world.discoveries[0] }
 
-// Counts are what has happened so far.
+// Counts returns the counts so far.
 func (world *World) Counts() Counts {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -195,17 +195,17 @@
 	return c
 }
 
-// SetFaults has answers go wrong from now on.
+// SetFaults replaces the shares of statements that fail.
 func (world *World) SetFaults(f Faults) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	world.faults = f
 }
 
-// draw tells whether something of this probability happens.
+// draw returns true with probability p.
 func (world *World) draw(p float64) bool { return p > 0 && world.rng.Float64() < p }
 
-// pickHosts are a share of the databases in service, those of one group never all.
+// pickHosts returns a random share of the databases in service.
 func (world *World) pickHosts(share float64) (picked []*Host) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -223,7 +223,7 @@
 	return picked
 }
 
-// SetLag has a share of the replicas fall behind.
+// SetLag sets the lag of a random share of the databases, at least Options.Lag. Primaries ignore theirs.
 func (world *World) SetLag(share float64, lag time.Duration) {
 	for _, h := range world.pickHosts(share) {
 		world.mu.Lock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// Pause has a share of the databases stand still, their connections open, until the function is called.
+// Pause makes a random share of the databases run no statement, with their connections open, until resume is called.
 func (world *World) Pause(share float64) (resume func()) {
 	paused := world.pickHosts(share)
 	resumed := make(chan struct{})
@@ -253,15 +253,15 @@
 	}
 }
 
-// WithholdChanges has the watches that are on now hear of no change any more, though they are not silent: a list that
-// stays old without a sign. Who asks again is told all.
+// WithholdChanges stops sending changes to the current watches. They still receive heartbeats, so that their list is
+// outdated without a sign of it. A new watch receives the whole list.
 func (world *World) WithholdChanges() {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	clear(world.watches)
 }
 
-// AddReplica adds a replica to a group.
+// AddReplica starts and announces one more replica of a group.
 func (world *World) AddReplica(group int) error {
 	h, err := world.startHost(group, false, time.Now())
 	if err == nil {
@@ -272,8 +272,8 @@
 	return err
 }
 
-// Replace drains one database, hands its part as primary over, starts another in its place and takes it off the list.
-// It is the step of a rolling deploy; stop ends it early.
+// Replace drains a database, hands its role as primary over, starts a replacement and removes the old database from the
+// list. It is one step of a rolling deployment; closing stop ends it early.
 func (world *World) Replace(h *Host, drain time.Duration, stop <-chan struct{}) error {
 	world.mu.Lock()
 	h.health, h.drainingSince = "terminating", time.Now()
@@ -302,7 +302,8 @@
 	return nil
 }
 
-// ChangePrimary has a group's primary hand over to a replica, and discovery tell so. False: the group has no other member.
+// ChangePrimary hands a group's primary role over to a replica and announces it. It returns false if the group has no
+// other member in service.
 func (world *World) ChangePrimary(group int) bool {
 	for _, h := range world.Members() {
 		world.mu.Lock()
@@ -317,7 +318,7 @@
 	return false
 }
 
-// handOver makes the replica that has most of the log the primary in h's place.
+// handOver makes the replica with the smallest lag primary in place of h, if h is primary, and announces it.
 func (world *World) handOver(h *Host) {
 	world.mu.Lock()
 	defer world.mu.Unlock()
@@ -337,14 +338,14 @@
 	world.announce(best)
 }
 
-// Members are the databases now.
+// Members returns the current databases.
 func (world *World) Members() []*Host {
 	world.mu.Lock()
 	defer world.mu.Unlock()
 	return slices.Clone(world.hosts)
 }
 
-// Close ends the world; every connection is closed and every goroutine has ended when it returns.
+// Close closes all listeners and connections, and returns once every goroutine has ended.
 func (world *World) Close() {
 	world.mu.Lock()
 	if !world.closed {
@@ -362,8 +363,8 @@
 	world.wg.Wait()
 }
 
-// countOpen notes how many connections stood together at a moment. It is called a while after that, when those that had
-// been closed by then are out of the books.
+// countOpen counts the connections that were open at the given time. It is called closeNoticeTime later, when those that
+// had been closed by then have been removed from conns.
 func (h *Host) countOpen(at time.Time) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
@@ -376,8 +377,9 @@
 	h.world.counts.MostOpen = max(h.world.counts.MostOpen, n)
 }
 
-// checkColdLoad notes a statement that has come to a database that may still be cold. One that gets more in fallTime than fallMore
-// times what it can do by then, and a little, would fall.
+// checkColdLoad counts an arriving statement if the database is cold. A cold database counts as overloaded if more
+// statements arrive in coldOverloadWindow than coldOverloadFactor times its current capacity, with an allowance for
+// random arrivals.
 func (h *Host) checkColdLoad(now time.Time) {
 	share := h.speedShare(now)
 	if share >= 1 {
@@ -390,7 +392,7 @@
 	}
 	w := h.world
 	expected := coldOverloadFactor * share * float64(w.options.Cores) * float64(coldOverloadWindow) / float64(w.options.Service)
-	limit := expected + 2*math.Sqrt(expected) + 2 // what is beyond the budget is chance
+	limit := expected + 2*math.Sqrt(expected) + 2 // two standard deviations and two statements for random arrivals
 	w.counts.MostCold = max(w.counts.MostCold, float64(len(h.coldArrivals))/limit)
 	if !h.overloadedCold && float64(len(h.coldArrivals)) > limit {
 		h.overloadedCold = true
@@ -398,7 +400,7 @@
 	}
 }
 
-// speedShare is the share of its speed that a database has.
+// speedShare returns the current share of the database's full speed.
 func (h *Host) speedShare(now time.Time) float64 {
 	if age := now.Sub(h.startedAt); !h.startedAt.IsZero() && age < h.world.options.SlowStart {
 		return StartCapacity + (1-StartCapacity)*float64(age)/float64(h.world.options.SlowStart)
@@ -406,20 +408,21 @@
 	return 1
 }
 
-// IsCold tells whether the database has not reached its full speed since it started.
+// IsCold reports whether the database has not reached its full speed since its start.
 func (h *Host) IsCold() bool {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return h.speedShare(time.Now()) < 1
 }
 
-// StatementCount is how many statements of clients have come to the database.
+// StatementCount returns how many statements of clients have arrived at the database.
 func (h *Host) StatementCount() int {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return h.statementCount
 }
 
+// close closes the listener and all connections.
 func (h *Host) close() {
 	if h.listener != nil {
 		h.listener.Close()
@@ -431,7 +434,7 @@
 	}
 }
 
-// Sleep waits; false: stop was closed first.
+// Sleep waits for d, and returns false if stop is closed first.
 func Sleep(d time.Duration, stop <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
