--- a/cmd/lilacctl/audit.go
+++ b/cmd/lilacctl/audit.go
@@ -15,7 +15,7 @@
 	"lilaccove/internal/peer"
 )
 
-// auditOptions are what the command is asked for.
+// auditOptions are the flags of the audit command.
 type auditOptions struct {
 	addresses, files  []string
 	from, to          string
@@ -27,7 +27,7 @@
 	timeout           time.Duration
 }
 
-// auditResult is what --json prints.
+// auditResult is the output of --json.
 type auditResult struct {
 	Findings    []audit.Finding       `json:"findings"`
 	Records     []audit.ChainedRecord `json:"records"`
@@ -38,34 +38,34 @@
 func auditCommand() *cobra.Command {
 	o := auditOptions{tolerances: audit.DefaultTolerances()}
 	c := &cobra.Command{
-		Use: "audit --at 127.0.0.1:7510 --file n0-audit.jsonl", Short: "What each gateway did on which versions, and what should not have been",
-		Long: "Collects records from live gateways and from their files, merges them, checks their chains and tells findings: two\n" +
-			"primaries written to at once, work after a drain or against operators' word, two processes of one name, work on an old\n" +
-			"list, gaps. A file is read with its older ones (FILE.1 and so on), whole lines only. Times are of the gateways' clocks;\n" +
-			"what those cannot order is told as such. Exit status 2: there are findings; 3: a gateway did not answer.",
+		Use: "audit --at 127.0.0.1:7510 --file n0-audit.jsonl", Short: "Show what each gateway did on which versions, and violated rules",
+		Long: "Collects audit records from running gateways and files, merges them, verifies their hash chains and reports findings:\n" +
+			"writes to two primaries at once, requests to a draining or suspended database, two processes with one name, decisions on\n" +
+			"an old list, gaps. Rotated files (FILE.1 and so on) are read as well, incomplete lines are not. Times are those of the\n" +
+			"gateways' clocks; findings say where these cannot order events. Exit status 2: there are findings; 3: no answer.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout(), time.Now()) },
 	}
 	f := c.Flags()
-	f.StringArrayVar(&o.addresses, "at", nil, "a gateway's operators' address; may be given several times")
-	f.StringArrayVar(&o.files, "file", nil, "a gateway's file of records; may be given several times")
-	f.StringVar(&o.from, "from", "", "leave out what was over by then: a time like 2026-12-01T23:10:00Z, or 10m for ten minutes ago")
-	f.StringVar(&o.to, "to", "", "leave out what began later")
-	f.StringVar(&o.database, "database", "", "findings about this database alone")
-	f.StringVar(&o.gateway, "gateway", "", "findings about this gateway alone")
-	f.IntVar(&o.group, "group", -1, "findings about this group alone")
-	f.DurationVar(&o.tolerances.ClockSkew, "slack", o.tolerances.ClockSkew, "by which clocks may differ")
-	f.DurationVar(&o.tolerances.DrainGrace, "grace", o.tolerances.DrainGrace, "for work at a database that drains")
-	f.DurationVar(&o.tolerances.OverrideSpread, "word", o.tolerances.OverrideSpread, "for operators' words to reach all gateways")
-	f.DurationVar(&o.tolerances.ListSpread, "behind", o.tolerances.ListSpread, "for a new list to reach all gateways")
-	f.DurationVar(&o.tolerances.Handover, "beside", o.tolerances.Handover, "for two processes of one name: an upgrade")
+	f.StringArrayVar(&o.addresses, "at", nil, "a gateway's management address; may be given several times")
+	f.StringArrayVar(&o.files, "file", nil, "a gateway's audit file; may be given several times")
+	f.StringVar(&o.from, "from", "", "omit records that end before this time: a time like 2026-12-01T23:10:00Z, or 10m for ten minutes ago")
+	f.StringVar(&o.to, "to", "", "omit records that begin after this time")
+	f.StringVar(&o.database, "database", "", "only findings about this database")
+	f.StringVar(&o.gateway, "gateway", "", "only findings about this gateway")
+	f.IntVar(&o.group, "group", -1, "only findings about this group")
+	f.DurationVar(&o.tolerances.ClockSkew, "slack", o.tolerances.ClockSkew, "tolerated difference between clocks")
+	f.DurationVar(&o.tolerances.DrainGrace, "grace", o.tolerances.DrainGrace, "tolerated time of requests to a database after it began to drain")
+	f.DurationVar(&o.tolerances.OverrideSpread, "word", o.tolerances.OverrideSpread, "tolerated time for an operator override to reach all gateways")
+	f.DurationVar(&o.tolerances.ListSpread, "behind", o.tolerances.ListSpread, "tolerated time for a new list to reach all gateways")
+	f.DurationVar(&o.tolerances.Handover, "beside", o.tolerances.Handover, "tolerated time of two processes with one name, as in an upgrade")
 	f.BoolVar(&o.asJSON, "json", false, "print findings and records as JSON")
-	f.StringVar(&o.plot, "plot", "", "draw which gateway acted on which list, over time, to this file (.png or .svg)")
+	f.StringVar(&o.plot, "plot", "", "write a plot of the list version that each gateway acted on over time to this file (.png or .svg)")
 	f.DurationVar(&o.timeout, "timeout", 2*time.Second, "how long a gateway may take to answer")
 	return c
 }
 
-// parseTime reads a time, or how long ago; empty: none.
+// parseTime parses the value of a flag: an RFC 3339 time, or a duration before now. An empty value is 0.
 func parseTime(text, flag string, now time.Time) (audit.Timestamp, error) {
 	if text == "" {
 		return 0, nil
@@ -80,6 +80,7 @@
 	return audit.TimestampAt(time.Duration(t.UnixNano())), nil
 }
 
+// run collects the records, analyzes them and prints records and findings.
 func (o *auditOptions) run(w io.Writer, now time.Time) error {
 	if len(o.addresses)+len(o.files) == 0 {
 		return fmt.Errorf("nothing to read: give --at or --file")
@@ -117,7 +118,8 @@
 	return exitError(result.Unreachable, findings)
 }
 
-// collect reads all records. A line that is none is a finding; a gateway that does not answer is a line.
+// collect reads the records of all files and gateways. A line that is not a valid record becomes a finding; an
+// unreachable gateway is noted in Unreachable.
 func (r *auditResult) collect(o *auditOptions) error {
 	add := func(line []byte, where string) {
 		record, err := audit.ParseRecord(line)
@@ -152,6 +154,7 @@
 	return nil
 }
 
+// clockTime formats the wall time of a timestamp, "-" for none.
 func clockTime(s audit.Timestamp) string {
 	if s == 0 {
 		return "-"
@@ -159,7 +162,7 @@
 	return time.Unix(0, int64(s.WallTime())).UTC().Format("15:04:05.000")
 }
 
-// printTable prints which gateway acted on what, and the findings, in one screen.
+// printTable prints a summary line for each process of a gateway, then notes and findings.
 func (r *auditResult) printTable(w io.Writer) error {
 	type process struct {
 		gateway, session      string
--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -1,4 +1,4 @@
-// Command lilacctl is the operators' command line: it asks gateways at their operators' addresses.
+// Command lilacctl is the operators' command line tool. It sends requests to gateways' management addresses.
 package main
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit statuses, for scripts.
+// Exit statuses, for scripts.
 const (
-	exitUsage       = 1 // the call itself was wrong
-	exitFinding     = 2 // gateways answered, and something is not as it should be
+	exitUsage       = 1 // wrong usage, or a local error
+	exitFinding     = 2 // gateways answered, and something is wrong
 	exitUnreachable = 3 // a gateway did not answer
 )
 
-// exitStatus is an error with the exit exitStatus it leads to.
+// exitStatus is an error with the exit status of the process.
 type exitStatus struct {
 	code    int
 	message string
@@ -28,7 +28,7 @@
 
 func (s exitStatus) Error() string { return s.message }
 
-// queryCommand makes a command that asks gateways and prints what they say.
+// queryCommand returns a command that queries gateways and prints their answers.
 func queryCommand(use, short, long string, run func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error) *cobra.Command {
 	var addresses []string
 	var asJSON bool
@@ -37,14 +37,14 @@
 		Use: use + " --at 127.0.0.1:7510", Short: short, Long: long, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout(), addresses, asJSON, timeout) },
 	}
-	c.Flags().StringArrayVar(&addresses, "at", nil, "a gateway's operators' address; may be given several times")
-	c.Flags().BoolVar(&asJSON, "json", false, "print what the gateways said, as JSON")
+	c.Flags().StringArrayVar(&addresses, "at", nil, "a gateway's management address; may be given several times")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the gateways' answers as JSON")
 	c.Flags().DurationVar(&timeout, "timeout", 2*time.Second, "how long a gateway may take to answer")
 	_ = c.MarkFlagRequired("at")
 	return c
 }
 
-// printResult prints what was said as JSON, or the table.
+// printResult prints the result as JSON, or calls printTable.
 func printResult(w io.Writer, asJSON bool, result any, printTable func() error) error {
 	if !asJSON {
 		return printTable()
@@ -54,7 +54,7 @@
 	return e.Encode(result)
 }
 
-// exitError is what the exit status says: who does not answer goes before what was found.
+// exitError returns the error for the exit status, nil for 0. Unreachable gateways take precedence over findings.
 func exitError(unreachable, findings []string) error {
 	switch {
 	case len(unreachable) > 0:
@@ -80,27 +80,27 @@
 
 func command() *cobra.Command {
 	root := &cobra.Command{
-		Use: "lilacctl", Short: "Ask and steer gateways", SilenceUsage: true, SilenceErrors: true,
-		Long: "Asks gateways at their operators' addresses (management in the configuration).\n" +
-			"Exit status: 0 all is as it should be, 1 the call was wrong, 2 something was found, 3 a gateway did not answer.",
+		Use: "lilacctl", Short: "Query and control gateways", SilenceUsage: true, SilenceErrors: true,
+		Long: "Sends requests to gateways' management addresses (management in the configuration).\n" +
+			"Exit status: 0 no problem, 1 wrong usage, 2 there are findings, 3 a gateway did not answer.",
 	}
 	var all bool
-	members := queryCommand("members", "Which gateways know which others", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
+	members := queryCommand("members", "Show which members of the fleet each gateway knows", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
 		if list := queryMembers(at, wait); asJSON {
 			return list.printJSON(w)
 		} else {
 			return list.printTable(w, all)
 		}
 	})
-	members.Flags().BoolVar(&all, "all", false, "list those that have ended as well")
+	members.Flags().BoolVar(&all, "all", false, "list gateways that have left or died as well")
 	root.AddCommand(members,
-		queryCommand("state", "What operators told the whole fleet, and whether all have it", "", printState),
-		queryCommand("versions", "Which gateway acts on which versions, and who is behind",
-			"Each gateway knows the versions of the others; the first that answers is enough. With several the newest telling of\n"+
-				"each gateway counts.", printVersions),
+		queryCommand("state", "Show the operator overrides of the fleet, and whether all gateways have them", "", printState),
+		queryCommand("versions", "Show which versions each gateway acts on, and which gateways lag",
+			"Each gateway knows the versions of the others, so that one address is enough. With several addresses, the most recent\n"+
+				"report on each gateway counts.", printVersions),
 		auditCommand(),
-		databaseCommand("suspend", "Leave a database out"), databaseCommand("resume", "Have a database serve again"),
-		overrideCommand("drain", "GATEWAY", "Empty a gateway of the fleet, told at any of them", func() string { return "/v1/fleet/gateways/" }),
-		overrideCommand("activate", "GATEWAY", "Have a gateway of the fleet work again", func() string { return "/v1/fleet/gateways/" }))
+		databaseCommand("suspend", "Suspend a database"), databaseCommand("resume", "Lift the suspension of a database"),
+		overrideCommand("drain", "GATEWAY", "Drain a gateway of the fleet; any gateway takes the request", func() string { return "/v1/fleet/gateways/" }),
+		overrideCommand("activate", "GATEWAY", "End the drain of a gateway of the fleet", func() string { return "/v1/fleet/gateways/" }))
 	return root
 }
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -15,16 +15,17 @@
 	"lilaccove/internal/peer"
 )
 
-// membersAnswer is what one gateway said, or why it did not.
+// membersAnswer is one gateway's report on the members, or the error of the request.
 type membersAnswer struct {
 	At    string       `json:"at"`
 	Error string       `json:"error,omitempty"`
 	Fleet *peer.Report `json:"fleet,omitempty"`
 }
 
+// membersAnswers are the answers in the order of the addresses.
 type membersAnswers []membersAnswer
 
-// queryMembers asks all gateways at once.
+// queryMembers queries all gateways concurrently.
 func queryMembers(addresses []string, timeout time.Duration) membersAnswers {
 	list := make(membersAnswers, len(addresses))
 	var all sync.WaitGroup
@@ -45,9 +46,10 @@
 	return list
 }
 
-const maxAnswerBytes = 8 << 20
+const mostAnswer = 8 << 20 // of a response's body; the rest is not read
 
-// callGateway asks one gateway; a status that is not 200 is an error with what it says.
+// callGateway sends a request to one gateway and returns the body. A status other than 200 is an error that contains the
+// body.
 func callGateway(addr, method, path string, timeout time.Duration) ([]byte, error) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return nil, fmt.Errorf("%q is no address; write it like 127.0.0.1:7510", addr)
@@ -62,14 +64,14 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(body)))
 	}
 	return body, err
 }
 
-// fetch asks for something in JSON.
+// fetch requests a JSON document from one gateway.
 func fetch[T any](addr, path string, timeout time.Duration) (*T, error) {
 	body, err := callGateway(addr, http.MethodGet, path, timeout)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return fetch[peer.Report](addr, "/v1/fleet/members", timeout)
 }
 
-// exitError is the exit status: who does not answer goes before what was found.
+// exitError reports unreachable gateways, different views and duplicate names.
 func (list membersAnswers) exitError() error {
 	var unreachable, findings []string
 	digests := map[string][]string{}
@@ -111,6 +113,7 @@
 	return exitError(unreachable, findings)
 }
 
+// printJSON prints the answers as JSON.
 func (list membersAnswers) printJSON(w io.Writer) error {
 	if err := printResult(w, true, list, nil); err != nil {
 		return err
@@ -118,7 +121,8 @@
 	return list.exitError()
 }
 
-// printTable prints a line for each gateway that was asked, then one for each gateway that any of them knows.
+// printTable prints a line for each address, then a line for each gateway that any of them knows. Dead members are
+// omitted unless all is set.
 func (list membersAnswers) printTable(w io.Writer, all bool) error {
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "ASKED\tNAME\tMEMBER\tHEALTH\tVIEW\tMEMBERS\tDIGEST")
--- a/cmd/lilacctl/plot.go
+++ b/cmd/lilacctl/plot.go
@@ -15,10 +15,10 @@
 
 func byTime(a, b audit.ChainedRecord) int { return cmp.Compare(a.From, b.From) }
 
-// plotListVersions draws the list that each process acted on over time, a step for each record.
+// plotListVersions writes a plot of the list version that each process acted on over time, with a step for each record.
 func plotListVersions(path string, records []audit.ChainedRecord) error {
 	if len(records) == 0 {
-		return fmt.Errorf("--plot: there is no record to draw")
+		return fmt.Errorf("--plot: there are no records to plot")
 	}
 	start := slices.MinFunc(records, byTime).From
 	seconds := func(s audit.Timestamp) float64 { return (s.WallTime() - start.WallTime()).Seconds() }
@@ -34,8 +34,8 @@
 	}
 	slices.Sort(names)
 	p := plot.New()
-	p.Title.Text = "the list that each gateway acted on"
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "version of the list"
+	p.Title.Text = "list version that each gateway acted on"
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "list version"
 	for i, n := range names {
 		line, err := plotter.NewLine(lines[n])
 		if err != nil {
--- a/cmd/lilacctl/state.go
+++ b/cmd/lilacctl/state.go
@@ -15,13 +15,13 @@
 	"lilaccove/internal/peer"
 )
 
-// printState tells what operators told the fleet, as each gateway has it.
+// printState prints how many operator overrides each gateway has, then the overrides themselves.
 func printState(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error {
 	var unreachable, findings []string
 	digests := map[string]bool{}
 	reports := map[string]*peer.StateReport{}
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(table, "ASKED\tNAME\tCAUGHT UP\tWORDS\tDIGEST")
+	fmt.Fprintln(table, "ASKED\tNAME\tSYNCED\tOVERRIDES\tDIGEST")
 	var fullest *peer.StateReport
 	for _, addr := range addresses {
 		report, err := fetch[peer.StateReport](addr, "/v1/fleet/state", timeout)
@@ -36,12 +36,12 @@
 			fullest = report
 		}
 		for _, h := range report.Conflicts {
-			findings = append(findings, report.Name+": words about "+h+" differ; it is left out until you say once more what holds")
+			findings = append(findings, report.Name+": words about "+h+" differ; it stays suspended or drained until an operator sets it again")
 		}
 		fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%s\n", addr, report.Name, report.Synced, len(report.Overrides), report.Digest)
 	}
 	if fullest != nil && len(fullest.Overrides) > 0 {
-		fmt.Fprintf(table, "\nDATABASE\tWORD\tSAID AT\tTO\n")
+		fmt.Fprintf(table, "\nDATABASE\tOVERRIDE\tSET AT\tORIGIN\n")
 		for _, override := range fullest.Overrides {
 			verb := map[bool]string{true: "suspend", false: "resume"}[override.Active]
 			if _, ok := fleetstate.ParseGatewayKey(override.Key); ok {
@@ -59,20 +59,20 @@
 	return exitError(unreachable, findings)
 }
 
-// databaseCommand tells one gateway, or the whole fleet, to leave a database out or to use it.
+// databaseCommand returns a command that suspends or resumes a database at one gateway or in the whole fleet.
 func databaseCommand(verb, short string) *cobra.Command {
 	fleet := false
-	c := overrideCommand(verb, "DATABASE", short+", here or with --fleet everywhere", func() string {
+	c := overrideCommand(verb, "DATABASE", short+" at one gateway, or with --fleet at all", func() string {
 		if fleet {
 			return "/v1/fleet/databases/"
 		}
 		return "/v1/databases/"
 	})
-	c.Flags().BoolVar(&fleet, "fleet", false, "tell the whole fleet")
+	c.Flags().BoolVar(&fleet, "fleet", false, "apply it to the whole fleet")
 	return c
 }
 
-// overrideCommand tells a gateway a word on a database or a gateway.
+// overrideCommand returns a command that sends one gateway an override of a database or a gateway.
 func overrideCommand(verb, target, short string, basePath func() string) *cobra.Command {
 	var addr string
 	var timeout time.Duration
@@ -89,12 +89,12 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %s, %s\n", args[0], verb, strings.TrimSpace(string(body)))
 			if strings.Contains(string(body), peer.NotOnDisk) {
-				return exitStatus{exitFinding, args[0] + ": the word holds, but is " + peer.NotOnDisk + ": an end of all gateways at once would lose it"}
+				return exitStatus{exitFinding, args[0] + ": the override is active, but " + peer.NotOnDisk + ": it would be lost if all gateways ended at once"}
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&addr, "at", "", "a gateway's operators' address")
+	c.Flags().StringVar(&addr, "at", "", "a gateway's management address")
 	c.Flags().DurationVar(&timeout, "timeout", 2*time.Second, "how long the gateway may take to answer")
 	_ = c.MarkFlagRequired("at")
 	return c
--- a/cmd/lilacctl/versions.go
+++ b/cmd/lilacctl/versions.go
@@ -9,7 +9,7 @@
 	"lilaccove/internal/peer"
 )
 
-// printVersions tells which gateway acts on which printVersions, in one screen.
+// printVersions prints the versions that each gateway acts on, from the most recent report on it.
 func printVersions(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error {
 	var unreachable, findings []string
 	reports := map[string]*peer.VersionsReport{}
@@ -36,7 +36,7 @@
 		newestList = max(newestList, version.ListVersion)
 	}
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(table, "GATEWAY\tLIST\tBEHIND\tWORDS\tVIEW\tCONFIG\tFLEET FILE\tBUILD\tHEARD")
+	fmt.Fprintln(table, "GATEWAY\tLIST\tLAG\tOVERRIDES\tVIEW\tCONFIG\tFLEET FILE\tBUILD\tREPORTED")
 	for _, name := range names {
 		v := newest[name]
 		lagging := "-"
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -85,6 +85,7 @@
 	return world.listMessage()
 }
 
+// listMessage is List for callers that hold the lock.
 func (world *World) listMessage() []byte {
 	message := discoveryMessage{Seq: world.listVersion, Whole: true}
 	for _, h := range world.hosts {
@@ -112,6 +113,7 @@
 	clear(world.watches)
 }
 
+// isSilenced reports whether a watch receives no heartbeats.
 func (world *World) isSilenced(watch chan []byte) bool {
 	world.mu.Lock()
 	defer world.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// Capacity of a database that has just started, as in the platform's settings.
 const (
+	// Capacity of a database that has just started, as in the platform's settings.
 	StartCapacity      = 0.25        // share of its full speed right after the start
 	coldOverloadFactor = 2           // multiple of its current capacity that overloads it
 	coldOverloadWindow = time.Second // in which arrivals are counted against that
-)
 
-const unusedAddr = "127.0.0.1:9" // announced for databases without a listener
+	unusedAddr = "127.0.0.1:9" // announced for databases without a listener
+)
 
 // Options configure a World.
 type Options struct {
