--- a/cmd/lilacctl/capacity_test.go
+++ b/cmd/lilacctl/capacity_test.go
@@ -23,11 +23,11 @@
 
 var (
 	capacityDir  = flag.String("capacity", "", "where BenchmarkCapacity writes tool-lilacctl.json")
-	capacityRuns = flag.Int("capacity-runs", 3, "how often each size is asked")
+	capacityRuns = flag.Int("capacity-runs", 3, "how often each size is run")
 )
 
-// askedAll is what one call of the tool took.
-type askedAll struct {
+// toolRun is the cost of one call of the tool.
+type toolRun struct {
 	What      string  `json:"what"`
 	Gateways  int     `json:"gateways"`
 	Read      int     `json:"bytes_read"`
@@ -38,8 +38,9 @@
 	Exit      int     `json:"exit"`
 }
 
-// answering are gateways that say, for each path, what one of a fleet of n says.
-func answering(b *testing.B, n int) (at []string, size map[string]int) {
+// startGateways starts servers that answer like the gateways of a fleet of n. It returns the flags that name them, and the
+// size of all answers by path.
+func startGateways(b *testing.B, n int) (flags []string, size map[string]int) {
 	report, versions := peer.Report{Fleet: "example", Member: true, View: peer.ReportView{Version: 9, Digest: "9f3c5a1b2d4e6f70"}, At: time.Unix(1764649406, 0).UTC()}, peer.VersionsReport{}
 	for i := range n {
 		m := peer.ReportMember{Name: fmt.Sprintf("g%03d", i), Addr: fmt.Sprintf("10.20.%d.%d:7400", i/200, 1+i%200), Session: "9f3c5a1b2d4e6f70"}
@@ -52,55 +53,55 @@
 	}
 	size = map[string]int{}
 	for i := range n {
-		own := report
-		own.Name, own.Addr = report.Known[i].Name, report.Known[i].Addr
-		own.Known = append(append([]peer.ReportMember{}, report.Known[:i]...), report.Known[i+1:]...)
-		says := map[string][]byte{}
-		for path, v := range map[string]any{"/v1/fleet/members": own, "/v1/fleet/versions": peer.VersionsReport{Name: own.Name, Versions: versions.Versions}} {
+		ownReport := report
+		ownReport.Name, ownReport.Addr = report.Known[i].Name, report.Known[i].Addr
+		ownReport.Known = append(append([]peer.ReportMember{}, report.Known[:i]...), report.Known[i+1:]...)
+		bodies := map[string][]byte{}
+		for path, v := range map[string]any{"/v1/fleet/members": ownReport, "/v1/fleet/versions": peer.VersionsReport{Name: ownReport.Name, Versions: versions.Versions}} {
 			text, err := json.Marshal(v)
 			require.NoError(b, err)
-			says[path] = text
+			bodies[path] = text
 			size[path] += len(text)
 		}
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { _, _ = w.Write(says[q.URL.Path]) }))
-		b.Cleanup(s.Close)
-		at = append(at, "--at", strings.TrimPrefix(s.URL, "http://"))
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { _, _ = w.Write(bodies[q.URL.Path]) }))
+		b.Cleanup(server.Close)
+		flags = append(flags, "--at", strings.TrimPrefix(server.URL, "http://"))
 	}
-	return at, size
+	return flags, size
 }
 
-// BenchmarkCapacity has the tool, a process of its own, ask all gateways of fleets of several sizes.
+// BenchmarkCapacity runs the tool as a separate process against all gateways of fleets of several sizes.
 func BenchmarkCapacity(b *testing.B) {
 	tool := filepath.Join(b.TempDir(), "lilacctl")
 	out, err := exec.Command("go", "build", "-o", tool, ".").CombinedOutput()
 	require.NoError(b, err, string(out))
-	list := []askedAll{}
+	runs := []toolRun{}
 	for _, n := range []int{60, 122, 245, 300, 490} {
-		at, size := answering(b, n)
+		flags, size := startGateways(b, n)
 		for _, what := range []string{"members", "versions"} {
 			for range *capacityRuns {
-				c := exec.Command(tool, append([]string{what}, at...)...)
-				begun := time.Now()
-				printed, err := c.Output()
-				took := time.Since(begun)
+				cmd := exec.Command(tool, append([]string{what}, flags...)...)
+				start := time.Now()
+				printed, err := cmd.Output()
+				took := time.Since(start)
 				var exit *exec.ExitError
 				if err != nil && !errors.As(err, &exit) {
 					b.Fatal(err)
 				}
-				use := c.ProcessState.SysUsage().(*syscall.Rusage)
-				list = append(list, askedAll{
-					What: what, Gateways: n, Read: size["/v1/fleet/"+what], Printed: len(printed), Seconds: took.Seconds(), Exit: c.ProcessState.ExitCode(),
-					Processor: float64((c.ProcessState.UserTime() + c.ProcessState.SystemTime()).Microseconds()) / 1000, Memory: float64(use.Maxrss) * 1024 / 1e6,
+				usage := cmd.ProcessState.SysUsage().(*syscall.Rusage)
+				runs = append(runs, toolRun{
+					What: what, Gateways: n, Read: size["/v1/fleet/"+what], Printed: len(printed), Seconds: took.Seconds(), Exit: cmd.ProcessState.ExitCode(),
+					Processor: float64((cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Microseconds()) / 1000, Memory: float64(usage.Maxrss) * 1024 / 1e6,
 				})
 			}
 		}
 	}
 	if *capacityDir == "" {
-		b.Logf("%+v", list)
+		b.Logf("%+v", runs)
 		return
 	}
 	text, err := json.MarshalIndent(map[string]any{
-		"command": "go test ./cmd/lilacctl -run '^$' -bench Capacity -benchtime 1x -capacity $PWD/docs/capacity", "rows": list,
+		"command": "go test ./cmd/lilacctl -run '^$' -bench Capacity -benchtime 1x -capacity $PWD/docs/capacity", "rows": runs,
 	}, "", " ")
 	require.NoError(b, err)
 	require.NoError(b, os.WriteFile(filepath.Join(*capacityDir, "tool-lilacctl.json"), append(text, '\n'), 0o644))
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"lilaccove/internal/load/run"
 )
 
-const short = `seed: 3
+const shortPlan = `seed: 3
 groups: 2
 sessions: {count: 40, follow: 50%, after: 50 ms}
 retries: {most: 1, pause: 50 ms}
@@ -31,35 +31,36 @@
 `
 
 func newLab(t *testing.T, text string, gateway ...string) *Lab {
-	p, err := plan.Parse("p", []byte(text))
+	parsed, err := plan.Parse("p", []byte(text))
 	require.NoError(t, err)
-	list, err := plan.Schedule(p)
+	arrivals, err := plan.Schedule(parsed)
 	require.NoError(t, err)
-	return &Lab{Plan: p, Arrivals: list, Gateway: gateway}
+	return &Lab{Plan: parsed, Arrivals: arrivals, Gateway: gateway}
 }
 
-// A rolling deploy under a burst, with resets behind the last byte, against the real gateway: no write runs twice, no
-// read is too old, each request has one answer, and all that was started has ended.
-func TestRollingDeployUnderABurst(t *testing.T) {
+// A rolling deployment of the databases during a burst, with connections reset after statements have run, against the
+// real gateway: no write runs twice, no read is too old, each request has one answer, and every process has ended.
+func TestRollingDeploymentUnderBurst(t *testing.T) {
 	gateway := filepath.Join(t.TempDir(), "lilaccove")
-	out, err := exec.Command("go", "build", "-o", gateway, "lilaccove/cmd/lilaccove").CombinedOutput()
-	require.NoError(t, err, "%s", out)
-	l := newLab(t, short, gateway)
-	r, err := l.Play(context.Background())
+	output, err := exec.Command("go", "build", "-o", gateway, "lilaccove/cmd/lilaccove").CombinedOutput()
+	require.NoError(t, err, "%s", output)
+	lab := newLab(t, shortPlan, gateway)
+	report, err := lab.Play(context.Background())
 	require.NoError(t, err)
-	assert.NoError(t, Verdict(r))
-	assert.Equal(t, len(l.Arrivals), r.Total.Count)
-	assert.Greater(t, r.Total.Counts[run.InAim], r.Total.Count/2)
-	assert.Positive(t, r.Total.Counts[run.Failed], "resets behind the last byte of a write are told as failures")
-	for _, n := range l.processes() {
-		assert.NotNil(t, n.cmd.ProcessState, "it has ended")
+	assert.NoError(t, Verdict(report))
+	assert.Equal(t, len(lab.Arrivals), report.Total.Count)
+	assert.Greater(t, report.Total.Counts[run.InAim], report.Total.Count/2)
+	assert.Positive(t, report.Total.Counts[run.Failed], "writes whose connection is reset after they have run are reported as failed")
+	for _, n := range lab.processes() {
+		assert.NotNil(t, n.cmd.ProcessState, "the process has ended")
 	}
 }
 
+// A gateway that exits at its start, or cannot be executed, fails the run.
 func TestGatewayThatDoesNotStart(t *testing.T) {
-	_, err := newLab(t, short, "false").Play(context.Background())
+	_, err := newLab(t, shortPlan, "false").Play(context.Background())
 	assert.ErrorContains(t, err, "does not start")
-	_, err = newLab(t, short, "/nonexistent").Play(context.Background())
+	_, err = newLab(t, shortPlan, "/nonexistent").Play(context.Background())
 	assert.Error(t, err)
 }
 
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -43,7 +43,7 @@
 	udp                *net.UDPConn
 	listener           net.Listener
 	addr               netip.AddrPort
-	sendQueueEmptyAt   time.Time // for links with a limited rate
+	sendQueueEmptyAt   time.Time // when a link with a limited rate has sent everything queued so far
 	conns              map[net.Conn]bool
 }
 
@@ -326,7 +326,7 @@
 			link := mesh.links[fromIndex*mesh.size+toIndex]
 			wait := link.Delay
 			if mesh.rng.Float64() < link.Loss {
-				wait += 200 * time.Millisecond
+				wait += 200 * time.Millisecond // retransmission timeout
 			}
 			if link.Rate > 0 {
 				wait += time.Duration(float64(n) / link.Rate * float64(time.Second))
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -252,7 +252,7 @@
 	bound := w.options.Bounds[string(head.Class)]
 	// The bound counts from the arrival of the statement's last byte; 50 ms are allowed for delays.
 	tooOld := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
-	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // positions of commits are rounded up to milliseconds
+	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // a commit's position is rounded up to a millisecond
 		w.counts.Stale++
 		if len(w.counts.StaleIDs) < maxReportedIDs {
 			w.counts.StaleIDs = append(w.counts.StaleIDs, id)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -168,7 +168,7 @@
 		return
 	}
 	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
-	changes := make(chan []byte, 256)
+	changes := make(chan []byte, 256) // a watch with more unread changes is ended
 	d.world.mu.Lock()
 	d.calls.Requests++
 	d.calls.LastAfter = request.URL.Query().Get("after")
@@ -201,7 +201,7 @@
 		d.world.mu.Unlock()
 	}()
 	_, _ = response.Write(first)
-	tick := time.NewTicker(2 * time.Second)
+	tick := time.NewTicker(2 * time.Second) // of heartbeats
 	defer tick.Stop()
 	for {
 		_ = http.NewResponseController(response).Flush()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"lilaccove/policy"
 )
 
-const start = "SYNC\t1000\t7\nSELECT\t3\n" +
+const startBatch = "SYNC\t1000\t7\nSELECT\t3\n" +
 	"PROVISION\t5\tInstances=3\tDiscovery=ask\tResolutionUs=5000\tDomain.ZeroUs=2000000\tUnheard=x" +
 	"\tDomain.ReadLevel=recent,update\tDomain.ClassBoundUs=500000,0\tDomain.Behind=hold" +
 	"\tDomain.SessionMarks=router\tDomain.ShowsRole=initial\tLanes.count=2" +
@@ -17,54 +17,56 @@
 	"\tLanes.1.GoalTimeUs=600000\tLanes.1.DeadlineUs=1500000\tLanes.1.Repeat=dedup\tLanes.1.Group=all\n" +
 	"LEDGER\t0\t1\nROW\thost-a\t1\t0\t11\tcordoned\t1.5\t1\t6100000\nVIEW\t0\tcached\t41\nEOF_BATCH\n"
 
-func TestReadsEveryMessage(t *testing.T) {
-	r := NewReader(strings.NewReader(start + "SYNC\t2000\t8\nSELECT\t3\n" +
+// Every message and its values are parsed, positions relative to the epoch in the settings.
+func TestReaderParsesEveryMessage(t *testing.T) {
+	reader := NewReader(strings.NewReader(startBatch + "SYNC\t2000\t8\nSELECT\t3\n" +
 		"SUBMIT\tq\t1\t2\t77\t240000\t-\t11\t412.5\t4\n" +
 		"RESOLVED\tq\t0\thost-a\t0\t18500\t1\t25486\t-\n" +
 		"PROBE_RESULT\t1400\thost-a\t0\tx0:6.204,x1:1,odd:9,backlog:3\n" +
 		"LAPSED\tq\nELAPSED\t9\nVIEW\t-\tfailed\t-\nRETIRE\nEOF_BATCH\n"))
-	b, err := r.Next()
+	batch, err := reader.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := b.Items[0].Settings
-	if set.ListSource != policy.ListFromService || !set.TracksSessions || set.StaleReadMode != policy.StaleReadHold ||
-		set.ListRole != policy.ListRoleInitial || set.Classes[0].Bound != 500*time.Millisecond ||
-		set.Classes[1].RetrySafety != policy.DedupAll || set.Classes[1].Level != policy.Write {
-		t.Errorf("settings %+v", set)
+	settings := batch.Items[0].Settings
+	if settings.ListSource != policy.ListFromService || !settings.TracksSessions || settings.StaleReadMode != policy.StaleReadHold ||
+		settings.ListRole != policy.ListRoleInitial || settings.Classes[0].Bound != 500*time.Millisecond ||
+		settings.Classes[1].RetrySafety != policy.DedupAll || settings.Classes[1].Level != policy.Write {
+		t.Errorf("settings %+v", settings)
 	}
-	m := b.Items[1].Event.(policy.ListUpdate)
-	if e := m.Entries[0]; m.Kind != policy.ListCached || e.Host != "host-a" || e.Group != 11 ||
+	update := batch.Items[1].Event.(policy.ListUpdate)
+	if e := update.Entries[0]; update.Kind != policy.ListCached || e.Host != "host-a" || e.Group != 11 ||
 		e.Status != policy.Draining || !e.Primary || e.StartedAt != 6100*time.Millisecond {
-		t.Errorf("members %+v", m)
+		t.Errorf("members %+v", update)
 	}
-	if b, err = r.Next(); err != nil {
+	if batch, err = reader.Next(); err != nil {
 		t.Fatal(err)
 	}
-	q := b.Items[0].Event.(policy.Request)
-	if q.Session != 77 || q.Group != 11 || q.LastCommitAge != 412500*time.Microsecond || q.Timeout != 240*time.Millisecond {
-		t.Errorf("request %+v", q)
+	request := batch.Items[0].Event.(policy.Request)
+	if request.Session != 77 || request.Group != 11 || request.LastCommitAge != 412500*time.Microsecond || request.Timeout != 240*time.Millisecond {
+		t.Errorf("request %+v", request)
 	}
-	o := b.Items[1].Event.(policy.Result)
-	if o.Role != policy.Replica || o.Position != 2*time.Second+6371*time.Millisecond || !o.Finished {
-		t.Errorf("result %+v", o)
+	result := batch.Items[1].Event.(policy.Result)
+	if result.Role != policy.Replica || result.Position != 2*time.Second+6371*time.Millisecond || !result.Finished {
+		t.Errorf("result %+v", result)
 	}
-	p := b.Items[2].Event.(policy.ProbeResult)
-	if p.Report.Role != policy.Primary || p.Report.Position != 8204*time.Millisecond {
-		t.Errorf("probed %+v", p)
+	probe := batch.Items[2].Event.(policy.ProbeResult)
+	if probe.Report.Role != policy.Primary || probe.Report.Position != 8204*time.Millisecond {
+		t.Errorf("probed %+v", probe)
 	}
-	if e := b.Items[4].Event.(policy.TimerFired); e.ID != 9 {
+	if e := batch.Items[4].Event.(policy.TimerFired); e.ID != 9 {
 		t.Errorf("elapsed %+v", e)
 	}
-	if b.Items[6].Kind != RouterStop || len(b.Items) != 7 {
-		t.Errorf("items %+v", b.Items)
+	if batch.Items[6].Kind != RouterStop || len(batch.Items) != 7 {
+		t.Errorf("items %+v", batch.Items)
 	}
-	if _, err := r.Next(); err != io.EOF {
+	if _, err := reader.Next(); err != io.EOF {
 		t.Errorf("end of input: %v", err)
 	}
 }
 
-func TestMalformedInputNamesItsLine(t *testing.T) {
+// Each malformed input leads to an error that names its line.
+func TestErrorNamesLineOfMalformedInput(t *testing.T) {
 	tests := []struct{ name, in, want string }{
 		{"no SYNC", "SELECT\t1\n", "line 1: expected SYNC"},
 		{"cut off line", "SYNC\t1\t1", "line 1: line is cut off"},
@@ -87,20 +89,21 @@
 	}
 }
 
-func TestReply(t *testing.T) {
-	var w Reply
-	w.BeginRouter(3)
+// Timers are rounded up to microseconds, and texts are kept on one line.
+func TestReplyEncodesEveryAction(t *testing.T) {
+	var reply Reply
+	reply.BeginRouter(3)
 	for _, a := range []policy.Action{
 		policy.Send{Request: "q", Host: "h", Timeout: 80 * time.Millisecond},
 		policy.Refuse{Request: "q", RetryAfter: time.Second}, policy.Fail{Request: "q"},
 		policy.Cancel{Request: "q", Attempt: 1}, policy.Probe{Host: "h"}, policy.CloseIdleConnections{Host: "h"},
 		policy.SetTimer{After: 1500, ID: 7}, policy.Subscribe{}, policy.Log{Text: "a\tb"},
 	} {
-		w.Action(a)
+		reply.Action(a)
 	}
-	w.Failed("index out\nof range")
+	reply.Failed("index out\nof range")
 	var out strings.Builder
-	if err := w.Flush(&out, "12"); err != nil {
+	if err := reply.Flush(&out, "12"); err != nil {
 		t.Fatal(err)
 	}
 	want := "FOR\t3\nPLACE\tq\th\t80000\nREJECT\tq\t1000000\nGIVE_UP\tq\nCALL_OFF\tq\t1\nASK_LOAD\th\nHANG_UP\th\n" +
