--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -85,8 +85,8 @@
 			"Exit status: 0 no problem, 1 wrong usage, 2 there are findings, 3 a gateway did not answer.",
 	}
 	var all bool
-	members := queryCommand("members", "Show which members of the fleet each gateway knows", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
-		if list := queryMembers(at, wait); asJSON {
+	members := queryCommand("members", "Show which members of the fleet each gateway knows", "", func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error {
+		if list := queryMembers(addresses, timeout); asJSON {
 			return list.printJSON(w)
 		} else {
 			return list.printTable(w, all)
--- a/cmd/lilacctl/state.go
+++ b/cmd/lilacctl/state.go
@@ -62,7 +62,7 @@
 // databaseCommand returns a command that suspends or resumes a database at one gateway or in the whole fleet.
 func databaseCommand(verb, short string) *cobra.Command {
 	fleet := false
-	c := overrideCommand(verb, "DATABASE", short+" at one gateway, or with --fleet at all", func() string {
+	c := overrideCommand(verb, "DATABASE", short+" at one gateway, or at all of them with --fleet", func() string {
 		if fleet {
 			return "/v1/fleet/databases/"
 		}
@@ -89,7 +89,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: %s, %s\n", args[0], verb, strings.TrimSpace(string(body)))
 			if strings.Contains(string(body), peer.NotOnDisk) {
-				return exitStatus{exitFinding, args[0] + ": the override is active, but " + peer.NotOnDisk + ": it would be lost if all gateways ended at once"}
+				return exitStatus{exitFinding, args[0] + ": the override is in force, but " + peer.NotOnDisk + ": it would be lost if all gateways ended at once"}
 			}
 			return nil
 		},
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -119,7 +119,7 @@
 	scriptedStatements []string                      // that arrived while a script was set
 	refusing, hanging  bool                          // refuses all connections; answers no statement
 	greetingDelay      time.Duration                 // delay of the reply to a startup message
-	dials, ended       int                           // connections accepted; connections that ended after the greeting
+	dials, ended       int                           // connections that sent a startup message; accepted ones that have ended
 }
 
 // New starts the databases and one discovery server.
@@ -202,8 +202,10 @@
 	world.faults = f
 }
 
-// draw returns true with probability p.
-func (world *World) draw(p float64) bool { return p > 0 && world.rng.Float64() < p }
+// draw returns true with the given probability.
+func (world *World) draw(probability float64) bool {
+	return probability > 0 && world.rng.Float64() < probability
+}
 
 // pickHosts returns a random share of the databases in service.
 func (world *World) pickHosts(share float64) (picked []*Host) {
