--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -1,4 +1,4 @@
-// Command lilacctl is the operators' command line: it asks gateways at their operators' addresses.
+// Command lilacctl is the operators' command line tool. It sends requests to gateways' management addresses.
 package main
 
 import (
@@ -13,54 +13,54 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit statuses, for scripts.
+// Exit statuses, for scripts.
 const (
-	exitTrouble     = 1 // the call itself was wrong
-	exitFinding     = 2 // gateways answered, and something is not as it should be
+	exitUsage       = 1 // wrong usage, or a local error
+	exitFinding     = 2 // gateways answered, and something is wrong
 	exitUnreachable = 3 // a gateway did not answer
 )
 
-// status is an error with the exit status it leads to.
-type status struct {
-	code int
-	why  string
+// exitStatus is an error with the exit status of the process.
+type exitStatus struct {
+	code    int
+	message string
 }
 
-func (s status) Error() string { return s.why }
+func (s exitStatus) Error() string { return s.message }
 
-// asking makes a command that asks gateways and prints what they say.
-func asking(use, short, long string, do func(w io.Writer, at []string, asJSON bool, wait time.Duration) error) *cobra.Command {
-	var at []string
+// queryCommand returns a command that queries gateways and prints their answers.
+func queryCommand(use, short, long string, run func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error) *cobra.Command {
+	var addresses []string
 	var asJSON bool
-	var wait time.Duration
+	var timeout time.Duration
 	c := &cobra.Command{
 		Use: use + " --at 127.0.0.1:7510", Short: short, Long: long, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return do(c.OutOrStdout(), at, asJSON, wait) },
+		RunE: func(c *cobra.Command, _ []string) error { return run(c.OutOrStdout(), addresses, asJSON, timeout) },
 	}
-	c.Flags().StringArrayVar(&at, "at", nil, "a gateway's operators' address; may be given several times")
-	c.Flags().BoolVar(&asJSON, "json", false, "print what the gateways said, as JSON")
-	c.Flags().DurationVar(&wait, "timeout", 2*time.Second, "how long a gateway may take to answer")
+	c.Flags().StringArrayVar(&addresses, "at", nil, "a gateway's management address; may be given several times")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the gateways' answers as JSON")
+	c.Flags().DurationVar(&timeout, "timeout", 2*time.Second, "how long a gateway may take to answer")
 	_ = c.MarkFlagRequired("at")
 	return c
 }
 
-// show prints what was said as JSON, or the table.
-func show(w io.Writer, asJSON bool, said any, table func() error) error {
+// printResult prints the result as JSON, or calls printTable.
+func printResult(w io.Writer, asJSON bool, result any, printTable func() error) error {
 	if !asJSON {
-		return table()
+		return printTable()
 	}
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	return e.Encode(said)
+	return e.Encode(result)
 }
 
-// verdict is what the exit status says: who does not answer goes before what was found.
-func verdict(silent, findings []string) error {
+// exitError returns the error for the exit status, nil for 0. Unreachable gateways take precedence over findings.
+func exitError(unreachable, findings []string) error {
 	switch {
-	case len(silent) > 0:
-		return status{exitUnreachable, "no answer from " + strings.Join(silent, ", ")}
+	case len(unreachable) > 0:
+		return exitStatus{exitUnreachable, "no answer from " + strings.Join(unreachable, ", ")}
 	case len(findings) > 0:
-		return status{exitFinding, strings.Join(findings, "; ")}
+		return exitStatus{exitFinding, strings.Join(findings, "; ")}
 	}
 	return nil
 }
@@ -71,36 +71,36 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "lilacctl: "+err.Error())
-	var s status
+	var s exitStatus
 	if errors.As(err, &s) {
 		os.Exit(s.code)
 	}
-	os.Exit(exitTrouble)
+	os.Exit(exitUsage)
 }
 
 func command() *cobra.Command {
 	root := &cobra.Command{
-		Use: "lilacctl", Short: "Ask and steer gateways", SilenceUsage: true, SilenceErrors: true,
-		Long: "Asks gateways at their operators' addresses (management in the configuration).\n" +
-			"Exit status: 0 all is as it should be, 1 the call was wrong, 2 something was found, 3 a gateway did not answer.",
+		Use: "lilacctl", Short: "Query and control gateways", SilenceUsage: true, SilenceErrors: true,
+		Long: "Sends requests to gateways' management addresses (management in the configuration).\n" +
+			"Exit status: 0 no problem, 1 wrong usage, 2 there are findings, 3 a gateway did not answer.",
 	}
 	var all bool
-	members := asking("members", "Which gateways know which others", "", func(w io.Writer, at []string, asJSON bool, wait time.Duration) error {
-		if list := ask(at, wait); asJSON {
-			return list.json(w)
+	members := queryCommand("members", "Show which members of the fleet each gateway knows", "", func(w io.Writer, addresses []string, asJSON bool, timeout time.Duration) error {
+		if list := queryMembers(addresses, timeout); asJSON {
+			return list.printJSON(w)
 		} else {
-			return list.table(w, all)
+			return list.printTable(w, all)
 		}
 	})
-	members.Flags().BoolVar(&all, "all", false, "list those that have ended as well")
+	members.Flags().BoolVar(&all, "all", false, "list gateways that have left or died as well")
 	root.AddCommand(members,
-		asking("state", "What operators told the whole fleet, and whether all have it", "", state),
-		asking("versions", "Which gateway acts on which versions, and who is behind",
-			"Each gateway knows the versions of the others; the first that answers is enough. With several the newest telling of\n"+
-				"each gateway counts.", versions),
+		queryCommand("state", "Show the operator overrides of the fleet, and whether all gateways have them", "", printState),
+		queryCommand("versions", "Show which versions each gateway acts on, and which gateways lag",
+			"Each gateway knows the versions of the others, so that one address is enough. With several addresses, the most recent\n"+
+				"report on each gateway counts.", printVersions),
 		auditCommand(),
-		wordCommand("suspend", "Leave a database out"), wordCommand("resume", "Have a database serve again"),
-		sayCommand("drain", "GATEWAY", "Empty a gateway of the fleet, told at any of them", func() string { return "/v1/fleet/gateways/" }),
-		sayCommand("activate", "GATEWAY", "Have a gateway of the fleet work again", func() string { return "/v1/fleet/gateways/" }))
+		databaseCommand("suspend", "Suspend a database"), databaseCommand("resume", "Lift the suspension of a database"),
+		overrideCommand("drain", "GATEWAY", "Drain a gateway of the fleet; any gateway takes the request", func() string { return "/v1/fleet/gateways/" }),
+		overrideCommand("activate", "GATEWAY", "End the drain of a gateway of the fleet", func() string { return "/v1/fleet/gateways/" }))
 	return root
 }
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -15,25 +15,26 @@
 	"lilaccove/internal/peer"
 )
 
-// answer is what one gateway said, or why it did not.
-type answer struct {
+// membersAnswer is one gateway's report on the members, or the error of the request.
+type membersAnswer struct {
 	At    string       `json:"at"`
 	Error string       `json:"error,omitempty"`
 	Fleet *peer.Report `json:"fleet,omitempty"`
 }
 
-type answers []answer
+// membersAnswers are the answers in the order of the addresses.
+type membersAnswers []membersAnswer
 
-// ask asks all gateways at once.
-func ask(at []string, wait time.Duration) answers {
-	list := make(answers, len(at))
+// queryMembers queries all gateways concurrently.
+func queryMembers(addresses []string, timeout time.Duration) membersAnswers {
+	list := make(membersAnswers, len(addresses))
 	var all sync.WaitGroup
-	for i, a := range at {
+	for i, a := range addresses {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			list[i] = answer{At: a}
-			r, err := members(a, wait)
+			list[i] = membersAnswer{At: a}
+			r, err := fetchMembers(a, timeout)
 			if err != nil {
 				list[i].Error = err.Error()
 			} else {
@@ -45,61 +46,62 @@
 	return list
 }
 
-const mostAnswer = 8 << 20
+const mostAnswer = 8 << 20 // of a response's body; the rest is not read
 
-// call asks one gateway; a status that is not 200 is an error with what it says.
-func call(at, method, path string, wait time.Duration) ([]byte, error) {
-	if _, err := netip.ParseAddrPort(at); err != nil {
-		return nil, fmt.Errorf("%q is no address; write it like 127.0.0.1:7510", at)
+// callGateway sends a request to one gateway and returns the body. A status other than 200 is an error that contains the
+// body.
+func callGateway(addr, method, path string, timeout time.Duration) ([]byte, error) {
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return nil, fmt.Errorf("%q is no address; write it like 127.0.0.1:7510", addr)
 	}
-	q, err := http.NewRequest(method, "http://"+at+path, nil)
+	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
-	got, err := client.Do(q)
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer got.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(got.Body, mostAnswer))
-	if err == nil && got.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", got.Status, strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(body)))
 	}
-	return text, err
+	return body, err
 }
 
-// fetch asks for something in JSON.
-func fetch[T any](at, path string, wait time.Duration) (*T, error) {
-	text, err := call(at, http.MethodGet, path, wait)
+// fetch requests a JSON document from one gateway.
+func fetch[T any](addr, path string, timeout time.Duration) (*T, error) {
+	body, err := callGateway(addr, http.MethodGet, path, timeout)
 	if err != nil {
 		return nil, err
 	}
-	r := new(T)
-	if err := json.Unmarshal(text, r); err != nil {
+	report := new(T)
+	if err := json.Unmarshal(body, report); err != nil {
 		return nil, fmt.Errorf("the answer cannot be read: %w", err)
 	}
-	return r, nil
+	return report, nil
 }
 
-func members(at string, wait time.Duration) (*peer.Report, error) {
-	return fetch[peer.Report](at, "/v1/fleet/members", wait)
+func fetchMembers(addr string, timeout time.Duration) (*peer.Report, error) {
+	return fetch[peer.Report](addr, "/v1/fleet/members", timeout)
 }
 
-// verdict is the exit status: who does not answer goes before what was found.
-func (list answers) verdict() error {
-	var silent, findings []string
+// exitError reports unreachable gateways, different views and duplicate names.
+func (list membersAnswers) exitError() error {
+	var unreachable, findings []string
 	digests := map[string][]string{}
-	for _, a := range list {
-		if a.Fleet == nil {
-			silent = append(silent, a.At)
+	for _, answer := range list {
+		if answer.Fleet == nil {
+			unreachable = append(unreachable, answer.At)
 			continue
 		}
-		digests[a.Fleet.View.Digest] = append(digests[a.Fleet.View.Digest], a.Fleet.Name)
-		if a.Fleet.Superseded {
-			findings = append(findings, a.Fleet.Name+" at "+a.At+" has lost its name to another process")
+		digests[answer.Fleet.View.Digest] = append(digests[answer.Fleet.View.Digest], answer.Fleet.Name)
+		if answer.Fleet.Superseded {
+			findings = append(findings, answer.Fleet.Name+" at "+answer.At+" has lost its name to another process")
 		}
-		for _, m := range a.Fleet.View.Members {
+		for _, m := range answer.Fleet.View.Members {
 			if f := "two processes are named " + m.Name; m.DuplicateName && !slices.Contains(findings, f) {
 				findings = append(findings, f)
 			}
@@ -108,20 +110,22 @@
 	if len(digests) > 1 {
 		findings = append(findings, fmt.Sprintf("%d different views", len(digests)))
 	}
-	return verdict(silent, findings)
+	return exitError(unreachable, findings)
 }
 
-func (list answers) json(w io.Writer) error {
-	if err := show(w, true, list, nil); err != nil {
+// printJSON prints the answers as JSON.
+func (list membersAnswers) printJSON(w io.Writer) error {
+	if err := printResult(w, true, list, nil); err != nil {
 		return err
 	}
-	return list.verdict()
+	return list.exitError()
 }
 
-// table prints a line for each gateway that was asked, then one for each gateway that any of them knows.
-func (list answers) table(w io.Writer, all bool) error {
-	t := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "ASKED\tNAME\tMEMBER\tHEALTH\tVIEW\tMEMBERS\tDIGEST")
+// printTable prints a line for each address, then a line for each gateway that any of them knows. Dead members are
+// omitted unless all is set.
+func (list membersAnswers) printTable(w io.Writer, all bool) error {
+	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "ASKED\tNAME\tMEMBER\tHEALTH\tVIEW\tMEMBERS\tDIGEST")
 	type row struct{ addr, session, states string }
 	known := map[string]row{}
 	names := []string{}
@@ -134,29 +138,29 @@
 			known[m.Name] = r
 		}
 	}
-	for _, a := range list {
-		if a.Fleet == nil {
-			fmt.Fprintf(t, "%s\t-\t-\t-\t-\t-\t%s\n", a.At, a.Error)
+	for _, answer := range list {
+		if answer.Fleet == nil {
+			fmt.Fprintf(table, "%s\t-\t-\t-\t-\t-\t%s\n", answer.At, answer.Error)
 			continue
 		}
-		r := a.Fleet
-		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%d\t%d\t%s\n", a.At, r.Name, r.Member, r.Health, r.View.Version, len(r.View.Members), r.View.Digest)
-		for _, m := range r.Known {
+		report := answer.Fleet
+		fmt.Fprintf(table, "%s\t%s\t%t\t%d\t%d\t%d\t%s\n", answer.At, report.Name, report.Member, report.Health, report.View.Version, len(report.View.Members), report.View.Digest)
+		for _, m := range report.Known {
 			if all || m.State == "alive" || m.State == "suspect" {
-				add(m, r.Name, m.State)
+				add(m, report.Name, m.State)
 			}
 		}
-		if r.Member {
-			add(peer.ReportMember{Name: r.Name, Addr: r.Addr, Session: r.Session}, r.Name, "self")
+		if report.Member {
+			add(peer.ReportMember{Name: report.Name, Addr: report.Addr, Session: report.Session}, report.Name, "self")
 		}
 	}
-	fmt.Fprintln(t, "\nGATEWAY\tADDRESS\tSESSION\tAS SEEN BY")
+	fmt.Fprintln(table, "\nGATEWAY\tADDRESS\tSESSION\tAS SEEN BY")
 	slices.Sort(names)
 	for _, n := range names {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", n, known[n].addr, known[n].session, known[n].states)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", n, known[n].addr, known[n].session, known[n].states)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	return list.verdict()
+	return list.exitError()
 }
--- a/internal/standin/database.go
+++ b/internal/standin/database.go
@@ -14,124 +14,126 @@
 )
 
 const (
-	drainGrace = 2 * time.Second
-	toldWithin = 6 * time.Second  // of a change, whatever becomes of watches and calls
-	mostWaits  = 10 * time.Minute // of a silent answer
-	keepIDs    = 5
-	closeSeen  = 150 * time.Millisecond // by when a connection that was closed is noticed, with all cores busy
+	drainTime       = 2 * time.Second        // in which a draining database may still receive statements
+	announceTimeout = 6 * time.Second        // in which a change reaches every gateway although watches or calls fail
+	maxSilence      = 10 * time.Minute       // how long a connection without an answer is kept open
+	maxReportedIDs  = 5                      // in Counts
+	closeNoticeTime = 150 * time.Millisecond // in which the close of a connection is noticed with all cores busy
 )
 
+// accept serves connections until the listener is closed.
 func (h *Host) accept() {
-	defer h.w.wg.Done()
+	defer h.world.wg.Done()
 	for {
-		c, err := h.ln.Accept()
+		conn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
-		w := h.w
+		w := h.world
 		w.mu.Lock()
 		if w.closed {
 			w.mu.Unlock()
-			c.Close()
+			conn.Close()
 			continue
 		}
 		now := time.Now()
-		h.conns[c] = now
-		time.AfterFunc(closeSeen, func() { h.count(now) })
+		h.conns[conn] = now
+		time.AfterFunc(closeNoticeTime, func() { h.countOpen(now) })
 		w.counts.Connections++
 		w.wg.Add(1)
 		w.mu.Unlock()
 		go func() {
 			defer w.wg.Done()
-			h.Serve(c)
+			h.Serve(conn)
 			w.mu.Lock()
-			delete(h.conns, c)
+			delete(h.conns, conn)
 			w.mu.Unlock()
-			c.Close()
+			conn.Close()
 		}()
 	}
 }
 
-// Serve greets c and answers one query after the other, as the protocol has it, until it is over.
-func (h *Host) Serve(c net.Conn) {
-	in := bufio.NewReader(c)
+// Serve runs the server side of the protocol on a connection: the startup, then one query after the other.
+func (h *Host) Serve(conn net.Conn) {
+	in := bufio.NewReader(conn)
 	var size [4]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
 		return
 	}
-	n := int64(binary.BigEndian.Uint32(size[:])) - 4
-	if n < 4 || n > 10_000 {
+	bodySize := int64(binary.BigEndian.Uint32(size[:])) - 4
+	if bodySize < 4 || bodySize > 10_000 {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, in, n); err != nil {
+	if _, err := io.CopyN(io.Discard, in, bodySize); err != nil {
 		return
 	}
-	if !h.admits(c) {
+	if !h.greet(conn) {
 		return
 	}
 	defer func() {
-		h.w.mu.Lock()
-		defer h.w.mu.Unlock()
-		h.hangups++
+		h.world.mu.Lock()
+		defer h.world.mu.Unlock()
+		h.ended++
 	}()
 	for {
-		text, ok := h.query(c, in)
-		if !ok || !h.answer(c, text) {
+		text, ok := h.readStatement(conn, in)
+		if !ok || !h.handleStatement(conn, text) {
 			return
 		}
 	}
 }
 
-// query reads one statement; false: the connection is over.
-func (h *Host) query(c net.Conn, in *bufio.Reader) (string, bool) {
+// readStatement reads one statement. It returns false if the connection is to be closed.
+func (h *Host) readStatement(conn net.Conn, in *bufio.Reader) (string, bool) {
 	var head [5]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil || head[0] != pgwire.Query {
 		return "", false
 	}
-	n := int(binary.BigEndian.Uint32(head[1:])) - 4
-	if n < 1 || n > pgwire.MaxQuery {
+	bodySize := int(binary.BigEndian.Uint32(head[1:])) - 4
+	if bodySize < 1 || bodySize > pgwire.MaxQuery {
 		return "", false
 	}
-	h.w.mu.Lock()
-	reset := h.w.draw(h.w.faults.ResetBefore)
-	h.w.mu.Unlock()
-	body := make([]byte, n)
+	h.world.mu.Lock()
+	reset := h.world.draw(h.world.faults.ResetBefore)
+	h.world.mu.Unlock()
+	body := make([]byte, bodySize)
 	if reset {
-		_, _ = io.ReadFull(in, body[:n/2])
-		reset0(c)
+		_, _ = io.ReadFull(in, body[:bodySize/2])
+		resetConn(conn)
 		return "", false
 	}
-	if _, err := io.ReadFull(in, body); err != nil || body[n-1] != 0 {
+	if _, err := io.ReadFull(in, body); err != nil || body[bodySize-1] != 0 {
 		return "", false
 	}
-	return string(body[:n-1]), true
+	return string(body[:bodySize-1]), true
 }
 
-// reset0 ends a connection with a reset.
-func reset0(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+// resetConn closes a connection with a TCP reset.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
-func refusal(code, why string) []byte {
+// errorResponse is an ErrorResponse followed by ReadyForQuery.
+func errorResponse(code, why string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, why, ""))
 }
 
-// answer runs a statement; false: the connection is over.
-func (h *Host) answer(c net.Conn, text string) bool {
-	w, arrived := h.w, time.Now()
-	if h.hangs() {
+// handleStatement runs and answers a statement. It returns false if the connection is to be closed.
+func (h *Host) handleStatement(conn net.Conn, text string) bool {
+	w, arrived := h.world, time.Now()
+	if h.waitIfHanging() {
 		return false
 	}
 	if !strings.HasPrefix(text, "/*") {
 		if pgwire.IsEmptyQuery([]byte(text)) {
-			return write(c, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
+			return writeOK(conn, pgwire.AppendReady(pgwire.AppendEmptyQuery(nil)))
 		}
-		return write(c, Row("1", "")) // a probe: it tells that the process runs
+		return writeOK(conn, Row("1", "")) // a probe, answered while the process runs, even if the database is paused
 	}
-	if h.scripted(c, text) {
+	if h.runScript(conn, text) {
 		return true
 	}
 	head, err := pgwire.ParseHead([]byte(text))
@@ -139,28 +141,28 @@
 		w.mu.Lock()
 		w.counts.Foreign++
 		w.mu.Unlock()
-		return write(c, refusal(pgwire.CodeProtocolViolation, "no client sends this"))
+		return writeOK(conn, errorResponse(pgwire.CodeProtocolViolation, "no client sends this"))
 	}
 	isWrite := strings.HasPrefix(text[strings.Index(text, "*/")+2:], " INSERT")
 	w.mu.Lock()
-	h.begun++
-	h.bears(arrived)
-	if h.health != "in_service" && time.Since(h.told) > drainGrace+50*time.Millisecond+w.toldLate(h.told) {
+	h.statementCount++
+	h.checkColdLoad(arrived)
+	if h.health != "in_service" && time.Since(h.drainingSince) > drainTime+50*time.Millisecond+w.announceDelayAllowed(h.drainingSince) {
 		w.counts.Drained++
 	}
 	if isWrite && !h.primary {
 		w.counts.Misses++
-		note := h.note(time.Time{})
+		statuses := h.statusMessages(time.Time{})
 		w.mu.Unlock()
-		return write(c, append(note, refusal(pgwire.CodeReadOnly, "this is no primary")...))
+		return writeOK(conn, append(statuses, errorResponse(pgwire.CodeReadOnly, "this is no primary")...))
 	}
-	h.came(string(head.ID), text)
-	if h.waiting >= w.opt.Cores+w.opt.Queue {
+	h.countAttempt(string(head.ID), text)
+	if h.pending >= w.options.Cores+w.options.Queue {
 		w.counts.Full++
 		w.mu.Unlock()
-		return write(c, refusal(pgwire.CodeTooManyConnections, "the queue is full"))
+		return writeOK(conn, errorResponse(pgwire.CodeTooManyConnections, "the queue is full"))
 	}
-	h.waiting++
+	h.pending++
 	paused := h.paused
 	w.mu.Unlock()
 	if paused != nil {
@@ -170,73 +172,74 @@
 		}
 	}
 	h.slots <- struct{}{}
-	time.Sleep(h.service())
+	time.Sleep(h.drawServiceTime())
 	<-h.slots
 
 	w.mu.Lock()
-	h.waiting--
-	f := w.faults
-	failed := w.draw(f.Errors)
+	h.pending--
+	faults := w.faults
+	failed := w.draw(faults.Errors)
 	if !failed || w.draw(0.5) {
-		h.run(head, isWrite, arrived)
+		h.recordExecution(head, isWrite, arrived)
 	}
-	reset, silent, spoilt := w.draw(f.ResetAfter), w.draw(f.Silence), w.draw(f.Malformed)
+	reset, silent, malformed := w.draw(faults.ResetAfter), w.draw(faults.Silence), w.draw(faults.Malformed)
 	now := time.Now()
-	note := h.note(now)
+	statuses := h.statusMessages(now)
 	position := h.position(now)
 	w.mu.Unlock()
 	switch {
 	case failed:
-		return write(c, refusal("XX000", "internal error"))
+		return writeOK(conn, errorResponse("XX000", "internal error"))
 	case reset:
-		reset0(c)
+		resetConn(conn)
 		return false
 	case silent:
-		_ = c.SetReadDeadline(time.Now().Add(mostWaits))
-		_, _ = c.Read(make([]byte, 1)) // until the gateway gives up
+		_ = conn.SetReadDeadline(time.Now().Add(maxSilence))
+		_, _ = conn.Read(make([]byte, 1)) // returns when the gateway closes the connection
 		return false
-	case spoilt:
-		return write(c, []byte("T\xff\xff\xff\xffnoise"))
+	case malformed:
+		return writeOK(conn, []byte("T\xff\xff\xff\xffnoise"))
 	case isWrite:
-		return write(c, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(note)))
+		return writeOK(conn, Row(fmt.Sprintf("commit=%d", now.UnixMilli()+1), string(statuses)))
 	}
-	return write(c, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(note)))
+	return writeOK(conn, Row(fmt.Sprintf("applied=%d", position.UnixMilli()), string(statuses)))
 }
 
-// came counts a statement as the first or a further attempt at one try of a client, which marks its own retries.
-func (h *Host) came(id, text string) {
-	try, _, _ := strings.Cut(text, "*/")
-	if _, mark, again := strings.Cut(try, ",r="); again {
+// countAttempt counts a statement as the gateway's first or a further attempt at a client's request. A client's own
+// retry carries a mark and counts as another request.
+func (h *Host) countAttempt(id, text string) {
+	head, _, _ := strings.Cut(text, "*/")
+	if _, mark, isRetry := strings.Cut(head, ",r="); isRetry {
 		id += "," + strings.TrimSpace(mark)
 	}
-	if w := h.w; w.tried[id] {
+	if w := h.world; w.attempted[id] {
 		w.counts.Repeats++
 	} else {
-		w.tried[id] = true
+		w.attempted[id] = true
 		w.counts.Firsts++
 	}
 }
 
-// service draws how long a statement takes.
-func (h *Host) service() time.Duration {
-	w := h.w
+// drawServiceTime returns the execution time of a statement, longer on a cold database.
+func (h *Host) drawServiceTime() time.Duration {
+	w := h.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d := float64(w.opt.Service)
-	if w.opt.Exponential {
-		d *= w.rnd.ExpFloat64()
+	d := float64(w.options.Service)
+	if w.options.Exponential {
+		d *= w.rng.ExpFloat64()
 	}
-	return time.Duration(d / h.warmth(time.Now()))
+	return time.Duration(d / h.speedShare(time.Now()))
 }
 
-// run counts a statement that has had its effect, and whether it must not have.
-func (h *Host) run(head pgwire.Head, isWrite bool, arrived time.Time) {
-	w, id := h.w, string(head.ID)
+// recordExecution counts a statement that has run, and detects duplicate writes and stale reads.
+func (h *Host) recordExecution(head pgwire.Head, isWrite bool, arrived time.Time) {
+	w, id := h.world, string(head.ID)
 	if isWrite {
 		w.counts.Writes++
-		if w.ran[id]++; w.ran[id] == 2 {
+		if w.executions[id]++; w.executions[id] == 2 {
 			w.counts.Duplicates++
-			if len(w.counts.TwiceIDs) < keepIDs {
+			if len(w.counts.TwiceIDs) < maxReportedIDs {
 				w.counts.TwiceIDs = append(w.counts.TwiceIDs, id)
 			}
 		}
@@ -246,31 +249,31 @@
 		w.counts.PrimaryReads++
 	}
 	position := h.position(time.Now())
-	bound := w.opt.Bounds[string(head.Class)]
-	// The bound counts from the last byte of the sending.
-	old := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
-	if old || head.After > 0 && position.UnixMilli()+1 < head.After { // commits are told rounded up
+	bound := w.options.Bounds[string(head.Class)]
+	// The bound counts from the arrival of the statement's last byte; 50 ms are allowed for delays.
+	tooOld := bound > 0 && position.Before(arrived.Add(-bound-50*time.Millisecond))
+	if tooOld || head.After > 0 && position.UnixMilli()+1 < head.After { // a commit's position is rounded up to a millisecond
 		w.counts.Stale++
-		if len(w.counts.StaleIDs) < keepIDs {
+		if len(w.counts.StaleIDs) < maxReportedIDs {
 			w.counts.StaleIDs = append(w.counts.StaleIDs, id)
 		}
 	}
 }
 
-// position is up to when all commits are applied; it never goes back.
+// position returns the replication position: the time up to which all commits are applied. It never goes back.
 func (h *Host) position(now time.Time) time.Time {
-	at := now
+	position := now
 	if !h.primary {
-		at = now.Add(-h.lag)
+		position = now.Add(-h.lag)
 	}
-	if at.After(h.applied) {
-		h.applied = at
+	if position.After(h.applied) {
+		h.applied = position
 	}
 	return h.applied
 }
 
-// note tells the role and position with an answer.
-func (h *Host) note(now time.Time) []byte {
+// statusMessages returns the messages that report role and position with an answer. The zero time stands for now.
+func (h *Host) statusMessages(now time.Time) []byte {
 	if now.IsZero() {
 		now = time.Now()
 	}
@@ -278,18 +281,19 @@
 	if h.primary {
 		role = "primary"
 	}
-	return status(status(nil, "role", role), "applied_ms", fmt.Sprint(h.position(now).UnixMilli()))
+	return appendParameterStatus(appendParameterStatus(nil, "role", role), "applied_ms", fmt.Sprint(h.position(now).UnixMilli()))
 }
 
-func status(b []byte, name, value string) []byte {
+// appendParameterStatus appends a ParameterStatus message.
+func appendParameterStatus(b []byte, name, value string) []byte {
 	b = append(b, pgwire.ParameterStatus)
 	b = binary.BigEndian.AppendUint32(b, uint32(4+len(name)+1+len(value)+1))
 	b = append(append(b, name...), 0)
 	return append(append(b, value...), 0)
 }
 
-// Row is an answer with one value; notes are the messages that go with it.
-func Row(value, notes string) []byte {
+// Row returns an answer with one value; statuses are the messages to send with it.
+func Row(value, statuses string) []byte {
 	var b bytes.Buffer
 	b.WriteString("T\x00\x00\x00\x1d\x00\x01blob\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	n := uint32(len(value))
@@ -298,11 +302,12 @@
 	b.WriteString("\x00\x01")
 	b.Write(binary.BigEndian.AppendUint32(nil, n))
 	b.WriteString(value)
-	b.WriteString("C\x00\x00\x00\x0dSELECT 1\x00" + notes)
+	b.WriteString("C\x00\x00\x00\x0dSELECT 1\x00" + statuses)
 	return pgwire.AppendReady(b.Bytes())
 }
 
-func write(c net.Conn, b []byte) bool {
+// writeOK writes b and reports whether that succeeded.
+func writeOK(c net.Conn, b []byte) bool {
 	_, err := c.Write(b)
 	return err == nil
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -10,27 +10,29 @@
 	"time"
 )
 
-// restoreBehind is by how many versions a discovery that is restored from a backup is behind.
-const restoreBehind = 1000
+// restoreVersionGap is the number of list versions that RestoreDiscovery goes back.
+const restoreVersionGap = 1000
 
-// Discovery serves the list and its changes.
+// Discovery is a discovery server: it serves the list of databases and its changes.
 type Discovery struct {
-	Addr  string
-	w     *World
-	srv   *http.Server
-	stop  chan struct{}
-	calls Calls
-	stuck []byte // the list that it goes on telling; nil: it tells the truth
-	at    int    // its version
+	Addr          string
+	world         *World
+	server        *http.Server
+	stop          chan struct{}
+	calls         Calls
+	frozenList    []byte // the outdated list that it serves; nil: it serves the current one
+	frozenVersion int    // version of frozenList
 }
 
-type listing struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+// discoveryMessage is the whole list, or one change of it.
+type discoveryMessage struct {
+	Seq   int              `json:"seq"`
+	Whole bool             `json:"whole"`
+	Hosts []discoveryEntry `json:"hosts"`
 }
 
-type entry struct {
+// discoveryEntry is one database in a discoveryMessage.
+type discoveryEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -42,174 +44,180 @@
 	Role   string  `json:"role"`
 }
 
-func (h *Host) entry() entry {
-	dial := h.dial
-	if dial == "" {
-		dial = h.ln.Addr().String()
+// listEntry returns the database's current entry in the list.
+func (h *Host) listEntry() discoveryEntry {
+	addr := h.announcedAddr
+	if addr == "" {
+		addr = h.listener.Addr().String()
 	}
-	e := entry{Host: h.ID, Dial: dial, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
+	e := discoveryEntry{Host: h.ID, Dial: addr, Site: h.Site, Class: "m", Block: h.Group, Health: h.health, Share: 1, Role: "replica"}
 	if h.primary {
 		e.Role = "primary"
 	}
-	if !h.born.IsZero() {
-		e.BornMS = h.born.UnixMilli()
+	if !h.startedAt.IsZero() {
+		e.BornMS = h.startedAt.UnixMilli()
 	}
 	return e
 }
 
-// Freeze has this discovery go on telling the list as it is now, to all who ask or watch, or the truth again: those who
-// watch are let go, as they have missed something.
-func (d *Discovery) Freeze(on bool) {
-	w := d.w
+// Freeze makes this server keep serving the current list, without its later changes. When it is unfrozen, the server
+// ends its watches, as they have missed changes.
+func (d *Discovery) Freeze(frozen bool) {
+	w := d.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if d.stuck, d.at = nil, w.seq; on {
-		d.stuck = w.list()
+	if d.frozenList, d.frozenVersion = nil, w.listVersion; frozen {
+		d.frozenList = w.listMessage()
 		return
 	}
-	for ch, of := range w.watch {
-		if of == d {
-			delete(w.watch, ch)
-			close(ch)
+	for watch, discovery := range w.watches {
+		if discovery == d {
+			delete(w.watches, watch)
+			close(watch)
 		}
 	}
 }
 
-// List is the whole list as discovery would tell it now.
-func (w *World) List() []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.list()
+// List returns the whole list as discovery would serve it now.
+func (world *World) List() []byte {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.listMessage()
 }
 
-func (w *World) list() []byte {
-	l := listing{Seq: w.seq, Whole: true}
-	for _, h := range w.hosts {
-		l.Hosts = append(l.Hosts, h.entry())
+// listMessage is List for callers that hold the lock.
+func (world *World) listMessage() []byte {
+	message := discoveryMessage{Seq: world.listVersion, Whole: true}
+	for _, h := range world.hosts {
+		message.Hosts = append(message.Hosts, h.listEntry())
 	}
-	b, _ := json.Marshal(l)
+	b, _ := json.Marshal(message)
 	return b
 }
 
-// tell passes a change on to all that watch.
-func (w *World) tell(h *Host) {
-	w.seq++
-	b, _ := json.Marshal(listing{Seq: w.seq, Hosts: []entry{h.entry()}})
-	w.pass(b)
+// announce sends the current entry of a database to all watches, as a new version of the list.
+func (world *World) announce(h *Host) {
+	world.listVersion++
+	b, _ := json.Marshal(discoveryMessage{Seq: world.listVersion, Hosts: []discoveryEntry{h.listEntry()}})
+	world.broadcast(b)
 }
 
-// SilenceWatches has the watches that are on now say nothing any more, though their connections stay open.
-func (w *World) SilenceWatches() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed = time.Now()
-	for ch := range w.watch {
-		w.muted[ch] = true
+// SilenceWatches stops sending changes and heartbeats to the current watches. Their connections stay open.
+func (world *World) SilenceWatches() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
+	for watch := range world.watches {
+		world.silenced[watch] = true
 	}
-	clear(w.watch)
+	clear(world.watches)
 }
 
-func (w *World) mutes(ch chan []byte) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.muted[ch]
+// isSilenced reports whether a watch receives no heartbeats.
+func (world *World) isSilenced(watch chan []byte) bool {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.silenced[watch]
 }
 
-// pass sends a line to all that watch. One that does not read is let go: it asks again.
-func (w *World) pass(b []byte) {
-	for ch, d := range w.watch {
-		if d.stuck != nil {
+// broadcast sends a line to all watches. It ends a watch whose buffer is full; that gateway has to watch again.
+func (world *World) broadcast(line []byte) {
+	for watch, discovery := range world.watches {
+		if discovery.frozenList != nil {
 			continue
 		}
 		select {
-		case ch <- b:
+		case watch <- line:
 		default:
-			delete(w.watch, ch)
-			close(ch)
+			delete(world.watches, watch)
+			close(watch)
 		}
 	}
 }
 
-func newDiscovery(w *World) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newDiscovery starts a discovery server.
+func newDiscovery(world *World) (*Discovery, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{w: w, Addr: ln.Addr().String(), stop: make(chan struct{})}
-	d.srv = &http.Server{Handler: d}
-	w.wg.Add(1)
+	d := &Discovery{world: world, Addr: listener.Addr().String(), stop: make(chan struct{})}
+	d.server = &http.Server{Handler: d}
+	world.wg.Add(1)
 	go func() {
-		defer w.wg.Done()
-		_ = d.srv.Serve(ln)
+		defer world.wg.Done()
+		_ = d.server.Serve(listener)
 	}()
 	return d, nil
 }
 
+// close ends the server and its watches.
 func (d *Discovery) close() {
 	close(d.stop)
-	d.srv.Close()
+	d.server.Close()
 }
 
-func (d *Discovery) ServeHTTP(out http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/api/targets" {
-		http.NotFound(out, q)
+// ServeHTTP serves the list, or with the parameter watch a stream of its changes and heartbeats.
+func (d *Discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/api/targets" {
+		http.NotFound(response, request)
 		return
 	}
-	if q.URL.Query().Get("watch") == "" {
-		_, _ = out.Write(append(d.w.List(), '\n'))
+	if request.URL.Query().Get("watch") == "" {
+		_, _ = response.Write(append(d.world.List(), '\n'))
 		return
 	}
-	after, _ := strconv.Atoi(q.URL.Query().Get("after"))
-	ch := make(chan []byte, 256)
-	d.w.mu.Lock()
+	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
+	changes := make(chan []byte, 256) // a watch with more unread changes is ended
+	d.world.mu.Lock()
 	d.calls.Requests++
-	d.calls.LastAfter = q.URL.Query().Get("after")
-	slow, turned := d.w.slow, d.w.crowd > 0 && d.w.rnd.Float64() < d.w.crowd
-	d.w.mu.Unlock()
-	Sleep(slow, d.stop)
-	d.w.mu.Lock()
-	if d.w.down || turned {
-		d.w.mu.Unlock()
-		out.WriteHeader(http.StatusServiceUnavailable)
+	d.calls.LastAfter = request.URL.Query().Get("after")
+	delay, refused := d.world.discoveryDelay, d.world.discoveryRefusals > 0 && d.world.rng.Float64() < d.world.discoveryRefusals
+	d.world.mu.Unlock()
+	Sleep(delay, d.stop)
+	d.world.mu.Lock()
+	if d.world.discoveryDown || refused {
+		d.world.mu.Unlock()
+		response.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	d.calls.Watches++
-	// What changed is not kept: it is the whole list, or nothing, which is told as well.
-	list, version := d.stuck, d.at
-	if d.stuck == nil {
-		list, version = d.w.list(), d.w.seq
+	// Earlier changes are not kept: the first message is the whole list, or states that nothing has changed.
+	list, version := d.frozenList, d.frozenVersion
+	if d.frozenList == nil {
+		list, version = d.world.listMessage(), d.world.listVersion
 	}
 	first := fmt.Appendf(nil, "{\"seq\":%d,\"hosts\":[]}\n", version)
 	if after != version {
 		first = append(slices.Clone(list), '\n')
 	}
-	d.w.watch[ch] = d
-	d.w.mu.Unlock()
+	d.world.watches[changes] = d
+	d.world.mu.Unlock()
 	defer func() {
-		d.w.mu.Lock()
-		delete(d.w.watch, ch)
-		delete(d.w.muted, ch)
+		d.world.mu.Lock()
+		delete(d.world.watches, changes)
+		delete(d.world.silenced, changes)
 		d.calls.Watches--
-		d.w.mu.Unlock()
+		d.world.mu.Unlock()
 	}()
-	_, _ = out.Write(first)
-	tick := time.NewTicker(2 * time.Second)
+	_, _ = response.Write(first)
+	tick := time.NewTicker(2 * time.Second) // of heartbeats
 	defer tick.Stop()
 	for {
-		_ = http.NewResponseController(out).Flush()
+		_ = http.NewResponseController(response).Flush()
 		select {
-		case b, on := <-ch:
-			if !on {
+		case b, open := <-changes:
+			if !open {
 				return
 			}
-			_, _ = out.Write(b) // shared with all who watch
-			_, _ = out.Write([]byte{'\n'})
+			_, _ = response.Write(b) // not appended to, as all watches share it
+			_, _ = response.Write([]byte{'\n'})
 		case <-tick.C:
-			if d.w.mutes(ch) {
+			if d.world.isSilenced(changes) {
 				continue
 			}
-			_, _ = out.Write([]byte{'\n'})
-		case <-q.Context().Done():
+			_, _ = response.Write([]byte{'\n'})
+		case <-request.Context().Done():
 			return
 		case <-d.stop:
 			return
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -8,276 +8,282 @@
 	"lilaccove/internal/pgwire"
 )
 
-// SetScript has f answer clients' statements in place of the database, on the connection's own goroutine; nil: the
-// database answers again. Probes and greetings stay as they are.
-func (h *Host) SetScript(f func(c net.Conn, text string)) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	h.script = f
+// SetScript makes respond answer clients' statements instead of the database, on the connection's goroutine. With nil the
+// database answers again. Probes and startup messages are not affected.
+func (h *Host) SetScript(respond func(c net.Conn, text string)) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	h.respond = respond
 }
 
-// hangs waits for the end of the world, if the database is to stand still.
-func (h *Host) hangs() bool {
-	h.w.mu.Lock()
-	hung := h.hung
-	h.w.mu.Unlock()
-	if hung {
-		<-h.w.done
+// waitIfHanging blocks until the world is closed and returns true if the database hangs.
+func (h *Host) waitIfHanging() bool {
+	h.world.mu.Lock()
+	hanging := h.hanging
+	h.world.mu.Unlock()
+	if hanging {
+		<-h.world.done
 	}
-	return hung
+	return hanging
 }
 
-// scripted answers a statement by the script; false: there is none.
-func (h *Host) scripted(c net.Conn, text string) bool {
-	h.w.mu.Lock()
-	f := h.script
-	if f != nil {
-		h.begun++
-		h.statements = append(h.statements, text)
+// runScript answers a statement by the script, and returns false if there is none.
+func (h *Host) runScript(conn net.Conn, text string) bool {
+	h.world.mu.Lock()
+	respond := h.respond
+	if respond != nil {
+		h.statementCount++
+		h.scriptedStatements = append(h.scriptedStatements, text)
 	}
-	h.w.mu.Unlock()
-	if f != nil {
-		f(c, text)
+	h.world.mu.Unlock()
+	if respond != nil {
+		respond(conn, text)
 	}
-	return f != nil
+	return respond != nil
 }
 
-// Statements are those that came while a script was set, oldest first.
+// Statements returns those that arrived while a script was set, oldest first.
 func (h *Host) Statements() []string {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	return slices.Clone(h.statements)
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	return slices.Clone(h.scriptedStatements)
 }
 
-// Answer gives a value, with the note that goes with it.
-func (h *Host) Answer(c net.Conn, value string) {
-	h.w.mu.Lock()
-	note := h.note(time.Now())
-	h.w.mu.Unlock()
-	write(c, Row(value, string(note)))
+// Answer sends an answer with one value, the role and the position. It is meant for scripts.
+func (h *Host) Answer(conn net.Conn, value string) {
+	h.world.mu.Lock()
+	statuses := h.statusMessages(time.Now())
+	h.world.mu.Unlock()
+	writeOK(conn, Row(value, string(statuses)))
 }
 
-// SetAdmitting tells whether the database lets anybody in; at first it does.
-func (h *Host) SetAdmitting(yes bool) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	h.shut = !yes
+// SetAdmitting sets whether the database accepts new connections, which it does initially.
+func (h *Host) SetAdmitting(admitting bool) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	h.refusing = !admitting
 }
 
-// DelayGreeting has connections come up only after so long.
-func (h *Host) DelayGreeting(d time.Duration) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	h.late = d
+// DelayGreeting delays the reply to startup messages.
+func (h *Host) DelayGreeting(delay time.Duration) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	h.greetingDelay = delay
 }
 
-// admits greets c, or turns it away.
-func (h *Host) admits(c net.Conn) bool {
-	h.w.mu.Lock()
-	shut, late := h.shut, h.late
+// greet replies to a startup message. It returns false if the connection is refused or broken.
+func (h *Host) greet(conn net.Conn) bool {
+	h.world.mu.Lock()
+	refusing, delay := h.refusing, h.greetingDelay
 	h.dials++
-	h.w.mu.Unlock()
-	Sleep(late, h.w.done)
-	if shut {
-		write(c, pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
+	h.world.mu.Unlock()
+	Sleep(delay, h.world.done)
+	if refusing {
+		writeOK(conn, pgwire.AppendError(nil, "FATAL", pgwire.CodeTooManyConnections, "too many connections", ""))
 		return false
 	}
-	return write(c, pgwire.AppendStartupReply(nil, 0))
+	return writeOK(conn, pgwire.AppendStartupReply(nil, 0))
 }
 
-// Dials is how many connections were greeted or turned away.
+// Dials returns how many connections have sent a startup message, refused ones included.
 func (h *Host) Dials() int {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	return h.dials
 }
 
-// Hangups is how many connections that were greeted have ended.
+// Hangups returns how many accepted connections have ended.
 func (h *Host) Hangups() int {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	return h.hangups
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	return h.ended
 }
 
-// SetLag has this replica be so far behind.
+// SetLag sets the replication lag of this replica.
 func (h *Host) SetLag(lag time.Duration) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	h.lag = lag
 }
 
-// ClaimPrimary has this replica take writes as well, as after a split: there are two primaries, and discovery does not know.
+// ClaimPrimary makes this replica accept writes as well, as after a network partition: its group has two primaries. It
+// is not announced.
 func (h *Host) ClaimPrimary() {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	h.primary = true
 }
 
-// Hang has the database stand still for good, its connections open and new ones taken: nothing is answered.
+// Hang makes the database answer nothing from now on. Its connections stay open, and it accepts new ones.
 func (h *Host) Hang() {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	h.hung = true
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	h.hanging = true
 }
 
-// Promote makes this replica the primary of its group; discovery does not know.
+// Promote makes this replica the only primary of its group, without announcing it.
 func (h *Host) Promote() {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	for _, o := range h.w.hosts {
-		if o.Group == h.Group {
-			o.primary = o == h
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	for _, other := range h.world.hosts {
+		if other.Group == h.Group {
+			other.primary = other == h
 		}
 	}
 }
 
-// FailOver has the primaries of a share of the groups hang, and a replica of each take its place; discovery does not know.
-func (w *World) FailOver(part float64) {
-	next := map[int]*Host{}
-	var old []*Host
-	for _, h := range w.Members() {
-		w.mu.Lock()
+// FailOver makes the primaries of a share of the groups hang and promotes a replica of each, without announcing it.
+func (world *World) FailOver(share float64) {
+	replicas := map[int]*Host{}
+	var primaries []*Host
+	for _, h := range world.Members() {
+		world.mu.Lock()
 		primary := h.primary
-		w.mu.Unlock()
-		if primary && len(old) < int(part*float64(w.opt.Groups)+0.5) {
-			old = append(old, h)
-		} else if !primary && next[h.Group] == nil {
-			next[h.Group] = h
+		world.mu.Unlock()
+		if primary && len(primaries) < int(share*float64(world.options.Groups)+0.5) {
+			primaries = append(primaries, h)
+		} else if !primary && replicas[h.Group] == nil {
+			replicas[h.Group] = h
 		}
 	}
-	for _, h := range old {
-		if n := next[h.Group]; n != nil {
+	for _, h := range primaries {
+		if replica := replicas[h.Group]; replica != nil {
 			h.Hang()
-			n.Promote()
+			replica.Promote()
 		}
 	}
 }
 
-// Announce has discovery say this of the database: its health, and when it started (zero: long ago).
-func (h *Host) Announce(health string, born time.Time) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+// Announce makes discovery list the database with this health and start time (zero: long ago).
+func (h *Host) Announce(health string, startedAt time.Time) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	if h.health == "in_service" && health != h.health {
-		h.told = time.Now()
+		h.drainingSince = time.Now()
 	}
-	h.health, h.born = health, born
-	h.w.tell(h)
+	h.health, h.startedAt = health, startedAt
+	h.world.announce(h)
 }
 
-// AnnounceAddr has discovery say that the database is found at another address.
-func (h *Host) AnnounceAddr(dial string) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
-	h.dial = dial
-	h.w.tell(h)
+// AnnounceAddr makes discovery list the database at another address.
+func (h *Host) AnnounceAddr(addr string) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
+	h.announcedAddr = addr
+	h.world.announce(h)
 }
 
-// AddDiscovery starts discovery at one more address; the old one goes on.
-func (w *World) AddDiscovery() (*Discovery, error) {
-	d, err := newDiscovery(w)
+// AddDiscovery starts one more discovery server. The others keep running.
+func (world *World) AddDiscovery() (*Discovery, error) {
+	d, err := newDiscovery(world)
 	if err == nil {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.discs = append(w.discs, d)
+		world.mu.Lock()
+		defer world.mu.Unlock()
+		world.discoveries = append(world.discoveries, d)
 	}
 	return d, err
 }
 
-// SetDiscoveryDown has discovery refuse all calls, until it is called with false.
-func (w *World) SetDiscoveryDown(yes bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.down = yes
-	w.disturbed = time.Now()
+// SetDiscoveryDown sets whether discovery refuses all watch requests.
+func (world *World) SetDiscoveryDown(down bool) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.discoveryDown = down
+	world.watchesDisturbedAt = time.Now()
 }
 
-// SlowDiscovery has calls to discovery take so long, and a share of them end with a refusal behind that, until it is called with zeros.
-func (w *World) SlowDiscovery(d time.Duration, crowd float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.slow, w.crowd = d, crowd
-	w.disturbed = time.Now()
+// SlowDiscovery delays watch requests to discovery, and makes a share of them end with a refusal after the delay. Zeros
+// end both.
+func (world *World) SlowDiscovery(delay time.Duration, refusals float64) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.discoveryDelay, world.discoveryRefusals = delay, refusals
+	world.watchesDisturbedAt = time.Now()
 }
 
-// RestoreDiscovery has discovery come back as from a backup: watches end, and its versions are far lower than those that it told.
-func (w *World) RestoreDiscovery() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.seq -= restoreBehind
-	w.disturbed = time.Now()
-	for ch := range w.watch {
-		delete(w.watch, ch)
-		close(ch)
+// RestoreDiscovery simulates a discovery service restored from a backup: watches end, and list versions are far lower
+// than those served before.
+func (world *World) RestoreDiscovery() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.listVersion -= restoreVersionGap
+	world.watchesDisturbedAt = time.Now()
+	for watch := range world.watches {
+		delete(world.watches, watch)
+		close(watch)
 	}
 }
 
-// NoteWatchDisturbance tells that gateways may lose their watches about now, for other reasons than those of this world.
-func (w *World) NoteWatchDisturbance() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed = time.Now()
+// NoteWatchDisturbance records that gateways may lose their watches about now for a reason outside this world, so that a
+// later notice of changes is allowed.
+func (world *World) NoteWatchDisturbance() {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
 }
 
-// toldLate is how much later than at once a change of some moment may count as told: watches were disturbed since, or a
-// little before, as one that fell silent is noticed only when its next message is due.
-func (w *World) toldLate(change time.Time) time.Duration {
-	if w.down || w.slow > 0 || w.disturbed.After(change.Add(-toldWithin)) {
-		return toldWithin
+// announceDelayAllowed returns how long after a change gateways may still not have received it. A delay is allowed if
+// watches were disturbed since the change or shortly before it: a gateway notices a silent watch only when the next
+// heartbeat is due.
+func (world *World) announceDelayAllowed(change time.Time) time.Duration {
+	if world.discoveryDown || world.discoveryDelay > 0 || world.watchesDisturbedAt.After(change.Add(-announceTimeout)) {
+		return announceTimeout
 	}
 	return 0
 }
 
-// SendToWatches sends a line as it is to all that watch.
-func (w *World) SendToWatches(line string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.disturbed = time.Now()
-	w.pass([]byte(line))
+// SendToWatches sends a raw line to all watches.
+func (world *World) SendToWatches(line string) {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	world.watchesDisturbedAt = time.Now()
+	world.broadcast([]byte(line))
 }
 
-// ListVersion is that of the list.
-func (w *World) ListVersion() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.seq
+// ListVersion returns the current version of the list.
+func (world *World) ListVersion() int {
+	world.mu.Lock()
+	defer world.mu.Unlock()
+	return world.listVersion
 }
 
-// Calls are what a discovery's callers did.
+// Calls counts the watch requests to a discovery server.
 type Calls struct {
-	Requests  int    // calls, those refused with them
-	Watches   int    // that are on
-	LastAfter string // the version that the last caller had
+	Requests  int    // refused ones included
+	Watches   int    // currently open
+	LastAfter string // parameter after of the last request: the list version that the gateway had
 }
 
-// Calls are those so far.
+// Calls returns the counts so far.
 func (d *Discovery) Calls() Calls {
-	d.w.mu.Lock()
-	defer d.w.mu.Unlock()
+	d.world.mu.Lock()
+	defer d.world.mu.Unlock()
 	return d.calls
 }
 
-// Addr is where the database listens, whatever discovery says.
-func (h *Host) Addr() string { return h.ln.Addr().String() }
+// Addr returns the database's listening address, whichever one discovery lists.
+func (h *Host) Addr() string { return h.listener.Addr().String() }
 
-// CloseConnections closes all connections to the database, as a process that restarts does; new ones are taken.
-func (h *Host) CloseConnections() { h.each(func(c net.Conn) { c.Close() }) }
+// CloseConnections closes all connections, as a restarting process does. New ones are accepted.
+func (h *Host) CloseConnections() { h.forEachConn(func(c net.Conn) { c.Close() }) }
 
-// SendUnrequested says something on all connections that nobody has asked for.
+// SendUnrequested sends text on all connections without a request.
 func (h *Host) SendUnrequested(text string) {
-	h.each(func(c net.Conn) { _, _ = c.Write([]byte(text)) })
+	h.forEachConn(func(c net.Conn) { _, _ = c.Write([]byte(text)) })
 }
 
-func (h *Host) each(do func(c net.Conn)) {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+// forEachConn calls do for each open connection, with the lock held.
+func (h *Host) forEachConn(do func(c net.Conn)) {
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	for c := range h.conns {
 		do(c)
 	}
 }
 
-// IsReplica tells whether the database is in service and no primary.
+// IsReplica reports whether the database is in service and not a primary.
 func (h *Host) IsReplica() bool {
-	h.w.mu.Lock()
-	defer h.w.mu.Unlock()
+	h.world.mu.Lock()
+	defer h.world.mu.Unlock()
 	return !h.primary && h.health == "in_service"
 }
