--- a/cmd/lilaccove/main_test.go
+++ b/cmd/lilaccove/main_test.go
@@ -364,7 +364,7 @@
 	c.write(query(stmt("write", 3000, "")))
 	s.eventually("the write arrives", func() bool { return len(s.p.Statements()) == 1 })
 	c.c.Close()
-	s.eventually("its connection is closed", func() bool { return s.p.Hangups() > 0 })
+	s.eventually("its connection is closed", func() bool { return s.p.EndedConnections() > 0 })
 }
 
 // One connection carries one request after another; two at once need two.
--- a/cmd/lilacctl/members.go
+++ b/cmd/lilacctl/members.go
@@ -46,7 +46,7 @@
 	return list
 }
 
-const mostAnswer = 8 << 20 // of a response's body; the rest is not read
+const maxAnswerBytes = 8 << 20 // of a response's body; the rest is not read
 
 // callGateway sends a request to one gateway and returns the body. A status other than 200 is an error that contains the
 // body.
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(body)))
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -155,7 +155,7 @@
 		{"internal/fleet/file.go", `MaxMembers = 4096\b`},
 		{"internal/front/limits.go", `stateIdle: 5 \* time\.Second`},
 		{"cmd/lilacctl/main.go", `"timeout", 2\*time\.Second`},
-		{"cmd/lilacctl/members.go", `mostAnswer = 8 << 20\b`},
+		{"cmd/lilacctl/members.go", `maxAnswerBytes = 8 << 20\b`},
 	} {
 		text, err := os.ReadFile("../../" + tt.file)
 		require.NoError(t, err)
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -92,8 +92,8 @@
 	return h.dials
 }
 
-// Hangups returns how many accepted connections have ended.
-func (h *Host) Hangups() int {
+// EndedConnections returns how many accepted connections have ended.
+func (h *Host) EndedConnections() int {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
 	return h.ended
