--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build tools test lint run
+.PHONY: build tools test lint run gopls
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/lilaccove ./cmd/adapter
@@ -15,3 +15,7 @@
 
 run: build
 	exec bin/lilaccove
+
+# The language server, for renaming (gopls rename -w FILE:LINE:COLUMN NEW); later versions need a newer Go.
+gopls:
+	go install golang.org/x/tools/gopls@v0.23.0
