--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-const patience = 10 * time.Second // for what must happen; never a pause
+const waitTimeout = 10 * time.Second // for what must happen; never a pause
 
 const testSettings = `{"Allowed":{"Cancel":true,"ConnIdleUs":15000000,"DialTimeoutUs":250000,"MaxRetryAfterUs":1000000,
 "Probes":true,"RetryAfter":true,"TryLimit":6},"Discovery":"ask","Domain":{"Behind":"none","ClassBoundUs":[3000000,0,0],
@@ -72,18 +72,18 @@
 // database is one of the world's that answers as its handler says and remembers what it was sent.
 type database struct{ *standin.Host }
 
-// will has it answer so; nil: with its name.
-func (d *database) will(handle func(d *database, c net.Conn, text string)) {
+// setHandler has it answer so; nil: with its name.
+func (d *database) setHandler(handle func(d *database, c net.Conn, text string)) {
 	if handle == nil {
 		handle = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
 	}
 	d.SetScript(func(c net.Conn, text string) { handle(d, c, text) })
 }
 
-// waits has it answer "late" to all that has come and comes, once the channel is closed.
-func (d *database) waits() (release chan struct{}) {
+// blockAnswers has it answer "late" to all that has come and comes, once the channel is closed.
+func (d *database) blockAnswers() (release chan struct{}) {
 	release = make(chan struct{})
-	d.will(func(d *database, c net.Conn, _ string) {
+	d.setHandler(func(d *database, c net.Conn, _ string) {
 		<-release
 		d.Answer(c, "late")
 	})
@@ -100,169 +100,169 @@
 	return h[0], body, err
 }
 
-// site is one gateway with a primary and two replicas.
-type site struct {
+// testGateway is one gateway with a primary and two replicas.
+type testGateway struct {
 	*lab.Process
-	t        *testing.T
-	world    *standin.World
-	disc     *standin.Discovery // the one that it is to ask at
-	p, a, b  *database
-	addr     string
-	log      *bytes.Buffer
-	logMu    sync.Mutex
-	settings string
-	sockets  int
-	memory   int    // MB
-	config   string // the path of its file
-
-	listen    string   // in its file
-	tmp       string   // its $TMPDIR
-	managed   bool     // it has an operators' address
-	manage    string   // which
-	inherited *os.File // the clients' socket, held open by the test
-	fleet     string   // the path of its fleet file; empty: none
-	faults    string   // the path of the plan by which its system calls fail; empty: they do not
+	t                           *testing.T
+	world                       *standin.World
+	discovery                   *standin.Discovery // the one that it is to ask at
+	primary, replicaA, replicaB *database
+	clientAddr                  string
+	log                         *bytes.Buffer
+	logMu                       sync.Mutex
+	settings                    string
+	sockets                     int
+	memory                      int    // MB
+	configPath                  string // the path of its file
+
+	listen          string   // in its file
+	tmpDir          string   // its $TMPDIR
+	hasManagement   bool     // it has an operators' address
+	managementAddr  string   // which
+	inheritedSocket *os.File // the clients' socket, held open by the test
+	fleetFile       string   // the path of its fleet file; empty: none
+	faultPlan       string   // the path of the plan by which its system calls fail; empty: they do not
 }
 
-// newSite starts the program; change may alter what it is told before.
-func newSite(t *testing.T, change func(*site)) *site {
+// startGateway starts the program; change may alter what it is told before.
+func startGateway(t *testing.T, change func(*testGateway)) *testGateway {
 	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
-	s := &site{
-		t: t, world: w, disc: w.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
-		listen: "127.0.0.1:0", tmp: t.TempDir(),
+	gw := &testGateway{
+		t: t, world: w, discovery: w.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
+		listen: "127.0.0.1:0", tmpDir: t.TempDir(),
 	}
-	for i, d := range []**database{&s.p, &s.a, &s.b} {
+	for i, d := range []**database{&gw.primary, &gw.replicaA, &gw.replicaB} {
 		*d = &database{w.Members()[i]}
-		(*d).will(nil)
+		(*d).setHandler(nil)
 	}
 	known := w.List()
 	if change != nil {
-		change(s)
+		change(gw)
 	}
-	s.config = filepath.Join(t.TempDir(), "config.json")
-	s.configure(s.disc.Addr, known)
-	s.start()
-	return s
+	gw.configPath = filepath.Join(t.TempDir(), "config.json")
+	gw.configure(gw.discovery.Addr, known)
+	gw.start()
+	return gw
 }
 
 // start runs the program and waits until it says that it has started.
-func (s *site) start() {
-	t := s.t
+func (gw *testGateway) start() {
+	t := gw.t
 	cmd := exec.Command(os.Args[0])
-	if s.faults != "" {
-		cmd = exec.Command(faultyProgram(t))
+	if gw.faultPlan != "" {
+		cmd = exec.Command(buildFaultyGateway(t))
 	}
-	cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+s.config, "GW_DISCOVERY="+s.disc.Addr, "TMPDIR="+s.tmp,
-		"LILACCOVE_FAULTS="+s.faults)
-	if s.managed {
+	cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+gw.configPath, "GW_DISCOVERY="+gw.discovery.Addr, "TMPDIR="+gw.tmpDir,
+		"LILACCOVE_FAULTS="+gw.faultPlan)
+	if gw.hasManagement {
 		cmd.Env = append(cmd.Env, "GW_MANAGEMENT=127.0.0.1:0")
 	}
-	if s.fleet != "" {
-		cmd.Env = append(cmd.Env, "GW_FLEET="+s.fleet)
+	if gw.fleetFile != "" {
+		cmd.Env = append(cmd.Env, "GW_FLEET="+gw.fleetFile)
 	}
-	if s.inherited != nil {
-		cmd.ExtraFiles = []*os.File{nil, s.inherited} // descriptor 4
+	if gw.inheritedSocket != nil {
+		cmd.ExtraFiles = []*os.File{nil, gw.inheritedSocket} // descriptor 4
 		cmd.Env = append(cmd.Env, "GW_INHERITED_FD=4")
 	}
-	s.Process = lab.NewProcess(cmd)
-	require.NoError(t, s.Launch(func(line string) {
-		s.logMu.Lock()
-		defer s.logMu.Unlock()
-		fmt.Fprintln(s.log, line)
+	gw.Process = lab.NewProcess(cmd)
+	require.NoError(t, gw.Launch(func(line string) {
+		gw.logMu.Lock()
+		defer gw.logMu.Unlock()
+		fmt.Fprintln(gw.log, line)
 	}, func() {}))
 	t.Cleanup(func() {
-		s.Kill()
-		assert.NotContains(t, s.logged(), "event=violation", "an invariant was violated")
+		gw.Kill()
+		assert.NotContains(t, gw.logText(), "event=violation", "an invariant was violated")
 		if t.Failed() {
-			t.Log(s.logged())
+			t.Log(gw.logText())
 		}
 	})
-	said, err := s.WaitStarted(patience)
-	require.NoError(t, err, s.logged())
-	s.addr, s.manage = lab.LogField(said, "listen"), lab.LogField(said, "management")
+	said, err := gw.WaitStarted(waitTimeout)
+	require.NoError(t, err, gw.logText())
+	gw.clientAddr, gw.managementAddr = lab.LogField(said, "listen"), lab.LogField(said, "management")
 }
 
 // configure writes the file at GW_CONFIG.
-func (s *site) configure(discovery string, known []byte) {
+func (gw *testGateway) configure(discovery string, known []byte) {
 	text, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": s.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1, "memory_mb": s.memory, "sockets": s.sockets},
-		"known":  json.RawMessage(known), "settings": json.RawMessage(s.settings),
+		"name": "n1", "listen": gw.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1, "memory_mb": gw.memory, "sockets": gw.sockets},
+		"known":  json.RawMessage(known), "settings": json.RawMessage(gw.settings),
 	})
-	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.config, text, 0o600))
+	require.NoError(gw.t, err)
+	require.NoError(gw.t, os.WriteFile(gw.configPath, text, 0o600))
 }
 
-func (s *site) logged() string {
-	s.logMu.Lock()
-	defer s.logMu.Unlock()
-	return s.log.String()
+func (gw *testGateway) logText() string {
+	gw.logMu.Lock()
+	defer gw.logMu.Unlock()
+	return gw.log.String()
 }
 
-func (s *site) hup() { require.NoError(s.t, s.Signal(syscall.SIGHUP)) }
+func (gw *testGateway) sendSIGHUP() { require.NoError(gw.t, gw.Signal(syscall.SIGHUP)) }
 
-func (s *site) term() { require.NoError(s.t, s.Signal(syscall.SIGTERM)) }
+func (gw *testGateway) sendSIGTERM() { require.NoError(gw.t, gw.Signal(syscall.SIGTERM)) }
 
-func (s *site) exits() {
-	s.t.Helper()
-	assert.NoError(s.t, s.Wait(patience))
+func (gw *testGateway) waitExit() {
+	gw.t.Helper()
+	assert.NoError(gw.t, gw.Wait(waitTimeout))
 }
 
 // eventually waits for a condition, which the test must not outlive.
-func (s *site) eventually(what string, ok func() bool) {
-	s.t.Helper()
-	require.Eventually(s.t, ok, patience, 2*time.Millisecond, what)
+func (gw *testGateway) eventually(what string, ok func() bool) {
+	gw.t.Helper()
+	require.Eventually(gw.t, ok, waitTimeout, 2*time.Millisecond, what)
 }
 
-// watches waits until a discovery has so many watches on.
-func (s *site) watches(d *standin.Discovery, n int) {
-	s.t.Helper()
-	s.eventually("the watches", func() bool { return d.Calls().Watches == n })
+// waitWatches waits until a discovery has so many waitWatches on.
+func (gw *testGateway) waitWatches(d *standin.Discovery, n int) {
+	gw.t.Helper()
+	gw.eventually("the watches", func() bool { return d.Calls().Watches == n })
 }
 
 // client is one connection of a client.
 type client struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // answer is what came before ReadyForQuery, or before the end.
 type answer struct {
 	value, code, detail string
-	rows, errs          int
+	rows, errors        int
 	empty               bool
 	ended               bool
 }
 
-func (s *site) raw() *client {
-	c, err := net.Dial("tcp", s.addr)
-	require.NoError(s.t, err)
-	s.t.Cleanup(func() { c.Close() })
-	require.NoError(s.t, c.SetDeadline(time.Now().Add(patience)))
-	return &client{t: s.t, c: c, in: bufio.NewReader(c)}
+func (gw *testGateway) dial() *client {
+	c, err := net.Dial("tcp", gw.clientAddr)
+	require.NoError(gw.t, err)
+	gw.t.Cleanup(func() { c.Close() })
+	require.NoError(gw.t, c.SetDeadline(time.Now().Add(waitTimeout)))
+	return &client{t: gw.t, conn: c, reader: bufio.NewReader(c)}
 }
 
-func (s *site) client() *client {
-	c := s.raw()
+func (gw *testGateway) connect() *client {
+	c := gw.dial()
 	c.write(string(pgwire.Startup("api", "ledger")))
-	c.read()
+	c.readAnswer()
 	return c
 }
 
 func (c *client) write(b string) {
-	_, err := c.c.Write([]byte(b))
+	_, err := c.conn.Write([]byte(b))
 	require.NoError(c.t, err)
 }
 
-func query(text string) string { return string(pgwire.AppendQuery(nil, text)) }
+func queryMessage(text string) string { return string(pgwire.AppendQuery(nil, text)) }
 
-// read takes in one answer.
-func (c *client) read() (a answer) {
+// readAnswer takes in one answer.
+func (c *client) readAnswer() (a answer) {
 	for {
-		kind, body, err := readMessage(c.in)
+		kind, body, err := readMessage(c.reader)
 		if err != nil {
 			a.ended = true
 			return a
@@ -280,7 +280,7 @@
 					a.detail = string(f[1:])
 				}
 			}
-			a.errs++
+			a.errors++
 		case pgwire.EmptyQuery:
 			a.empty = true
 		case pgwire.Ready:
@@ -289,26 +289,26 @@
 	}
 }
 
-func (c *client) ask(text string) answer {
-	_, _ = c.c.Write([]byte(query(text))) // a connection that was ended shows in the answer
-	return c.read()
+func (c *client) query(text string) answer {
+	_, _ = c.conn.Write([]byte(queryMessage(text))) // a connection that was ended shows in the answer
+	return c.readAnswer()
 }
 
-var ids atomic.Int64
+var lastRequestID atomic.Int64
 
-// stmt is a statement as clients write it.
-func stmt(class string, d int, more string) string {
-	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", ids.Add(1), class, d, more)
+// statement is a statement as clients write it.
+func statement(class string, d int, more string) string {
+	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", lastRequestID.Add(1), class, d, more)
 	if class == "write" {
 		return head + `INSERT INTO rows (handle, blob) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING blob`
 	}
 	return head + "SELECT blob FROM rows WHERE handle = '7f3a9c21e0b4d655'"
 }
 
-// meet has the gateway hear of both replicas' positions.
-func (s *site) meet(c *client) {
-	s.eventually("both replicas are heard of", func() bool {
-		c.ask(stmt("own", 1000, ""))
-		return len(s.a.Statements()) > 0 && len(s.b.Statements()) > 0
+// learnPositions has the gateway hear of both replicas' positions.
+func (gw *testGateway) learnPositions(c *client) {
+	gw.eventually("both replicas are heard of", func() bool {
+		c.query(statement("own", 1000, ""))
+		return len(gw.replicaA.Statements()) > 0 && len(gw.replicaB.Statements()) > 0
 	})
 }
--- a/cmd/lilaccove/shared_test.go
+++ b/cmd/lilaccove/shared_test.go
@@ -30,38 +30,38 @@
 // replicas lag, nor with news that are late, doubled, out of order or spoilt, across a partition, or from a
 // gateway that stood still.
 func TestFleetPositions(t *testing.T) {
-	p := newPartyOf(t, 5, fmt.Sprintf(sharedPlan, 5))
-	heard := func(i int) int { return p.figure(i, "fleet_positions.heard") }
+	fleet := newTestFleetWithPlan(t, 5, fmt.Sprintf(sharedPlan, 5))
+	heard := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
 	for i := range 5 {
-		p.eventually("positions are heard", func() bool { return heard(i) > 20 })
+		fleet.eventually("positions are heard", func() bool { return heard(i) > 20 })
 	}
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				p.Mesh().SetLink(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
+				fleet.Mesh().SetLink(i, j, plan.Link{Corrupt: 0.1, Duplicate: 0.3, Reorder: 0.3, Loss: 0.1, Delay: 20 * time.Millisecond, Jitter: 100 * time.Millisecond})
 			}
 		}
 	}
-	p.World().SetLag(0.5, 3*time.Second)
-	require.NoError(t, p.Node(4).Pause())
-	before := p.World().Counts().Reads
-	p.eventually("reads go on", func() bool { return p.World().Counts().Reads > before+200 })
-	p.World().SetLag(1, 0)
-	require.NoError(t, p.Node(4).Resume())
+	fleet.World().SetLag(0.5, 3*time.Second)
+	require.NoError(t, fleet.Node(4).Pause())
+	before := fleet.World().Counts().Reads
+	fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > before+200 })
+	fleet.World().SetLag(1, 0)
+	require.NoError(t, fleet.Node(4).Resume())
 	sides := [][]int{{0, 1}, {2, 3, 4}}
-	p.Mesh().Partition(sides, true)
-	p.agree(2, 0, 1)
+	fleet.Mesh().Partition(sides, true)
+	fleet.waitView(2, 0, 1)
 	at := heard(0)
-	p.eventually("each side goes on telling", func() bool { return heard(0) > at+5 })
-	p.Mesh().Partition(sides, false)
-	p.agree(5, p.all()...)
-	assert.Zero(t, p.figure(0, "fleet_positions.ahead"))
-	p.judge(0.6)
+	fleet.eventually("each side goes on telling", func() bool { return heard(0) > at+5 })
+	fleet.Mesh().Partition(sides, false)
+	fleet.waitView(5, fleet.all()...)
+	assert.Zero(t, fleet.metric(0, "fleet_positions.ahead"))
+	fleet.finishAndCheck(0.6)
 }
 
-// subset is what a gateway told last of its subsets: gateways and hosts.
-func (p *party) subset(i int) (gateways, hosts string) {
-	for _, e := range p.Node(i).FleetEvents() {
+// lastSubset is what a gateway told last of its subsets: gateways and hosts.
+func (fleet *testFleet) lastSubset(i int) (gateways, hosts string) {
+	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_subset ") {
 			f := strings.Fields(e)
 			gateways, hosts = f[1], f[2]
@@ -73,33 +73,33 @@
 // Subsets follow the view: a killed gateway's members are taken over, a partition's sides divide them among
 // themselves, and one that is drained prefers nobody.
 func TestFleetShare(t *testing.T) {
-	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
+	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	divided := func(n int, list ...int) {
 		t.Helper()
-		p.eventually(fmt.Sprintf("%d gateways divide the members", n), func() bool {
+		fleet.eventually(fmt.Sprintf("%d gateways divide the members", n), func() bool {
 			for _, i := range list {
 				// Two of the five members of each of two groups.
-				if g, h := p.subset(i); g != fmt.Sprintf("gateways=%d", n) || h != "hosts=4" && h != "hosts=6" {
+				if g, h := fleet.lastSubset(i); g != fmt.Sprintf("gateways=%d", n) || h != "hosts=4" && h != "hosts=6" {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	divided(4, p.all()...)
-	p.Node(3).Kill()
+	divided(4, fleet.all()...)
+	fleet.Node(3).Kill()
 	divided(3, 0, 1, 2)
-	_, err := p.Start(3)
+	_, err := fleet.Start(3)
 	require.NoError(t, err)
-	divided(4, p.all()...)
+	divided(4, fleet.all()...)
 	sides := [][]int{{0, 1}, {2, 3}}
-	p.Mesh().Partition(sides, true)
-	divided(2, p.all()...)
-	p.Mesh().Partition(sides, false)
-	divided(4, p.all()...)
-	_, err = p.Node(1).Call("PUT", "/v1/gateway/drain")
+	fleet.Mesh().Partition(sides, true)
+	divided(2, fleet.all()...)
+	fleet.Mesh().Partition(sides, false)
+	divided(4, fleet.all()...)
+	_, err = fleet.Node(1).Call("PUT", "/v1/gateway/drain")
 	require.NoError(t, err)
-	p.eventually("who is drained prefers nobody", func() bool { _, h := p.subset(1); return h == "hosts=0" })
+	fleet.eventually("who is drained prefers nobody", func() bool { _, h := fleet.lastSubset(1); return h == "hosts=0" })
 	divided(3, 0, 2, 3)
-	p.judge(0.8)
+	fleet.finishAndCheck(0.8)
 }
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -15,27 +15,27 @@
 // Where the network cuts what a client sends does not matter: each byte comes by itself.
 func TestClientByteByByte(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, managed)
-	c := s.raw()
-	all := string(pgwire.Startup("api", "ledger")) + query("") + query(stmt("write", 2900, "")) + query(stmt("write", 2900, ",r=1"))
+	gw := startGateway(t, withManagement)
+	c := gw.dial()
+	all := string(pgwire.Startup("api", "ledger")) + queryMessage("") + queryMessage(statement("write", 2900, "")) + queryMessage(statement("write", 2900, ",r=1"))
 	for i := range len(all) {
 		c.write(all[i : i+1])
 	}
-	c.read()
-	assert.True(t, c.read().empty)
-	assert.Equal(t, "p", c.read().value)
-	assert.Equal(t, "p", c.read().value)
-	assert.Equal(t, 2, len(s.p.Statements()))
+	c.readAnswer()
+	assert.True(t, c.readAnswer().empty)
+	assert.Equal(t, "p", c.readAnswer().value)
+	assert.Equal(t, "p", c.readAnswer().value)
+	assert.Equal(t, 2, len(gw.primary.Statements()))
 }
 
 // A packet that goes on may take longer than one that does not: a statement whose parts come over more than its first
 // limit is served, and the client that stops in the middle is let go.
-func TestSlowPacketsGoOn(t *testing.T) {
+func TestSlowPacketsAreServed(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, managed)
-	text := query(stmt("write", 2900, ""))
-	slow, used, stopped := s.client(), s.client(), s.client()
-	used.ask("")
+	gw := startGateway(t, withManagement)
+	text := queryMessage(statement("write", 2900, ""))
+	slow, used, stopped := gw.connect(), gw.connect(), gw.connect()
+	used.query("")
 	stopped.write(text[:20])
 	at := 0
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(100 * time.Millisecond) {
@@ -43,38 +43,38 @@
 		used.write(text[at : at+1])
 		at++
 	}
-	assert.True(t, stopped.read().ended)
+	assert.True(t, stopped.readAnswer().ended)
 	for _, c := range []*client{slow, used} {
 		c.write(text[at:])
-		assert.Equal(t, "p", c.read().value)
+		assert.Equal(t, "p", c.readAnswer().value)
 	}
 }
 
 // A thousand clients that send their queries byte by byte, far more than there are descriptors, and forget to go on, keep
 // nobody out: whoever asks is served all the while.
-func TestTricklingClientsKeepNobodyOut(t *testing.T) {
+func TestTricklingClientsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) { s.managed, s.sockets = true, 128 })
-	c := s.client()
-	s.meet(c)
+	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.sockets = true, 128 })
+	c := gw.connect()
+	gw.learnPositions(c)
 	rnd := rand.New(rand.NewPCG(3, 4))
 	hello := string(pgwire.Startup("api", "ledger"))
 	for range 1000 {
-		x := s.raw()
-		text := hello + query(stmt("write", 2900, ""))
-		_, _ = io.WriteString(x.c, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
+		x := gw.dial()
+		text := hello + queryMessage(statement("write", 2900, ""))
+		_, _ = io.WriteString(x.conn, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
 		if rnd.IntN(20) == 0 {
-			got := s.client().ask(stmt("own", 2000, ""))
+			got := gw.connect().query(statement("own", 2000, ""))
 			require.NotEmpty(t, got.value, "%+v", got)
 		}
 	}
-	assert.True(t, s.ready())
-	assert.NotEmpty(t, s.client().ask(stmt("own", 2000, "")).value)
+	assert.True(t, gw.ready())
+	assert.NotEmpty(t, gw.connect().query(statement("own", 2000, "")).value)
 }
 
 // A request waits in the system while the gateway stands still, for longer than the terms allow a gateway to be held up. The
 // time that its client has waited by then is neither told to the database nor given to the answer.
-func TestRequestThatWaitedWhileTheGatewayStoodStill(t *testing.T) {
+func TestRequestQueuedDuringPause(t *testing.T) {
 	t.Parallel()
 	const (
 		patient = 2 * time.Second
@@ -82,23 +82,23 @@
 		heldUp  = 150 * time.Millisecond // the terms' slack
 		late    = 500 * time.Millisecond // an answer later than this behind its time is lost
 	)
-	s := newSite(t, nil)
-	s.serves() // a connection to the primary is up
-	c := s.client()
-	release := s.p.waits()
+	gw := startGateway(t, nil)
+	gw.waitServed() // a connection to the primary is up
+	c := gw.connect()
+	release := gw.primary.blockAnswers()
 	defer close(release)
-	before := len(s.p.Statements())
+	before := len(gw.primary.Statements())
 	var sent, goesOn time.Time
-	s.stops(func() {
+	gw.whilePaused(func() {
 		sent = time.Now()
-		c.write(query(stmt("write", int(patient.Milliseconds()), "")))
+		c.write(queryMessage(statement("write", int(patient.Milliseconds()), "")))
 		time.Sleep(stopped) // the fault itself
 		goesOn = time.Now()
 	})
-	assert.Equal(t, pgwire.CodeUnknownOutcome, c.read().code)
+	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
 	assert.Less(t, time.Since(sent), patient+late)
-	require.Len(t, s.p.Statements(), before+1)
-	head, err := pgwire.ParseHead([]byte(s.p.Statements()[before]))
+	require.Len(t, gw.primary.Statements(), before+1)
+	head, err := pgwire.ParseHead([]byte(gw.primary.Statements()[before]))
 	require.NoError(t, err)
 	told := time.Duration(head.DeadlineMillis) * time.Millisecond
 	assert.LessOrEqual(t, told, patient-goesOn.Sub(sent)+heldUp, "what is left, and the slack")
--- a/cmd/lilaccove/versions_test.go
+++ b/cmd/lilaccove/versions_test.go
@@ -14,22 +14,22 @@
 // A gateway whose watch tells no changes any more, without being silent, hears from the others that there is a newer list
 // and asks for it. Nobody else does.
 func TestFleetAuditStraggler(t *testing.T) {
-	p := newPartyOf(t, 4, fmt.Sprintf(sharedPlan, 4))
-	p.straggle(0)
-	known := p.figure(0, "known_databases")
-	require.NoError(t, p.World().AddReplica(0))
+	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
+	fleet.makeLagging(0)
+	known := fleet.metric(0, "known_databases")
+	require.NoError(t, fleet.World().AddReplica(0))
 	for i := 1; i < 4; i++ {
-		p.eventually("the others hear of it", func() bool { return p.figure(i, "known_databases") == known+1 })
+		fleet.eventually("the others hear of it", func() bool { return fleet.metric(i, "known_databases") == known+1 })
 	}
-	p.eventually("the straggler is brought up", func() bool { return p.figure(0, "known_databases") == known+1 })
-	assert.Equal(t, 1, p.figure(0, "fleet_behind_asked"))
+	fleet.eventually("the straggler is brought up", func() bool { return fleet.metric(0, "known_databases") == known+1 })
+	assert.Equal(t, 1, fleet.metric(0, "fleet_behind_asked"))
 	for i := 1; i < 4; i++ {
-		assert.Zero(t, p.figure(i, "fleet_behind_asked"))
+		assert.Zero(t, fleet.metric(i, "fleet_behind_asked"))
 	}
-	p.eventually("each knows what all act on", func() bool {
+	fleet.eventually("each knows what all act on", func() bool {
 		lists := map[int64]bool{}
 		for i := range 4 {
-			text, err := p.Node(i).Call("GET", "/v1/fleet/versions")
+			text, err := fleet.Node(i).Call("GET", "/v1/fleet/versions")
 			require.NoError(t, err)
 			var r peer.VersionsReport
 			require.NoError(t, json.Unmarshal(text, &r))
@@ -42,5 +42,5 @@
 		}
 		return len(lists) == 1
 	})
-	p.judge(0.7)
+	fleet.finishAndCheck(0.7)
 }
--- a/cmd/lilaccove/watch_test.go
+++ b/cmd/lilaccove/watch_test.go
@@ -19,32 +19,32 @@
 	"lilaccove/internal/standin"
 )
 
-// binds is how long after discovery had a change, and could be reached, it counts as told.
-const binds = 6 * time.Second
+// listBindingDelay is how long after discovery had a change, and could be reached, it counts as told.
+const listBindingDelay = 6 * time.Second
 
-// lines is a discovery that answers each call as the test says, byte by byte.
-type lines struct {
-	t     *testing.T
-	ln    net.Listener
-	mu    sync.Mutex
-	calls []time.Time
-	do    func(c net.Conn, call int) // nil: the call is cut off
-	open  map[net.Conn]bool
-	last  string // the path of the last call
+// scriptedDiscovery is a discovery that answers each call as the test says, byte by byte.
+type scriptedDiscovery struct {
+	t         *testing.T
+	ln        net.Listener
+	mu        sync.Mutex
+	calls     []time.Time
+	handler   func(c net.Conn, call int) // nil: the call is cut off
+	openCalls map[net.Conn]bool
+	lastPath  string // the path of the last call
 }
 
-// listing makes a discovery of s that nobody else knows.
-func (s *site) listing(do func(c net.Conn, call int)) *lines {
+// useScriptedDiscovery makes a discovery of s that nobody else knows.
+func (gw *testGateway) useScriptedDiscovery(do func(c net.Conn, call int)) *scriptedDiscovery {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(s.t, err)
-	d := &lines{t: s.t, ln: ln, do: do, open: map[net.Conn]bool{}}
-	s.t.Cleanup(func() { ln.Close() })
+	require.NoError(gw.t, err)
+	d := &scriptedDiscovery{t: gw.t, ln: ln, handler: do, openCalls: map[net.Conn]bool{}}
+	gw.t.Cleanup(func() { ln.Close() })
 	go d.accept(ln)
-	s.disc = &standin.Discovery{Addr: ln.Addr().String()}
+	gw.discovery = &standin.Discovery{Addr: ln.Addr().String()}
 	return d
 }
 
-func (d *lines) accept(ln net.Listener) {
+func (d *scriptedDiscovery) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -58,8 +58,8 @@
 			}
 			d.mu.Lock()
 			d.calls = append(d.calls, time.Now())
-			n, do := len(d.calls), d.do
-			d.open[c], d.last = true, q.URL.String()
+			n, do := len(d.calls), d.handler
+			d.openCalls[c], d.lastPath = true, q.URL.String()
 			d.mu.Unlock()
 			if do != nil {
 				do(c, n)
@@ -68,33 +68,33 @@
 	}
 }
 
-// answers changes what is answered from now on.
-func (d *lines) answers(do func(c net.Conn, call int)) {
+// setHandler changes what is answered from now on.
+func (d *scriptedDiscovery) setHandler(do func(c net.Conn, call int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.do = do
+	d.handler = do
 }
 
-func (d *lines) lastCall() string {
+func (d *scriptedDiscovery) lastCallPath() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.last
+	return d.lastPath
 }
 
-// cut ends all calls that are out.
-func (d *lines) cut() {
+// closeCalls ends all calls that are out.
+func (d *scriptedDiscovery) closeCalls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.open {
+	for c := range d.openCalls {
 		c.Close()
 	}
-	clear(d.open)
+	clear(d.openCalls)
 }
 
-// asked waits for a call after a moment and tells when it came.
-func (s *site) asked(d *lines, after time.Time) (at time.Time) {
-	s.t.Helper()
-	s.eventually("discovery is asked", func() bool {
+// waitDiscoveryCall waits for a call after a moment and tells when it came.
+func (gw *testGateway) waitDiscoveryCall(d *scriptedDiscovery, after time.Time) (at time.Time) {
+	gw.t.Helper()
+	gw.eventually("discovery is asked", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		for _, at = range d.calls {
@@ -107,13 +107,13 @@
 	return at
 }
 
-const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // no length: it ends with the connection
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // no length: it ends with the connection
 
-// hold keeps a connection open until its caller has given it up.
-func hold(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+// holdOpen keeps a connection open until its caller has given it up.
+func holdOpen(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-// tells answers with the world's list, a line that goes on, and heartbeats.
-func tells(w *standin.World, indent bool) func(net.Conn, int) {
+// streamList answers with the world's list, a line that goes on, and heartbeats.
+func streamList(w *standin.World, indent bool) func(net.Conn, int) {
 	return func(c net.Conn, _ int) {
 		text := w.List()
 		if indent {
@@ -121,7 +121,7 @@
 			_ = json.Indent(&b, text, "", "  ")
 			text = b.Bytes()
 		}
-		_, _ = fmt.Fprintf(c, "%s%s\n", head, text)
+		_, _ = fmt.Fprintf(c, "%s%s\n", responseHead, text)
 		for {
 			time.Sleep(time.Second)
 			if _, err := io.WriteString(c, "\n"); err != nil {
@@ -132,42 +132,42 @@
 }
 
 // large has the gateway take itself for one of many, which spread their calls.
-func crowded(s *site) {
-	s.settings = strings.Replace(testSettings, `"Instances":1`, `"Instances":300`, 1)
+func withManyInstances(gw *testGateway) {
+	gw.settings = strings.Replace(testSettings, `"Instances":1`, `"Instances":300`, 1)
 }
 
-// drains has a leave discovery's list for the draining ones, and checks that it gets nothing once that binds.
-func (s *site) drains(binding time.Time) {
-	s.t.Helper()
-	s.leaves(s.a, binding.Add(2*time.Second)) // the grace in the settings
+// checkReplicaADrained has a leave discovery's list for the draining ones, and checks that it gets nothing once that binds.
+func (gw *testGateway) checkReplicaADrained(binding time.Time) {
+	gw.t.Helper()
+	gw.checkNoNewStatements(gw.replicaA, binding.Add(2*time.Second)) // the grace in the settings
 }
 
-// leaves checks that a database gets nothing new from a moment on, however many ask.
-func (s *site) leaves(d *database, from time.Time) {
-	s.t.Helper()
+// checkNoNewStatements checks that a database gets nothing new from a moment on, however many ask.
+func (gw *testGateway) checkNoNewStatements(d *database, from time.Time) {
+	gw.t.Helper()
 	time.Sleep(time.Until(from))
 	n := len(d.Statements())
-	c := s.client()
+	c := gw.connect()
 	for range 20 {
-		assert.NotEmpty(s.t, c.ask(stmt("own", 1000, "")).value)
+		assert.NotEmpty(gw.t, c.query(statement("own", 1000, "")).value)
 	}
-	assert.Len(s.t, d.Statements(), n, "it drains")
+	assert.Len(gw.t, d.Statements(), n, "it drains")
 }
 
 // A watch that says nothing any more is opened anew before what it does not tell binds, however it came to fall silent,
 // and however many gateways there are. Bytes that never end a line tell nothing.
-func TestWatchThatFellSilent(t *testing.T) {
+func TestSilentWatch(t *testing.T) {
 	t.Parallel()
-	whole := func(s *site) string { return head + string(s.world.List()) + "\n" }
-	for name, say := range map[string]func(s *site, c net.Conn){
-		"from the first byte": func(*site, net.Conn) {},
-		"behind its head":     func(_ *site, c net.Conn) { _, _ = io.WriteString(c, head) },
-		"in the first line":   func(s *site, c net.Conn) { _, _ = io.WriteString(c, whole(s)[:len(whole(s))/2]) },
-		"behind the list":     func(s *site, c net.Conn) { _, _ = io.WriteString(c, whole(s)) },
-		"behind a heartbeat":  func(s *site, c net.Conn) { _, _ = io.WriteString(c, whole(s)+"\n") },
-		"in a later line":     func(s *site, c net.Conn) { _, _ = io.WriteString(c, whole(s)+`{"seq":9,"hosts":[{"host`) },
-		"while it drips": func(s *site, c net.Conn) {
-			_, _ = io.WriteString(c, whole(s)+`{"seq":9,"hosts":[`)
+	whole := func(gw *testGateway) string { return responseHead + string(gw.world.List()) + "\n" }
+	for name, say := range map[string]func(gw *testGateway, c net.Conn){
+		"from the first byte": func(*testGateway, net.Conn) {},
+		"behind its head":     func(_ *testGateway, c net.Conn) { _, _ = io.WriteString(c, responseHead) },
+		"in the first line":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)[:len(whole(gw))/2]) },
+		"behind the list":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)) },
+		"behind a heartbeat":  func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+"\n") },
+		"in a later line":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[{"host`) },
+		"while it drips": func(gw *testGateway, c net.Conn) {
+			_, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[`)
 			for {
 				if _, err := io.WriteString(c, " "); err != nil {
 					return
@@ -180,41 +180,41 @@
 			t.Parallel()
 			var begun time.Time
 			silent := make(chan struct{})
-			var d *lines
-			s := newSite(t, func(s *site) {
-				crowded(s)
-				s.t = t
-				d = s.listing(func(c net.Conn, call int) {
+			var d *scriptedDiscovery
+			gw := startGateway(t, func(gw *testGateway) {
+				withManyInstances(gw)
+				gw.t = t
+				d = gw.useScriptedDiscovery(func(c net.Conn, call int) {
 					if call > 1 {
-						tells(s.world, false)(c, call)
+						streamList(gw.world, false)(c, call)
 						return
 					}
 					begun = time.Now()
 					close(silent)
-					say(s, c)
-					hold(c)
+					say(gw, c)
+					holdOpen(c)
 				})
 			})
 			<-silent
-			s.meet(s.client())
-			s.a.Announce("terminating", time.Time{})
-			at := s.asked(d, begun)
-			assert.Less(t, at.Sub(begun), binds-500*time.Millisecond, "time is left for the answer")
-			s.drains(at.Add(500 * time.Millisecond))
+			gw.learnPositions(gw.connect())
+			gw.replicaA.Announce("terminating", time.Time{})
+			at := gw.waitDiscoveryCall(d, begun)
+			assert.Less(t, at.Sub(begun), listBindingDelay-500*time.Millisecond, "time is left for the answer")
+			gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
 		})
 	}
 }
 
 // However a call fails, the next comes soon enough for what discovery has by the time that it can be reached again.
-func TestDiscoveryIsAskedAgainInTime(t *testing.T) {
+func TestDiscoveryIsPolledAgainInTime(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(c net.Conn, call int){
 		"cut off":  nil,
 		"503":      func(c net.Conn, _ int) { _, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
-		"silent":   func(c net.Conn, _ int) { hold(c) },
-		"spoilt":   func(c net.Conn, _ int) { _, _ = io.WriteString(c, head+"{]\n") },
-		"half":     func(c net.Conn, _ int) { _, _ = io.WriteString(c, head+`{"seq":9,"whole":true,"hosts":[`) },
-		"no hosts": func(c net.Conn, _ int) { _, _ = io.WriteString(c, head+"null\n") },
+		"silent":   func(c net.Conn, _ int) { holdOpen(c) },
+		"spoilt":   func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"{]\n") },
+		"half":     func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+`{"seq":9,"whole":true,"hosts":[`) },
+		"no hosts": func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"null\n") },
 		"a crowd": func(c net.Conn, _ int) {
 			time.Sleep(time.Second)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -222,88 +222,88 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var d *lines
-			s := newSite(t, func(s *site) {
-				crowded(s)
-				s.t = t
-				d = s.listing(fails)
+			var d *scriptedDiscovery
+			gw := startGateway(t, func(gw *testGateway) {
+				withManyInstances(gw)
+				gw.t = t
+				d = gw.useScriptedDiscovery(fails)
 			})
-			s.meet(s.client()) // the known list serves meanwhile
-			s.asked(d, time.Time{})
+			gw.learnPositions(gw.connect()) // the known list serves meanwhile
+			gw.waitDiscoveryCall(d, time.Time{})
 			time.Sleep(3 * time.Second) // the fault lasts
-			s.a.Announce("terminating", time.Time{})
-			d.answers(tells(s.world, false))
+			gw.replicaA.Announce("terminating", time.Time{})
+			d.setHandler(streamList(gw.world, false))
 			back := time.Now()
-			at := s.asked(d, back)
-			assert.Less(t, at.Sub(back), binds-500*time.Millisecond)
-			s.drains(at.Add(500 * time.Millisecond))
+			at := gw.waitDiscoveryCall(d, back)
+			assert.Less(t, at.Sub(back), listBindingDelay-500*time.Millisecond)
+			gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
 		})
 	}
 }
 
 // SIGHUP moves the watch at once, whatever goes on at the old address; a call that fails at the new one is repeated.
-func TestReloadWhileACallIsOut(t *testing.T) {
+func TestReloadDuringDiscoveryCall(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) {
-		crowded(s)
-		s.listing(func(c net.Conn, _ int) { hold(c) })
+	gw := startGateway(t, func(gw *testGateway) {
+		withManyInstances(gw)
+		gw.useScriptedDiscovery(func(c net.Conn, _ int) { holdOpen(c) })
 	})
-	next := s.listing(nil)
-	s.configure(s.disc.Addr, []byte("{}"))
+	next := gw.useScriptedDiscovery(nil)
+	gw.configure(gw.discovery.Addr, []byte("{}"))
 	begun := time.Now()
-	s.hup()
-	at := s.asked(next, begun)
-	s.a.Announce("terminating", time.Time{})
-	next.answers(tells(s.world, false))
-	at = s.asked(next, at)
+	gw.sendSIGHUP()
+	at := gw.waitDiscoveryCall(next, begun)
+	gw.replicaA.Announce("terminating", time.Time{})
+	next.setHandler(streamList(gw.world, false))
+	at = gw.waitDiscoveryCall(next, at)
 	assert.Less(t, at.Sub(begun), 4*time.Second, "a change binds 4 s after SIGHUP")
-	s.drains(at.Add(500 * time.Millisecond))
+	gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
 }
 
 // A list may be indented over many lines.
 func TestIndentedList(t *testing.T) {
 	t.Parallel()
-	var d *lines
-	s := newSite(t, func(s *site) {
-		s.a.Announce("terminating", time.Time{})
-		d = s.listing(nil)
-		d.answers(tells(s.world, true))
+	var d *scriptedDiscovery
+	gw := startGateway(t, func(gw *testGateway) {
+		gw.replicaA.Announce("terminating", time.Time{})
+		d = gw.useScriptedDiscovery(nil)
+		d.setHandler(streamList(gw.world, true))
 	})
-	at := s.asked(d, time.Time{})
-	s.drains(at)
-	assert.NotContains(t, s.logged(), "discovery_failed")
+	at := gw.waitDiscoveryCall(d, time.Time{})
+	gw.checkReplicaADrained(at)
+	assert.NotContains(t, gw.logText(), "discovery_failed")
 }
 
 // A change of an older version than the list in force tells nothing new: it must not bring a database back. What a discovery
 // that went back has is asked for anew, as a whole.
-func TestOlderChangesBringNothingBack(t *testing.T) {
+func TestOlderListChangesAreIgnored(t *testing.T) {
 	t.Parallel()
-	var d *lines
+	var d *scriptedDiscovery
 	older := make(chan struct{})
-	s := newSite(t, func(s *site) {
-		s.a.Announce("terminating", time.Time{})
-		list := strings.Replace(string(s.world.List()), `"seq":2`, `"seq":50`, 1)
-		d = s.listing(func(c net.Conn, call int) {
+	gw := startGateway(t, func(gw *testGateway) {
+		gw.replicaA.Announce("terminating", time.Time{})
+		list := strings.Replace(string(gw.world.List()), `"seq":2`, `"seq":50`, 1)
+		d = gw.useScriptedDiscovery(func(c net.Conn, call int) {
 			if call == 1 {
-				_, _ = fmt.Fprintf(c, "%s%s\n", head, list)
+				_, _ = fmt.Fprintf(c, "%s%s\n", responseHead, list)
 				<-older
-				s.a.Announce("in_service", time.Time{})
-				back := strings.Replace(string(s.world.List()), `"whole":true`, `"whole":false`, 1)
-				s.a.Announce("terminating", time.Time{})
+				gw.replicaA.Announce("in_service", time.Time{})
+				back := strings.Replace(string(gw.world.List()), `"whole":true`, `"whole":false`, 1)
+				gw.replicaA.Announce("terminating", time.Time{})
 				_, _ = fmt.Fprintf(c, "%s\n", back)
-				hold(c)
+				holdOpen(c)
 			}
-			tells(s.world, false)(c, call)
+			streamList(gw.world, false)(c, call)
 		})
 	})
-	at := s.asked(d, time.Time{})
-	s.drains(at)
-	n, c := len(s.a.Statements()), s.client()
+	at := gw.waitDiscoveryCall(d, time.Time{})
+	gw.checkReplicaADrained(at)
+	n, c := len(gw.replicaA.Statements()), gw.connect()
 	close(older)
 	for begun := time.Now(); time.Since(begun) < time.Second; {
-		c.ask(stmt("own", 1000, ""))
+		c.query(statement("own", 1000, ""))
 	}
-	assert.Equal(t, n, len(s.a.Statements()), "it drains by the newest that was told")
-	s.asked(d, at.Add(time.Millisecond))
-	assert.Contains(t, d.lastCall(), "after=0", "the whole list is asked for")
+	assert.Equal(t, n, len(gw.replicaA.Statements()), "it drains by the newest that was told")
+	gw.waitDiscoveryCall(d, at.Add(time.Millisecond))
+	assert.Contains(t, d.lastCallPath(), "after=0", "the whole list is asked for")
 }
