--- a/cmd/lilaccove/agent_test.go
+++ b/cmd/lilaccove/agent_test.go
@@ -24,7 +24,7 @@
 // it failed and however many gateways there are: it is this machine's own.
 func TestAgentIsPolledAgainPromptly(t *testing.T) {
 	t.Parallel()
-	for name, fails := range map[string]func(c net.Conn, call int){
+	for name, failure := range map[string]func(c net.Conn, call int){
 		"cut off": nil,
 		"503":     func(c net.Conn, _ int) { _, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
 		"silent":  func(c net.Conn, _ int) { holdOpen(c) },
@@ -35,22 +35,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var d *scriptedDiscovery
+			var agent *scriptedDiscovery
 			gw := startGateway(t, func(gw *testGateway) {
 				withAgent(gw)
 				gw.t = t
-				d = gw.useScriptedDiscovery(streamList(gw.world, false))
+				agent = gw.useScriptedDiscovery(streamList(gw.world, false))
 			})
 			gw.learnPositions(gw.connect())
-			d.setHandler(fails)
-			d.closeCalls()
+			agent.setHandler(failure)
+			agent.closeCalls()
 			time.Sleep(4 * time.Second) // long enough for any pause between calls to have grown
 			gw.replicaA.Announce("terminating", time.Time{})
-			d.setHandler(streamList(gw.world, false))
-			back := time.Now()
-			at := gw.waitDiscoveryCall(d, back)
-			assert.Less(t, at.Sub(back), agentDrainGrace, "new work has to end by then")
-			gw.checkNoNewStatements(gw.replicaA, back.Add(agentDrainGrace))
+			agent.setHandler(streamList(gw.world, false))
+			restored := time.Now()
+			calledAt := gw.waitDiscoveryCall(agent, restored)
+			assert.Less(t, calledAt.Sub(restored), agentDrainGrace, "new work has to end by then")
+			gw.checkNoNewStatements(gw.replicaA, restored.Add(agentDrainGrace))
 		})
 	}
 }
@@ -58,12 +58,12 @@
 // A new process has been told what its agent has from its first moment on, though the list that it starts with is older.
 func TestStartComparesListWithAgent(t *testing.T) {
 	t.Parallel()
-	var d *scriptedDiscovery
+	var agent *scriptedDiscovery
 	release := make(chan struct{})
 	gw := startGateway(t, func(gw *testGateway) {
 		withAgent(gw)
 		gw.replicaA.Announce("terminating", time.Time{}) // behind the list that the process is started with
-		d = gw.useScriptedDiscovery(func(c net.Conn, call int) {
+		agent = gw.useScriptedDiscovery(func(c net.Conn, call int) {
 			<-release
 			streamList(gw.world, false)(c, call)
 		})
@@ -72,7 +72,7 @@
 	for range 8 {
 		c.write(queryMessage(statement("own", 1000, "")))
 	}
-	gw.waitDiscoveryCall(d, time.Time{})
+	gw.waitDiscoveryCall(agent, time.Time{})
 	assert.Empty(t, gw.replicaA.Statements(), "nothing goes where the agent may have said otherwise")
 	close(release)
 	for range 8 {
--- a/cmd/lilaccove/cold_test.go
+++ b/cmd/lilaccove/cold_test.go
@@ -33,8 +33,8 @@
 	fleet.t.Helper()
 	stop := make(chan struct{})
 	fleet.t.Cleanup(func() { close(stop) })
-	for _, h := range fleet.World().Members()[:2] {
-		go func() { _ = fleet.World().Replace(h, 4*time.Second, stop) }()
+	for _, host := range fleet.World().Members()[:2] {
+		go func() { _ = fleet.World().Replace(host, 4*time.Second, stop) }()
 	}
 	fleet.eventually("cold ones are there", func() bool { return len(fleet.World().Members()) == 6+2 })
 }
@@ -108,38 +108,38 @@
 // it is cold. What is counted is what all of them send in any second.
 func TestColdBudgetOfManyProcesses(t *testing.T) {
 	for _, tt := range []struct {
-		name      string
-		processes int
-		skew      bool
-		together  bool
-		again     bool
+		name             string
+		processes        int
+		oneClient        bool
+		restartTogether  bool
+		databaseRestarts bool
 	}{
-		{name: "4, together", processes: 4, together: true},
+		{name: "4, together", processes: 4, restartTogether: true},
 		{name: "20, one after the other", processes: 20},
-		{name: "30, together", processes: 30, together: true, again: true},
-		{name: "30, all clients at one", processes: 30, skew: true, together: true},
+		{name: "30, together", processes: 30, restartTogether: true, databaseRestarts: true},
+		{name: "30, all clients at one", processes: 30, oneClient: true, restartTogether: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			text := strings.NewReplacer("gateways: 7", fmt.Sprint("gateways: ", tt.processes), "fleet: true, positions: true", "fleet: false").Replace(coldPlan)
-			if tt.skew {
+			if tt.oneClient {
 				text = strings.Replace(text, "count: 400", "count: 1", 1)
 			}
 			fleet := newTestFleetWithPlan(t, tt.processes, text)
 			fleet.replaceDatabases()
-			if tt.together {
+			if tt.restartTogether {
 				for _, i := range fleet.all() {
 					fleet.Node(i).Kill()
 				}
 			}
-			began := time.Now()
+			start := time.Now()
 			for _, i := range fleet.all() {
 				fleet.Node(i).Kill()
 				_, err := fleet.Start(i)
 				require.NoError(t, err)
 			}
 			fleet.eventually("all are in the front again", func() bool { return fleet.Balancer().Admitted() == tt.processes })
-			t.Logf("%d processes were ready after %v", tt.processes, time.Since(began))
-			if tt.again {
+			t.Logf("%d processes were ready after %v", tt.processes, time.Since(start))
+			if tt.databaseRestarts {
 				for _, h := range fleet.World().Members() {
 					if h.IsCold() {
 						h.Announce("in_service", time.Now())
@@ -180,9 +180,9 @@
 	fleet := newTestFleetWithPlan(t, 5, strings.NewReplacer("gateways: 7", "gateways: 5, told: 100", "600/s", "200/s").Replace(coldPlan))
 	calls := func() standin.Calls { return fleet.World().Discovery().Calls() }
 	fleet.eventually("each has a watch", func() bool { return calls().Watches == 5 })
-	begun := time.Now()
+	start := time.Now()
 	fleet.World().SilenceWatches()
-	time.Sleep(time.Until(begun.Add(6 * time.Second))) // the fault
+	time.Sleep(time.Until(start.Add(6 * time.Second))) // the fault
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() { _ = fleet.World().Replace(fleet.World().Members()[0], 20*time.Second, stop) }()
--- a/cmd/lilaccove/disconnect_test.go
+++ b/cmd/lilaccove/disconnect_test.go
@@ -18,10 +18,10 @@
 const disconnectGrace = 100 * time.Millisecond
 
 // whilePaused has the gateway stand still while the test does something.
-func (gw *testGateway) whilePaused(do func()) {
+func (gw *testGateway) whilePaused(run func()) {
 	gw.t.Helper()
 	require.NoError(gw.t, gw.Pause())
-	do()
+	run()
 	require.NoError(gw.t, gw.Resume())
 }
 
@@ -43,27 +43,27 @@
 // connection that is at hand.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
-	for name, end := range disconnectModes {
+	for name, disconnect := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, nil)
 			gw.waitServed() // a connection to the primary is up
-			n := len(gw.primary.Statements())
-			known := gw.connect()
+			before := len(gw.primary.Statements())
+			connected := gw.connect()
 			gw.whilePaused(func() {
-				known.write(queryMessage(statement("write", 3000, "")))
-				end(known.conn)
-				fresh := gw.dial() // in the listener's queue
-				fresh.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("write", 3000, "")))
-				end(fresh.conn)
+				connected.write(queryMessage(statement("write", 3000, "")))
+				disconnect(connected.conn)
+				queued := gw.dial() // in the listener's queue
+				queued.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("write", 3000, "")))
+				disconnect(queued.conn)
 				large := gw.dial()
 				text := queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+strings.Repeat("9f", 20<<10), 1))
 				large.write(string(pgwire.Startup("api", "ledger")) + text)
-				end(large.conn)
+				disconnect(large.conn)
 				time.Sleep(3 * disconnectGrace) // the fault
 			})
 			gw.waitServed()
-			assert.Len(t, gw.primary.Statements(), n+1)
+			assert.Len(t, gw.primary.Statements(), before+1)
 		})
 	}
 }
@@ -99,31 +99,31 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	got := make(chan net.Conn, 8)
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
 			_, _ = c.Write(pgwire.AppendStartupReply(nil, 0))
-			got <- c
+			accepted <- c
 		}
 	}()
 	gw.primary.AnnounceAddr(ln.Addr().String()) // a database that greets, and reads nothing for now
 	c := gw.connect()
-	whole := strings.Repeat("9f", 4<<20)
+	value := strings.Repeat("9f", 4<<20)
 	gw.eventually("it is written to", func() bool {
-		if len(got) == 0 {
+		if len(accepted) == 0 {
 			c.conn.Close()
 			c = gw.connect()
-			c.write(queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+whole, 1)))
+			c.write(queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+value, 1)))
 			time.Sleep(50 * time.Millisecond)
 		}
-		return len(got) > 0
+		return len(accepted) > 0
 	})
 	time.Sleep(200 * time.Millisecond) // the kernel's buffers are full by now
 	c.conn.Close()
-	d := <-got
-	require.NoError(t, d.SetReadDeadline(time.Now().Add(waitTimeout)))
-	n, _ := io.Copy(io.Discard, d)
-	assert.Less(t, n, int64(len(whole)), "the rest is not written")
+	databaseConn := <-accepted
+	require.NoError(t, databaseConn.SetReadDeadline(time.Now().Add(waitTimeout)))
+	received, _ := io.Copy(io.Discard, databaseConn)
+	assert.Less(t, received, int64(len(value)), "the rest is not written")
 }
 
 // Requests sent ahead, more than are taken at once, wait for connections that come up late: with their client's end all of
@@ -131,7 +131,7 @@
 // the end: one that came up at once would get an attempt in the moment between the end and its reading, as it may.
 func TestDisconnectAfterPipelinedCommands(t *testing.T) {
 	t.Parallel()
-	for name, end := range disconnectModes {
+	for name, disconnect := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, func(gw *testGateway) {
@@ -145,7 +145,7 @@
 			}
 			c.write(queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+strings.Repeat("9f", 60<<10), 1)))
 			gw.eventually("connections are on their way", func() bool { return gw.primary.Dials() > 1 })
-			end(c.conn)
+			disconnect(c.conn)
 			gw.eventually("all of them are over", func() bool { return gw.metric("in_progress") == 0 })
 			assert.Empty(t, gw.primary.Statements(), "no connection is up yet")
 			gw.waitServed() // over connections as late as theirs
@@ -165,14 +165,14 @@
 	for _, d := range []*database{gw.replicaA, gw.replicaB} {
 		d.SetLag(10 * time.Second)
 	}
-	known := gw.connect()
+	other := gw.connect()
 	for range 2 { // the primary tells the databases' clock, without which the age of data is not known at first
-		assert.NotEmpty(t, known.query(statement("write", 1000, "")).value)
+		assert.NotEmpty(t, other.query(statement("write", 1000, "")).value)
 	}
-	gw.learnPositions(known)
+	gw.learnPositions(other)
 	gw.primary.setHandler(answerError("XX000"))
 	gw.eventually("its breaker opens", func() bool {
-		known.query(statement("write", 1000, ""))
+		other.query(statement("write", 1000, ""))
 		return strings.Contains(gw.logText(), "breaker opens")
 	})
 	c := gw.connect()
@@ -184,12 +184,12 @@
 		d.SetLag(0)
 	}
 	for range 10 { // their answers tell how far they are
-		assert.NotEmpty(t, known.query(statement("own", 1000, "")).value)
+		assert.NotEmpty(t, other.query(statement("own", 1000, "")).value)
 	}
 	for _, text := range append(gw.replicaA.Statements(), gw.replicaB.Statements()...) {
 		assert.NotContains(t, text, "c=browse")
 	}
-	assert.NotEmpty(t, known.query(statement("browse", 1000, "")).value, "the replicas serve such reads now")
+	assert.NotEmpty(t, other.query(statement("browse", 1000, "")).value, "the replicas serve such reads now")
 }
 
 // A repeat has to begin within its class's window. A connection that comes up behind it is of no use to it.
@@ -203,9 +203,9 @@
 		d.DelayGreeting(time.Second)
 		c.Close()
 	})
-	begun := time.Now()
+	start := time.Now()
 	got := gw.connect().query(statement("write", 2500, ""))
-	assert.Less(t, time.Since(begun), time.Second, "given up is answered at once")
+	assert.Less(t, time.Since(start), time.Second, "given up is answered at once")
 	assert.Equal(t, pgwire.CodeTooManyConnections, got.code, "whoever comes again is told apart by the key")
 	gw.primary.DelayGreeting(0)
 	gw.waitServed()
@@ -273,23 +273,23 @@
 	assert.Equal(t, "late", c.readAnswer().value, "it has run: that is told")
 
 	gw.learnPositions(other)
-	hold := make(chan struct{})
+	releaseReads := make(chan struct{})
 	for _, d := range []*database{gw.replicaA, gw.replicaB, gw.primary} {
 		d.setHandler(func(_ *database, c net.Conn, _ string) {
-			<-hold
+			<-releaseReads
 			c.Close()
 		})
 	}
-	n := func() int {
+	statementCount := func() int {
 		return len(gw.primary.Statements()) + len(gw.replicaA.Statements()) + len(gw.replicaB.Statements())
 	}
-	before := n()
+	before := statementCount()
 	c.write(queryMessage(statement("own", 3000, "")))
-	gw.eventually("it is out", func() bool { return n() == before+1 })
+	gw.eventually("it is out", func() bool { return statementCount() == before+1 })
 	gw.cancel(key)
-	close(hold)
+	close(releaseReads)
 	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
-	assert.Equal(t, before+1, n(), "a read that was reset is not sent again for who does not want it")
+	assert.Equal(t, before+1, statementCount(), "a read that was reset is not sent again for who does not want it")
 	gw.cancel(key) // late
 	gw.waitServed()
 	assert.Equal(t, "p", c.query(statement("write", 3000, "")).value)
--- a/cmd/lilaccove/edges_test.go
+++ b/cmd/lilaccove/edges_test.go
@@ -30,9 +30,9 @@
 	var crowd sync.WaitGroup
 	for range 4 {
 		crowd.Go(func() { // whoever is let go comes again
-			var held []net.Conn
+			var conns []net.Conn
 			defer func() {
-				for _, c := range held {
+				for _, c := range conns {
 					c.Close()
 				}
 			}()
@@ -44,9 +44,9 @@
 				}
 				if c, err := net.Dial("tcp", gw.clientAddr); err == nil {
 					_, _ = c.Write([]byte(string(pgwire.Startup("api", "ledger")) + queryMessage("")))
-					if held = append(held, c); len(held) > 60 {
-						held[0].Close()
-						held = held[1:]
+					if conns = append(conns, c); len(conns) > 60 {
+						conns[0].Close()
+						conns = conns[1:]
 					}
 				}
 				time.Sleep(time.Millisecond)
@@ -55,12 +55,12 @@
 	}
 	defer crowd.Wait()
 	defer close(stop)
-	fds := func() int {
+	countDescriptors := func() int {
 		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", gw.Pid()))
 		require.NoError(t, err)
 		return len(list)
 	}
-	gw.eventually("they fill it", func() bool { return fds() > 48 })
+	gw.eventually("they fill it", func() bool { return countDescriptors() > 48 })
 	for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
 		d.CloseConnections()
 	}
@@ -71,7 +71,7 @@
 	gw.replicaA.Announce("terminating", time.Time{})
 	gw.eventually("a write is served", func() bool { return gw.connect().query(statement("write", 1000, "")).value == "p" })
 	gw.eventually("a read is served", func() bool { return gw.connect().query(statement("own", 1000, "")).value != "" })
-	assert.LessOrEqual(t, fds(), gw.sockets)
+	assert.LessOrEqual(t, countDescriptors(), gw.sockets)
 	assert.NotContains(t, gw.logText(), "no descriptor to spare", "each call to discovery went out")
 	assert.NotContains(t, gw.logText(), "event=no_descriptor", "and each to a database")
 }
@@ -116,11 +116,11 @@
 		d.SetScript(nil)
 	}
 	c := gw.connect()
-	done := 0
+	succeeded := 0
 	writes := func(n int) {
 		for range n {
 			if c.query(statement("write", 2000, "")).rows == 1 {
-				done++
+				succeeded++
 			}
 		}
 	}
@@ -130,16 +130,16 @@
 	gw.replicaA.Promote()
 	writes(20)
 	gw.eventually("the new one is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
-	done++
+	succeeded++
 	gw.primary.Promote()
 	writes(20)
 	gw.eventually("the old one is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
-	done++
-	n := gw.world.Counts()
-	assert.Zero(t, n.Duplicates)
-	assert.Equal(t, done, n.Writes, "no write is lost, none is told that has not run")
-	assert.LessOrEqual(t, n.Misses, 8, "a miss tells the role")
-	assert.GreaterOrEqual(t, done, 50)
+	succeeded++
+	counts := gw.world.Counts()
+	assert.Zero(t, counts.Duplicates)
+	assert.Equal(t, succeeded, counts.Writes, "no write is lost, none is told that has not run")
+	assert.LessOrEqual(t, counts.Misses, 8, "a miss tells the role")
+	assert.GreaterOrEqual(t, succeeded, 50)
 }
 
 // Clients send much at once and go, come without end and read no answers, while memory is short: the others are served,
@@ -151,7 +151,7 @@
 	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, value) })
 	stop := make(chan struct{})
 	var crowd sync.WaitGroup
-	flood := func(n int, do func(c net.Conn)) {
+	flood := func(n int, misbehave func(c net.Conn)) {
 		for range n {
 			crowd.Go(func() {
 				for {
@@ -163,7 +163,7 @@
 					if c, err := net.Dial("tcp", gw.clientAddr); err == nil {
 						_ = c.SetDeadline(time.Now().Add(time.Second))
 						_, _ = c.Write(pgwire.Startup("api", "ledger"))
-						do(c)
+						misbehave(c)
 						c.Close()
 					}
 				}
@@ -203,10 +203,10 @@
 	require.NoError(t, err)
 	for line := range strings.Lines(string(status)) {
 		if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			kb, err := strconv.Atoi(strings.Fields(v)[0])
+			peakKB, err := strconv.Atoi(strings.Fields(v)[0])
 			require.NoError(t, err)
-			t.Logf("%d kB resident at most", kb)
-			assert.Less(t, kb, gw.memory<<10+raceMemoryKiB)
+			t.Logf("%d kB resident at most", peakKB)
+			assert.Less(t, peakKB, gw.memory<<10+raceMemoryKiB)
 		}
 	}
 	assert.True(t, gw.ready())
@@ -219,17 +219,17 @@
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.memory = 16 }) // a quarter of it is for buffers
 	release := gw.primary.blockAnswers()
-	more := queryMessage("/* " + strings.Repeat("x", 60_000) + " */")
-	var all []*client
+	incomplete := queryMessage("/* " + strings.Repeat("x", 60_000) + " */")
+	var clients []*client
 	for range 100 {
 		c := gw.connect()
-		c.write(queryMessage(statement("write", 3000, "")) + more[:55_000])
-		all = append(all, c)
+		c.write(queryMessage(statement("write", 3000, "")) + incomplete[:55_000])
+		clients = append(clients, c)
 	}
 	gw.eventually("some are at the database", func() bool { return len(gw.primary.Statements()) > 0 })
 	time.Sleep(200 * time.Millisecond) // for what was sent to fill the buffers
 	close(release)
-	for _, c := range all {
+	for _, c := range clients {
 		got := c.readAnswer()
 		assert.Equal(t, 1, got.rows+got.errors, "%+v", got)
 	}
--- a/cmd/lilaccove/faults_test.go
+++ b/cmd/lilaccove/faults_test.go
@@ -32,9 +32,9 @@
 			return
 		}
 		faultyBinary.path = filepath.Join(dir, "lilaccove")
-		var said []byte
-		if said, faultyBinary.err = exec.Command("go", "build", "-tags", "faults", "-o", faultyBinary.path, ".").CombinedOutput(); faultyBinary.err != nil {
-			faultyBinary.path = string(said)
+		var output []byte
+		if output, faultyBinary.err = exec.Command("go", "build", "-tags", "faults", "-o", faultyBinary.path, ".").CombinedOutput(); faultyBinary.err != nil {
+			faultyBinary.path = string(output)
 		}
 	})
 	require.NoError(t, faultyBinary.err, faultyBinary.path)
@@ -47,10 +47,10 @@
 }
 
 // withFaultPlan has a site's process read a plan.
-func withFaultPlan(text string) func(*testGateway) {
+func withFaultPlan(plan string) func(*testGateway) {
 	return func(gw *testGateway) {
 		gw.faultPlan = filepath.Join(gw.tmpDir, "plan.json")
-		require.NoError(gw.t, os.WriteFile(gw.faultPlan, []byte(text), 0o600))
+		require.NoError(gw.t, os.WriteFile(gw.faultPlan, []byte(plan), 0o600))
 	}
 }
 
@@ -89,12 +89,12 @@
 // written to them.
 func TestAcceptFailsDuringShutdown(t *testing.T) {
 	t.Parallel()
-	for _, number := range []string{"ENFILE", "ENOBUFS", "EPROTO"} {
-		t.Run(number, func(t *testing.T) {
+	for _, errno := range []string{"ENFILE", "ENOBUFS", "EPROTO"} {
+		t.Run(errno, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, func(gw *testGateway) {
 				gw.t = t
-				withFaults(`{"call":"accept","error":"` + number + `","most":60}`)(gw)
+				withFaults(`{"call":"accept","error":"` + errno + `","most":60}`)(gw)
 			})
 			c := gw.dial()
 			c.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("own", 2500, "")))
@@ -111,9 +111,9 @@
 	t.Parallel()
 	gw := startWithInheritedSocket(t, withFaults(`{"call":"epoll_add","error":"ENOSPC","most":4}`))
 	assert.True(t, gw.connect().query("").empty)
-	begun := time.Now()
+	start := time.Now()
 	gw.eventually("it is ready", gw.ready)
-	assert.Less(t, time.Since(begun), waitTimeout)
+	assert.Less(t, time.Since(start), waitTimeout)
 }
 
 // The system may have no socket for a process in the moment of its start.
@@ -175,13 +175,13 @@
 // request's time is not begun then.
 func TestNoAttemptStartsAfterStall(t *testing.T) {
 	t.Parallel()
-	const held = 700 * time.Millisecond
+	const stall = 700 * time.Millisecond
 	gw := startGateway(t, withFaults(`{"call":"read","delay_ms":700,"from_ms":500}`))
 	c := gw.connect()
 	gw.eventually("reads take long", func() bool { // and there are connections at rest
-		begun := time.Now()
+		start := time.Now()
 		c.query(statement("own", 1500, ""))
-		return time.Since(begun) >= held
+		return time.Since(start) >= stall
 	})
 	before := len(gw.replicaA.Statements()) + len(gw.replicaB.Statements()) + len(gw.primary.Statements())
 	c.write(queryMessage(statement("own", 500, "")))
@@ -191,16 +191,16 @@
 }
 
 // withClockStep has the wall clock of a site's process differ from that of the others.
-func withClockStep(by time.Duration) func(*testGateway) {
-	return withFaultPlan(fmt.Sprintf(`{"wall_step_ms":%d}`, by.Milliseconds()))
+func withClockStep(step time.Duration) func(*testGateway) {
+	return withFaultPlan(fmt.Sprintf(`{"wall_step_ms":%d}`, step.Milliseconds()))
 }
 
 // forEachClockStep starts a site behind each of some steps, none among them, and does something with it.
-func forEachClockStep(t *testing.T, do func(t *testing.T, gw *testGateway)) {
+func forEachClockStep(t *testing.T, check func(t *testing.T, gw *testGateway)) {
 	for _, step := range []time.Duration{0, -time.Hour, -3 * time.Second, -800 * time.Millisecond, 3 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			do(t, startGateway(t, func(gw *testGateway) {
+			check(t, startGateway(t, func(gw *testGateway) {
 				gw.t = t
 				withClockStep(step)(gw)
 			}))
@@ -260,17 +260,17 @@
 // breaker opens, and requests go on as soon as there are sockets again.
 func TestSocketShortageOpensNoBreaker(t *testing.T) {
 	t.Parallel()
-	const from, length = 1500, 1200 // ms
+	const faultStart, faultDuration = 1500, 1200 // ms
 	for _, fault := range []string{
 		`"call":"socket","error":"ENFILE"`, `"call":"socket","error":"EMFILE"`, `"call":"socket","error":"ENOBUFS"`,
 		`"call":"socket","error":"ENOMEM"`, `"call":"connect","error":"EADDRNOTAVAIL"`,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			begun := time.Now()
+			start := time.Now()
 			gw := startGateway(t, func(gw *testGateway) {
 				gw.t = t
-				withFaults(fmt.Sprintf(`{%s,"from_ms":%d,"for_ms":%d}`, fault, from, length))(gw)
+				withFaults(fmt.Sprintf(`{%s,"from_ms":%d,"for_ms":%d}`, fault, faultStart, faultDuration))(gw)
 			})
 			for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
 				d.setHandler(func(d *database, c net.Conn, _ string) { // each request needs a connection of its own
@@ -280,15 +280,15 @@
 			}
 			c := gw.connect()
 			gw.eventually("writes are served", func() bool { return c.query(statement("write", 1000, "")).value != "" })
-			time.Sleep(time.Until(begun.Add((from + length/3) * time.Millisecond))) // into the fault itself
+			time.Sleep(time.Until(start.Add((faultStart + faultDuration/3) * time.Millisecond))) // into the fault itself
 			for range 20 {
 				c.write(queryMessage(statement("write", 400, "")))
 			}
 			for range 20 {
 				c.readAnswer()
 			}
-			late := time.Until(begun.Add((from + length) * time.Millisecond))
-			time.Sleep(late)
+			remaining := time.Until(start.Add((faultStart + faultDuration) * time.Millisecond))
+			time.Sleep(remaining)
 			gw.eventually("writes are served again", func() bool { return c.query(statement("write", 1000, "")).value != "" })
 			assert.NotContains(t, gw.logText(), "breaker opens")
 		})
@@ -309,10 +309,10 @@
 				withFaults(fmt.Sprintf(`{%s,"peer":%q}`, fault, gw.replicaA.Addr()))(gw)
 			})
 			c := gw.connect()
-			for k := range 40 {
-				class := []string{"own", "browse", "write"}[k%3]
+			for n := range 40 {
+				class := []string{"own", "browse", "write"}[n%3]
 				got := c.query(statement(class, 1000, ""))
-				assert.NotEmpty(t, got.value, "request %d, %s: %+v", k, class, got)
+				assert.NotEmpty(t, got.value, "request %d, %s: %+v", n, class, got)
 			}
 			assert.NotContains(t, gw.logText(), "breaker opens", "the primary is well")
 		})
@@ -337,14 +337,14 @@
 			gw.t = t
 			withFaults(`{"call":"open","error":"EMFILE","from_ms":800,"most":5}`)(gw)
 		})
-		begun := time.Now()
+		start := time.Now()
 		gw.waitWatches(gw.discovery, 1)
 		old := gw.discovery
 		next, err := gw.world.AddDiscovery()
 		require.NoError(t, err)
 		gw.discovery = next
 		gw.configure(next.Addr, []byte("{}"))
-		time.Sleep(time.Until(begun.Add(time.Second))) // into the fault itself
+		time.Sleep(time.Until(start.Add(time.Second))) // into the fault itself
 		gw.sendSIGHUP()
 		gw.waitWatches(next, 1)
 		gw.waitWatches(old, 0)
--- a/cmd/lilaccove/fleet_cost_test.go
+++ b/cmd/lilaccove/fleet_cost_test.go
@@ -37,15 +37,15 @@
 // measureCost starts gateways that have nothing to do, waits until they know each other, and tells what one takes: its share
 // of a core, and KiB of memory of its own.
 func measureCost(b *testing.B, n int, fleet bool) (core, kib float64) {
-	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
+	world, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
-	defer w.Close()
-	var all []*lab.Process
+	defer world.Close()
+	var processes []*lab.Process
 	seeds := ""
 	for i := range n {
 		dir := b.TempDir()
 		config := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":256},
-			"known":%s,"settings":%s}`, i, w.Discovery().Addr, i+1, w.List(), peerSettings)
+			"known":%s,"settings":%s}`, i, world.Discovery().Addr, i+1, world.List(), peerSettings)
 		require.NoError(b, os.WriteFile(dir+"/config.json", []byte(config), 0o600))
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+dir+"/config.json", "TMPDIR="+dir)
@@ -53,42 +53,42 @@
 			require.NoError(b, os.WriteFile(dir+"/fleet.yaml", []byte("fleet: price\nlisten: 127.0.0.1:0\n"+seeds), 0o600))
 			cmd.Env = append(cmd.Env, "GW_FLEET="+dir+"/fleet.yaml")
 		}
-		p := lab.NewProcess(cmd)
-		known, seen := make(chan string, 1), make(chan bool, 1)
-		require.NoError(b, p.Launch(func(line string) {
-			if at := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
-				known <- at
+		process := lab.NewProcess(cmd)
+		peerAddr, viewComplete := make(chan string, 1), make(chan bool, 1)
+		require.NoError(b, process.Launch(func(line string) {
+			if addr := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
+				peerAddr <- addr
 			} else if strings.Contains(line, "event=fleet_view ") && lab.LogField(line, "members") == strconv.Itoa(n) {
 				select {
-				case seen <- true:
+				case viewComplete <- true:
 				default:
 				}
 			}
 		}, func() {}))
-		defer p.Kill()
-		_, err := p.WaitStarted(waitTimeout)
+		defer process.Kill()
+		_, err := process.WaitStarted(waitTimeout)
 		require.NoError(b, err)
-		if all = append(all, p); !fleet {
+		if processes = append(processes, process); !fleet {
 			continue
 		}
-		if at := <-known; i < 3 {
-			seeds = cmp.Or(seeds, "seeds:\n") + "  - " + at + "\n"
+		if addr := <-peerAddr; i < 3 {
+			seeds = cmp.Or(seeds, "seeds:\n") + "  - " + addr + "\n"
 		}
 		if i == n-1 {
 			select {
-			case <-seen:
+			case <-viewComplete:
 			case <-time.After(time.Minute):
 				b.Fatal("no view of all")
 			}
 		}
 	}
 	time.Sleep(10 * time.Second) // the news of the start go round
-	before := cpuSeconds(b, all)
-	const span = 20 * time.Second
-	time.Sleep(span)
-	core = (cpuSeconds(b, all) - before) / span.Seconds() / float64(n)
-	for _, p := range all {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
+	before := cpuSeconds(b, processes)
+	const duration = 20 * time.Second
+	time.Sleep(duration)
+	core = (cpuSeconds(b, processes) - before) / duration.Seconds() / float64(n)
+	for _, process := range processes {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Pid()))
 		require.NoError(b, err)
 		_, rest, _ := bytes.Cut(text, []byte("RssAnon:"))
 		var size float64
@@ -100,13 +100,13 @@
 }
 
 // cpuSeconds is the time that processes have had of a core, in seconds.
-func cpuSeconds(b *testing.B, all []*lab.Process) (sum float64) {
-	for _, p := range all {
+func cpuSeconds(b *testing.B, processes []*lab.Process) (sum float64) {
+	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 		require.NoError(b, err)
-		f := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
+		fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 		for _, i := range []int{11, 12} { // user and system time, in hundredths
-			ticks, err := strconv.ParseFloat(string(f[i]), 64)
+			ticks, err := strconv.ParseFloat(string(fields[i]), 64)
 			require.NoError(b, err)
 			sum += ticks / 100
 		}
--- a/cmd/lilaccove/handover_test.go
+++ b/cmd/lilaccove/handover_test.go
@@ -13,10 +13,10 @@
 )
 
 // withoutSharedDirectory runs do while the directory that two processes of a gateway share is not there.
-func (gw *testGateway) withoutSharedDirectory(do func()) {
+func (gw *testGateway) withoutSharedDirectory(run func()) {
 	gw.t.Helper()
 	require.NoError(gw.t, os.Rename(gw.tmpDir, gw.tmpDir+"-away"))
-	do()
+	run()
 	require.NoError(gw.t, os.Rename(gw.tmpDir+"-away", gw.tmpDir))
 }
 
@@ -26,10 +26,10 @@
 	t.Parallel()
 	gw := startWithInheritedSocket(t)
 	gw.withoutSharedDirectory(func() {
-		begun := time.Now()
+		start := time.Now()
 		status, body := gw.callManagement("PUT", "/v1/databases/a/suspend")
 		assert.Equal(t, 503, status, body)
-		assert.Less(t, time.Since(begun), time.Second, "operators are answered within a second")
+		assert.Less(t, time.Since(start), time.Second, "operators are answered within a second")
 		assert.Equal(t, 1, gw.metric("skipped_databases"), "it holds here")
 		status, _ = gw.callManagement("PUT", "/v1/gateway/drain")
 		assert.Equal(t, 503, status)
@@ -37,8 +37,8 @@
 	})
 	gw.mustCall("PUT", "/v1/databases/a/suspend") // operators say it again
 	gw.mustCall("PUT", "/v1/gateway/drain")
-	next := gw.startSuccessor()
-	gw.eventually("the successor knows both", func() bool { return next.metric("skipped_databases") == 1 && !next.ready() })
+	successor := gw.startSuccessor()
+	gw.eventually("the successor knows both", func() bool { return successor.metric("skipped_databases") == 1 && !successor.ready() })
 }
 
 // A process that leaves to a successor goes on taking clients when that one dies: nobody else would.
@@ -49,11 +49,11 @@
 	busy := gw.connect() // has the old one stay for a while
 	busy.write(queryMessage(statement("write", 3000, "")))
 	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) == 1 })
-	next := gw.startSuccessor()
-	gw.eventually("the new process is ready", next.ready)
+	successor := gw.startSuccessor()
+	gw.eventually("the new process is ready", successor.ready)
 	gw.sendSIGTERM()
 	gw.eventually("it leaves", func() bool { return strings.Contains(gw.logText(), "successor=true") })
-	next.Kill()
+	successor.Kill()
 	c := gw.connect()
 	assert.True(t, c.query("").empty, "the old one serves")
 	close(release)
@@ -70,11 +70,11 @@
 		status, _ := gw.callManagement("PUT", "/v1/databases/a/suspend")
 		return status == 200
 	})
-	next := gw.startSuccessor()
-	gw.eventually("the new process is ready", next.ready)
-	assert.Equal(t, 1, next.metric("skipped_databases"), "the successor knows the word")
-	for _, x := range []*testGateway{gw, next} {
-		gw.eventually("both know of each other", func() bool { return strings.Contains(x.logText(), "event=processes beside=true") })
+	successor := gw.startSuccessor()
+	gw.eventually("the new process is ready", successor.ready)
+	assert.Equal(t, 1, successor.metric("skipped_databases"), "the successor knows the word")
+	for _, process := range []*testGateway{gw, successor} {
+		gw.eventually("both know of each other", func() bool { return strings.Contains(process.logText(), "event=processes beside=true") })
 	}
 	gw.sendSIGTERM()
 	gw.eventually("it leaves", func() bool { return strings.Contains(gw.logText(), "successor=true") })
@@ -88,19 +88,19 @@
 	gw := startWithInheritedSocket(t)
 	gw.mustCall("PUT", "/v1/databases/a/suspend")
 	gw.mustCall("PUT", "/v1/databases/b/suspend")
-	var next *testGateway
+	var successor *testGateway
 	gw.withoutSharedDirectory(func() {
-		next = gw.startSuccessor()
+		successor = gw.startSuccessor()
 		gw.Kill()
 		for range 20 { // it accepts nobody, who come later or not at all
-			c := next.dial()
+			c := successor.dial()
 			c.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("own", 300, "")))
 		}
 		time.Sleep(300 * time.Millisecond) // the fault itself
-		assert.False(t, next.ready())
+		assert.False(t, successor.ready())
 	})
-	gw.eventually("it is ready", next.ready)
-	assert.Equal(t, 2, next.metric("skipped_databases"))
+	gw.eventually("it is ready", successor.ready)
+	assert.Equal(t, 2, successor.metric("skipped_databases"))
 	assert.Empty(t, gw.replicaA.Statements())
 	assert.Empty(t, gw.replicaB.Statements())
 }
--- a/cmd/lilaccove/main.go
+++ b/cmd/lilaccove/main.go
@@ -43,20 +43,20 @@
 }
 
 // withCPUProfile runs do and writes the profile of it to a file, if one is named.
-func withCPUProfile(path string, do func() error) error {
+func withCPUProfile(path string, run func() error) error {
 	if path == "" {
-		return do()
+		return run()
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err == nil {
-		err = pprof.StartCPUProfile(f)
+		err = pprof.StartCPUProfile(file)
 	}
 	if err != nil {
 		return fmt.Errorf("--profile: %w", err)
 	}
-	err = do()
+	err = run()
 	pprof.StopCPUProfile()
-	return errors.Join(err, f.Close())
+	return errors.Join(err, file.Close())
 }
 
 func run(fleetFile string) error {
@@ -67,34 +67,34 @@
 	if err != nil {
 		return err
 	}
-	listen, err := netip.ParseAddrPort(cfg.Listen)
+	configuredAddr, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("GW_LISTEN: %w", err)
 	}
-	set, err := settings.FromJSON(cfg.Settings)
+	gatewaySettings, err := settings.FromJSON(cfg.Settings)
 	if err != nil {
 		return err
 	}
-	party, err := control.LoadFleet(fleetFile, os.Getenv, set)
+	fleetConfig, err := control.LoadFleet(fleetFile, os.Getenv, gatewaySettings)
 	if err != nil {
 		return err
 	}
-	memory := tuneRuntime(cfg.Limits.MemoryMB)
-	sockets := descriptorLimit(cfg.Limits.Sockets)
+	memoryBytes := tuneRuntime(cfg.Limits.MemoryMB)
+	maxDescriptors := descriptorLimit(cfg.Limits.Sockets)
 
-	loop, err := netloop.New(sockets, countOpenDescriptors(), memory/4)
+	loop, err := netloop.New(maxDescriptors, countOpenDescriptors(), memoryBytes/4)
 	if err != nil {
 		return err
 	}
 	defer loop.Close()
-	side, err := control.New(loop, cfg, set, party)
+	side, err := control.New(loop, cfg, gatewaySettings, fleetConfig)
 	if err != nil {
 		return err
 	}
 	defer side.Close()
 	core, budgets := side.Core, side.Budgets()
 	options := backend.Options{
-		ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: sockets / 16,
+		ConnIdle: gatewaySettings.ConnIdle, DialTimeout: gatewaySettings.DialTimeout, ProbeReport: gatewaySettings.ProbeReport, Reserve: maxDescriptors / 16,
 	}
 	if budgets != nil {
 		options.Budget = budgets
@@ -106,16 +106,16 @@
 	// Clients get half of the descriptors at most: idle ones must never keep the gateway
 	// from the databases, which get all but what discovery and turning clients away take.
 	ops := &operations{loop: loop, core: core, side: side, discovery: side.Watch, pool: pool, counts: side.Counts, links: side.Links, guard: side.Guard}
-	clients := front.New(loop, core, front.Options{
-		Classes: set.Classes, MaxClients: sockets / 2, Reserve: sockets / 8, MaxLargeStatementBytes: memory / 6, FreeDescriptor: pool.CloseOldestIdle,
+	frontend := front.New(loop, core, front.Options{
+		Classes: gatewaySettings.Classes, MaxClients: maxDescriptors / 2, Reserve: maxDescriptors / 8, MaxLargeStatementBytes: memoryBytes / 6, FreeDescriptor: pool.CloseOldestIdle,
 		Guard: side.Guard, Servable: ops.servable,
 	})
 	side.Connect(pool)
-	ops.front, ops.listSource, ops.memoryBytes, ops.descriptorLimit = clients, set.Policy.ListSource, memory, sockets
-	ops.maxDeadline, ops.startTime = maxDeadline(set.Policy.Classes), loop.Now()
+	ops.front, ops.listSource, ops.memoryBytes, ops.descriptorLimit = frontend, gatewaySettings.Policy.ListSource, memoryBytes, maxDescriptors
+	ops.maxDeadline, ops.startTime = maxDeadline(gatewaySettings.Policy.Classes), loop.Now()
 	side.Join(ops.setFleetDrain)
-	clients.SetStarting(!ops.servable()) // until the list is compared, and what operators told the fleet is known
-	manage := ""
+	frontend.SetStarting(!ops.servable()) // until the list is compared, and what operators told the fleet is known
+	managementField := ""
 	if cfg.Management != "" {
 		addr, err := netip.ParseAddrPort(cfg.Management)
 		if err != nil {
@@ -124,20 +124,20 @@
 		if addr, err = management.Listen(loop, addr, ops); err != nil {
 			return err
 		}
-		manage = " management=" + addr.String()
+		managementField = " management=" + addr.String()
 	}
-	at, err := ops.listen(listen, os.Getenv)
+	listenAddr, err := ops.listen(configuredAddr, os.Getenv)
 	if err != nil {
 		return err
 	}
 	defer ops.leaveShared()
 	log.Printf("event=started name=%s listen=%s discovery=%s sockets=%d memory_mb=%d%s",
-		cfg.Name, at, side.DiscoveryAddr, sockets, memory>>20, manage)
+		cfg.Name, listenAddr, side.DiscoveryAddr, maxDescriptors, memoryBytes>>20, managementField)
 
-	heard := make(chan os.Signal, cap(signals))
+	received := make(chan os.Signal, cap(signals))
 	loop.OnWake(func() {
-		for len(heard) > 0 {
-			if sig := <-heard; sig == unix.SIGHUP {
+		for len(received) > 0 {
+			if sig := <-received; sig == unix.SIGHUP {
 				side.Reload(os.Getenv)
 			} else {
 				ops.beginShutdown()
@@ -146,7 +146,7 @@
 	})
 	go func() {
 		for sig := range signals {
-			heard <- sig
+			received <- sig
 			loop.Wake()
 		}
 	}()
@@ -172,33 +172,33 @@
 	if megabytes <= 0 {
 		megabytes = 192
 	}
-	memory := int(megabytes * (1 << 20))
+	memoryBytes := int(megabytes * (1 << 20))
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
-	setHeapLimit(memory)
-	return memory
+	setHeapLimit(memoryBytes)
+	return memoryBytes
 }
 
-func setHeapLimit(memory int) { debug.SetMemoryLimit(int64(memory) * 6 / 10) }
+func setHeapLimit(memoryBytes int) { debug.SetMemoryLimit(int64(memoryBytes) * 6 / 10) }
 
 // descriptorLimit is how many may be open: the smaller of the limit told and the system's.
-func descriptorLimit(told float64) int {
-	most := 1024
-	if told > 0 {
-		most = int(told)
+func descriptorLimit(configured float64) int {
+	limit := 1024
+	if configured > 0 {
+		limit = int(configured)
 	}
-	var r unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err == nil && r.Cur < uint64(most) {
-		most = int(r.Cur)
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < uint64(limit) {
+		limit = int(rlimit.Cur)
 	}
-	return most
+	return limit
 }
 
 // countOpenDescriptors is how many descriptors the process has, with some for the runtime's own.
 func countOpenDescriptors() int {
-	const runtimeOwn = 8
-	if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-		return len(list) + runtimeOwn
+	const runtimeDescriptors = 8
+	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
+		return len(entries) + runtimeDescriptors
 	}
-	return 3 + runtimeOwn
+	return 3 + runtimeDescriptors
 }
--- a/cmd/lilaccove/main_test.go
+++ b/cmd/lilaccove/main_test.go
@@ -47,16 +47,16 @@
 	assert.LessOrEqual(t, ms, 900)
 
 	// A value of the largest size, in an answer and in a statement.
-	big := strings.Repeat("x", pgwire.MaxBufferedValue)
-	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, big) })
+	largest := strings.Repeat("x", pgwire.MaxBufferedValue)
+	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, largest) })
 	got := c.query(strings.Replace(statement("write", 2000, ""), `\x9f03`, `\x`+strings.Repeat("9f", pgwire.MaxBufferedValue), 1))
-	assert.Equal(t, big, got.value)
+	assert.Equal(t, largest, got.value)
 	assert.Equal(t, 1, got.rows)
 
 	// Databases answer with more than the largest value named, and that is no fault of theirs.
-	huge := strings.Repeat("x", 400<<10)
-	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, huge) })
-	assert.Equal(t, huge, c.query(statement("write", 2000, "")).value)
+	larger := strings.Repeat("x", 400<<10)
+	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, larger) })
+	assert.Equal(t, larger, c.query(statement("write", 2000, "")).value)
 }
 
 func TestQueryPipelinedWithStartup(t *testing.T) {
@@ -74,13 +74,13 @@
 	t.Parallel()
 	gw := startGateway(t, nil)
 	c := gw.connect()
-	begun := time.Now()
+	start := time.Now()
 	got := c.query(strings.Replace(statement("write", 3000, ""), "cluster=2", "cluster=99", 1))
 	assert.Equal(t, "53300", got.code)
 	ms, err := strconv.Atoi(got.detail)
 	assert.NoError(t, err)
 	assert.Positive(t, ms)
-	assert.Less(t, time.Since(begun), time.Second, "given up is answered at once")
+	assert.Less(t, time.Since(start), time.Second, "given up is answered at once")
 }
 
 // Rule 1: every request that was taken gets one final answer in time.
@@ -90,19 +90,19 @@
 	for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
 		d.setHandler(neverAnswer)
 	}
-	var all []*client
+	var clients []*client
 	for _, class := range []string{"write", "browse", "own"} {
 		c := gw.connect()
 		c.write(queryMessage(statement(class, 400, "")))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	begun := time.Now()
-	for _, c := range all {
+	start := time.Now()
+	for _, c := range clients {
 		got := c.readAnswer()
 		assert.Equal(t, 1, got.errors)
 		assert.False(t, got.ended)
 	}
-	assert.Less(t, time.Since(begun), 450*time.Millisecond+time.Second) // a second for a busy machine
+	assert.Less(t, time.Since(start), 450*time.Millisecond+time.Second) // a second for a busy machine
 	assert.NotContains(t, gw.logText(), "event=overdue")
 }
 
@@ -112,7 +112,7 @@
 	t.Parallel()
 	tests := []struct {
 		name    string
-		handle  func(*database, net.Conn, string)
+		handler func(*database, net.Conn, string)
 		code    string
 		allowed int // copies
 	}{
@@ -131,7 +131,7 @@
 			t.Parallel()
 			gw := startGateway(t, nil)
 			for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
-				d.setHandler(tt.handle)
+				d.setHandler(tt.handler)
 			}
 			got := gw.connect().query(statement("write", 500, ""))
 			assert.Equal(t, tt.code, got.code)
@@ -177,49 +177,49 @@
 // connection, is not the next answer.
 func TestMalformedAnswers(t *testing.T) {
 	t.Parallel()
-	good := standin.Row("good", "")
-	spoilt := map[string]string{
+	valid := standin.Row("good", "")
+	malformed := map[string]string{
 		"noise":                 "\x93\x01noise",
 		"unknown message":       "?\x00\x00\x00\x08abcd",
 		"endless line":          strings.Repeat("x", 300),
 		"negative length":       "D\xff\xff\xff\xf0",
-		"row of another length": strings.Replace(string(good), "\x04good", "\x03good", 1),
-		"value of 3 GB":         strings.Replace(string(good), "\x00\x00\x00\x04good", "\xb2\xd0\x5e\x00good", 1),
-		"row first":             string(good[30:]),
+		"row of another length": strings.Replace(string(valid), "\x04good", "\x03good", 1),
+		"value of 3 GB":         strings.Replace(string(valid), "\x00\x00\x00\x04good", "\xb2\xd0\x5e\x00good", 1),
+		"row first":             string(valid[30:]),
 		"ready first":           string(pgwire.AppendReady(nil)),
-		"noise before its end":  string(good[:len(good)-6]) + "\x93\x01noise",
-		"two rows":              string(good[:len(good)-6]) + string(good),
+		"noise before its end":  string(valid[:len(valid)-6]) + "\x93\x01noise",
+		"two rows":              string(valid[:len(valid)-6]) + string(valid),
 		"refusal, then noise":   string(pgwire.AppendError(nil, "ERROR", "53300", "no", "")) + "noise",
 	}
-	for name, text := range spoilt {
+	for name, text := range malformed {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, nil)
 			c := gw.connect()
 			c.t = t
 			gw.learnPositions(c)
-			spoil := func(_ *database, c net.Conn, _ string) { _, _ = c.Write([]byte(text)) }
-			gw.replicaA.setHandler(spoil)
-			gw.primary.setHandler(spoil)
-			begun := time.Now()
+			answerMalformed := func(_ *database, c net.Conn, _ string) { _, _ = c.Write([]byte(text)) }
+			gw.replicaA.setHandler(answerMalformed)
+			gw.primary.setHandler(answerMalformed)
+			start := time.Now()
 			for range 4 {
 				assert.Equal(t, "b", c.query(statement("browse", 1100, "")).value)
 			}
-			assert.Less(t, time.Since(begun), 2*time.Second, "the attempts do not run out of time")
+			assert.Less(t, time.Since(start), 2*time.Second, "the attempts do not run out of time")
 			n := len(gw.primary.Statements())
 			assert.Equal(t, pgwire.CodeUnknownOutcome, c.query(statement("write", 3000, "")).code)
 			assert.Len(t, gw.primary.Statements(), n+1)
 		})
 	}
-	for name, more := range map[string]string{"a second copy": string(good), "noise": "noise", "a bad report": ""} {
+	for name, trailing := range map[string]string{"a second copy": string(valid), "noise": "noise", "a bad report": ""} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, nil)
 			var n atomic.Int64
 			gw.primary.setHandler(func(_ *database, c net.Conn, _ string) {
-				notes := "S\x00\x00\x00\x0eload\x00x0=\xff\x00"
-				_, _ = c.Write(standin.Row(strconv.FormatInt(n.Add(1), 10), notes))
-				_, _ = c.Write([]byte(more))
+				notices := "S\x00\x00\x00\x0eload\x00x0=\xff\x00"
+				_, _ = c.Write(standin.Row(strconv.FormatInt(n.Add(1), 10), notices))
+				_, _ = c.Write([]byte(trailing))
 			})
 			c := gw.connect()
 			for i := range 20 {
@@ -306,14 +306,14 @@
 	gw.replicaB.setHandler(neverAnswer)
 	gw.primary.setHandler(neverAnswer)
 	c = gw.connect()
-	begun := time.Now()
+	start := time.Now()
 	for range 5 {
 		c.write(queryMessage(statement("write", 400, "")))
 	}
 	for range 5 {
 		assert.Equal(t, 1, c.readAnswer().errors)
 	}
-	assert.Less(t, time.Since(begun), 1800*time.Millisecond)
+	assert.Less(t, time.Since(start), 1800*time.Millisecond)
 }
 
 // Bad input ends in an error or a close and harms nobody else.
@@ -321,23 +321,23 @@
 	t.Parallel()
 	gw := startGateway(t, nil)
 	other := gw.connect()
-	hello := string(pgwire.Startup("api", "ledger"))
+	startup := string(pgwire.Startup("api", "ledger"))
 	tests := []struct {
 		name, in string
 		code     string
-		ends     bool
+		closes   bool
 	}{
 		{"TLS", "\x00\x00\x00\x08\x04\xd2\x16\x2f", "0A000", true},
 		{"HTTP", "GET / HTTP/1.1\r\n\r\n", "08P01", true},
 		{"cancel", "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x02", "", true},
 		{"version 2", "\x00\x00\x00\x08\x00\x02\x00\x00", "08P01", true},
-		{"huge length", hello + "Q\x7f\xff\xff\xff", "08P01", true},
-		{"negative length", hello + "Q\xff\xff\xff\xff", "08P01", true},
-		{"extended query", hello + "P\x00\x00\x00\x08\x00\x00\x00\x00", "08P01", true},
-		{"terminate", hello + "X\x00\x00\x00\x04", "", true},
-		{"no comment", hello + queryMessage("SELECT 1"), "08P01", false},
-		{"class", hello + queryMessage(statement("nobody", 100, "")), "08P01", false},
-		{"text with a zero", hello + queryMessage("/* id=1\x00 */"), "08P01", false},
+		{"huge length", startup + "Q\x7f\xff\xff\xff", "08P01", true},
+		{"negative length", startup + "Q\xff\xff\xff\xff", "08P01", true},
+		{"extended query", startup + "P\x00\x00\x00\x08\x00\x00\x00\x00", "08P01", true},
+		{"terminate", startup + "X\x00\x00\x00\x04", "", true},
+		{"no comment", startup + queryMessage("SELECT 1"), "08P01", false},
+		{"class", startup + queryMessage(statement("nobody", 100, "")), "08P01", false},
+		{"text with a zero", startup + queryMessage("/* id=1\x00 */"), "08P01", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -345,11 +345,11 @@
 			c.t = t
 			c.write(tt.in)
 			got := c.readAnswer()
-			if strings.HasPrefix(tt.in, hello) && !got.ended {
+			if strings.HasPrefix(tt.in, startup) && !got.ended {
 				got = c.readAnswer()
 			}
 			assert.Equal(t, tt.code, got.code)
-			assert.Equal(t, tt.ends, got.ended)
+			assert.Equal(t, tt.closes, got.ended)
 			assert.Equal(t, "p", other.query(statement("write", 1000, "")).value)
 		})
 	}
@@ -372,14 +372,14 @@
 	t.Parallel()
 	gw := startGateway(t, nil)
 	c := gw.connect()
-	dials := func() int {
+	dialsAfterWrites := func() int {
 		for range 30 {
 			assert.Equal(t, "p", c.query(statement("write", 1000, "")).value)
 		}
 		return gw.primary.Dials()
 	}
-	first := dials()                        // the module hangs up until it knows that the host is in steady use
-	assert.LessOrEqual(t, dials()-first, 1) // a probe may have taken one of its own
+	first := dialsAfterWrites()                        // the module hangs up until it knows that the host is in steady use
+	assert.LessOrEqual(t, dialsAfterWrites()-first, 1) // a probe may have taken one of its own
 }
 
 // Clients beyond the descriptors are told so, and the gateway goes on.
@@ -424,12 +424,12 @@
 func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 64 })
-	begun := time.Now()
+	start := time.Now()
 	var silent []*client
-	hello := string(pgwire.Startup("api", "ledger"))
+	startup := string(pgwire.Startup("api", "ledger"))
 	for i := range 150 {
 		c := gw.dial()
-		c.write([]string{"", hello[:9], hello, hello + "Q\x00\x00\x02\x00half"}[i%4])
+		c.write([]string{"", startup[:9], startup, startup + "Q\x00\x00\x02\x00half"}[i%4])
 		silent = append(silent, c)
 		if i%10 == 0 {
 			other := gw.connect()
@@ -441,7 +441,7 @@
 		for !c.readAnswer().ended {
 		}
 	}
-	assert.Less(t, time.Since(begun), 6*time.Second, "they are owed an end within 3 s; the rest is for a busy machine")
+	assert.Less(t, time.Since(start), 6*time.Second, "they are owed an end within 3 s; the rest is for a busy machine")
 	assert.NotContains(t, gw.logText(), "reason=descriptors")
 }
 
@@ -450,8 +450,8 @@
 func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 128 })
-	var idle, crowd []*client
-	begun := time.Now()
+	var idle, newClients []*client
+	start := time.Now()
 	for range 36 { // over a quarter of the descriptors, which all clients could hold no more than a third of
 		c := gw.connect()
 		c.query("")
@@ -459,13 +459,13 @@
 	}
 	time.Sleep(300 * time.Millisecond) // until then they might be in steady use
 	for range 20 {
-		crowd = append(crowd, gw.connect())
+		newClients = append(newClients, gw.connect())
 	}
-	for _, c := range crowd {
+	for _, c := range newClients {
 		assert.True(t, c.query("").empty)
 	}
 	assert.True(t, idle[0].readAnswer().ended)
-	assert.Less(t, time.Since(begun), 4*time.Second, "it goes for the newcomers' sake, not for its age of 5 s")
+	assert.Less(t, time.Since(start), 4*time.Second, "it goes for the newcomers' sake, not for its age of 5 s")
 }
 
 // A crowd beyond half of the clients' share has only idle ones go: newcomers that are about to ask, and those that asked
@@ -473,16 +473,16 @@
 func TestNewClientsAreKeptWhileCapacityRemains(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 128 })
-	var crowd []*client
+	var clients []*client
 	for range 50 { // of 64
 		c := gw.connect()
 		c.query("")
-		crowd = append(crowd, c)
+		clients = append(clients, c)
 	}
 	for range 10 {
-		crowd = append(crowd, gw.connect())
+		clients = append(clients, gw.connect())
 	}
-	for _, c := range crowd {
+	for _, c := range clients {
 		got := c.query(statement("write", 2000, ""))
 		assert.Equal(t, "p", got.value, "%+v", got)
 	}
@@ -497,17 +497,17 @@
 		time.Sleep(50 * time.Millisecond) // the database's work
 		d.Answer(c, "done")
 	})
-	var all []*client
+	var clients []*client
 	for range 8 {
 		c := gw.connect()
 		c.query("")
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	for range 3 {
-		for _, c := range all {
+		for _, c := range clients {
 			c.write(queryMessage(statement("write", 2500, "")))
 		}
-		for _, c := range all {
+		for _, c := range clients {
 			got := c.readAnswer()
 			assert.Equal(t, "done", got.value, "%+v", got)
 		}
@@ -532,15 +532,15 @@
 	t.Parallel()
 	gw := startGateway(t, nil)
 	release := gw.primary.blockAnswers()
-	c, thief := gw.connect(), gw.connect()
+	first, other := gw.connect(), gw.connect()
 	text := statement("write", 3000, "")
-	c.write(queryMessage(text))
+	first.write(queryMessage(text))
 	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) == 1 })
-	assert.Equal(t, "08P01", thief.query(text).code)
+	assert.Equal(t, "08P01", other.query(text).code)
 	close(release)
-	assert.Equal(t, "late", c.readAnswer().value)
+	assert.Equal(t, "late", first.readAnswer().value)
 	assert.Len(t, gw.primary.Statements(), 1)
-	assert.Equal(t, "late", thief.query(text).value, "it is free again")
+	assert.Equal(t, "late", other.query(text).value, "it is free again")
 }
 
 // What databases hold does not count against the clients' share: a quarter of the
@@ -549,16 +549,16 @@
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 64 })
 	release := gw.primary.blockAnswers()
-	var all []*client
+	var clients []*client
 	for i := range 16 {
 		// Sent to the primary one by one: its limit grows with what it serves.
 		c := gw.connect()
 		c.write(queryMessage(statement("write", 3000, fmt.Sprintf(",n=%d", i))))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	gw.eventually("some arrive", func() bool { return len(gw.primary.Statements()) >= 8 })
 	close(release)
-	for _, c := range all {
+	for _, c := range clients {
 		got := c.readAnswer()
 		assert.False(t, got.ended, "%+v", got)
 	}
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -88,7 +88,7 @@
 	if err != nil || fd < 3 {
 		return addr, fmt.Errorf("GW_INHERITED_FD: %q is not the number of an inherited descriptor", text)
 	}
-	at, err := o.front.Inherit(fd, addr)
+	actual, err := o.front.Inherit(fd, addr)
 	if err != nil {
 		return addr, fmt.Errorf("GW_INHERITED_FD: %w", err)
 	}
@@ -101,7 +101,7 @@
 		o.applyShared(o.shared.State())
 		o.pollSibling()
 	}
-	return at, o.openFront()
+	return actual, o.openFront()
 }
 
 // openFront begins to accept clients: at once, or beside a process that serves them, when it can do as well.
@@ -118,11 +118,11 @@
 // pollSibling looks at what other processes of this gateway say, again and again.
 func (o *operations) pollSibling() {
 	o.refreshShared()
-	now, pause := o.loop.Now(), pollIntervalAlone
+	now, interval := o.loop.Now(), pollIntervalAlone
 	if o.siblingAlive {
-		pause = pollIntervalWithSibling
+		interval = pollIntervalWithSibling
 	}
-	o.loop.At(now+pause, o.pollSibling)
+	o.loop.At(now+interval, o.pollSibling)
 	if len(o.pendingReplies) > 0 && o.acknowledged() {
 		o.sendExpiredReplies(now + acknowledgeTimeout)
 	}
@@ -133,9 +133,9 @@
 func (o *operations) persisted() bool { return o.shared == nil || o.shared.Persisted() }
 
 // reply answers an operator. All answers to words go through it, so that a yes for one that is not kept shows.
-func (o *operations) reply(then func(kept bool), yes bool) {
-	o.guard.CheckOverrideKept(!yes || o.persisted())
-	then(yes)
+func (o *operations) reply(reply func(kept bool), success bool) {
+	o.guard.CheckOverrideKept(!success || o.persisted())
+	reply(success)
 }
 
 // acknowledged tells whether all words that were given here are kept, and have been acted on by the process beside this one.
@@ -144,12 +144,12 @@
 }
 
 // replyWhenAcknowledged calls then when all agree on the words given so far, or after agreeTime.
-func (o *operations) replyWhenAcknowledged(then func(kept bool)) {
+func (o *operations) replyWhenAcknowledged(reply func(kept bool)) {
 	if o.acknowledged() {
-		o.reply(then, true)
+		o.reply(reply, true)
 		return
 	}
-	o.pendingReplies = append(o.pendingReplies, pendingReply{deadline: o.loop.Now() + acknowledgeTimeout, reply: then})
+	o.pendingReplies = append(o.pendingReplies, pendingReply{deadline: o.loop.Now() + acknowledgeTimeout, reply: reply})
 }
 
 // refreshShared does so once. Whoever depends on whether another process lives looks first: it may have begun
@@ -162,8 +162,8 @@
 		o.overridesPending = false
 		o.core.FleetEvent(policy.OverridesPending{Active: false})
 	}
-	if beside := o.shared.Poll(o.applyShared); beside != o.siblingAlive {
-		o.siblingAlive = beside
+	if alive := o.shared.Poll(o.applyShared); alive != o.siblingAlive {
+		o.siblingAlive = alive
 		o.splitLimits()
 	}
 	if o.handingOver && !o.siblingAlive && !o.frontClosed {
@@ -183,26 +183,26 @@
 
 // splitLimits has this process keep to its half while another lives.
 func (o *operations) splitLimits() {
-	part := 1
+	parts := 1
 	if o.siblingAlive {
-		part = 2
+		parts = 2
 	}
 	log.Printf("event=processes beside=%t", o.siblingAlive)
-	o.loop.SetDescriptorLimit(o.descriptorLimit / part)
-	o.loop.SetBufferLimit(o.memoryBytes / 4 / part)
-	o.front.SetMaxClients(o.descriptorLimit / 2 / part)
-	setHeapLimit(o.memoryBytes / part)
+	o.loop.SetDescriptorLimit(o.descriptorLimit / parts)
+	o.loop.SetBufferLimit(o.memoryBytes / 4 / parts)
+	o.front.SetMaxClients(o.descriptorLimit / 2 / parts)
+	setHeapLimit(o.memoryBytes / parts)
 	if o.links != nil {
 		o.links.SetSibling(o.siblingAlive)
 	}
 }
 
 // applyShared does what another process was told, or a predecessor.
-func (o *operations) applyShared(s handover.State) {
-	for id, e := range s.Suspended {
-		o.core.SetSuspended(policy.HostID(id), o.side.SetLocalOverride(id, e.Active))
+func (o *operations) applyShared(shared handover.State) {
+	for id, override := range shared.Suspended {
+		o.core.SetSuspended(policy.HostID(id), o.side.SetLocalOverride(id, override.Active))
 	}
-	o.drainedLocally = s.Drained.Active
+	o.drainedLocally = shared.Drained.Active
 	o.applyDrain()
 }
 
@@ -215,7 +215,7 @@
 }
 
 // Ready tells whether requests are served, or else why not.
-func (o *operations) Ready() (why string, ok bool) {
+func (o *operations) Ready() (reason string, ok bool) {
 	switch {
 	case o.shuttingDown:
 		return "ending", false
@@ -255,23 +255,23 @@
 }
 
 // Suspend leaves a database out, or has it serve again, here and in a process beside this one.
-func (o *operations) Suspend(id string, out bool, then func(kept bool)) bool {
+func (o *operations) Suspend(id string, active bool, reply func(kept bool)) bool {
 	o.refreshShared()
-	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, out), func() { o.replyWhenAcknowledged(then) })
+	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, active), func() { o.replyWhenAcknowledged(reply) })
 	if known {
-		log.Printf("event=suspended host=%q out=%t", id, out)
+		log.Printf("event=suspended host=%q out=%t", id, active)
 		if o.shared != nil {
-			o.shared.Suspend(id, out, o.loop.Now())
+			o.shared.Suspend(id, active, o.loop.Now())
 		}
 	}
 	return known
 }
 
 // setFleetDrain does what the fleet's word on this gateway comes to.
-func (o *operations) setFleetDrain(on bool) {
-	if on != o.drainedByFleet {
-		o.drainedByFleet = on
-		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
+func (o *operations) setFleetDrain(active bool) {
+	if active != o.drainedByFleet {
+		o.drainedByFleet = active
+		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", active, o.front.Clients(), o.core.Unanswered())
 		o.applyDrain()
 	}
 }
@@ -293,7 +293,7 @@
 }
 
 // Fence takes an operator's word to shut this gateway out, or to go on with what it has; false: it has no fence.
-func (o *operations) Fence(out bool) bool { return o.links != nil && o.links.SetFence(out) }
+func (o *operations) Fence(active bool) bool { return o.links != nil && o.links.SetFence(active) }
 
 // FleetAudit tells what this gateway did, by what it acted on; false: it is in no fleet.
 func (o *operations) FleetAudit() ([]byte, bool) {
@@ -304,23 +304,23 @@
 }
 
 // FleetSuspend has the whole fleet leave a database out, or use it again.
-func (o *operations) FleetSuspend(id string, out bool, then func(said string)) bool {
+func (o *operations) FleetSuspend(id string, active bool, reply func(result string)) bool {
 	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.OverrideActive(id) {
 		return false
 	}
 	if _, ok := state.ParseGatewayKey(id); ok {
 		return false
 	}
-	waits, said := 2, ""
+	waiting, result := 2, ""
 	done := func() {
-		if waits--; waits == 0 {
-			then(said)
+		if waiting--; waiting == 0 {
+			reply(result)
 		}
 	}
-	if !o.links.SetOverride(id, out, func(text string) { said = text; done() }) {
+	if !o.links.SetOverride(id, active, func(text string) { result = text; done() }) {
 		return false
 	}
-	if !o.core.Suspend(policy.HostID(id), out || o.side.LocalOverrideActive(id), done) {
+	if !o.core.Suspend(policy.HostID(id), active || o.side.LocalOverrideActive(id), done) {
 		done() // not listed any more: nothing is sent there anyway
 	}
 	return true
@@ -328,30 +328,30 @@
 
 // FleetDrain takes a word that drains a gateway of the fleet, or has it work again. Its owner carries it out, whenever it
 // hears of it: it holds for one that is cut off, or not started.
-func (o *operations) FleetDrain(name string, on bool, then func(said string)) bool {
-	return o.links != nil && (o.links.Knows(name) || o.links.OverrideActive(state.GatewayKey(name))) && o.links.SetOverride(state.GatewayKey(name), on, then)
+func (o *operations) FleetDrain(name string, active bool, reply func(result string)) bool {
+	return o.links != nil && (o.links.Knows(name) || o.links.OverrideActive(state.GatewayKey(name))) && o.links.SetOverride(state.GatewayKey(name), active, reply)
 }
 
 // Drain empties the gateway, or has it work again, as far as the fleet's word lets it.
-func (o *operations) Drain(on bool, then func(kept bool)) {
-	log.Printf("event=drain on=%t clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
-	o.drainedLocally = on
+func (o *operations) Drain(active bool, reply func(kept bool)) {
+	log.Printf("event=drain on=%t clients=%d owed=%d", active, o.front.Clients(), o.core.Unanswered())
+	o.drainedLocally = active
 	o.applyDrain()
 	if o.shared != nil {
-		o.shared.Drain(on, o.loop.Now())
+		o.shared.Drain(active, o.loop.Now())
 	}
 	if o.persisted() { // the process beside this one is not waited for: it lets clients go as soon as it knows
-		o.reply(then, true)
+		o.reply(reply, true)
 		return
 	}
-	o.replyWhenAcknowledged(then)
+	o.replyWhenAcknowledged(reply)
 }
 
 func (o *operations) applyDrain() {
-	on := o.drainedLocally || o.drainedByFleet
+	drained := o.drainedLocally || o.drainedByFleet
 	switch {
-	case on == o.drained:
-	case on:
+	case drained == o.drained:
+	case drained:
 		o.front.Drain(o.loop.Now() + drainDuration)
 		if o.links != nil {
 			o.links.Leave()
@@ -362,7 +362,7 @@
 			o.links.Join()
 		}
 	}
-	o.drained = on
+	o.drained = drained
 }
 
 // beginShutdown is what SIGTERM leads to. A successor has the clients' queue: it is left at once. Without one
@@ -377,13 +377,13 @@
 	if o.links != nil {
 		o.links.Leave()
 	}
-	now, last := o.loop.Now(), acceptTimeAfterTerm
+	now, acceptTime := o.loop.Now(), acceptTimeAfterTerm
 	o.killAt = now + max(o.maxDeadline, minKillDelay) + acceptTimeAfterTerm
 	if o.handingOver {
 		o.front.HandOver(now + handoverIdleTimeout)
-		last = handoverMaxDuration
+		acceptTime = handoverMaxDuration
 	}
-	o.loop.At(now+last, o.closeFront)
+	o.loop.At(now+acceptTime, o.closeFront)
 }
 
 func (o *operations) closeFront() {
--- a/cmd/lilaccove/operations_test.go
+++ b/cmd/lilaccove/operations_test.go
@@ -22,15 +22,15 @@
 
 // callManagement is one of an operator's; it returns the status and the body.
 func (gw *testGateway) callManagement(method, path string) (int, string) {
-	q, err := http.NewRequest(method, "http://"+gw.managementAddr+path, nil)
+	request, err := http.NewRequest(method, "http://"+gw.managementAddr+path, nil)
 	require.NoError(gw.t, err)
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
-	r, err := c.Do(q)
+	httpClient := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
+	response, err := httpClient.Do(request)
 	require.NoError(gw.t, err)
-	defer r.Body.Close()
-	body, err := io.ReadAll(r.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	require.NoError(gw.t, err)
-	return r.StatusCode, string(body)
+	return response.StatusCode, string(body)
 }
 
 func (gw *testGateway) mustCall(method, path string) {
@@ -116,23 +116,23 @@
 	t.Parallel()
 	gw := startGateway(t, withManagement)
 	release := gw.primary.blockAnswers()
-	busy, idle, ahead, half := gw.connect(), gw.connect(), gw.connect(), gw.connect()
+	busy, idle, pipelined, partial := gw.connect(), gw.connect(), gw.connect(), gw.connect()
 	busy.write(queryMessage(statement("write", 3000, "")))
 	idle.query("")
 	text := queryMessage(statement("own", 3000, ""))
-	half.write(text[:len(text)/2])
-	ahead.write(queryMessage(statement("write", 3000, "")) + queryMessage(statement("own", 3000, "")))
+	partial.write(text[:len(text)/2])
+	pipelined.write(queryMessage(statement("write", 3000, "")) + queryMessage(statement("own", 3000, "")))
 	gw.eventually("the writes arrive", func() bool { return len(gw.primary.Statements()) >= 2 })
 	gw.mustCall("PUT", "/v1/gateway/drain")
 	gw.mustCall("PUT", "/v1/gateway/drain")
 	assert.False(t, gw.ready())
-	check := gw.connect()
-	assert.Equal(t, "57P03", check.query("").code)
-	assert.True(t, check.readAnswer().ended)
+	probe := gw.connect()
+	assert.Equal(t, "57P03", probe.query("").code)
+	assert.True(t, probe.readAnswer().ended)
 	late := gw.connect()
 	late.write(queryMessage(statement("own", 3000, "")))
-	half.write(text[len(text)/2:])
-	for _, c := range []*client{late, half} {
+	partial.write(text[len(text)/2:])
+	for _, c := range []*client{late, partial} {
 		assert.NotEmpty(t, c.readAnswer().value)
 		assert.True(t, c.readAnswer().ended, "it goes behind its answer")
 	}
@@ -140,9 +140,9 @@
 	close(release)
 	assert.Equal(t, "late", busy.readAnswer().value)
 	assert.True(t, busy.readAnswer().ended)
-	assert.Equal(t, "late", ahead.readAnswer().value)
-	assert.NotEmpty(t, ahead.readAnswer().value, "what was sent ahead is answered")
-	assert.True(t, ahead.readAnswer().ended)
+	assert.Equal(t, "late", pipelined.readAnswer().value)
+	assert.NotEmpty(t, pipelined.readAnswer().value, "what was sent ahead is answered")
+	assert.True(t, pipelined.readAnswer().ended)
 
 	gw.sendSIGHUP()
 	gw.mustCall("PUT", "/v1/gateway/activate")
@@ -193,39 +193,39 @@
 func TestBadManagementAddress(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
-	for text, says := range map[string]string{"localhost": "GW_MANAGEMENT", gw.managementAddr: "management"} {
+	for text, want := range map[string]string{"localhost": "GW_MANAGEMENT", gw.managementAddr: "management"} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+gw.configPath, "GW_DISCOVERY="+gw.discovery.Addr, "GW_MANAGEMENT="+text)
 		out, err := cmd.CombinedOutput()
 		assert.Error(t, err)
-		assert.Contains(t, string(out), says)
+		assert.Contains(t, string(out), want)
 	}
 }
 
 // startWithInheritedSocket is a site whose clients' socket the test holds open.
-func startWithInheritedSocket(t *testing.T, change ...func(*testGateway)) *testGateway {
+func startWithInheritedSocket(t *testing.T, options ...func(*testGateway)) *testGateway {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	f, err := ln.(*net.TCPListener).File()
+	socket, err := ln.(*net.TCPListener).File()
 	require.NoError(t, err)
-	t.Cleanup(func() { f.Close() })
+	t.Cleanup(func() { socket.Close() })
 	return startGateway(t, func(gw *testGateway) {
-		gw.hasManagement, gw.inheritedSocket, gw.listen = true, f, ln.Addr().String()
-		for _, c := range change {
-			c(gw)
+		gw.hasManagement, gw.inheritedSocket, gw.listen = true, socket, ln.Addr().String()
+		for _, option := range options {
+			option(gw)
 		}
 	})
 }
 
 // startSuccessor starts the program once more beside s.
 func (gw *testGateway) startSuccessor() *testGateway {
-	next := &testGateway{
+	successor := &testGateway{
 		t: gw.t, world: gw.world, discovery: gw.discovery, primary: gw.primary, replicaA: gw.replicaA, replicaB: gw.replicaB, log: &bytes.Buffer{}, settings: gw.settings,
 		sockets: gw.sockets, memory: gw.memory, configPath: gw.configPath, listen: gw.listen, tmpDir: gw.tmpDir, hasManagement: true, inheritedSocket: gw.inheritedSocket, fleetFile: gw.fleetFile,
 	}
-	next.start()
-	return next
+	successor.start()
+	return successor
 }
 
 // An upgrade: the new process is ready beside the old one, which leaves the queue to it at once, answers what it
@@ -238,8 +238,8 @@
 	busy.write(queryMessage(statement("write", 3000, "")))
 	idle.query("")
 	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) == 1 })
-	next := gw.startSuccessor()
-	gw.eventually("the new process is ready", next.ready)
+	successor := gw.startSuccessor()
+	gw.eventually("the new process is ready", successor.ready)
 	gw.sendSIGTERM()
 	gw.eventually("the old one has heard", func() bool { return strings.Contains(gw.logText(), "event=ending") })
 	assert.Contains(t, gw.logText(), "successor=true")
@@ -252,7 +252,7 @@
 	assert.True(t, busy.readAnswer().ended, "and its client goes behind the answer")
 	gw.waitExit()
 	assert.True(t, gw.connect().query("").empty)
-	gw.eventually("the new one knows that it is alone", func() bool { return strings.Contains(next.logText(), "beside=false") })
+	gw.eventually("the new one knows that it is alone", func() bool { return strings.Contains(successor.logText(), "beside=false") })
 }
 
 // Operators' words hold across an upgrade, and reach both processes while there are two: the yes says so.
@@ -260,19 +260,19 @@
 	t.Parallel()
 	gw := startWithInheritedSocket(t)
 	gw.mustCall("PUT", "/v1/databases/a/suspend")
-	next := gw.startSuccessor()
-	gw.eventually("the new process is ready", next.ready)
-	assert.Equal(t, 1, next.metric("skipped_databases"))
+	successor := gw.startSuccessor()
+	gw.eventually("the new process is ready", successor.ready)
+	assert.Equal(t, 1, successor.metric("skipped_databases"))
 	gw.mustCall("PUT", "/v1/databases/b/suspend")
-	assert.Equal(t, 2, next.metric("skipped_databases"))
-	next.mustCall("PUT", "/v1/databases/a/resume")
+	assert.Equal(t, 2, successor.metric("skipped_databases"))
+	successor.mustCall("PUT", "/v1/databases/a/resume")
 	assert.Equal(t, 1, gw.metric("skipped_databases"))
-	next.mustCall("PUT", "/v1/gateway/drain")
+	successor.mustCall("PUT", "/v1/gateway/drain")
 	gw.eventually("the old one is drained as well", func() bool { return !gw.ready() })
 	gw.sendSIGTERM()
 	gw.waitExit()
-	next.sendSIGTERM()
-	next.waitExit()
+	successor.sendSIGTERM()
+	successor.waitExit()
 }
 
 // A new process that dies before it serves, an old one that is killed, two upgrades close together.
@@ -316,7 +316,7 @@
 	require.NoError(t, err)
 	defer connected.Close()
 	for _, tt := range []struct {
-		text, says string
+		text, want string
 		fd         *os.File
 	}{
 		{"four", "not the number", nil}, {"-1", "not the number", nil}, {"0", "not the number", nil},
@@ -331,6 +331,6 @@
 		out, err := cmd.CombinedOutput()
 		assert.Error(t, err, tt.text)
 		assert.Contains(t, string(out), "GW_INHERITED_FD")
-		assert.Contains(t, strings.ToLower(string(out)), tt.says)
+		assert.Contains(t, strings.ToLower(string(out)), tt.want)
 	}
 }
--- a/cmd/lilaccove/pause_test.go
+++ b/cmd/lilaccove/pause_test.go
@@ -16,19 +16,19 @@
 
 // checkDatabasesUsed tells that nobody has taken a healthy primary for a failed one, and that each database has kept a share of
 // the work: at least half of what it would have if all of a group's replicas had the same.
-func (fleet *testFleet) checkDatabasesUsed(begun map[string]int) {
+func (fleet *testFleet) checkDatabasesUsed(initialCounts map[string]int) {
 	fleet.t.Helper()
 	for _, i := range fleet.all() {
 		assert.Empty(fleet.t, fleet.breakerEvents(i), "the breakers that n%d opened", i)
 		assert.Zero(fleet.t, fleet.metric(i, "skipped_databases"))
 	}
-	work, count := map[int]int{}, map[int]int{}
+	groupWork, groupSize := map[int]int{}, map[int]int{}
 	for _, h := range fleet.World().Members() {
-		work[h.Group] += h.StatementCount() - begun[h.ID]
-		count[h.Group]++
+		groupWork[h.Group] += h.StatementCount() - initialCounts[h.ID]
+		groupSize[h.Group]++
 	}
 	for _, h := range fleet.World().Members() {
-		assert.Greater(fleet.t, h.StatementCount()-begun[h.ID], work[h.Group]/count[h.Group]/2, "%s of group %d", h.ID, h.Group)
+		assert.Greater(fleet.t, h.StatementCount()-initialCounts[h.ID], groupWork[h.Group]/groupSize[h.Group]/2, "%s of group %d", h.ID, h.Group)
 	}
 }
 
@@ -43,17 +43,17 @@
 }
 
 func (fleet *testFleet) statementCounts() map[string]int {
-	all := map[string]int{}
+	counts := map[string]int{}
 	for _, h := range fleet.World().Members() {
-		all[h.ID] = h.StatementCount()
+		counts[h.ID] = h.StatementCount()
 	}
-	return all
+	return counts
 }
 
 // waitServed asks a gateway as a client until it is served, and tells how long that took.
 func (fleet *testFleet) waitServed(i int) time.Duration {
 	fleet.t.Helper()
-	asked := time.Now()
+	start := time.Now()
 	gw := &testGateway{t: fleet.t, clientAddr: fleet.Node(i).ClientAddr}
 	fleet.eventually("it serves", func() bool {
 		c, err := net.Dial("tcp", gw.clientAddr)
@@ -64,19 +64,19 @@
 		got := gw.connect().query(strings.Replace(statement("write", 1000, ""), "cluster=2", "cluster=1", 1))
 		return got.value != "" && got.code == ""
 	})
-	return time.Since(asked)
+	return time.Since(start)
 }
 
 // A gateway that stood still once for two seconds blames nobody for that, and serves at once.
 func TestFleetStarvedPause(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 7, starvedPlan)
-	begun := fleet.statementCounts()
+	initialCounts := fleet.statementCounts()
 	require.NoError(t, fleet.Node(1).Pause())
 	time.Sleep(2 * time.Second) // the fault itself
 	require.NoError(t, fleet.Node(1).Resume())
 	assert.Less(t, fleet.waitServed(1), time.Second)
 	fleet.waitView(7, fleet.all()...)
-	fleet.checkDatabasesUsed(begun)
+	fleet.checkDatabasesUsed(initialCounts)
 	fleet.finishAndCheck(0.9)
 	assert.Positive(t, fleet.metric(1, "lost_ms"), "it knows that it was the one")
 }
@@ -84,7 +84,7 @@
 // One that runs for 0.3 of every second is slow, and the databases are not: it refuses nothing for want of room at them.
 func TestFleetStarvedRepeatedPauses(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 7, starvedPlan)
-	begun := fleet.statementCounts()
+	initialCounts := fleet.statementCounts()
 	for range 8 {
 		require.NoError(t, fleet.Node(1).Pause())
 		time.Sleep(700 * time.Millisecond) // the fault itself
@@ -92,7 +92,7 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 	assert.Less(t, fleet.waitServed(1), time.Second)
-	fleet.checkDatabasesUsed(begun)
+	fleet.checkDatabasesUsed(initialCounts)
 	fleet.finishAndCheck(0.8)
 	assert.Greater(t, fleet.metric(1, "lost_ms"), 2500)
 	for _, class := range []string{"browse", "own", "write"} {
--- a/cmd/lilaccove/retry_budget_test.go
+++ b/cmd/lilaccove/retry_budget_test.go
@@ -21,29 +21,29 @@
 			before := fleet.World().Counts()
 			processes := 7
 			fleet.Mesh().Partition([][]int{{0, 1, 2}, {3, 4, 5, 6}}, true)
-			tried := func() int { return fleet.World().Counts().Firsts - before.Firsts }
-			fleet.eventually("reads are tried", func() bool { return tried() > 200 })
+			firstAttempts := func() int { return fleet.World().Counts().Firsts - before.Firsts }
+			fleet.eventually("reads are tried", func() bool { return firstAttempts() > 200 })
 			fleet.restart(nil, 1, 5)
 			processes += 2
 			require.NoError(t, fleet.Node(4).Pause())
-			fleet.eventually("reads are tried", func() bool { return tried() > 500 })
+			fleet.eventually("reads are tried", func() bool { return firstAttempts() > 500 })
 			require.NoError(t, fleet.Node(4).Resume())
 			fleet.Mesh().Partition([][]int{{0, 1, 2}, {3, 4, 5, 6}}, false)
-			fleet.eventually("reads are tried", func() bool { return tried() > 900 })
+			fleet.eventually("reads are tried", func() bool { return firstAttempts() > 900 })
 			c := fleet.World().Counts()
-			firsts, repeats := c.Firsts-before.Firsts, c.Repeats-before.Repeats
-			t.Logf("%d first attempts, %d repeats", firsts, repeats)
-			if most := 0.21*float64(firsts) + 3*float64(processes); share == "" {
-				assert.Greater(t, float64(repeats), most, "without a bound it is more")
+			firsts, retries := c.Firsts-before.Firsts, c.Repeats-before.Repeats
+			t.Logf("%d first attempts, %d repeats", firsts, retries)
+			if allowed := 0.21*float64(firsts) + 3*float64(processes); share == "" {
+				assert.Greater(t, float64(retries), allowed, "without a bound it is more")
 			} else {
-				assert.LessOrEqual(t, float64(repeats), most)
-				assert.Greater(t, float64(repeats), most/3, "what is allowed is used")
+				assert.LessOrEqual(t, float64(retries), allowed)
+				assert.Greater(t, float64(retries), allowed/3, "what is allowed is used")
 			}
 			fleet.World().SetFaults(standin.Faults{})
-			from := fleet.World().Counts()
+			countsBefore := fleet.World().Counts()
 			fleet.eventually("all is served again", func() bool {
 				n := fleet.World().Counts()
-				return n.Writes > from.Writes+100 && n.Reads > from.Reads+300
+				return n.Writes > countsBefore.Writes+100 && n.Reads > countsBefore.Reads+300
 			})
 			fleet.finishAndCheck(0.1)
 		})
--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -47,11 +47,11 @@
 // keepOwnDescriptors has gateways inherit none of the descriptors that the shell left open here: each counts against
 // the limit that a test gives, and how many there are differs from shell to shell.
 func keepOwnDescriptors() {
-	list, err := os.ReadDir("/proc/self/fd")
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return
 	}
-	for _, entry := range list {
+	for _, entry := range entries {
 		if fd, err := strconv.Atoi(entry.Name()); err == nil && fd > 2 {
 			syscall.CloseOnExec(fd)
 		}
@@ -73,11 +73,11 @@
 type database struct{ *standin.Host }
 
 // setHandler has it answer so; nil: with its name.
-func (d *database) setHandler(handle func(d *database, c net.Conn, text string)) {
-	if handle == nil {
-		handle = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
+func (d *database) setHandler(handler func(d *database, c net.Conn, text string)) {
+	if handler == nil {
+		handler = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
 	}
-	d.SetScript(func(c net.Conn, text string) { handle(d, c, text) })
+	d.SetScript(func(c net.Conn, text string) { handler(d, c, text) })
 }
 
 // blockAnswers has it answer "late" to all that has come and comes, once the channel is closed.
@@ -90,14 +90,14 @@
 	return release
 }
 
-func readMessage(in *bufio.Reader) (kind byte, body []byte, err error) {
-	var h [5]byte
-	if _, err = io.ReadFull(in, h[:]); err != nil {
+func readMessage(r *bufio.Reader) (kind byte, body []byte, err error) {
+	var header [5]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	body = make([]byte, binary.BigEndian.Uint32(h[1:])-4)
-	_, err = io.ReadFull(in, body)
-	return h[0], body, err
+	body = make([]byte, binary.BigEndian.Uint32(header[1:])-4)
+	_, err = io.ReadFull(r, body)
+	return header[0], body, err
 }
 
 // testGateway is one gateway with a primary and two replicas.
@@ -125,24 +125,24 @@
 }
 
 // startGateway starts the program; change may alter what it is told before.
-func startGateway(t *testing.T, change func(*testGateway)) *testGateway {
-	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
+func startGateway(t *testing.T, configure func(*testGateway)) *testGateway {
+	world, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
 	require.NoError(t, err)
-	t.Cleanup(w.Close)
+	t.Cleanup(world.Close)
 	gw := &testGateway{
-		t: t, world: w, discovery: w.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
+		t: t, world: world, discovery: world.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
 		listen: "127.0.0.1:0", tmpDir: t.TempDir(),
 	}
 	for i, d := range []**database{&gw.primary, &gw.replicaA, &gw.replicaB} {
-		*d = &database{w.Members()[i]}
+		*d = &database{world.Members()[i]}
 		(*d).setHandler(nil)
 	}
-	known := w.List()
-	if change != nil {
-		change(gw)
+	initialList := world.List()
+	if configure != nil {
+		configure(gw)
 	}
 	gw.configPath = filepath.Join(t.TempDir(), "config.json")
-	gw.configure(gw.discovery.Addr, known)
+	gw.configure(gw.discovery.Addr, initialList)
 	gw.start()
 	return gw
 }
@@ -179,17 +179,17 @@
 			t.Log(gw.logText())
 		}
 	})
-	said, err := gw.WaitStarted(waitTimeout)
+	startLine, err := gw.WaitStarted(waitTimeout)
 	require.NoError(t, err, gw.logText())
-	gw.clientAddr, gw.managementAddr = lab.LogField(said, "listen"), lab.LogField(said, "management")
+	gw.clientAddr, gw.managementAddr = lab.LogField(startLine, "listen"), lab.LogField(startLine, "management")
 }
 
 // configure writes the file at GW_CONFIG.
-func (gw *testGateway) configure(discovery string, known []byte) {
+func (gw *testGateway) configure(discovery string, initialList []byte) {
 	text, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": gw.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": gw.memory, "sockets": gw.sockets},
-		"known":  json.RawMessage(known), "settings": json.RawMessage(gw.settings),
+		"known":  json.RawMessage(initialList), "settings": json.RawMessage(gw.settings),
 	})
 	require.NoError(gw.t, err)
 	require.NoError(gw.t, os.WriteFile(gw.configPath, text, 0o600))
@@ -217,9 +217,9 @@
 }
 
 // waitWatches waits until a discovery has so many waitWatches on.
-func (gw *testGateway) waitWatches(d *standin.Discovery, n int) {
+func (gw *testGateway) waitWatches(server *standin.Discovery, n int) {
 	gw.t.Helper()
-	gw.eventually("the watches", func() bool { return d.Calls().Watches == n })
+	gw.eventually("the watches", func() bool { return server.Calls().Watches == n })
 }
 
 // client is one connection of a client.
@@ -238,11 +238,11 @@
 }
 
 func (gw *testGateway) dial() *client {
-	c, err := net.Dial("tcp", gw.clientAddr)
+	conn, err := net.Dial("tcp", gw.clientAddr)
 	require.NoError(gw.t, err)
-	gw.t.Cleanup(func() { c.Close() })
-	require.NoError(gw.t, c.SetDeadline(time.Now().Add(waitTimeout)))
-	return &client{t: gw.t, conn: c, reader: bufio.NewReader(c)}
+	gw.t.Cleanup(func() { conn.Close() })
+	require.NoError(gw.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
+	return &client{t: gw.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
 func (gw *testGateway) connect() *client {
@@ -297,8 +297,8 @@
 var lastRequestID atomic.Int64
 
 // statement is a statement as clients write it.
-func statement(class string, d int, more string) string {
-	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", lastRequestID.Add(1), class, d, more)
+func statement(class string, deadlineMillis int, options string) string {
+	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", lastRequestID.Add(1), class, deadlineMillis, options)
 	if class == "write" {
 		return head + `INSERT INTO rows (handle, blob) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING blob`
 	}
--- a/cmd/lilaccove/shutdown_test.go
+++ b/cmd/lilaccove/shutdown_test.go
@@ -22,17 +22,17 @@
 // terminate sends SIGTERM and tells when.
 func (gw *testGateway) terminate() time.Time {
 	gw.t.Helper()
-	at := time.Now()
+	termTime := time.Now()
 	gw.sendSIGTERM()
 	gw.eventually("it has heard", func() bool { return strings.Contains(gw.logText(), "event=ending") })
-	return at
+	return termTime
 }
 
 // waitExitInTime waits for the end, which has to come before the process would be killed.
-func (gw *testGateway) waitExitInTime(term time.Time) {
+func (gw *testGateway) waitExitInTime(termTime time.Time) {
 	gw.t.Helper()
 	gw.waitExit()
-	assert.Less(gw.t, time.Since(term), acceptTime+killDelay+raceExitDelay)
+	assert.Less(gw.t, time.Since(termTime), acceptTime+killDelay+raceExitDelay)
 }
 
 // Requests reach resting connections and the listener's queue in the very moment in which a gateway that ends goes
@@ -40,14 +40,14 @@
 func TestTermDuringIncomingRequests(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 1024 })
-	var resting, queued []*client
+	var idle, queued []*client
 	for range 20 {
-		resting = append(resting, gw.connect())
+		idle = append(idle, gw.connect())
 	}
-	term := gw.terminate()
+	termTime := gw.terminate()
 	gw.whilePaused(func() {
-		time.Sleep(time.Until(term.Add(acceptTime))) // its moment comes while it stands still
-		for _, c := range resting {
+		time.Sleep(time.Until(termTime.Add(acceptTime))) // its moment comes while it stands still
+		for _, c := range idle {
 			c.write(queryMessage(statement("own", 3000, "")))
 		}
 		for range 300 { // more than are taken from the queue at once
@@ -59,11 +59,11 @@
 	for _, c := range queued {
 		c.readAnswer() // the greeting
 	}
-	for i, c := range append(resting, queued...) {
+	for i, c := range append(idle, queued...) {
 		got := c.readAnswer()
 		assert.Equal(t, 1, got.rows+got.errors, "%d %+v", i, got)
 	}
-	gw.waitExitInTime(term)
+	gw.waitExitInTime(termTime)
 }
 
 // Half a query has come when the gateway lets its clients go. Its rest is awaited for a moment and answered, before the
@@ -71,24 +71,24 @@
 func TestTermDuringPartialQuery(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, nil)
-	slow, never, hung := gw.connect(), gw.connect(), gw.connect()
+	slow, abandoned, hanging := gw.connect(), gw.connect(), gw.connect()
 	text := queryMessage(statement("write", 3000, ""))
-	term := gw.terminate()
+	termTime := gw.terminate()
 	slow.write(text[:40])
-	never.write(text[:40])
-	late := queryMessage(statement("write", 3000, ""))
-	hung.write(late[:40])
-	rest := gw.connect()
-	assert.True(t, rest.readAnswer().ended)
+	abandoned.write(text[:40])
+	hangingText := queryMessage(statement("write", 3000, ""))
+	hanging.write(hangingText[:40])
+	idle := gw.connect()
+	assert.True(t, idle.readAnswer().ended)
 	slow.write(text[40:])
 	assert.Equal(t, "p", slow.readAnswer().value)
 	assert.True(t, slow.readAnswer().ended)
 	gw.primary.setHandler(neverAnswer)
-	hung.write(late[40:])
-	assert.Equal(t, pgwire.CodeUnknownOutcome, hung.readAnswer().code)
-	assert.Less(t, time.Since(term), acceptTime+killDelay)
-	assert.True(t, never.readAnswer().ended)
-	gw.waitExitInTime(term)
+	hanging.write(hangingText[40:])
+	assert.Equal(t, pgwire.CodeUnknownOutcome, hanging.readAnswer().code)
+	assert.Less(t, time.Since(termTime), acceptTime+killDelay)
+	assert.True(t, abandoned.readAnswer().ended)
+	gw.waitExitInTime(termTime)
 }
 
 // Clients go on sending on connections that stay open, ahead of the answers. A gateway that ended such a connection only
@@ -101,7 +101,7 @@
 	text := queryMessage(statement("write", 3000, "")) + strings.Repeat(queryMessage(""), 50) // more than are taken at once
 	c.write(text)
 	gw.eventually("the write is out", func() bool { return len(gw.primary.Statements()) > 0 })
-	term := gw.terminate()
+	termTime := gw.terminate()
 	go func() {
 		for {
 			if _, err := c.conn.Write([]byte(queryMessage(""))); err != nil {
@@ -110,20 +110,20 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	time.Sleep(time.Until(term.Add(acceptTime + disconnectGrace)))
+	time.Sleep(time.Until(termTime.Add(acceptTime + disconnectGrace)))
 	close(release)
 	assert.Equal(t, "late", c.readAnswer().value)
 	for got := c.readAnswer(); !got.ended; got = c.readAnswer() {
 		assert.True(t, got.empty)
 	}
-	gw.waitExitInTime(term)
+	gw.waitExitInTime(termTime)
 }
 
 // A quarter of the databases hang, for good, when SIGTERM comes: twice, beside SIGHUP, and while operators drain the gateway.
 // Each request gets one answer, the write's in its own time, and the process ends before it would be killed.
 func TestTermWhileDatabasesHang(t *testing.T) {
 	t.Parallel()
-	for name, also := range map[string]func(gw *testGateway){
+	for name, concurrently := range map[string]func(gw *testGateway){
 		"alone":  func(*testGateway) {},
 		"twice":  func(gw *testGateway) { gw.sendSIGTERM() },
 		"reload": func(gw *testGateway) { gw.sendSIGHUP() },
@@ -135,28 +135,28 @@
 			gw.learnPositions(gw.connect())
 			gw.primary.setHandler(neverAnswer)
 			gw.replicaA.setHandler(neverAnswer)
-			var all []*client
-			asks := func(d int) {
+			var clients []*client
+			sendRequests := func(deadlineMillis int) {
 				for _, class := range []string{"write", "own", "browse"} {
 					c := gw.connect()
-					c.write(queryMessage(statement(class, d, "")))
-					all = append(all, c)
+					c.write(queryMessage(statement(class, deadlineMillis, "")))
+					clients = append(clients, c)
 				}
 			}
-			asks(1200)
+			sendRequests(1200)
 			if name == "drain" {
-				also(gw)
+				concurrently(gw)
 			}
-			term := gw.terminate()
-			asks(3000) // they still come
-			also(gw)
-			for i, c := range all {
+			termTime := gw.terminate()
+			sendRequests(3000) // they still come
+			concurrently(gw)
+			for i, c := range clients {
 				got := c.readAnswer()
 				assert.Equal(t, 1, got.rows+got.errors, "%d %+v", i, got)
-				assert.Less(t, time.Since(term), acceptTime+killDelay)
+				assert.Less(t, time.Since(termTime), acceptTime+killDelay)
 				assert.True(t, c.readAnswer().ended)
 			}
-			gw.waitExitInTime(term)
+			gw.waitExitInTime(termTime)
 		})
 	}
 }
@@ -179,28 +179,28 @@
 		return len(gw.replicaA.Statements()) + len(gw.replicaB.Statements()) + len(gw.primary.Statements())
 	}
 	before := statements()
-	var all []*client
+	var clients []*client
 	for i := range 6 {
 		c := gw.connect()
 		require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(4<<10))
 		c.write(queryMessage(statement("own", 3000, fmt.Sprintf(",n=%d", i))))
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	gw.eventually("they are out", func() bool { return statements() == before+6 })
-	term := gw.terminate()
-	time.Sleep(time.Until(term.Add(acceptTime + disconnectGrace)))
-	sends := func() {
-		for _, c := range all {
+	termTime := gw.terminate()
+	time.Sleep(time.Until(termTime.Add(acceptTime + disconnectGrace)))
+	sendMore := func() {
+		for _, c := range clients {
 			c.write("Q\x00\x00\x02\x00half a command, which nobody will read")
 		}
 		time.Sleep(disconnectGrace) // the fault: it goes on while answers are on their way
 	}
-	sends()
+	sendMore()
 	close(release)
-	sends()
-	sends()
+	sendMore()
+	sendMore()
 	var readers sync.WaitGroup
-	for i, c := range all {
+	for i, c := range clients {
 		readers.Go(func() {
 			got := c.readAnswer()
 			assert.True(t, got.value == value, "%d %s %d bytes", i, got.code, len(got.value))
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -17,9 +17,9 @@
 	t.Parallel()
 	gw := startGateway(t, withManagement)
 	c := gw.dial()
-	all := string(pgwire.Startup("api", "ledger")) + queryMessage("") + queryMessage(statement("write", 2900, "")) + queryMessage(statement("write", 2900, ",r=1"))
-	for i := range len(all) {
-		c.write(all[i : i+1])
+	input := string(pgwire.Startup("api", "ledger")) + queryMessage("") + queryMessage(statement("write", 2900, "")) + queryMessage(statement("write", 2900, ",r=1"))
+	for i := range len(input) {
+		c.write(input[i : i+1])
 	}
 	c.readAnswer()
 	assert.True(t, c.readAnswer().empty)
@@ -34,18 +34,18 @@
 	t.Parallel()
 	gw := startGateway(t, withManagement)
 	text := queryMessage(statement("write", 2900, ""))
-	slow, used, stopped := gw.connect(), gw.connect(), gw.connect()
+	fresh, used, stopped := gw.connect(), gw.connect(), gw.connect()
 	used.query("")
 	stopped.write(text[:20])
-	at := 0
-	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(100 * time.Millisecond) {
-		slow.write(text[at : at+1])
-		used.write(text[at : at+1])
-		at++
+	sent := 0
+	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(100 * time.Millisecond) {
+		fresh.write(text[sent : sent+1])
+		used.write(text[sent : sent+1])
+		sent++
 	}
 	assert.True(t, stopped.readAnswer().ended)
-	for _, c := range []*client{slow, used} {
-		c.write(text[at:])
+	for _, c := range []*client{fresh, used} {
+		c.write(text[sent:])
 		assert.Equal(t, "p", c.readAnswer().value)
 	}
 }
@@ -58,11 +58,11 @@
 	c := gw.connect()
 	gw.learnPositions(c)
 	rnd := rand.New(rand.NewPCG(3, 4))
-	hello := string(pgwire.Startup("api", "ledger"))
+	startup := string(pgwire.Startup("api", "ledger"))
 	for range 1000 {
-		x := gw.dial()
-		text := hello + queryMessage(statement("write", 2900, ""))
-		_, _ = io.WriteString(x.conn, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
+		trickling := gw.dial()
+		text := startup + queryMessage(statement("write", 2900, ""))
+		_, _ = io.WriteString(trickling.conn, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
 		if rnd.IntN(20) == 0 {
 			got := gw.connect().query(statement("own", 2000, ""))
 			require.NotEmpty(t, got.value, "%+v", got)
@@ -77,10 +77,10 @@
 func TestRequestQueuedDuringPause(t *testing.T) {
 	t.Parallel()
 	const (
-		patient = 2 * time.Second
-		stopped = 1200 * time.Millisecond
-		heldUp  = 150 * time.Millisecond // the terms' slack
-		late    = 500 * time.Millisecond // an answer later than this behind its time is lost
+		deadline     = 2 * time.Second
+		pause        = 1200 * time.Millisecond
+		allowedStall = 150 * time.Millisecond // the terms' slack
+		maxLateness  = 500 * time.Millisecond // an answer later than this behind its time is lost
 	)
 	gw := startGateway(t, nil)
 	gw.waitServed() // a connection to the primary is up
@@ -88,18 +88,18 @@
 	release := gw.primary.blockAnswers()
 	defer close(release)
 	before := len(gw.primary.Statements())
-	var sent, goesOn time.Time
+	var sent, resumed time.Time
 	gw.whilePaused(func() {
 		sent = time.Now()
-		c.write(queryMessage(statement("write", int(patient.Milliseconds()), "")))
-		time.Sleep(stopped) // the fault itself
-		goesOn = time.Now()
+		c.write(queryMessage(statement("write", int(deadline.Milliseconds()), "")))
+		time.Sleep(pause) // the fault itself
+		resumed = time.Now()
 	})
 	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
-	assert.Less(t, time.Since(sent), patient+late)
+	assert.Less(t, time.Since(sent), deadline+maxLateness)
 	require.Len(t, gw.primary.Statements(), before+1)
 	head, err := pgwire.ParseHead([]byte(gw.primary.Statements()[before]))
 	require.NoError(t, err)
-	told := time.Duration(head.DeadlineMillis) * time.Millisecond
-	assert.LessOrEqual(t, told, patient-goesOn.Sub(sent)+heldUp, "what is left, and the slack")
+	forwarded := time.Duration(head.DeadlineMillis) * time.Millisecond
+	assert.LessOrEqual(t, forwarded, deadline-resumed.Sub(sent)+allowedStall, "what is left, and the slack")
 }
