--- a/cmd/lilaccove/disconnect_test.go
+++ b/cmd/lilaccove/disconnect_test.go
@@ -14,10 +14,10 @@
 	"lilaccove/internal/pgwire"
 )
 
-// disconnectGrace is how long after a client has left an attempt may still begin.
+// disconnectGrace is how long after a client's disconnect an attempt for it may still start.
 const disconnectGrace = 100 * time.Millisecond
 
-// whilePaused has the gateway stand still while the test does something.
+// whilePaused calls run while the gateway's process is stopped.
 func (gw *testGateway) whilePaused(run func()) {
 	gw.t.Helper()
 	require.NoError(gw.t, gw.Pause())
@@ -25,42 +25,42 @@
 	require.NoError(gw.t, gw.Resume())
 }
 
-// waitServed checks that a write of another client is served, by when all that came before has been dealt with.
+// waitServed waits until a write of another client is served; by then the gateway has handled all earlier input.
 func (gw *testGateway) waitServed() {
 	gw.t.Helper()
 	gw.primary.setHandler(nil)
-	gw.eventually("another is served", func() bool { return gw.connect().query(statement("write", 3000, "")).value == "p" })
+	gw.eventually("another client is served", func() bool { return gw.connect().query(statement("write", 3000, "")).value == "p" })
 }
 
-// disconnectModes of a connection, as clients make them.
+// disconnectModes are the ways in which clients end a connection.
 var disconnectModes = map[string]func(c net.Conn){
 	"close": func(c net.Conn) { c.Close() },
 	"reset": func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
-	"half":  func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }, // a client that has closed cannot be told from it
+	"half":  func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }, // indistinguishable from a close for the gateway
 }
 
-// A request and its client's end are read together, long after both came: nothing is sent on, not even on the
-// connection that is at hand.
+// A request and its client's disconnect are read together, long after both arrived: nothing is sent to the database, although
+// a connection to it is idle.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range disconnectModes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, nil)
-			gw.waitServed() // a connection to the primary is up
+			gw.waitServed() // opens a connection to the primary
 			before := len(gw.primary.Statements())
 			connected := gw.connect()
 			gw.whilePaused(func() {
 				connected.write(queryMessage(statement("write", 3000, "")))
 				disconnect(connected.conn)
-				queued := gw.dial() // in the listener's queue
+				queued := gw.dial() // in the listen queue
 				queued.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("write", 3000, "")))
 				disconnect(queued.conn)
 				large := gw.dial()
 				text := queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+strings.Repeat("9f", 20<<10), 1))
 				large.write(string(pgwire.Startup("api", "ledger")) + text)
 				disconnect(large.conn)
-				time.Sleep(3 * disconnectGrace) // the fault
+				time.Sleep(3 * disconnectGrace) // duration of the pause
 			})
 			gw.waitServed()
 			assert.Len(t, gw.primary.Statements(), before+1)
@@ -68,12 +68,12 @@
 	}
 }
 
-// A request waits for a connection that comes up late, and its client leaves meanwhile. Where attempts may not be called
-// off it is not begun either: it is not an attempt yet.
+// A request waits for a connection that is established late, and its client disconnects meanwhile. It is not sent, even where
+// attempts may not be cancelled: it is not an attempt yet.
 func TestDisconnectBeforeDatabaseConnects(t *testing.T) {
 	t.Parallel()
 	for _, cancels := range []string{"true", "false"} {
-		t.Run("cancels "+cancels, func(t *testing.T) {
+		t.Run("Cancel "+cancels, func(t *testing.T) {
 			t.Parallel()
 			gw := startGateway(t, func(gw *testGateway) {
 				gw.settings = strings.NewReplacer(`"Cancel":true`, `"Cancel":`+cancels, `"DialTimeoutUs":250000`, `"DialTimeoutUs":3000000`).Replace(testSettings)
@@ -81,7 +81,7 @@
 			gw.primary.DelayGreeting(time.Second)
 			c := gw.connect()
 			c.write(queryMessage(statement("write", 3000, "")))
-			gw.eventually("it waits for a connection", func() bool { return gw.primary.Dials() > 0 })
+			gw.eventually("the request waits for a connection", func() bool { return gw.primary.Dials() > 0 })
 			c.conn.Close()
 			gw.primary.DelayGreeting(0)
 			gw.waitServed()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Nor is a large statement written on, of which the database has a part only.
+// When a client disconnects, the rest of a large statement that the database has received in part is not sent.
 func TestDisconnectDuringLargeStatement(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -106,10 +106,10 @@
 			accepted <- c
 		}
 	}()
-	gw.primary.AnnounceAddr(ln.Addr().String()) // a database that greets, and reads nothing for now
+	gw.primary.AnnounceAddr(ln.Addr().String()) // a database that completes the startup and reads nothing for now
 	c := gw.connect()
 	value := strings.Repeat("9f", 4<<20)
-	gw.eventually("it is written to", func() bool {
+	gw.eventually("the database accepts a connection", func() bool {
 		if len(accepted) == 0 {
 			c.conn.Close()
 			c = gw.connect()
@@ -123,12 +123,12 @@
 	databaseConn := <-accepted
 	require.NoError(t, databaseConn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	received, _ := io.Copy(io.Discard, databaseConn)
-	assert.Less(t, received, int64(len(value)), "the rest is not written")
+	assert.Less(t, received, int64(len(value)), "the rest is not sent")
 }
 
-// Requests sent ahead, more than are taken at once, wait for connections that come up late: with their client's end all of
-// them are over, also where its end stands behind more input than is read. Connections are late until the gateway has read
-// the end: one that came up at once would get an attempt in the moment between the end and its reading, as it may.
+// Pipelined requests, more than are accepted at once, wait for connections that are established late. When their client
+// disconnects all of them end, even if more input than the gateway reads precedes the end. Connections are delayed until the
+// gateway has read it: on an earlier one, an attempt could start between the disconnect and its reading, which is allowed.
 func TestDisconnectAfterPipelinedCommands(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range disconnectModes {
@@ -144,18 +144,18 @@
 				c.write(queryMessage(statement("write", 3000, "")))
 			}
 			c.write(queryMessage(strings.Replace(statement("write", 3000, ""), `\x9f03`, `\x`+strings.Repeat("9f", 60<<10), 1)))
-			gw.eventually("connections are on their way", func() bool { return gw.primary.Dials() > 1 })
+			gw.eventually("connections are being established", func() bool { return gw.primary.Dials() > 1 })
 			disconnect(c.conn)
-			gw.eventually("all of them are over", func() bool { return gw.metric("in_progress") == 0 })
-			assert.Empty(t, gw.primary.Statements(), "no connection is up yet")
-			gw.waitServed() // over connections as late as theirs
+			gw.eventually("all requests have ended", func() bool { return gw.metric("in_progress") == 0 })
+			assert.Empty(t, gw.primary.Statements(), "no connection is established yet")
+			gw.waitServed() // on connections delayed in the same way
 			assert.Len(t, gw.primary.Statements(), 1)
 		})
 	}
 }
 
-// A read is held while the breaker of its group is open and no replica is fresh enough. Its client leaves, and then a
-// replica shows to have caught up.
+// A read is held while the primary's breaker is open and no replica is fresh enough. Its client disconnects, and then the
+// replicas catch up: the read is not sent.
 func TestDisconnectWhileReadIsHeld(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -166,24 +166,24 @@
 		d.SetLag(10 * time.Second)
 	}
 	other := gw.connect()
-	for range 2 { // the primary tells the databases' clock, without which the age of data is not known at first
+	for range 2 { // the primary's answers give the databases' clock, without which staleness is unknown at first
 		assert.NotEmpty(t, other.query(statement("write", 1000, "")).value)
 	}
 	gw.learnPositions(other)
 	gw.primary.setHandler(answerError("XX000"))
-	gw.eventually("its breaker opens", func() bool {
+	gw.eventually("the primary's breaker opens", func() bool {
 		other.query(statement("write", 1000, ""))
 		return strings.Contains(gw.logText(), "breaker opens")
 	})
 	c := gw.connect()
 	c.write(queryMessage(statement("browse", 8000, "")))
-	gw.eventually("it is held", func() bool { return gw.metric("in_progress") == 1 })
+	gw.eventually("the read is held", func() bool { return gw.metric("in_progress") == 1 })
 	c.conn.Close()
-	gw.eventually("its end is read", func() bool { return gw.metric("in_progress") == 0 })
+	gw.eventually("the disconnect is read", func() bool { return gw.metric("in_progress") == 0 })
 	for _, d := range []*database{gw.replicaA, gw.replicaB} {
 		d.SetLag(0)
 	}
-	for range 10 { // their answers tell how far they are
+	for range 10 { // their answers carry their replication positions
 		assert.NotEmpty(t, other.query(statement("own", 1000, "")).value)
 	}
 	for _, text := range append(gw.replicaA.Statements(), gw.replicaB.Statements()...) {
@@ -192,7 +192,7 @@
 	assert.NotEmpty(t, other.query(statement("browse", 1000, "")).value, "the replicas serve such reads now")
 }
 
-// A repeat has to begin within its class's window. A connection that comes up behind it is of no use to it.
+// A retry must start within the deduplication window of its class. A connection established after that is not used for it.
 func TestRetryAfterDedupWindow(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -205,14 +205,14 @@
 	})
 	start := time.Now()
 	got := gw.connect().query(statement("write", 2500, ""))
-	assert.Less(t, time.Since(start), time.Second, "given up is answered at once")
-	assert.Equal(t, pgwire.CodeTooManyConnections, got.code, "whoever comes again is told apart by the key")
+	assert.Less(t, time.Since(start), time.Second, "a request that cannot be retried is answered at once")
+	assert.Equal(t, pgwire.CodeTooManyConnections, got.code, "a client's retry is deduplicated by its key")
 	gw.primary.DelayGreeting(0)
 	gw.waitServed()
 	assert.Len(t, gw.primary.Statements(), 2)
 }
 
-// connectWithKey is a client that keeps the key which it is told.
+// connectWithKey connects a client and returns its cancel key.
 func (gw *testGateway) connectWithKey() (c *client, key uint64) {
 	gw.t.Helper()
 	c = gw.dial()
@@ -229,7 +229,7 @@
 	}
 }
 
-// cancel asks to cancel by a key, and waits until that has been read: nothing is said to it.
+// cancel sends a cancel request with a key and waits until the gateway has read it: it closes the connection without an answer.
 func (gw *testGateway) cancel(key uint64) {
 	gw.t.Helper()
 	c := gw.dial()
@@ -237,8 +237,8 @@
 	assert.Equal(gw.t, answer{ended: true}, c.readAnswer())
 }
 
-// A client cancels by its key. What waits is over at once and is never sent; what may have run ends with its outcome and
-// is not sent again; a wrong key and a late one do nothing. The connection goes on.
+// A client cancels by its key. A waiting request ends at once and is never sent; one that may have run ends with its outcome
+// and is not retried; a wrong key and a late request do nothing. The connection stays usable.
 func TestCancel(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -249,28 +249,28 @@
 	other, otherKey := gw.connectWithKey()
 	assert.NotZero(t, key)
 	assert.NotEqual(t, key, otherKey)
-	gw.cancel(key) // nothing is open
+	gw.cancel(key) // no request is open
 
 	gw.primary.DelayGreeting(time.Second)
 	c.write(queryMessage(statement("write", 3000, "")) + queryMessage(""))
-	gw.eventually("it waits for a connection", func() bool { return gw.primary.Dials() > 0 })
+	gw.eventually("the request waits for a connection", func() bool { return gw.primary.Dials() > 0 })
 	for _, wrong := range []uint64{otherKey, 0, key ^ 1, key ^ 1<<63} {
 		gw.cancel(wrong)
 	}
 	assert.Equal(t, 1, gw.metric("in_progress"))
 	gw.cancel(key)
 	assert.Equal(t, pgwire.CodeQueryCanceled, c.readAnswer().code)
-	assert.True(t, c.readAnswer().empty, "what was sent ahead is not meant")
+	assert.True(t, c.readAnswer().empty, "the pipelined command is not cancelled")
 	gw.primary.DelayGreeting(0)
 	gw.waitServed()
 	assert.Len(t, gw.primary.Statements(), 1)
 
 	release := gw.primary.blockAnswers()
 	c.write(queryMessage(statement("write", 3000, "")))
-	gw.eventually("it is out", func() bool { return len(gw.primary.Statements()) == 2 })
+	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) == 2 })
 	gw.cancel(key)
 	close(release)
-	assert.Equal(t, "late", c.readAnswer().value, "it has run: that is told")
+	assert.Equal(t, "late", c.readAnswer().value, "it has run, and the client learns that")
 
 	gw.learnPositions(other)
 	releaseReads := make(chan struct{})
@@ -285,14 +285,14 @@
 	}
 	before := statementCount()
 	c.write(queryMessage(statement("own", 3000, "")))
-	gw.eventually("it is out", func() bool { return statementCount() == before+1 })
+	gw.eventually("the read arrives", func() bool { return statementCount() == before+1 })
 	gw.cancel(key)
 	close(releaseReads)
 	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
-	assert.Equal(t, before+1, statementCount(), "a read that was reset is not sent again for who does not want it")
+	assert.Equal(t, before+1, statementCount(), "a cancelled read whose connection broke is not retried")
 	gw.cancel(key) // late
 	gw.waitServed()
 	assert.Equal(t, "p", c.query(statement("write", 3000, "")).value)
 	c.conn.Close()
-	gw.cancel(key) // of a connection that has ended
+	gw.cancel(key) // the key of a closed connection
 }
--- a/cmd/lilaccove/edges_test.go
+++ b/cmd/lilaccove/edges_test.go
@@ -17,8 +17,9 @@
 	"lilaccove/internal/standin"
 )
 
-// Idle clients take all descriptors that they may while discovery is down and the databases are shut. When both are back
-// the gateway reaches them, and its operators reach it, though the clients stay.
+// Idle clients use all descriptors that clients may use while discovery is down and connections to the databases are closed.
+// When discovery is back, the gateway connects to it and to the databases, and operators can call it, although the clients
+// stay.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -29,7 +30,7 @@
 	stop := make(chan struct{})
 	var crowd sync.WaitGroup
 	for range 4 {
-		crowd.Go(func() { // whoever is let go comes again
+		crowd.Go(func() { // clients that are closed connect again
 			var conns []net.Conn
 			defer func() {
 				for _, c := range conns {
@@ -60,11 +61,11 @@
 		require.NoError(t, err)
 		return len(list)
 	}
-	gw.eventually("they fill it", func() bool { return countDescriptors() > 48 })
+	gw.eventually("clients use all they may", func() bool { return countDescriptors() > 48 })
 	for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
 		d.CloseConnections()
 	}
-	time.Sleep(time.Second) // the fault lasts
+	time.Sleep(time.Second) // duration of the fault
 	gw.world.SetDiscoveryDown(false)
 	gw.waitWatches(gw.discovery, 1)
 	assert.True(t, gw.ready())
@@ -72,17 +73,17 @@
 	gw.eventually("a write is served", func() bool { return gw.connect().query(statement("write", 1000, "")).value == "p" })
 	gw.eventually("a read is served", func() bool { return gw.connect().query(statement("own", 1000, "")).value != "" })
 	assert.LessOrEqual(t, countDescriptors(), gw.sockets)
-	assert.NotContains(t, gw.logText(), "no descriptor to spare", "each call to discovery went out")
-	assert.NotContains(t, gw.logText(), "event=no_descriptor", "and each to a database")
+	assert.NotContains(t, gw.logText(), "no descriptor to spare", "each call to discovery is sent")
+	assert.NotContains(t, gw.logText(), "event=no_descriptor", "each connection to a database is opened")
 }
 
-// A database closes its resting connections, or says half a line on them, in the moment in which a request comes: the
-// request goes out on a connection that holds, once.
+// A database closes its idle connections, or sends something on them, just when a request arrives: the request is sent once,
+// on a working connection.
 func TestIdleDatabaseConnectionsFail(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(d *database){
 		"closed":        func(d *database) { d.CloseConnections() },
-		"half a line":   func(d *database) { d.SendUnrequested("S\x00\x00") },
+		"partial line":  func(d *database) { d.SendUnrequested("S\x00\x00") },
 		"another's row": func(d *database) { d.SendUnrequested(string(standin.Row("another's", ""))) },
 		"an error": func(d *database) {
 			d.SendUnrequested(string(pgwire.AppendError(nil, "FATAL", "57P01", "shutting down", "")))
@@ -97,7 +98,7 @@
 				gw.whilePaused(func() {
 					fail(gw.primary)
 					c.write(queryMessage(statement("write", 3000, "")))
-					time.Sleep(20 * time.Millisecond) // both have come
+					time.Sleep(20 * time.Millisecond) // both have arrived
 				})
 				assert.Equal(t, "p", c.readAnswer().value)
 				assert.Len(t, gw.primary.Statements(), i+2)
@@ -107,8 +108,8 @@
 	}
 }
 
-// Primary and successor both take writes, a miss comes after the switch, and the old one returns: each write runs once at
-// most, with one attempt more than its first at most, and one that was told as done has run.
+// Two databases accept writes as primary, then the replica takes over, then the old primary returns: each write runs at most
+// once, with at most one retry, and each write that was reported as done has run.
 func TestPrimaryFailoverAndBack(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, nil)
@@ -129,22 +130,23 @@
 	writes(20)
 	gw.replicaA.Promote()
 	writes(20)
-	gw.eventually("the new one is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
+	gw.eventually("the new primary is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
 	succeeded++
 	gw.primary.Promote()
 	writes(20)
-	gw.eventually("the old one is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
+	gw.eventually("the old primary is found", func() bool { return c.query(statement("write", 2000, "")).rows == 1 })
 	succeeded++
 	counts := gw.world.Counts()
 	assert.Zero(t, counts.Duplicates)
-	assert.Equal(t, succeeded, counts.Writes, "no write is lost, none is told that has not run")
-	assert.LessOrEqual(t, counts.Misses, 8, "a miss tells the role")
+	assert.Equal(t, succeeded, counts.Writes, "no write is lost, and none is reported that has not run")
+	assert.LessOrEqual(t, counts.Misses, 8, "a miss reveals the role")
 	assert.GreaterOrEqual(t, succeeded, 50)
 }
 
-// Clients send much at once and go, come without end and read no answers, while memory is short: the others are served,
-// and the process keeps to its limits.
-func TestClientFloods(t *testing.T) { // by itself: its clients would starve those of other tests, and theirs it
+// Clients send much at once and disconnect, connect again and again, and read no answers, while memory is short: the others
+// are served, and the process stays within its limits. The test does not run in parallel: its clients and those of other tests
+// would starve each other.
+func TestClientFloods(t *testing.T) {
 	gw := startGateway(t, func(gw *testGateway) { withManagement(gw); gw.sockets, gw.memory = 640, 40 })
 	value := variedValue(60 << 10)
 	gw.learnPositions(gw.connect())
@@ -174,7 +176,7 @@
 	flood(3, func(c net.Conn) { _, _ = c.Write([]byte(strings.Repeat(text, 2000))) })
 	flood(3, func(c net.Conn) { _, _ = c.Write([]byte("Q\x00\x0f\x00\x00" + strings.Repeat("x", 900<<10))) })
 	flood(3, func(c net.Conn) { time.Sleep(5 * time.Millisecond) })
-	flood(330, func(c net.Conn) { // much that never becomes whole: together over the limit
+	flood(330, func(c net.Conn) { // partial packets that together exceed the limit
 		_, _ = c.Write([]byte("Q\x00\x00\xff\xff" + strings.Repeat("x", 60<<10)))
 		time.Sleep(900 * time.Millisecond)
 	})
@@ -187,7 +189,7 @@
 	c, served := gw.connect(), 0
 	for range 60 {
 		got := c.query(statement("own", 2000, ""))
-		if got.ended { // between requests a connection may be closed; its client comes again
+		if got.ended { // a connection may be closed between requests; the client connects again
 			c = gw.connect()
 			got = c.query(statement("own", 2000, ""))
 		}
@@ -205,7 +207,7 @@
 		if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
 			peakKB, err := strconv.Atoi(strings.Fields(v)[0])
 			require.NoError(t, err)
-			t.Logf("%d kB resident at most", peakKB)
+			t.Logf("peak resident memory: %d kB", peakKB)
 			assert.Less(t, peakKB, gw.memory<<10+raceMemoryKiB)
 		}
 	}
@@ -213,11 +215,11 @@
 	gw.waitServed()
 }
 
-// Clients that send more while their requests are worked on can fill the buffers. Then they are not read for a while; a
-// connection that is owed an answer is never closed for want of memory.
+// Clients that send more input while their requests are processed can fill the buffers. Then they are not read for a while; a
+// connection with a pending answer is never closed because memory is short.
 func TestBufferShortageWithPendingRequests(t *testing.T) {
 	t.Parallel()
-	gw := startGateway(t, func(gw *testGateway) { gw.memory = 16 }) // a quarter of it is for buffers
+	gw := startGateway(t, func(gw *testGateway) { gw.memory = 16 }) // a quarter of it for buffers
 	release := gw.primary.blockAnswers()
 	incomplete := queryMessage("/* " + strings.Repeat("x", 60_000) + " */")
 	var clients []*client
@@ -226,8 +228,8 @@
 		c.write(queryMessage(statement("write", 3000, "")) + incomplete[:55_000])
 		clients = append(clients, c)
 	}
-	gw.eventually("some are at the database", func() bool { return len(gw.primary.Statements()) > 0 })
-	time.Sleep(200 * time.Millisecond) // for what was sent to fill the buffers
+	gw.eventually("some writes arrive", func() bool { return len(gw.primary.Statements()) > 0 })
+	time.Sleep(200 * time.Millisecond) // until the input fills the buffers
 	close(release)
 	for _, c := range clients {
 		got := c.readAnswer()
--- a/cmd/lilaccove/faults_test.go
+++ b/cmd/lilaccove/faults_test.go
@@ -23,7 +23,7 @@
 	err  error
 }
 
-// buildFaultyGateway builds the program with the tag that has its system calls fail by a plan, once for all tests.
+// buildFaultyGateway builds the program, once for all tests, with the tag that makes system calls fail by a plan.
 func buildFaultyGateway(t *testing.T) string {
 	t.Helper()
 	faultyBinary.Do(func() {
@@ -41,12 +41,12 @@
 	return faultyBinary.path
 }
 
-// withFaults has the system calls of a site's process go wrong.
+// withFaults makes system calls of a gateway's process fail.
 func withFaults(faults string) func(*testGateway) {
 	return withFaultPlan(`{"seed":7,"faults":[` + faults + `]}`)
 }
 
-// withFaultPlan has a site's process read a plan.
+// withFaultPlan makes a gateway's process read a fault plan.
 func withFaultPlan(plan string) func(*testGateway) {
 	return func(gw *testGateway) {
 		gw.faultPlan = filepath.Join(gw.tmpDir, "plan.json")
@@ -54,8 +54,8 @@
 	}
 }
 
-// The kernel may have no memory for one more watch just now (ENOMEM, ENOSPC): nothing that was accepted or dialled is
-// dropped, and nothing stays deaf.
+// The kernel may temporarily refuse to watch another descriptor (ENOMEM, ENOSPC): no accepted or dialled connection is dropped,
+// and none stays unwatched.
 func TestEpollRegistrationFails(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]string{
@@ -85,8 +85,8 @@
 	}
 }
 
-// Connections that the machine has accepted by the end are taken though accept fails for a while: requests may have been
-// written to them.
+// Connections in the listen queue at shutdown are accepted although accept fails for a while: clients may have sent requests
+// on them.
 func TestAcceptFailsDuringShutdown(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []string{"ENFILE", "ENOBUFS", "EPROTO"} {
@@ -106,7 +106,7 @@
 	}
 }
 
-// A process that shares its clients' socket begins to accept as soon as the kernel lets it.
+// A process that inherits its clients' socket starts to accept as soon as the kernel permits.
 func TestListenFailsTemporarily(t *testing.T) {
 	t.Parallel()
 	gw := startWithInheritedSocket(t, withFaults(`{"call":"epoll_add","error":"ENOSPC","most":4}`))
@@ -116,15 +116,15 @@
 	assert.Less(t, time.Since(start), waitTimeout)
 }
 
-// The system may have no socket for a process in the moment of its start.
+// The system may have no free socket when a process starts.
 func TestNoSocketAtStart(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withFaults(`{"call":"socket","error":"ENFILE","most":3}`))
 	assert.NotEmpty(t, gw.connect().query(statement("own", 1000, "")).value)
 }
 
-// Reads and writes may move less than was asked for, waits may be interrupted, connections break in all ways that the system
-// knows: each request has one whole answer or an error.
+// Reads and writes may be short, waits may be interrupted, and accept and connect may fail: each request gets one complete
+// answer or an error.
 func TestShortReadsAndWrites(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withFaults(`{"call":"read","short":7,"share":0.9},{"call":"write","short":5,"share":0.9},`+
@@ -145,7 +145,7 @@
 	gw.waitExit()
 }
 
-// A connection may break with errors that tell of the way rather than of the peer.
+// A connection may fail with errors of the network rather than of the peer.
 func TestConnectionsFailWithNetworkErrors(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withFaults(`{"call":"read","error":"EHOSTUNREACH","share":0.05},{"call":"read","error":"ETIMEDOUT","share":0.05}`))
@@ -171,14 +171,14 @@
 	gw.waitExit()
 }
 
-// A process may stand still in the middle of a round, between its look at the clock and the write. What would begin behind its
-// request's time is not begun then.
+// A process may stall in the middle of a round, between reading the clock and writing. An attempt that would start after its
+// request's deadline is not started.
 func TestNoAttemptStartsAfterStall(t *testing.T) {
 	t.Parallel()
 	const stall = 700 * time.Millisecond
 	gw := startGateway(t, withFaults(`{"call":"read","delay_ms":700,"from_ms":500}`))
 	c := gw.connect()
-	gw.eventually("reads take long", func() bool { // and there are connections at rest
+	gw.eventually("reads are delayed", func() bool { // and idle connections to databases exist
 		start := time.Now()
 		c.query(statement("own", 1500, ""))
 		return time.Since(start) >= stall
@@ -190,12 +190,12 @@
 	assert.Equal(t, before, len(gw.replicaA.Statements())+len(gw.replicaB.Statements())+len(gw.primary.Statements()))
 }
 
-// withClockStep has the wall clock of a site's process differ from that of the others.
+// withClockStep shifts the wall clock of a gateway's process against that of the other processes.
 func withClockStep(step time.Duration) func(*testGateway) {
 	return withFaultPlan(fmt.Sprintf(`{"wall_step_ms":%d}`, step.Milliseconds()))
 }
 
-// forEachClockStep starts a site behind each of some steps, none among them, and does something with it.
+// forEachClockStep starts a gateway with each of several clock steps, including none, and calls check with it.
 func forEachClockStep(t *testing.T, check func(t *testing.T, gw *testGateway)) {
 	for _, step := range []time.Duration{0, -time.Hour, -3 * time.Second, -800 * time.Millisecond, 3 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -208,14 +208,14 @@
 	}
 }
 
-// A process that was started after its machine's wall clock was stepped lives with that clock. Replicas go on serving reads
-// of bounded age that are fresh by what databases tell, whichever way the clock is off.
+// A process started after its machine's wall clock was stepped runs with that clock. Replicas that are fresh by the databases'
+// clock keep serving reads with a staleness bound, whichever way the local clock is off.
 func TestReplicasServeAfterClockStep(t *testing.T) {
 	t.Parallel()
 	forEachClockStep(t, func(_ *testing.T, gw *testGateway) {
 		c := gw.connect()
 		gw.eventually("replicas serve", func() bool {
-			c.query(statement("own", 1000, "")) // any member answers, and tells how far it has come
+			c.query(statement("own", 1000, "")) // any member may answer, with its replication position
 			before := len(gw.replicaA.Statements()) + len(gw.replicaB.Statements())
 			c.query(statement("browse", 1000, ""))
 			return len(gw.replicaA.Statements())+len(gw.replicaB.Statements()) > before
@@ -223,7 +223,7 @@
 	})
 }
 
-// Nor do such processes read data that is older than a class allows: its bound is three seconds here.
+// Such a process serves no read from data older than the staleness bound of its class, which is three seconds here.
 func TestNoStaleReadsAfterClockStep(t *testing.T) {
 	t.Parallel()
 	forEachClockStep(t, func(t *testing.T, gw *testGateway) {
@@ -231,15 +231,15 @@
 		gw.replicaB.SetLag(5 * time.Second)
 		c := gw.connect()
 		for range 60 {
-			c.query(statement("own", 1000, "")) // any member answers, and tells how far it has come
+			c.query(statement("own", 1000, "")) // any member may answer, with its replication position
 			before := len(gw.replicaA.Statements()) + len(gw.replicaB.Statements())
 			c.query(statement("browse", 1000, ""))
-			assert.Equal(t, before, len(gw.replicaA.Statements())+len(gw.replicaB.Statements()), "both replicas are five seconds behind")
+			assert.Equal(t, before, len(gw.replicaA.Statements())+len(gw.replicaB.Statements()), "both replicas lag by five seconds")
 		}
 	})
 }
 
-// A session reads what it has written, whichever way the clock is off: its commit is a time of the databases.
+// A session reads its own writes, whichever way the local clock is off: the time of its commit is on the databases' clock.
 func TestSessionsReadTheirWritesAfterClockStep(t *testing.T) {
 	t.Parallel()
 	forEachClockStep(t, func(t *testing.T, gw *testGateway) {
@@ -249,15 +249,15 @@
 		gw.replicaB.SetLag(5 * time.Second)
 		before := len(gw.replicaA.Statements()) + len(gw.replicaB.Statements())
 		for range 30 {
-			commit := time.Now().UnixMilli() + 1 // behind all that was told of the replicas
+			commit := time.Now().UnixMilli() + 1 // after all known positions of the replicas
 			c.query(statement("own", 1000, fmt.Sprintf(",after=%d", commit)))
 		}
-		assert.Equal(t, before, len(gw.replicaA.Statements())+len(gw.replicaB.Statements()), "no replica has come so far")
+		assert.Equal(t, before, len(gw.replicaA.Statements())+len(gw.replicaB.Statements()), "no replica has reached the commit")
 	})
 }
 
-// The system may have no socket, or no port, for a while. That is this machine's want and says nothing of the databases: no
-// breaker opens, and requests go on as soon as there are sockets again.
+// The system may have no free socket or port for a while. That is a shortage of this machine, not a failure of the databases:
+// no breaker opens, and requests are served as soon as sockets are available again.
 func TestSocketShortageOpensNoBreaker(t *testing.T) {
 	t.Parallel()
 	const faultStart, faultDuration = 1500, 1200 // ms
@@ -273,14 +273,14 @@
 				withFaults(fmt.Sprintf(`{%s,"from_ms":%d,"for_ms":%d}`, fault, faultStart, faultDuration))(gw)
 			})
 			for _, d := range []*database{gw.primary, gw.replicaA, gw.replicaB} {
-				d.setHandler(func(d *database, c net.Conn, _ string) { // each request needs a connection of its own
+				d.setHandler(func(d *database, c net.Conn, _ string) { // each request needs a new connection
 					d.Answer(c, d.ID)
 					c.Close()
 				})
 			}
 			c := gw.connect()
 			gw.eventually("writes are served", func() bool { return c.query(statement("write", 1000, "")).value != "" })
-			time.Sleep(time.Until(start.Add((faultStart + faultDuration/3) * time.Millisecond))) // into the fault itself
+			time.Sleep(time.Until(start.Add((faultStart + faultDuration/3) * time.Millisecond))) // until the fault is active
 			for range 20 {
 				c.write(queryMessage(statement("write", 400, "")))
 			}
@@ -295,7 +295,7 @@
 	}
 }
 
-// The way to one database breaks, and that to all others holds: reads go elsewhere, and each request has its answer.
+// The network path to one database fails and those to the others work: reads go elsewhere, and each request is answered.
 func TestOneDatabaseUnreachable(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{
@@ -314,13 +314,13 @@
 				got := c.query(statement(class, 1000, ""))
 				assert.NotEmpty(t, got.value, "request %d, %s: %+v", n, class, got)
 			}
-			assert.NotContains(t, gw.logText(), "breaker opens", "the primary is well")
+			assert.NotContains(t, gw.logText(), "breaker opens", "the primary is healthy")
 		})
 	}
 }
 
-// The system may have no descriptor for the file at GW_CONFIG in the moment of a start, or of SIGHUP. The start waits for it,
-// and the reload is made when it can be: operators give it once.
+// The system may have no free descriptor for the configuration file at start or at SIGHUP. The start waits for one, and the
+// reload is retried until it can be done: operators request it once.
 func TestConfigurationOpenFailsTemporarily(t *testing.T) {
 	t.Parallel()
 	t.Run("start", func(t *testing.T) {
@@ -344,14 +344,14 @@
 		require.NoError(t, err)
 		gw.discovery = next
 		gw.configure(next.Addr, []byte("{}"))
-		time.Sleep(time.Until(start.Add(time.Second))) // into the fault itself
+		time.Sleep(time.Until(start.Add(time.Second))) // until the fault is active
 		gw.sendSIGHUP()
 		gw.waitWatches(next, 1)
 		gw.waitWatches(old, 0)
 	})
 }
 
-// Nor may it have one for the fleet file in the moment of the start, or for the operators' words on the disk: the start waits.
+// The system may have no free descriptor for the fleet file or the stored operator overrides at start: the start waits.
 func TestFleetFilesOpenFailsTemporarily(t *testing.T) {
 	for _, file := range []string{"fleet.yaml", "words.lock", "words"} {
 		t.Run(file, func(t *testing.T) {
--- a/cmd/lilaccove/operations_test.go
+++ b/cmd/lilaccove/operations_test.go
@@ -18,9 +18,10 @@
 	"github.com/stretchr/testify/require"
 )
 
+// withManagement gives the gateway an operators' address.
 func withManagement(gw *testGateway) { gw.hasManagement = true }
 
-// callManagement is one of an operator's; it returns the status and the body.
+// callManagement makes an operator's call and returns the status and the body.
 func (gw *testGateway) callManagement(method, path string) (int, string) {
 	request, err := http.NewRequest(method, "http://"+gw.managementAddr+path, nil)
 	require.NoError(gw.t, err)
@@ -33,6 +34,7 @@
 	return response.StatusCode, string(body)
 }
 
+// mustCall makes an operator's call that must succeed.
 func (gw *testGateway) mustCall(method, path string) {
 	gw.t.Helper()
 	status, body := gw.callManagement(method, path)
@@ -44,7 +46,7 @@
 	return status == 200
 }
 
-// metric is one of the metrics.
+// metric returns the value of a metric.
 func (gw *testGateway) metric(name string) int {
 	_, body := gw.callManagement("GET", "/v1/metrics")
 	for line := range strings.Lines(body) {
@@ -64,7 +66,7 @@
 	assert.True(t, gw.ready())
 	for _, class := range []string{"browse", "own", "write"} {
 		for _, name := range []string{"passed", "dropped", "bad_gateway", "upstream_tries"} {
-			assert.Zero(t, gw.metric(name+"."+class), "every class has its figures from the start")
+			assert.Zero(t, gw.metric(name+"."+class), "every class has its metrics from the start")
 		}
 	}
 	assert.Equal(t, 3, gw.metric("known_databases"))
@@ -76,15 +78,15 @@
 	c.query(statement("write", 1000, ""))
 	gw.primary.setHandler(neverAnswer)
 	c.write(queryMessage(statement("write", 1000, "")))
-	gw.eventually("it is under way", func() bool { return gw.metric("upstream_tries.write") == 3 })
+	gw.eventually("the write is in progress", func() bool { return gw.metric("upstream_tries.write") == 3 })
 	assert.Equal(t, 1, gw.metric("in_progress"))
 	assert.Equal(t, 1, gw.metric("passed.write"))
 	assert.Equal(t, 1, gw.metric("dropped.write"))
 	assert.Equal(t, 1, gw.metric("bad_gateway.write"))
 }
 
-// While it is out a database gets nothing, not even what waits for a connection to it; its own list entry
-// changes nothing. It serves again soon after the call back.
+// A suspended database gets no statements, not even those that wait for a connection to it, and a change of its list entry
+// does not lift the override. It serves again soon after it is resumed.
 func TestSuspend(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -98,7 +100,7 @@
 	for range 40 {
 		assert.NotEmpty(t, c.query(statement("own", 1000, "")).value)
 	}
-	assert.Equal(t, before, len(gw.replicaA.Statements()), "nothing goes to it")
+	assert.Equal(t, before, len(gw.replicaA.Statements()), "it gets no statements")
 	status, body := gw.callManagement("PUT", "/v1/databases/none/suspend")
 	assert.Equal(t, 404, status)
 	assert.Contains(t, body, `"none"`)
@@ -110,8 +112,8 @@
 	})
 }
 
-// A drain lets every client go behind its answer, or though it says nothing, and loses none; new ones are served
-// once each; the empty query says no until the gateway is to work again.
+// A drain closes every client after its answer, or while it is idle, and loses no request. New clients are served one
+// request each. The empty query fails until the gateway is activated.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -134,14 +136,14 @@
 	partial.write(text[len(text)/2:])
 	for _, c := range []*client{late, partial} {
 		assert.NotEmpty(t, c.readAnswer().value)
-		assert.True(t, c.readAnswer().ended, "it goes behind its answer")
+		assert.True(t, c.readAnswer().ended, "it is closed after its answer")
 	}
 	assert.True(t, idle.readAnswer().ended)
 	close(release)
 	assert.Equal(t, "late", busy.readAnswer().value)
 	assert.True(t, busy.readAnswer().ended)
 	assert.Equal(t, "late", pipelined.readAnswer().value)
-	assert.NotEmpty(t, pipelined.readAnswer().value, "what was sent ahead is answered")
+	assert.NotEmpty(t, pipelined.readAnswer().value, "pipelined commands are answered")
 	assert.True(t, pipelined.readAnswer().ended)
 
 	gw.sendSIGHUP()
@@ -149,10 +151,11 @@
 	assert.True(t, gw.ready())
 	c := gw.connect()
 	assert.True(t, c.query("").empty)
-	assert.True(t, c.query("").empty, "and stays")
+	assert.True(t, c.query("").empty, "the connection stays open")
 }
 
-// Who has its answer goes at once, before those who have been idle for longer: nobody asks on a connection just then.
+// A draining gateway closes a client right after its answer, before clients that have been idle for longer: at that moment
+// no request can be on its way.
 func TestDrainClosesAfterAnswers(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -170,7 +173,7 @@
 	close(release)
 	assert.Equal(t, "late", busy.readAnswer().value)
 	assert.True(t, busy.readAnswer().ended)
-	last := idle[len(idle)-1] // the others go first, one by one
+	last := idle[len(idle)-1] // the others are closed first, one by one
 	require.NoError(t, last.conn.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	_, err := last.reader.ReadByte()
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is still open")
@@ -185,7 +188,7 @@
 	gw.mustCall("PUT", "/v1/gateway/activate")
 	gw.mustCall("PUT", "/v1/gateway/activate")
 	gw.mustCall("PUT", "/v1/gateway/drain")
-	assert.True(t, c.readAnswer().ended, "a second drain is one, too")
+	assert.True(t, c.readAnswer().ended, "a second drain takes effect")
 	gw.sendSIGTERM()
 	gw.waitExit()
 }
@@ -202,7 +205,7 @@
 	}
 }
 
-// startWithInheritedSocket is a site whose clients' socket the test holds open.
+// startWithInheritedSocket starts a gateway whose clients' socket the test keeps open.
 func startWithInheritedSocket(t *testing.T, options ...func(*testGateway)) *testGateway {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -218,7 +221,7 @@
 	})
 }
 
-// startSuccessor starts the program once more beside s.
+// startSuccessor starts another process of the same gateway.
 func (gw *testGateway) startSuccessor() *testGateway {
 	successor := &testGateway{
 		t: gw.t, world: gw.world, discovery: gw.discovery, primary: gw.primary, replicaA: gw.replicaA, replicaB: gw.replicaB, log: &bytes.Buffer{}, settings: gw.settings,
@@ -228,8 +231,8 @@
 	return successor
 }
 
-// An upgrade: the new process is ready beside the old one, which leaves the queue to it at once, answers what it
-// has taken, lets its clients go behind their answers and exits by itself.
+// An upgrade: the new process is ready while the old one still runs. The old one stops accepting at once, answers the
+// requests it has accepted, closes its clients after their answers and exits by itself.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	gw := startWithInheritedSocket(t)
@@ -241,21 +244,21 @@
 	successor := gw.startSuccessor()
 	gw.eventually("the new process is ready", successor.ready)
 	gw.sendSIGTERM()
-	gw.eventually("the old one has heard", func() bool { return strings.Contains(gw.logText(), "event=ending") })
+	gw.eventually("the old process shuts down", func() bool { return strings.Contains(gw.logText(), "event=ending") })
 	assert.Contains(t, gw.logText(), "successor=true")
 	for range 20 {
-		assert.True(t, gw.connect().query("").empty, "new clients are the new process's")
+		assert.True(t, gw.connect().query("").empty, "the new process accepts new clients")
 	}
-	assert.True(t, idle.readAnswer().ended, "one that says nothing goes as well")
+	assert.True(t, idle.readAnswer().ended, "idle clients are closed")
 	close(release)
-	assert.Equal(t, "late", busy.readAnswer().value, "what was taken is answered")
-	assert.True(t, busy.readAnswer().ended, "and its client goes behind the answer")
+	assert.Equal(t, "late", busy.readAnswer().value, "accepted requests are answered")
+	assert.True(t, busy.readAnswer().ended, "its client is closed after the answer")
 	gw.waitExit()
 	assert.True(t, gw.connect().query("").empty)
-	gw.eventually("the new one knows that it is alone", func() bool { return strings.Contains(successor.logText(), "beside=false") })
+	gw.eventually("the new process sees that the old one has ended", func() bool { return strings.Contains(successor.logText(), "beside=false") })
 }
 
-// Operators' words hold across an upgrade, and reach both processes while there are two: the yes says so.
+// Operator overrides survive an upgrade and apply to both processes while there are two: the success response confirms it.
 func TestOverridesSurviveUpgrade(t *testing.T) {
 	t.Parallel()
 	gw := startWithInheritedSocket(t)
@@ -268,28 +271,28 @@
 	successor.mustCall("PUT", "/v1/databases/a/resume")
 	assert.Equal(t, 1, gw.metric("skipped_databases"))
 	successor.mustCall("PUT", "/v1/gateway/drain")
-	gw.eventually("the old one is drained as well", func() bool { return !gw.ready() })
+	gw.eventually("the old process is drained as well", func() bool { return !gw.ready() })
 	gw.sendSIGTERM()
 	gw.waitExit()
 	successor.sendSIGTERM()
 	successor.waitExit()
 }
 
-// A new process that dies before it serves, an old one that is killed, two upgrades close together.
+// A new process dies before it serves; then the old process is killed while two successors start.
 func TestFailedUpgrades(t *testing.T) {
 	t.Parallel()
 	gw := startWithInheritedSocket(t)
 	failed := gw.startSuccessor()
-	gw.eventually("the old one sees it", func() bool { return strings.Contains(gw.logText(), "beside=true") })
+	gw.eventually("the old process sees its sibling", func() bool { return strings.Contains(gw.logText(), "beside=true") })
 	failed.Kill()
-	gw.eventually("the old one is alone again", func() bool { return strings.Contains(gw.logText(), "beside=false") })
+	gw.eventually("the old process has no sibling again", func() bool { return strings.Contains(gw.logText(), "beside=false") })
 	assert.True(t, gw.ready())
 	assert.True(t, gw.connect().query("").empty)
 
 	second, third := gw.startSuccessor(), gw.startSuccessor()
 	gw.Kill()
-	gw.eventually("the next is ready", second.ready)
-	gw.eventually("and the one behind it", third.ready)
+	gw.eventually("the second process is ready", second.ready)
+	gw.eventually("the third process is ready", third.ready)
 	second.sendSIGTERM()
 	second.waitExit()
 	for range 20 {
--- a/cmd/lilaccove/shutdown_test.go
+++ b/cmd/lilaccove/shutdown_test.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	acceptTime = 700 * time.Millisecond // after SIGTERM clients come and ask as before
-	killDelay  = 3 * time.Second        // the longest deadline: SIGKILL comes so long after that
+	acceptTime = 700 * time.Millisecond // after SIGTERM clients connect and send requests as before
+	killDelay  = 3 * time.Second        // the longest deadline: SIGKILL follows this long after acceptTime
 )
 
-// terminate sends SIGTERM and tells when.
+// terminate sends SIGTERM, waits until the process shuts down, and returns when it was sent.
 func (gw *testGateway) terminate() time.Time {
 	gw.t.Helper()
 	termTime := time.Now()
 	gw.sendSIGTERM()
-	gw.eventually("it has heard", func() bool { return strings.Contains(gw.logText(), "event=ending") })
+	gw.eventually("it shuts down", func() bool { return strings.Contains(gw.logText(), "event=ending") })
 	return termTime
 }
 
-// waitExitInTime waits for the end, which has to come before the process would be killed.
+// waitExitInTime checks that the process exits before it would be killed.
 func (gw *testGateway) waitExitInTime(termTime time.Time) {
 	gw.t.Helper()
 	gw.waitExit()
 	assert.Less(gw.t, time.Since(termTime), acceptTime+killDelay+raceExitDelay)
 }
 
-// Requests reach resting connections and the listener's queue in the very moment in which a gateway that ends goes
-// through its connections. It has read them, so they are answered, however many there are.
+// Requests arrive on idle connections and in the listen queue just when a gateway that shuts down closes its connections. It
+// reads them, so all of them are answered, however many there are.
 func TestTermDuringIncomingRequests(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 1024 })
@@ -46,11 +46,11 @@
 	}
 	termTime := gw.terminate()
 	gw.whilePaused(func() {
-		time.Sleep(time.Until(termTime.Add(acceptTime))) // its moment comes while it stands still
+		time.Sleep(time.Until(termTime.Add(acceptTime))) // the accept time ends during the pause
 		for _, c := range idle {
 			c.write(queryMessage(statement("own", 3000, "")))
 		}
-		for range 300 { // more than are taken from the queue at once
+		for range 300 { // more than are accepted in one round
 			c := gw.dial()
 			c.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("own", 3000, "")))
 			queued = append(queued, c)
@@ -66,8 +66,8 @@
 	gw.waitExitInTime(termTime)
 }
 
-// Half a query has come when the gateway lets its clients go. Its rest is awaited for a moment and answered, before the
-// process is killed even where its database hangs; without a rest the connection is closed.
+// Part of a query has arrived when the gateway closes its clients. It waits a moment for the rest and answers the query,
+// before the process would be killed even if the database hangs. If no rest arrives, the connection is closed.
 func TestTermDuringPartialQuery(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, nil)
@@ -91,16 +91,16 @@
 	gw.waitExitInTime(termTime)
 }
 
-// Clients go on sending on connections that stay open, ahead of the answers. A gateway that ended such a connection only
-// where nothing was left to answer would never end.
+// Clients keep pipelining commands on connections that are still open. A gateway that closed such a connection only when it
+// had nothing left to answer would never exit.
 func TestTermWithClientsStillSending(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, nil)
 	release := gw.primary.blockAnswers()
 	c := gw.connect()
-	text := queryMessage(statement("write", 3000, "")) + strings.Repeat(queryMessage(""), 50) // more than are taken at once
+	text := queryMessage(statement("write", 3000, "")) + strings.Repeat(queryMessage(""), 50) // more than are accepted at once
 	c.write(text)
-	gw.eventually("the write is out", func() bool { return len(gw.primary.Statements()) > 0 })
+	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) > 0 })
 	termTime := gw.terminate()
 	go func() {
 		for {
@@ -119,8 +119,8 @@
 	gw.waitExitInTime(termTime)
 }
 
-// A quarter of the databases hang, for good, when SIGTERM comes: twice, beside SIGHUP, and while operators drain the gateway.
-// Each request gets one answer, the write's in its own time, and the process ends before it would be killed.
+// The primary and a replica hang for good when SIGTERM arrives: alone, twice, together with SIGHUP, and while the gateway is
+// drained. Each request gets one answer, a write within its own deadline, and the process exits before it would be killed.
 func TestTermWhileDatabasesHang(t *testing.T) {
 	t.Parallel()
 	for name, concurrently := range map[string]func(gw *testGateway){
@@ -148,7 +148,7 @@
 				concurrently(gw)
 			}
 			termTime := gw.terminate()
-			sendRequests(3000) // they still come
+			sendRequests(3000) // requests are still accepted
 			concurrently(gw)
 			for i, c := range clients {
 				got := c.readAnswer()
@@ -161,8 +161,8 @@
 	}
 }
 
-// Answers are with the kernel, for clients that read slowly and have sent more than is read. A plain close over that would
-// reset the connection and take them along.
+// Answers wait in the kernel's buffers for clients that read slowly and have sent input that is not read. A plain close would
+// reset these connections and lose the answers.
 func TestTermLosesNoAnswer(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, nil)
@@ -186,14 +186,14 @@
 		c.write(queryMessage(statement("own", 3000, fmt.Sprintf(",n=%d", i))))
 		clients = append(clients, c)
 	}
-	gw.eventually("they are out", func() bool { return statements() == before+6 })
+	gw.eventually("all reads have arrived", func() bool { return statements() == before+6 })
 	termTime := gw.terminate()
 	time.Sleep(time.Until(termTime.Add(acceptTime + disconnectGrace)))
 	sendMore := func() {
 		for _, c := range clients {
-			c.write("Q\x00\x00\x02\x00half a command, which nobody will read")
+			c.write("Q\x00\x00\x02\x00a partial command, which is not read")
 		}
-		time.Sleep(disconnectGrace) // the fault: it goes on while answers are on their way
+		time.Sleep(disconnectGrace) // the input continues while answers are sent
 	}
 	sendMore()
 	close(release)
