--- a/cmd/lilaccove/agent_test.go
+++ b/cmd/lilaccove/agent_test.go
@@ -10,18 +10,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// agentDrainGrace is how long after a change was told new work may still begin at a draining database, in these tests.
+// agentDrainGrace is how long after a change was reported a draining database may still get new work in these tests.
 const agentDrainGrace = 250 * time.Millisecond
 
-// withAgent has the gateway take discovery for an agent on its own machine, which is sent all lists, and itself for one of many.
+// withAgent makes the gateway treat discovery as an agent on its own machine, to which all lists are pushed, and itself as one
+// of many gateways.
 func withAgent(gw *testGateway) {
 	withManyInstances(gw)
 	gw.settings = strings.Replace(gw.settings, `"Discovery":"ask"`, `"Discovery":"push"`, 1)
 	gw.settings = strings.Replace(gw.settings, `"DrainGraceUs":2000000`, `"DrainGraceUs":250000`, 1)
 }
 
-// What an agent has counts as told whether or not a watch is open. So it is asked again within the grace of a drain, however
-// it failed and however many gateways there are: it is this machine's own.
+// What an agent has is binding whether or not a watch is open. So the agent is polled again within the grace of a drain, however
+// it failed and however many gateways there are, because it runs on this machine.
 func TestAgentIsPolledAgainPromptly(t *testing.T) {
 	t.Parallel()
 	for name, failure := range map[string]func(c net.Conn, call int){
@@ -44,25 +45,25 @@
 			gw.learnPositions(gw.connect())
 			agent.setHandler(failure)
 			agent.closeCalls()
-			time.Sleep(4 * time.Second) // long enough for any pause between calls to have grown
+			time.Sleep(4 * time.Second) // long enough for a backoff between calls to have grown
 			gw.replicaA.Announce("terminating", time.Time{})
 			agent.setHandler(streamList(gw.world, false))
 			restored := time.Now()
 			calledAt := gw.waitDiscoveryCall(agent, restored)
-			assert.Less(t, calledAt.Sub(restored), agentDrainGrace, "new work has to end by then")
+			assert.Less(t, calledAt.Sub(restored), agentDrainGrace, "no new work is allowed after that")
 			gw.checkNoNewStatements(gw.replicaA, restored.Add(agentDrainGrace))
 		})
 	}
 }
 
-// A new process has been told what its agent has from its first moment on, though the list that it starts with is older.
+// For a new process, what its agent has is binding from the start, although its initial list is older.
 func TestStartComparesListWithAgent(t *testing.T) {
 	t.Parallel()
 	var agent *scriptedDiscovery
 	release := make(chan struct{})
 	gw := startGateway(t, func(gw *testGateway) {
 		withAgent(gw)
-		gw.replicaA.Announce("terminating", time.Time{}) // behind the list that the process is started with
+		gw.replicaA.Announce("terminating", time.Time{}) // newer than the process's initial list
 		agent = gw.useScriptedDiscovery(func(c net.Conn, call int) {
 			<-release
 			streamList(gw.world, false)(c, call)
@@ -73,15 +74,15 @@
 		c.write(queryMessage(statement("own", 1000, "")))
 	}
 	gw.waitDiscoveryCall(agent, time.Time{})
-	assert.Empty(t, gw.replicaA.Statements(), "nothing goes where the agent may have said otherwise")
+	assert.Empty(t, gw.replicaA.Statements(), "nothing is sent to a database that may be draining according to the agent")
 	close(release)
 	for range 8 {
-		assert.NotEmpty(t, c.readAnswer().value, "what came before is served")
+		assert.NotEmpty(t, c.readAnswer().value, "earlier requests are served")
 	}
 	assert.Empty(t, gw.replicaA.Statements())
 }
 
-// An agent that says nothing while a process starts is not waited for without end: the list of the start serves.
+// A process does not wait forever for an agent that stays silent at its start: it serves with its initial list.
 func TestStartWithSilentAgent(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
--- a/cmd/lilaccove/edges_test.go
+++ b/cmd/lilaccove/edges_test.go
@@ -28,9 +28,9 @@
 		gw.world.SetDiscoveryDown(true)
 	})
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 4 {
-		crowd.Go(func() { // clients that are closed connect again
+		clients.Go(func() { // clients that are closed connect again
 			var conns []net.Conn
 			defer func() {
 				for _, c := range conns {
@@ -54,7 +54,7 @@
 			}
 		})
 	}
-	defer crowd.Wait()
+	defer clients.Wait()
 	defer close(stop)
 	countDescriptors := func() int {
 		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", gw.Pid()))
@@ -152,10 +152,10 @@
 	gw.learnPositions(gw.connect())
 	gw.primary.setHandler(func(d *database, c net.Conn, _ string) { d.Answer(c, value) })
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
+	var floods sync.WaitGroup
 	flood := func(n int, misbehave func(c net.Conn)) {
 		for range n {
-			crowd.Go(func() {
+			floods.Go(func() {
 				for {
 					select {
 					case <-stop:
@@ -199,7 +199,7 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	close(stop)
-	crowd.Wait()
+	floods.Wait()
 	assert.Greater(t, served, 45, "of 60")
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", gw.Pid()))
 	require.NoError(t, err)
--- a/cmd/lilaccove/fleet_cost_test.go
+++ b/cmd/lilaccove/fleet_cost_test.go
@@ -17,16 +17,16 @@
 	"lilaccove/internal/standin"
 )
 
-// BenchmarkFleetCost tells what membership costs an idle gateway, by processes' own counts, against one without a fleet
-// file: go test -run '^$' -bench FleetPrice -benchtime 1x ./cmd/lilaccove
+// BenchmarkFleetCost measures the CPU time and memory that fleet membership costs an idle gateway, compared with one without
+// a fleet file: go test -run '^$' -bench FleetCost -benchtime 1x ./cmd/lilaccove
 func BenchmarkFleetCost(b *testing.B) {
 	for _, c := range []struct {
-		n     int
-		fleet bool
+		gateways int
+		fleet    bool
 	}{{16, false}, {16, true}, {48, true}, {100, true}} {
-		b.Run(fmt.Sprintf("%d/fleet=%t", c.n, c.fleet), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d/fleet=%t", c.gateways, c.fleet), func(b *testing.B) {
 			for b.Loop() {
-				core, kib := measureCost(b, c.n, c.fleet)
+				core, kib := measureCost(b, c.gateways, c.fleet)
 				b.ReportMetric(100*core, "%core/gateway")
 				b.ReportMetric(kib/1024, "MB/gateway")
 			}
@@ -34,8 +34,8 @@
 	}
 }
 
-// measureCost starts gateways that have nothing to do, waits until they know each other, and tells what one takes: its share
-// of a core, and KiB of memory of its own.
+// measureCost starts n idle gateways, waits until they know each other, and returns what one uses: its share of a core, and
+// its anonymous memory in KiB.
 func measureCost(b *testing.B, n int, fleet bool) (core, kib float64) {
 	world, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
@@ -78,11 +78,11 @@
 			select {
 			case <-viewComplete:
 			case <-time.After(time.Minute):
-				b.Fatal("no view of all")
+				b.Fatal("no view has all members")
 			}
 		}
 	}
-	time.Sleep(10 * time.Second) // the news of the start go round
+	time.Sleep(10 * time.Second) // until the updates of the start have spread
 	before := cpuSeconds(b, processes)
 	const duration = 20 * time.Second
 	time.Sleep(duration)
@@ -99,13 +99,13 @@
 	return core, kib
 }
 
-// cpuSeconds is the time that processes have had of a core, in seconds.
+// cpuSeconds returns the CPU time that processes have used, in seconds.
 func cpuSeconds(b *testing.B, processes []*lab.Process) (sum float64) {
 	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 		require.NoError(b, err)
 		fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-		for _, i := range []int{11, 12} { // user and system time, in hundredths
+		for _, i := range []int{11, 12} { // user and system time, in hundredths of a second
 			ticks, err := strconv.ParseFloat(string(fields[i]), 64)
 			require.NoError(b, err)
 			sum += ticks / 100
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -257,8 +257,8 @@
 	return o.links.Report(), true
 }
 
-// Suspend sets the local override of a database, here and in a sibling process, and calls reply when it is in effect;
-// kept: a successor will find it. It returns false if the database is unknown.
+// Suspend sets the local override of a database, here and in a sibling process, and calls reply when it is in effect, with
+// whether a successor will find it. It returns false if the database is unknown.
 func (o *operations) Suspend(id string, active bool, reply func(kept bool)) bool {
 	o.refreshShared()
 	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, active), func() { o.replyWhenAcknowledged(reply) })
@@ -307,8 +307,8 @@
 	return o.links.Audit()
 }
 
-// FleetSuspend sets the fleet's override for a database. It calls reply once the override is in effect here and the other
-// gateways were asked to hold it. It returns false if the database is unknown or the fleet accepts no more overrides.
+// FleetSuspend sets the fleet's override for a database. Once it is in effect here, it calls reply with how many other
+// gateways hold it. It returns false if the database is unknown or the fleet accepts no more overrides.
 func (o *operations) FleetSuspend(id string, active bool, reply func(result string)) bool {
 	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.OverrideActive(id) {
 		return false
--- a/cmd/lilaccove/pause_test.go
+++ b/cmd/lilaccove/pause_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// starvedPlan has seven gateways so busy that one which stands still leaves many requests half done.
+// starvedPlan keeps seven gateways so busy that a paused one leaves many requests unfinished.
 var starvedPlan = strings.NewReplacer("120/s", "400/s", "connections: 20", "connections: 60").Replace(fmt.Sprintf(fleetPlan, 7))
 
-// checkDatabasesUsed tells that nobody has taken a healthy primary for a failed one, and that each database has kept a share of
-// the work: at least half of what it would have if all of a group's replicas had the same.
+// checkDatabasesUsed checks that no gateway has taken a healthy database for a failed one, and that each database has kept its
+// share of the load: more than half of what it would get if all databases of a group got the same.
 func (fleet *testFleet) checkDatabasesUsed(initialCounts map[string]int) {
 	fleet.t.Helper()
 	for _, i := range fleet.all() {
-		assert.Empty(fleet.t, fleet.breakerEvents(i), "the breakers that n%d opened", i)
+		assert.Empty(fleet.t, fleet.breakerEvents(i), "breakers opened by n%d", i)
 		assert.Zero(fleet.t, fleet.metric(i, "skipped_databases"))
 	}
 	groupWork, groupSize := map[int]int{}, map[int]int{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// breakerEvents are what a gateway has said of them.
+// breakerEvents returns a gateway's log lines about breakers.
 func (fleet *testFleet) breakerEvents(i int) (list []string) {
 	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "policy ") {
@@ -42,6 +42,7 @@
 	return list
 }
 
+// statementCounts returns how many statements each database has received.
 func (fleet *testFleet) statementCounts() map[string]int {
 	counts := map[string]int{}
 	for _, h := range fleet.World().Members() {
@@ -50,7 +51,7 @@
 	return counts
 }
 
-// waitServed asks a gateway as a client until it is served, and tells how long that took.
+// waitServed sends writes to a gateway until one is served, and returns how long that took.
 func (fleet *testFleet) waitServed(i int) time.Duration {
 	fleet.t.Helper()
 	start := time.Now()
@@ -67,27 +68,28 @@
 	return time.Since(start)
 }
 
-// A gateway that stood still once for two seconds blames nobody for that, and serves at once.
+// A gateway that was paused for two seconds does not blame the databases for that, and serves at once.
 func TestFleetStarvedPause(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 7, starvedPlan)
 	initialCounts := fleet.statementCounts()
 	require.NoError(t, fleet.Node(1).Pause())
-	time.Sleep(2 * time.Second) // the fault itself
+	time.Sleep(2 * time.Second) // duration of the pause
 	require.NoError(t, fleet.Node(1).Resume())
 	assert.Less(t, fleet.waitServed(1), time.Second)
 	fleet.waitView(7, fleet.all()...)
 	fleet.checkDatabasesUsed(initialCounts)
 	fleet.finishAndCheck(0.9)
-	assert.Positive(t, fleet.metric(1, "lost_ms"), "it knows that it was the one")
+	assert.Positive(t, fleet.metric(1, "lost_ms"), "it has noticed its own pause")
 }
 
-// One that runs for 0.3 of every second is slow, and the databases are not: it refuses nothing for want of room at them.
+// A gateway that runs for only 0.3 of every second is slow, and the databases are not: it does not take its own delay for a
+// lack of capacity at the databases and refuses almost nothing.
 func TestFleetStarvedRepeatedPauses(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 7, starvedPlan)
 	initialCounts := fleet.statementCounts()
 	for range 8 {
 		require.NoError(t, fleet.Node(1).Pause())
-		time.Sleep(700 * time.Millisecond) // the fault itself
+		time.Sleep(700 * time.Millisecond) // duration of the pause
 		require.NoError(t, fleet.Node(1).Resume())
 		time.Sleep(300 * time.Millisecond)
 	}
--- a/cmd/lilaccove/race_test.go
+++ b/cmd/lilaccove/race_test.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-const racePart = 1 << 20 // KiB that the race detector may add to the program's memory
+const racePart = 1 << 20 // what the race detector may add to the program's memory
 
-const raceExit = time.Second // that the race detector waits before the program ends
+const raceExit = time.Second // how long the race detector delays the program's exit
--- a/cmd/lilaccove/retry_budget_test.go
+++ b/cmd/lilaccove/retry_budget_test.go
@@ -11,8 +11,8 @@
 	"lilaccove/internal/standin"
 )
 
-// All databases answer with errors or not at all: repeats cannot help, and all gateways' together would be several times the
-// load. They keep to the fleet's share of first attempts, while gateways are killed, cut off from each other and stopped.
+// All databases answer with errors or not at all: retries cannot help, and those of all gateways together would be several
+// times the load. They stay within the fleet's share of first attempts while gateways are killed, partitioned and paused.
 func TestFleetRetryBudget(t *testing.T) {
 	for _, share := range []string{"", ", repeats: 20%"} {
 		t.Run("share"+share, func(t *testing.T) {
@@ -32,12 +32,12 @@
 			fleet.eventually("reads are tried", func() bool { return firstAttempts() > 900 })
 			c := fleet.World().Counts()
 			firsts, retries := c.Firsts-before.Firsts, c.Repeats-before.Repeats
-			t.Logf("%d first attempts, %d repeats", firsts, retries)
+			t.Logf("%d first attempts, %d retries", firsts, retries)
 			if allowed := 0.21*float64(firsts) + 3*float64(processes); share == "" {
-				assert.Greater(t, float64(retries), allowed, "without a bound it is more")
+				assert.Greater(t, float64(retries), allowed, "without a retry budget there are more")
 			} else {
 				assert.LessOrEqual(t, float64(retries), allowed)
-				assert.Greater(t, float64(retries), allowed/3, "what is allowed is used")
+				assert.Greater(t, float64(retries), allowed/3, "the budget is used")
 			}
 			fleet.World().SetFaults(standin.Faults{})
 			countsBefore := fleet.World().Counts()
--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -40,13 +40,13 @@
 		}
 		return
 	}
-	keepOwnDescriptors()
+	setCloseOnExec()
 	os.Exit(m.Run())
 }
 
-// keepOwnDescriptors prevents gateways from inheriting descriptors that the shell left open: each would count against
+// setCloseOnExec prevents gateways from inheriting descriptors that the shell left open: each would count against
 // the limit that a test sets, and their number differs between shells.
-func keepOwnDescriptors() {
+func setCloseOnExec() {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -12,7 +12,7 @@
 	"lilaccove/internal/pgwire"
 )
 
-// Where the network cuts what a client sends does not matter: each byte comes by itself.
+// It does not matter how the network splits a client's input: here each byte arrives by itself.
 func TestClientByteByByte(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -28,8 +28,8 @@
 	assert.Equal(t, 2, len(gw.primary.Statements()))
 }
 
-// A packet that goes on may take longer than one that does not: a statement whose parts come over more than its first
-// limit is served, and the client that stops in the middle is let go.
+// A packet that keeps arriving may take longer than one that stops: a statement that takes longer than the first time limit
+// is served, and a client that stops in the middle is closed.
 func TestSlowPacketsAreServed(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -50,8 +50,8 @@
 	}
 }
 
-// A thousand clients that send their queries byte by byte, far more than there are descriptors, and forget to go on, keep
-// nobody out: whoever asks is served all the while.
+// A thousand clients, far more than there are descriptors, each send part of a query and then stop. Meanwhile other clients
+// are served.
 func TestTricklingClientsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.sockets = true, 128 })
@@ -62,7 +62,7 @@
 	for range 1000 {
 		trickling := gw.dial()
 		text := startup + queryMessage(statement("write", 2900, ""))
-		_, _ = io.WriteString(trickling.conn, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
+		_, _ = io.WriteString(trickling.conn, text[:1+rnd.IntN(len(text)-1)]) // may fail: it may have been evicted
 		if rnd.IntN(20) == 0 {
 			got := gw.connect().query(statement("own", 2000, ""))
 			require.NotEmpty(t, got.value, "%+v", got)
@@ -72,18 +72,18 @@
 	assert.NotEmpty(t, gw.connect().query(statement("own", 2000, "")).value)
 }
 
-// A request waits in the system while the gateway stands still, for longer than the terms allow a gateway to be held up. The
-// time that its client has waited by then is neither told to the database nor given to the answer.
+// A request waits in the kernel while the gateway is paused, for longer than the allowed stall. The time that its client has
+// waited by then counts against the deadline, both the one sent to the database and the one for the answer.
 func TestRequestQueuedDuringPause(t *testing.T) {
 	t.Parallel()
 	const (
 		deadline     = 2 * time.Second
 		pause        = 1200 * time.Millisecond
-		allowedStall = 150 * time.Millisecond // the terms' slack
-		maxLateness  = 500 * time.Millisecond // an answer later than this behind its time is lost
+		allowedStall = 150 * time.Millisecond // allowed by the terms of service
+		maxLateness  = 500 * time.Millisecond // an answer this long after the deadline is lost
 	)
 	gw := startGateway(t, nil)
-	gw.waitServed() // a connection to the primary is up
+	gw.waitServed() // opens a connection to the primary
 	c := gw.connect()
 	release := gw.primary.blockAnswers()
 	defer close(release)
@@ -92,7 +92,7 @@
 	gw.whilePaused(func() {
 		sent = time.Now()
 		c.write(queryMessage(statement("write", int(deadline.Milliseconds()), "")))
-		time.Sleep(pause) // the fault itself
+		time.Sleep(pause)
 		resumed = time.Now()
 	})
 	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
@@ -101,5 +101,5 @@
 	head, err := pgwire.ParseHead([]byte(gw.primary.Statements()[before]))
 	require.NoError(t, err)
 	forwarded := time.Duration(head.DeadlineMillis) * time.Millisecond
-	assert.LessOrEqual(t, forwarded, deadline-resumed.Sub(sent)+allowedStall, "what is left, and the slack")
+	assert.LessOrEqual(t, forwarded, deadline-resumed.Sub(sent)+allowedStall, "the remaining time and the allowed stall")
 }
