--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -58,7 +58,7 @@
 	memoryBytes, descriptorLimit int
 	maxDeadline                  time.Duration // the longest of any class
 	startTime                    time.Duration
-	shared                       *handover.SharedState // nil if the clients' socket is not inherited: there is no sibling then
+	shared                       *handover.SharedState // nil without an inherited socket or TMPDIR: siblings cannot be seen
 	overridesPending             bool                  // the overrides of earlier processes have not been read yet
 	siblingAlive                 bool                  // a sibling process is alive
 	drained                      bool                  // locally or by a fleet override
