--- a/cmd/lilaccove/main.go
+++ b/cmd/lilaccove/main.go
@@ -1,5 +1,5 @@
-// Command lilaccove is one gateway: clients on one side, groups of databases on the
-// other, PostgreSQL's protocol on both. DEPLOY tells what its environment holds.
+// Command lilaccove is a gateway between clients and groups of databases that speaks PostgreSQL's protocol on both
+// sides. DEPLOY describes its environment variables.
 package main
 
 import (
@@ -28,73 +28,74 @@
 
 func main() {
 	log.SetFlags(log.Lmicroseconds)
-	fleetFile := flag.String("fleet", "", "the fleet `file`, by which gateways know of each other; before $GW_FLEET")
-	profile := flag.String("profile", "", "write a profile of the processor's use, from start to end, to this `file` (go tool pprof reads it)")
+	fleetFile := flag.String("fleet", "", "fleet `file`, which names the other gateways; overrides $GW_FLEET")
+	profile := flag.String("profile", "", "write a CPU profile of the whole run to this `file` (for go tool pprof)")
 	flag.Parse()
 	if flag.NArg() > 0 {
-		log.Printf("event=stopped err=%q", "arguments are not read; the configuration is at $GW_CONFIG")
+		log.Printf("event=stopped err=%q", "unexpected arguments; $GW_CONFIG names the configuration file")
 		os.Exit(2)
 	}
-	err := profiled(*profile, func() error { return run(*fleetFile) })
+	err := withCPUProfile(*profile, func() error { return run(*fleetFile) })
 	if err != nil {
 		log.Printf("event=stopped err=%q", err)
 		os.Exit(1)
 	}
 }
 
-// profiled runs do and writes the profile of it to a file, if one is named.
-func profiled(path string, do func() error) error {
+// withCPUProfile calls run and writes its CPU profile to the file at path, if path is not empty.
+func withCPUProfile(path string, run func() error) error {
 	if path == "" {
-		return do()
+		return run()
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err == nil {
-		err = pprof.StartCPUProfile(f)
+		err = pprof.StartCPUProfile(file)
 	}
 	if err != nil {
 		return fmt.Errorf("--profile: %w", err)
 	}
-	err = do()
+	err = run()
 	pprof.StopCPUProfile()
-	return errors.Join(err, f.Close())
+	return errors.Join(err, file.Close())
 }
 
+// run starts the gateway and serves until shutdown is complete.
 func run(fleetFile string) error {
-	// From the first moment on: a signal that nobody has asked for would end the process.
+	// First of all: a signal without a handler would end the process.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, unix.SIGTERM, unix.SIGINT, unix.SIGHUP)
 	cfg, err := control.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	listen, err := netip.ParseAddrPort(cfg.Listen)
+	configuredAddr, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("GW_LISTEN: %w", err)
 	}
-	set, err := settings.FromJSON(cfg.Settings)
+	gatewaySettings, err := settings.FromJSON(cfg.Settings)
 	if err != nil {
 		return err
 	}
-	party, err := control.LoadFleet(fleetFile, os.Getenv, set)
+	fleetConfig, err := control.LoadFleet(fleetFile, os.Getenv, gatewaySettings)
 	if err != nil {
 		return err
 	}
-	memory := tune(cfg.Limits.MemoryMB)
-	sockets := descriptors(cfg.Limits.Sockets)
+	memoryBytes := tuneRuntime(cfg.Limits.MemoryMB)
+	maxDescriptors := descriptorLimit(cfg.Limits.Sockets)
 
-	loop, err := netloop.New(sockets, openNow(), memory/4)
+	loop, err := netloop.New(maxDescriptors, countOpenDescriptors(), memoryBytes/4)
 	if err != nil {
 		return err
 	}
 	defer loop.Close()
-	side, err := control.New(loop, cfg, set, party)
+	side, err := control.New(loop, cfg, gatewaySettings, fleetConfig)
 	if err != nil {
 		return err
 	}
 	defer side.Close()
 	core, budgets := side.Core, side.Budgets()
 	options := backend.Options{
-		ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: sockets / 16,
+		ConnIdle: gatewaySettings.ConnIdle, DialTimeout: gatewaySettings.DialTimeout, ProbeReport: gatewaySettings.ProbeReport, Reserve: maxDescriptors / 16,
 	}
 	if budgets != nil {
 		options.Budget = budgets
@@ -103,19 +104,19 @@
 	if budgets != nil {
 		budgets.OnGrant = pool.Granted
 	}
-	// Clients get half of the descriptors at most: idle ones must never keep the gateway
-	// from the databases, which get all but what discovery and turning clients away take.
-	ops := &operations{loop: loop, core: core, side: side, watch: side.Watch, pool: pool, counts: side.Counts, links: side.Links, guard: side.Guard}
-	clients := front.New(loop, core, front.Options{
-		Classes: set.Classes, MaxClients: sockets / 2, Reserve: sockets / 8, MaxLargeStatementBytes: memory / 6, FreeDescriptor: pool.CloseOldestIdle,
+	// Clients get at most half of the descriptors, so that idle clients cannot prevent connections to databases. Those
+	// may use all the others but the few reserved for discovery and for refusing clients.
+	ops := &operations{loop: loop, core: core, side: side, discovery: side.Watch, pool: pool, counts: side.Counts, links: side.Links, guard: side.Guard}
+	frontend := front.New(loop, core, front.Options{
+		Classes: gatewaySettings.Classes, MaxClients: maxDescriptors / 2, Reserve: maxDescriptors / 8, MaxLargeStatementBytes: memoryBytes / 6, FreeDescriptor: pool.CloseOldestIdle,
 		Guard: side.Guard, Servable: ops.servable,
 	})
 	side.Connect(pool)
-	ops.front, ops.list, ops.memory, ops.sockets = clients, set.Policy.ListSource, memory, sockets
-	ops.longest, ops.begunAt = longest(set.Policy.Classes), loop.Now()
-	side.Join(ops.drainedByFleet)
-	clients.SetStarting(!ops.servable()) // until the list is compared, and what operators told the fleet is known
-	manage := ""
+	ops.front, ops.listSource, ops.memoryBytes, ops.descriptorLimit = frontend, gatewaySettings.Policy.ListSource, memoryBytes, maxDescriptors
+	ops.maxDeadline, ops.startTime = maxDeadline(gatewaySettings.Policy.Classes), loop.Now()
+	side.Join(ops.setFleetDrain)
+	frontend.SetStarting(!ops.servable()) // until the list is confirmed and the overrides are known
+	managementField := ""
 	if cfg.Management != "" {
 		addr, err := netip.ParseAddrPort(cfg.Management)
 		if err != nil {
@@ -124,81 +125,83 @@
 		if addr, err = management.Listen(loop, addr, ops); err != nil {
 			return err
 		}
-		manage = " management=" + addr.String()
+		managementField = " management=" + addr.String()
 	}
-	at, err := ops.listen(listen, os.Getenv)
+	listenAddr, err := ops.listen(configuredAddr, os.Getenv)
 	if err != nil {
 		return err
 	}
-	defer ops.leave()
+	defer ops.leaveShared()
 	log.Printf("event=started name=%s listen=%s discovery=%s sockets=%d memory_mb=%d%s",
-		cfg.Name, at, side.DiscoveryAddr, sockets, memory>>20, manage)
+		cfg.Name, listenAddr, side.DiscoveryAddr, maxDescriptors, memoryBytes>>20, managementField)
 
-	heard := make(chan os.Signal, cap(signals))
+	received := make(chan os.Signal, cap(signals))
 	loop.OnWake(func() {
-		for len(heard) > 0 {
-			if sig := <-heard; sig == unix.SIGHUP {
+		for len(received) > 0 {
+			if sig := <-received; sig == unix.SIGHUP {
 				side.Reload(os.Getenv)
 			} else {
-				ops.end()
+				ops.beginShutdown()
 			}
 		}
 	})
 	go func() {
 		for sig := range signals {
-			heard <- sig
+			received <- sig
 			loop.Wake()
 		}
 	}()
 	return loop.Run(func() bool {
 		again := side.Step()
-		ops.check()
+		ops.afterRound()
 		return again
 	})
 }
 
-// longest is the longest deadline of a class.
-func longest(classes []policy.Class) (d time.Duration) {
+// maxDeadline returns the longest deadline of any class.
+func maxDeadline(classes []policy.Class) (d time.Duration) {
 	for _, c := range classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// tune fits the runtime to one shared core and its memory; it returns the bytes to use.
-// One P is enough: the loop is the only goroutine that works. The collector may let the
-// heap grow well past what lives, and works harder only near the limit.
-func tune(megabytes float64) int {
+// tuneRuntime configures the Go runtime for one shared core and the memory limit, which it returns in bytes. One P is
+// enough because the event loop is the only busy goroutine. The garbage collector lets the heap grow well beyond the
+// live data and runs more often only near the limit.
+func tuneRuntime(megabytes float64) int {
 	if megabytes <= 0 {
 		megabytes = 192
 	}
-	memory := int(megabytes * (1 << 20))
+	memoryBytes := int(megabytes * (1 << 20))
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
-	limitHeap(memory)
-	return memory
+	setHeapLimit(memoryBytes)
+	return memoryBytes
 }
 
-func limitHeap(memory int) { debug.SetMemoryLimit(int64(memory) * 6 / 10) }
+// setHeapLimit limits the Go heap to 60% of the process's memory.
+func setHeapLimit(memoryBytes int) { debug.SetMemoryLimit(int64(memoryBytes) * 6 / 10) }
 
-// descriptors is how many may be open: the smaller of the limit told and the system's.
-func descriptors(told float64) int {
-	most := 1024
-	if told > 0 {
-		most = int(told)
-	}
-	var r unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err == nil && r.Cur < uint64(most) {
-		most = int(r.Cur)
-	}
-	return most
+// descriptorLimit returns how many descriptors may be open: the configured limit (1024 if none) or the system's,
+// whichever is lower.
+func descriptorLimit(configured float64) int {
+	limit := 1024
+	if configured > 0 {
+		limit = int(configured)
+	}
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err == nil && rlimit.Cur < uint64(limit) {
+		limit = int(rlimit.Cur)
+	}
+	return limit
 }
 
-// openNow is how many descriptors the process has, with some for the runtime's own.
-func openNow() int {
-	const runtimeOwn = 8
-	if list, err := os.ReadDir("/proc/self/fd"); err == nil {
-		return len(list) + runtimeOwn
+// countOpenDescriptors returns how many descriptors the process has open, including an allowance for the runtime's own.
+func countOpenDescriptors() int {
+	const runtimeDescriptors = 8
+	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
+		return len(entries) + runtimeDescriptors
 	}
-	return 3 + runtimeOwn
+	return 3 + runtimeDescriptors
 }
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -22,63 +22,63 @@
 )
 
 const (
-	// acceptOn is how long clients still come after SIGTERM: the front has to notice.
-	acceptOn = 700 * time.Millisecond
-	// A drain is to leave no client idle 4 s after the call, nor one whose request is younger than 2 s.
-	drainTime = 1700 * time.Millisecond
-	// A process that hands over lets idle clients go within leaveTime; after leaveMost it takes no more
-	// requests, so that what it has taken is answered before it is killed.
-	leaveTime = 1200 * time.Millisecond
-	leaveMost = 2 * time.Second
-	// SIGKILL follows SIGTERM by the longest deadline, or killLeast where that is longer, and acceptOn. Answers go out
-	// lastAnswer before that.
-	killLeast  = 3 * time.Second
-	lastAnswer = 100 * time.Millisecond
-	// How often a process looks for others of its gateway, alone and beside one.
-	pollAlone  = 100 * time.Millisecond
-	pollBeside = 20 * time.Millisecond
-	// An operator's word that the other process has not acted on is answered all the same after so long.
-	agreeTime = 700 * time.Millisecond
+	// acceptTimeAfterTerm is how long clients are still accepted after SIGTERM, until the load balancer has noticed.
+	acceptTimeAfterTerm = 700 * time.Millisecond
+	// A drain must leave no client idle 4 s after the call, nor any client whose request is younger than 2 s.
+	drainDuration = 1700 * time.Millisecond
+	// A process that hands over closes idle clients within handoverIdleTimeout. After handoverMaxDuration it accepts no
+	// more requests, so that those it has accepted are answered before it is killed.
+	handoverIdleTimeout = 1200 * time.Millisecond
+	handoverMaxDuration = 2 * time.Second
+	// SIGKILL follows SIGTERM after acceptTimeAfterTerm plus the longest deadline or minKillDelay, whichever is longer.
+	// Answers are sent at least lastAnswerMargin before that.
+	minKillDelay     = 3 * time.Second
+	lastAnswerMargin = 100 * time.Millisecond
+	// How often a process checks for sibling processes, without one and with one.
+	pollIntervalAlone       = 100 * time.Millisecond
+	pollIntervalWithSibling = 20 * time.Millisecond
+	// acknowledgeTimeout is how long the reply to an operator waits for the sibling process to apply the override.
+	acknowledgeTimeout = 700 * time.Millisecond
 )
 
-// operations is what operators and the platform ask of the whole program: readiness, figures, databases
-// left out, drains, the takeover by another process, the end.
+// operations implements what operators and the platform request of the whole program: readiness, metrics, overrides,
+// handover to a successor process, and graceful shutdown.
 type operations struct {
-	loop   *netloop.Loop
-	front  *front.Front
-	core   *gateway.Gateway
-	watch  *discovery.Client
-	pool   *backend.Pool
-	counts *stats.Counters
-	side   *control.Side
-	links  *peer.Links // to the fleet; nil: without a fleet file
-	guard  *invariant.Guard
-
-	list            policy.ListSource
-	memory, sockets int
-	longest         time.Duration // deadline of a class
-	begunAt         time.Duration
-	share           *handover.SharedState // nil: no other process can be met
-	held            bool                  // what operators told the processes before this one is not known yet
-	beside          bool                  // another process of this gateway lives
-	drained         bool                  // by an operator, who said so here or to the fleet
-	drainHere       bool
-	drainFleet      bool
-	ending          bool // SIGTERM has come
-	killAt          time.Duration
-	leaving         bool // to a successor
-	closed          bool // no client is accepted and none kept
-	agreeing        []agreement
-}
-
-// agreement is an answer to an operator that waits until the word is kept for a successor, and the other process, if there
-// is one, has acted on it.
-type agreement struct {
-	until time.Duration
-	then  func(kept bool)
-}
-
-// listen opens the clients' address, or takes over the socket that the platform holds open there.
+	loop      *netloop.Loop
+	front     *front.Front
+	core      *gateway.Gateway
+	discovery *discovery.Client
+	pool      *backend.Pool
+	counts    *stats.Counters
+	side      *control.Side
+	links     *peer.Links // to the fleet; nil without a fleet file
+	guard     *invariant.Guard
+
+	listSource                   policy.ListSource
+	memoryBytes, descriptorLimit int
+	maxDeadline                  time.Duration // the longest of any class
+	startTime                    time.Duration
+	shared                       *handover.SharedState // nil without an inherited socket or TMPDIR: siblings cannot be seen
+	overridesPending             bool                  // the overrides of earlier processes have not been read yet
+	siblingAlive                 bool                  // a sibling process is alive
+	drained                      bool                  // locally or by a fleet override
+	drainedLocally               bool
+	drainedByFleet               bool
+	shuttingDown                 bool // SIGTERM was received
+	killAt                       time.Duration
+	handingOver                  bool // to a successor
+	frontClosed                  bool // no clients are accepted, and all are closed after their answers
+	pendingReplies               []pendingReply
+}
+
+// pendingReply is a reply to an operator that waits until the override is persisted for a successor and the sibling
+// process, if there is one, has applied it.
+type pendingReply struct {
+	deadline time.Duration
+	reply    func(kept bool)
+}
+
+// listen listens on the clients' address, or takes over the listening socket that the platform keeps open for it.
 func (o *operations) listen(addr netip.AddrPort, env func(string) string) (netip.AddrPort, error) {
 	text := env("GW_INHERITED_FD")
 	if text == "" {
@@ -88,138 +88,141 @@
 	if err != nil || fd < 3 {
 		return addr, fmt.Errorf("GW_INHERITED_FD: %q is not the number of an inherited descriptor", text)
 	}
-	at, err := o.front.Inherit(fd, addr)
+	actual, err := o.front.Inherit(fd, addr)
 	if err != nil {
 		return addr, fmt.Errorf("GW_INHERITED_FD: %w", err)
 	}
 	if dir := env("TMPDIR"); dir == "" {
 		log.Printf("event=alone reason=%q", "TMPDIR is not set")
 	} else {
-		o.share = handover.Join(dir)
-		o.held = !o.share.Loaded()
-		o.core.FleetEvent(policy.OverridesPending{Active: o.held})
-		o.adopt(o.share.State())
-		o.poll()
+		o.shared = handover.Join(dir)
+		o.overridesPending = !o.shared.Loaded()
+		o.core.FleetEvent(policy.OverridesPending{Active: o.overridesPending})
+		o.applyShared(o.shared.State())
+		o.pollSibling()
 	}
-	return at, o.open()
+	return actual, o.openFront()
 }
 
-// open begins to accept clients: at once, or beside a process that serves them, when it can do as well.
-func (o *operations) open() error {
+// openFront starts to accept clients as soon as this process may: with a fleet, once its overrides are synchronized; with
+// a live sibling, which serves clients meanwhile, once this process has a current list or has waited
+// [policy.StartupTimeout] for it.
+func (o *operations) openFront() error {
 	if o.links != nil && !o.links.Synced() {
 		return nil
 	}
-	if o.beside && (o.core.ListSize() == 0 || !o.watch.ListReceived()) && o.loop.Now() < o.begunAt+policy.StartupTimeout {
+	if o.siblingAlive && (o.core.ListSize() == 0 || !o.discovery.ListReceived()) && o.loop.Now() < o.startTime+policy.StartupTimeout {
 		return nil
 	}
 	return o.front.Open()
 }
 
-// poll looks at what other processes of this gateway say, again and again.
-func (o *operations) poll() {
-	o.look()
-	now, pause := o.loop.Now(), pollAlone
-	if o.beside {
-		pause = pollBeside
+// pollSibling checks the shared state, sends the replies that are due, and schedules itself again.
+func (o *operations) pollSibling() {
+	o.refreshShared()
+	now, interval := o.loop.Now(), pollIntervalAlone
+	if o.siblingAlive {
+		interval = pollIntervalWithSibling
 	}
-	o.loop.At(now+pause, o.poll)
-	if len(o.agreeing) > 0 && o.agreed() {
-		o.agree(now + agreeTime)
+	o.loop.At(now+interval, o.pollSibling)
+	if len(o.pendingReplies) > 0 && o.acknowledged() {
+		o.sendExpiredReplies(now + acknowledgeTimeout)
 	}
-	o.agree(now)
+	o.sendExpiredReplies(now)
 }
 
-// kept tells whether a successor would know all words that were given here.
-func (o *operations) kept() bool { return o.share == nil || o.share.Persisted() }
+// persisted reports whether a successor would find all overrides accepted here.
+func (o *operations) persisted() bool { return o.shared == nil || o.shared.Persisted() }
 
-// tell answers an operator. All answers to words go through it, so that a yes for one that is not kept shows.
-func (o *operations) tell(then func(kept bool), yes bool) {
-	o.guard.CheckOverrideKept(!yes || o.kept())
-	then(yes)
+// reply answers an operator. All replies to overrides go through it, so that the guard detects a success response for an
+// override that is not persisted.
+func (o *operations) reply(reply func(kept bool), success bool) {
+	o.guard.CheckOverrideKept(!success || o.persisted())
+	reply(success)
 }
 
-// agreed tells whether all words that were given here are kept, and have been acted on by the process beside this one.
-func (o *operations) agreed() bool {
-	return o.kept() && (!o.beside || o.share.Acknowledged())
+// acknowledged reports whether all overrides accepted here are persisted and applied by the sibling process.
+func (o *operations) acknowledged() bool {
+	return o.persisted() && (!o.siblingAlive || o.shared.Acknowledged())
 }
 
-// await calls then when all agree on the words given so far, or after agreeTime.
-func (o *operations) await(then func(kept bool)) {
-	if o.agreed() {
-		o.tell(then, true)
+// replyWhenAcknowledged calls reply when all overrides accepted so far are acknowledged, or after acknowledgeTimeout.
+func (o *operations) replyWhenAcknowledged(reply func(kept bool)) {
+	if o.acknowledged() {
+		o.reply(reply, true)
 		return
 	}
-	o.agreeing = append(o.agreeing, agreement{until: o.loop.Now() + agreeTime, then: then})
+	o.pendingReplies = append(o.pendingReplies, pendingReply{deadline: o.loop.Now() + acknowledgeTimeout, reply: reply})
 }
 
-// look does so once. Whoever depends on whether another process lives looks first: it may have begun
-// since the last poll.
-func (o *operations) look() {
-	if o.share == nil {
+// refreshShared checks the shared state once. Code that depends on whether a sibling is alive calls it first, because
+// one may have started since the last poll.
+func (o *operations) refreshShared() {
+	if o.shared == nil {
 		return
 	}
-	if o.held && o.share.Loaded() {
-		o.held = false
+	if o.overridesPending && o.shared.Loaded() {
+		o.overridesPending = false
 		o.core.FleetEvent(policy.OverridesPending{Active: false})
 	}
-	if beside := o.share.Poll(o.adopt); beside != o.beside {
-		o.beside = beside
-		o.divide()
+	if alive := o.shared.Poll(o.applyShared); alive != o.siblingAlive {
+		o.siblingAlive = alive
+		o.splitLimits()
 	}
-	if o.leaving && !o.beside && !o.closed {
-		o.comeBack()
+	if o.handingOver && !o.siblingAlive && !o.frontClosed {
+		o.resumeAccepting()
 	}
 }
 
-// comeBack accepts clients again until the end: the successor has ended before this process has, and nobody else does.
-func (o *operations) comeBack() {
+// resumeAccepting accepts clients again until this process exits: the successor ended first, so no other process does.
+func (o *operations) resumeAccepting() {
 	if err := o.front.ResumeAccepting(); err != nil {
-		log.Printf("event=not_open err=%q", err) // tried again by the next poll
+		log.Printf("event=not_open err=%q", err) // the next poll retries
 		return
 	}
 	log.Printf("event=successor_lost owed=%d clients=%d", o.core.Unanswered(), o.front.Clients())
-	o.leaving = false
+	o.handingOver = false
 }
 
-// divide has this process keep to its half while another lives.
-func (o *operations) divide() {
-	part := 1
-	if o.beside {
-		part = 2
+// splitLimits limits this process to half of the resources while a sibling is alive.
+func (o *operations) splitLimits() {
+	parts := 1
+	if o.siblingAlive {
+		parts = 2
 	}
-	log.Printf("event=processes beside=%t", o.beside)
-	o.loop.SetDescriptorLimit(o.sockets / part)
-	o.loop.SetBufferLimit(o.memory / 4 / part)
-	o.front.SetMaxClients(o.sockets / 2 / part)
-	limitHeap(o.memory / part)
+	log.Printf("event=processes beside=%t", o.siblingAlive)
+	o.loop.SetDescriptorLimit(o.descriptorLimit / parts)
+	o.loop.SetBufferLimit(o.memoryBytes / 4 / parts)
+	o.front.SetMaxClients(o.descriptorLimit / 2 / parts)
+	setHeapLimit(o.memoryBytes / parts)
 	if o.links != nil {
-		o.links.SetSibling(o.beside)
+		o.links.SetSibling(o.siblingAlive)
 	}
 }
 
-// adopt does what another process was told, or a predecessor.
-func (o *operations) adopt(s handover.State) {
-	for id, e := range s.Suspended {
-		o.core.SetSuspended(policy.HostID(id), o.side.SetLocalOverride(id, e.Active))
+// applyShared applies the overrides that a sibling or an earlier process accepted.
+func (o *operations) applyShared(shared handover.State) {
+	for id, override := range shared.Suspended {
+		o.core.SetSuspended(policy.HostID(id), o.side.SetLocalOverride(id, override.Active))
 	}
-	o.drainHere = s.Drained.Active
-	o.drain()
+	o.drainedLocally = shared.Drained.Active
+	o.applyDrain()
 }
 
-// agree gives the answers that have waited long enough.
-func (o *operations) agree(now time.Duration) {
-	for len(o.agreeing) > 0 && o.agreeing[0].until <= now {
-		o.tell(o.agreeing[0].then, o.kept())
-		o.agreeing = o.agreeing[1:]
+// sendExpiredReplies sends the replies whose deadline is not after now.
+func (o *operations) sendExpiredReplies(now time.Duration) {
+	for len(o.pendingReplies) > 0 && o.pendingReplies[0].deadline <= now {
+		o.reply(o.pendingReplies[0].reply, o.persisted())
+		o.pendingReplies = o.pendingReplies[1:]
 	}
 }
 
-// Ready tells whether requests are served, or else why not.
-func (o *operations) Ready() (why string, ok bool) {
+// Ready reports whether requests are served, and if not, why.
+func (o *operations) Ready() (reason string, ok bool) {
 	switch {
-	case o.ending:
+	case o.shuttingDown:
 		return "ending", false
-	case o.drained && o.drainFleet:
+	case o.drained && o.drainedByFleet:
 		return "drained by a word to the fleet", false
 	case o.drained:
 		return "drained", false
@@ -227,9 +230,9 @@
 		return "no databases are known", false
 	case !o.front.Accepting():
 		return "starting", false
-	case o.comparing():
+	case o.awaitingAgentList():
 		return "waiting for what its agent has", false
-	case o.waitsForWords():
+	case o.awaitingOverrides():
 		return "waiting for what operators told the process before", false
 	case o.links != nil && !o.links.Synced():
 		return "catching up with the fleet", false
@@ -239,14 +242,14 @@
 	return "", true
 }
 
-// Metrics adds the figures.
+// Metrics appends all metrics to b.
 func (o *operations) Metrics(b []byte) []byte {
 	b = o.counts.Append(b, o.core.Gauges())
 	b = o.front.Metrics(b)
 	return o.side.Metrics(b)
 }
 
-// FleetMembers is what this gateway knows of the others; false: it is in no fleet.
+// FleetMembers returns what this gateway knows about the fleet's members; false: it is in no fleet.
 func (o *operations) FleetMembers() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
@@ -254,29 +257,30 @@
 	return o.links.Report(), true
 }
 
-// Suspend leaves a database out, or has it serve again, here and in a process beside this one.
-func (o *operations) Suspend(id string, out bool, then func(kept bool)) bool {
-	o.look()
-	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, out), func() { o.await(then) })
+// Suspend sets the local override of a database, here and in a sibling process, and calls reply when it is in effect, with
+// whether a successor will find it. It returns false if the database is unknown.
+func (o *operations) Suspend(id string, active bool, reply func(kept bool)) bool {
+	o.refreshShared()
+	known := o.core.Suspend(policy.HostID(id), o.side.SetLocalOverride(id, active), func() { o.replyWhenAcknowledged(reply) })
 	if known {
-		log.Printf("event=suspended host=%q out=%t", id, out)
-		if o.share != nil {
-			o.share.Suspend(id, out, o.loop.Now())
+		log.Printf("event=suspended host=%q out=%t", id, active)
+		if o.shared != nil {
+			o.shared.Suspend(id, active, o.loop.Now())
 		}
 	}
 	return known
 }
 
-// drainedByFleet does what the fleet's word on this gateway comes to.
-func (o *operations) drainedByFleet(on bool) {
-	if on != o.drainFleet {
-		o.drainFleet = on
-		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
-		o.drain()
+// setFleetDrain applies the fleet's override for this gateway.
+func (o *operations) setFleetDrain(active bool) {
+	if active != o.drainedByFleet {
+		o.drainedByFleet = active
+		log.Printf("event=drain on=%t fleet=true clients=%d owed=%d", active, o.front.Clients(), o.core.Unanswered())
+		o.applyDrain()
 	}
 }
 
-// FleetState is what operators told the fleet; false: this gateway is in none.
+// FleetState returns the fleet's operator overrides; false: this gateway is in no fleet.
 func (o *operations) FleetState() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
@@ -284,7 +288,7 @@
 	return o.links.State(), true
 }
 
-// FleetVersions tells who acts on which versions; false: this gateway is in no fleet.
+// FleetVersions returns the list versions that the gateways act on; false: this gateway is in no fleet.
 func (o *operations) FleetVersions() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
@@ -292,10 +296,10 @@
 	return o.links.Versions(), true
 }
 
-// Fence takes an operator's word to shut this gateway out, or to go on with what it has; false: it has no fence.
-func (o *operations) Fence(out bool) bool { return o.links != nil && o.links.SetFence(out) }
+// Fence applies an operator override that fences this gateway or lifts its fence; false: it has no fence.
+func (o *operations) Fence(active bool) bool { return o.links != nil && o.links.SetFence(active) }
 
-// FleetAudit tells what this gateway did, by what it acted on; false: it is in no fleet.
+// FleetAudit returns this gateway's audit records; false: it is in no fleet.
 func (o *operations) FleetAudit() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
@@ -303,125 +307,129 @@
 	return o.links.Audit()
 }
 
-// FleetSuspend has the whole fleet leave a database out, or use it again.
-func (o *operations) FleetSuspend(id string, out bool, then func(said string)) bool {
+// FleetSuspend sets the fleet's override for a database. Once it is in effect here, it calls reply with how many other
+// gateways hold it. It returns false if the database is unknown or the fleet accepts no more overrides.
+func (o *operations) FleetSuspend(id string, active bool, reply func(result string)) bool {
 	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.OverrideActive(id) {
 		return false
 	}
 	if _, ok := state.ParseGatewayKey(id); ok {
 		return false
 	}
-	waits, said := 2, ""
+	waiting, result := 2, ""
 	done := func() {
-		if waits--; waits == 0 {
-			then(said)
+		if waiting--; waiting == 0 {
+			reply(result)
 		}
 	}
-	if !o.links.SetOverride(id, out, func(text string) { said = text; done() }) {
+	if !o.links.SetOverride(id, active, func(text string) { result = text; done() }) {
 		return false
 	}
-	if !o.core.Suspend(policy.HostID(id), out || o.side.LocalOverrideActive(id), done) {
-		done() // not listed any more: nothing is sent there anyway
+	if !o.core.Suspend(policy.HostID(id), active || o.side.LocalOverrideActive(id), done) {
+		done() // no longer listed: it gets no requests anyway
 	}
 	return true
 }
 
-// FleetDrain takes a word that drains a gateway of the fleet, or has it work again. Its owner carries it out, whenever it
-// hears of it: it holds for one that is cut off, or not started.
-func (o *operations) FleetDrain(name string, on bool, then func(said string)) bool {
-	return o.links != nil && (o.links.Knows(name) || o.links.OverrideActive(state.GatewayKey(name))) && o.links.SetOverride(state.GatewayKey(name), on, then)
+// FleetDrain sets the fleet's override that drains or activates a gateway. That gateway applies it when it receives it, so
+// it can be set for a gateway that is unreachable or not running.
+func (o *operations) FleetDrain(name string, active bool, reply func(result string)) bool {
+	return o.links != nil && (o.links.Knows(name) || o.links.OverrideActive(state.GatewayKey(name))) && o.links.SetOverride(state.GatewayKey(name), active, reply)
 }
 
-// Drain empties the gateway, or has it work again, as far as the fleet's word lets it.
-func (o *operations) Drain(on bool, then func(kept bool)) {
-	log.Printf("event=drain on=%t clients=%d owed=%d", on, o.front.Clients(), o.core.Unanswered())
-	o.drainHere = on
-	o.drain()
-	if o.share != nil {
-		o.share.Drain(on, o.loop.Now())
+// Drain sets the local override that drains or activates this gateway. It stays drained while a fleet override says so.
+func (o *operations) Drain(active bool, reply func(kept bool)) {
+	log.Printf("event=drain on=%t clients=%d owed=%d", active, o.front.Clients(), o.core.Unanswered())
+	o.drainedLocally = active
+	o.applyDrain()
+	if o.shared != nil {
+		o.shared.Drain(active, o.loop.Now())
 	}
-	if o.kept() { // the process beside this one is not waited for: it lets clients go as soon as it knows
-		o.tell(then, true)
+	if o.persisted() { // no need to wait for the sibling: it closes clients as soon as it has read the override
+		o.reply(reply, true)
 		return
 	}
-	o.await(then)
+	o.replyWhenAcknowledged(reply)
 }
 
-func (o *operations) drain() {
-	on := o.drainHere || o.drainFleet
+// applyDrain drains or activates the front if the overrides together changed, and leaves or joins the fleet.
+func (o *operations) applyDrain() {
+	drained := o.drainedLocally || o.drainedByFleet
 	switch {
-	case on == o.drained:
-	case on:
-		o.front.Drain(o.loop.Now() + drainTime)
+	case drained == o.drained:
+	case drained:
+		o.front.Drain(o.loop.Now() + drainDuration)
 		if o.links != nil {
 			o.links.Leave()
 		}
 	default:
 		o.front.Activate()
-		if o.links != nil && !o.ending {
+		if o.links != nil && !o.shuttingDown {
 			o.links.Join()
 		}
 	}
-	o.drained = on
+	o.drained = drained
 }
 
-// end is what SIGTERM leads to. A successor has the clients' queue: it is left at once. Without one
-// nothing changes for a while, as clients still come.
-func (o *operations) end() {
-	if o.ending {
+// beginShutdown handles SIGTERM. If a successor accepts from the clients' socket, this process stops accepting at once.
+// Otherwise it goes on for acceptTimeAfterTerm, because clients still connect.
+func (o *operations) beginShutdown() {
+	if o.shuttingDown {
 		return
 	}
-	o.look()
-	o.ending, o.leaving = true, o.beside && o.front.Accepting()
-	log.Printf("event=ending owed=%d clients=%d successor=%t", o.core.Unanswered(), o.front.Clients(), o.leaving)
+	o.refreshShared()
+	o.shuttingDown, o.handingOver = true, o.siblingAlive && o.front.Accepting()
+	log.Printf("event=ending owed=%d clients=%d successor=%t", o.core.Unanswered(), o.front.Clients(), o.handingOver)
 	if o.links != nil {
 		o.links.Leave()
 	}
-	now, last := o.loop.Now(), acceptOn
-	o.killAt = now + max(o.longest, killLeast) + acceptOn
-	if o.leaving {
-		o.front.HandOver(now + leaveTime)
-		last = leaveMost
+	now, acceptTime := o.loop.Now(), acceptTimeAfterTerm
+	o.killAt = now + max(o.maxDeadline, minKillDelay) + acceptTimeAfterTerm
+	if o.handingOver {
+		o.front.HandOver(now + handoverIdleTimeout)
+		acceptTime = handoverMaxDuration
 	}
-	o.loop.At(now+last, o.closeFront)
+	o.loop.At(now+acceptTime, o.closeFront)
 }
 
+// closeFront shuts down the front: it accepts no more clients and closes each after its answers.
 func (o *operations) closeFront() {
-	if !o.closed {
-		o.closed = true
-		o.front.Shutdown(o.killAt - lastAnswer)
+	if !o.frontClosed {
+		o.frontClosed = true
+		o.front.Shutdown(o.killAt - lastAnswerMargin)
 	}
 }
 
-// comparing tells that the list of the start has not been compared with what an agent has: it may be too old to serve by.
-func (o *operations) comparing() bool {
-	return o.list == policy.ListFromAgent && !o.watch.ListReceived() && o.loop.Now() < o.begunAt+policy.StartupTimeout
+// awaitingAgentList reports whether the initial list has not been compared with the agent's yet: it may be too old to use.
+func (o *operations) awaitingAgentList() bool {
+	return o.listSource == policy.ListFromAgent && !o.discovery.ListReceived() && o.loop.Now() < o.startTime+policy.StartupTimeout
 }
 
-// waitsForWords tells that what operators told the processes before this one cannot be read yet.
-func (o *operations) waitsForWords() bool {
-	return o.held && o.loop.Now() < o.begunAt+policy.StartupTimeout
+// awaitingOverrides reports whether the overrides of earlier processes have not been read yet.
+func (o *operations) awaitingOverrides() bool {
+	return o.overridesPending && o.loop.Now() < o.startTime+policy.StartupTimeout
 }
 
-// servable tells whether requests can be served: the list is known and compared, and so is what operators told.
+// servable reports whether requests can be served: the list is confirmed and the overrides are known.
 func (o *operations) servable() bool {
-	return !o.comparing() && !o.waitsForWords() && (o.links == nil || o.links.Synced())
+	return !o.awaitingAgentList() && !o.awaitingOverrides() && (o.links == nil || o.links.Synced())
 }
 
-// check is called behind each round: it begins to serve, and exits once nothing is owed.
-func (o *operations) check() {
-	if !o.ending {
+// afterRound runs after each round of the loop: it starts to serve when possible and, during shutdown, stops the loop
+// once no answer is pending.
+func (o *operations) afterRound() {
+	if !o.shuttingDown {
 		o.front.SetStarting(!o.servable() || o.links != nil && o.links.Fenced())
-		if err := o.open(); err != nil {
+		if err := o.openFront(); err != nil {
 			log.Printf("event=not_open err=%q", err)
 			o.loop.Stop()
 		}
 		return
 	}
-	if o.leaving && o.front.Clients() == 0 {
+	if o.handingOver && o.front.Clients() == 0 {
 		o.closeFront()
 	}
-	if !o.closed || o.core.Unanswered() > 0 || !o.front.ShutdownComplete() {
+	if !o.frontClosed || o.core.Unanswered() > 0 || !o.front.ShutdownComplete() {
 		return
 	}
 	o.pool.CloseAllIdle()
@@ -431,9 +439,9 @@
 	}
 }
 
-// leave takes this process out of the directory.
-func (o *operations) leave() {
-	if o.share != nil {
-		o.share.Close()
+// leaveShared removes this process from the shared directory.
+func (o *operations) leaveShared() {
+	if o.shared != nil {
+		o.shared.Close()
 	}
 }
--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -27,7 +27,7 @@
 	"lilaccove/internal/standin"
 )
 
-// The tests start the program as its users do: this binary runs main when told so.
+// TestMain runs the program itself if the environment says so: tests start this binary as a gateway process.
 func TestMain(m *testing.M) {
 	if os.Getenv("LILACCOVE_RUN") == "1" {
 		main()
@@ -40,25 +40,25 @@
 		}
 		return
 	}
-	keepOwnDescriptors()
+	setCloseOnExec()
 	os.Exit(m.Run())
 }
 
-// keepOwnDescriptors has gateways inherit none of the descriptors that the shell left open here: each counts against
-// the limit that a test gives, and how many there are differs from shell to shell.
-func keepOwnDescriptors() {
-	list, err := os.ReadDir("/proc/self/fd")
+// setCloseOnExec prevents gateways from inheriting descriptors that the shell left open: each would count against
+// the limit that a test sets, and their number differs between shells.
+func setCloseOnExec() {
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return
 	}
-	for _, entry := range list {
+	for _, entry := range entries {
 		if fd, err := strconv.Atoi(entry.Name()); err == nil && fd > 2 {
 			syscall.CloseOnExec(fd)
 		}
 	}
 }
 
-const patience = 10 * time.Second // for what must happen; never a pause
+const waitTimeout = 10 * time.Second // upper bound for an expected event, never a sleep
 
 const testSettings = `{"Allowed":{"Cancel":true,"ConnIdleUs":15000000,"DialTimeoutUs":250000,"MaxRetryAfterUs":1000000,
 "Probes":true,"RetryAfter":true,"TryLimit":6},"Discovery":"ask","Domain":{"Behind":"none","ClassBoundUs":[3000000,0,0],
@@ -69,200 +69,204 @@
 "Localities":["a","b"],"ResolutionUs":5000,"Rules":{"AnswerSlackUs":20000,"ColdUs":18000000,"DrainGraceUs":2000000,
 "FallMultiple":2,"FallUs":1000000,"MustAskInUs":10000000,"StartCapacity":0.27},"Zone":0}`
 
-// database is one of the world's that answers as its handler says and remembers what it was sent.
+// database is a stand-in host that answers through a handler and records the statements it receives.
 type database struct{ *standin.Host }
 
-// will has it answer so; nil: with its name.
-func (d *database) will(handle func(d *database, c net.Conn, text string)) {
-	if handle == nil {
-		handle = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
+// setHandler sets how statements are answered; nil answers with the database's ID.
+func (d *database) setHandler(handler func(d *database, c net.Conn, text string)) {
+	if handler == nil {
+		handler = func(d *database, c net.Conn, _ string) { d.Answer(c, d.ID) }
 	}
-	d.SetScript(func(c net.Conn, text string) { handle(d, c, text) })
+	d.SetScript(func(c net.Conn, text string) { handler(d, c, text) })
 }
 
-// waits has it answer "late" to all that has come and comes, once the channel is closed.
-func (d *database) waits() (release chan struct{}) {
+// blockAnswers holds back all answers until the channel is closed; then each is "late".
+func (d *database) blockAnswers() (release chan struct{}) {
 	release = make(chan struct{})
-	d.will(func(d *database, c net.Conn, _ string) {
+	d.setHandler(func(d *database, c net.Conn, _ string) {
 		<-release
 		d.Answer(c, "late")
 	})
 	return release
 }
 
-func readMessage(in *bufio.Reader) (kind byte, body []byte, err error) {
-	var h [5]byte
-	if _, err = io.ReadFull(in, h[:]); err != nil {
+func readMessage(r *bufio.Reader) (kind byte, body []byte, err error) {
+	var header [5]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	body = make([]byte, binary.BigEndian.Uint32(h[1:])-4)
-	_, err = io.ReadFull(in, body)
-	return h[0], body, err
+	body = make([]byte, binary.BigEndian.Uint32(header[1:])-4)
+	_, err = io.ReadFull(r, body)
+	return header[0], body, err
 }
 
-// site is one gateway with a primary and two replicas.
-type site struct {
+// testGateway is a gateway process with one primary and two replicas.
+type testGateway struct {
 	*lab.Process
-	t        *testing.T
-	world    *standin.World
-	disc     *standin.Discovery // the one that it is to ask at
-	p, a, b  *database
-	addr     string
-	log      *bytes.Buffer
-	logMu    sync.Mutex
-	settings string
-	sockets  int
-	memory   int    // MB
-	config   string // the path of its file
-
-	listen    string   // in its file
-	tmp       string   // its $TMPDIR
-	managed   bool     // it has an operators' address
-	manage    string   // which
-	inherited *os.File // the clients' socket, held open by the test
-	fleet     string   // the path of its fleet file; empty: none
-	faults    string   // the path of the plan by which its system calls fail; empty: they do not
+	t                           *testing.T
+	world                       *standin.World
+	discovery                   *standin.Discovery // the one in its environment
+	primary, replicaA, replicaB *database
+	clientAddr                  string
+	log                         *bytes.Buffer
+	logMu                       sync.Mutex
+	settings                    string
+	sockets                     int
+	memory                      int // MB
+	configPath                  string
+
+	listen          string   // the clients' address in its configuration
+	tmpDir          string   // its $TMPDIR
+	hasManagement   bool     // whether it has an operators' address
+	managementAddr  string   // the operators' address
+	inheritedSocket *os.File // the clients' socket, kept open by the test; nil: it opens its own
+	fleetFile       string   // path of its fleet file; empty: none
+	faultPlan       string   // path of the fault plan for its system calls; empty: none
 }
 
-// newSite starts the program; change may alter what it is told before.
-func newSite(t *testing.T, change func(*site)) *site {
-	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
+// startGateway starts the program; change, if not nil, may change the gateway's fields before.
+func startGateway(t *testing.T, change func(*testGateway)) *testGateway {
+	standins, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Names: []string{"p", "a", "b"}, Cores: 1, Seed: 1})
 	require.NoError(t, err)
-	t.Cleanup(w.Close)
-	s := &site{
-		t: t, world: w, disc: w.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
-		listen: "127.0.0.1:0", tmp: t.TempDir(),
+	t.Cleanup(standins.Close)
+	gw := &testGateway{
+		t: t, world: standins, discovery: standins.Discovery(), log: &bytes.Buffer{}, settings: testSettings, sockets: 256, memory: 192,
+		listen: "127.0.0.1:0", tmpDir: t.TempDir(),
 	}
-	for i, d := range []**database{&s.p, &s.a, &s.b} {
-		*d = &database{w.Members()[i]}
-		(*d).will(nil)
+	for i, d := range []**database{&gw.primary, &gw.replicaA, &gw.replicaB} {
+		*d = &database{standins.Members()[i]}
+		(*d).setHandler(nil)
 	}
-	known := w.List()
+	initialList := standins.List()
 	if change != nil {
-		change(s)
+		change(gw)
 	}
-	s.config = filepath.Join(t.TempDir(), "config.json")
-	s.configure(s.disc.Addr, known)
-	s.start()
-	return s
+	gw.configPath = filepath.Join(t.TempDir(), "config.json")
+	gw.configure(gw.discovery.Addr, initialList)
+	gw.start()
+	return gw
 }
 
-// start runs the program and waits until it says that it has started.
-func (s *site) start() {
-	t := s.t
+// start runs the program and waits until it logs that it has started.
+func (gw *testGateway) start() {
+	t := gw.t
 	cmd := exec.Command(os.Args[0])
-	if s.faults != "" {
-		cmd = exec.Command(faultyProgram(t))
+	if gw.faultPlan != "" {
+		cmd = exec.Command(buildFaultyGateway(t))
 	}
-	cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+s.config, "GW_DISCOVERY="+s.disc.Addr, "TMPDIR="+s.tmp,
-		"LILACCOVE_FAULTS="+s.faults)
-	if s.managed {
+	cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+gw.configPath, "GW_DISCOVERY="+gw.discovery.Addr, "TMPDIR="+gw.tmpDir,
+		"LILACCOVE_FAULTS="+gw.faultPlan)
+	if gw.hasManagement {
 		cmd.Env = append(cmd.Env, "GW_MANAGEMENT=127.0.0.1:0")
 	}
-	if s.fleet != "" {
-		cmd.Env = append(cmd.Env, "GW_FLEET="+s.fleet)
+	if gw.fleetFile != "" {
+		cmd.Env = append(cmd.Env, "GW_FLEET="+gw.fleetFile)
 	}
-	if s.inherited != nil {
-		cmd.ExtraFiles = []*os.File{nil, s.inherited} // descriptor 4
+	if gw.inheritedSocket != nil {
+		cmd.ExtraFiles = []*os.File{nil, gw.inheritedSocket} // descriptor 4
 		cmd.Env = append(cmd.Env, "GW_INHERITED_FD=4")
 	}
-	s.Process = lab.NewProcess(cmd)
-	require.NoError(t, s.Launch(func(line string) {
-		s.logMu.Lock()
-		defer s.logMu.Unlock()
-		fmt.Fprintln(s.log, line)
+	gw.Process = lab.NewProcess(cmd)
+	require.NoError(t, gw.Launch(func(line string) {
+		gw.logMu.Lock()
+		defer gw.logMu.Unlock()
+		fmt.Fprintln(gw.log, line)
 	}, func() {}))
 	t.Cleanup(func() {
-		s.Kill()
-		assert.NotContains(t, s.logged(), "event=violation", "an invariant was violated")
+		gw.Kill()
+		assert.NotContains(t, gw.logText(), "event=violation", "an invariant was violated")
 		if t.Failed() {
-			t.Log(s.logged())
+			t.Log(gw.logText())
 		}
 	})
-	said, err := s.WaitStarted(patience)
-	require.NoError(t, err, s.logged())
-	s.addr, s.manage = lab.LogField(said, "listen"), lab.LogField(said, "management")
+	startLine, err := gw.WaitStarted(waitTimeout)
+	require.NoError(t, err, gw.logText())
+	gw.clientAddr, gw.managementAddr = lab.LogField(startLine, "listen"), lab.LogField(startLine, "management")
 }
 
-// configure writes the file at GW_CONFIG.
-func (s *site) configure(discovery string, known []byte) {
+// configure writes the configuration file.
+func (gw *testGateway) configure(discovery string, initialList []byte) {
 	text, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": s.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1, "memory_mb": s.memory, "sockets": s.sockets},
-		"known":  json.RawMessage(known), "settings": json.RawMessage(s.settings),
+		"name": "n1", "listen": gw.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1, "memory_mb": gw.memory, "sockets": gw.sockets},
+		"known":  json.RawMessage(initialList), "settings": json.RawMessage(gw.settings),
 	})
-	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.config, text, 0o600))
+	require.NoError(gw.t, err)
+	require.NoError(gw.t, os.WriteFile(gw.configPath, text, 0o600))
 }
 
-func (s *site) logged() string {
-	s.logMu.Lock()
-	defer s.logMu.Unlock()
-	return s.log.String()
+// logText returns what the process has logged so far.
+func (gw *testGateway) logText() string {
+	gw.logMu.Lock()
+	defer gw.logMu.Unlock()
+	return gw.log.String()
 }
 
-func (s *site) hup() { require.NoError(s.t, s.Signal(syscall.SIGHUP)) }
+func (gw *testGateway) sendSIGHUP() { require.NoError(gw.t, gw.Signal(syscall.SIGHUP)) }
 
-func (s *site) term() { require.NoError(s.t, s.Signal(syscall.SIGTERM)) }
+func (gw *testGateway) sendSIGTERM() { require.NoError(gw.t, gw.Signal(syscall.SIGTERM)) }
 
-func (s *site) exits() {
-	s.t.Helper()
-	assert.NoError(s.t, s.Wait(patience))
+// waitExit checks that the process exits without an error.
+func (gw *testGateway) waitExit() {
+	gw.t.Helper()
+	assert.NoError(gw.t, gw.Wait(waitTimeout))
 }
 
-// eventually waits for a condition, which the test must not outlive.
-func (s *site) eventually(what string, ok func() bool) {
-	s.t.Helper()
-	require.Eventually(s.t, ok, patience, 2*time.Millisecond, what)
+// eventually waits until a condition holds and fails the test after waitTimeout.
+func (gw *testGateway) eventually(what string, ok func() bool) {
+	gw.t.Helper()
+	require.Eventually(gw.t, ok, waitTimeout, 2*time.Millisecond, what)
 }
 
-// watches waits until a discovery has so many watches on.
-func (s *site) watches(d *standin.Discovery, n int) {
-	s.t.Helper()
-	s.eventually("the watches", func() bool { return d.Calls().Watches == n })
+// waitWatches waits until n watches are open at a discovery server.
+func (gw *testGateway) waitWatches(server *standin.Discovery, n int) {
+	gw.t.Helper()
+	gw.eventually("the watches are open", func() bool { return server.Calls().Watches == n })
 }
 
-// client is one connection of a client.
+// client is a client's connection.
 type client struct {
-	t  *testing.T
-	c  net.Conn
-	in *bufio.Reader
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-// answer is what came before ReadyForQuery, or before the end.
+// answer is what a client received up to ReadyForQuery or the end of the connection.
 type answer struct {
 	value, code, detail string
-	rows, errs          int
+	rows, errors        int
 	empty               bool
 	ended               bool
 }
 
-func (s *site) raw() *client {
-	c, err := net.Dial("tcp", s.addr)
-	require.NoError(s.t, err)
-	s.t.Cleanup(func() { c.Close() })
-	require.NoError(s.t, c.SetDeadline(time.Now().Add(patience)))
-	return &client{t: s.t, c: c, in: bufio.NewReader(c)}
+// dial opens a connection without sending anything.
+func (gw *testGateway) dial() *client {
+	conn, err := net.Dial("tcp", gw.clientAddr)
+	require.NoError(gw.t, err)
+	gw.t.Cleanup(func() { conn.Close() })
+	require.NoError(gw.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
+	return &client{t: gw.t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (s *site) client() *client {
-	c := s.raw()
+// connect opens a connection and completes the startup.
+func (gw *testGateway) connect() *client {
+	c := gw.dial()
 	c.write(string(pgwire.Startup("api", "ledger")))
-	c.read()
+	c.readAnswer()
 	return c
 }
 
 func (c *client) write(b string) {
-	_, err := c.c.Write([]byte(b))
+	_, err := c.conn.Write([]byte(b))
 	require.NoError(c.t, err)
 }
 
-func query(text string) string { return string(pgwire.AppendQuery(nil, text)) }
+func queryMessage(text string) string { return string(pgwire.AppendQuery(nil, text)) }
 
-// read takes in one answer.
-func (c *client) read() (a answer) {
+// readAnswer reads one answer.
+func (c *client) readAnswer() (a answer) {
 	for {
-		kind, body, err := readMessage(c.in)
+		kind, body, err := readMessage(c.reader)
 		if err != nil {
 			a.ended = true
 			return a
@@ -280,7 +284,7 @@
 					a.detail = string(f[1:])
 				}
 			}
-			a.errs++
+			a.errors++
 		case pgwire.EmptyQuery:
 			a.empty = true
 		case pgwire.Ready:
@@ -289,26 +293,27 @@
 	}
 }
 
-func (c *client) ask(text string) answer {
-	_, _ = c.c.Write([]byte(query(text))) // a connection that was ended shows in the answer
-	return c.read()
+// query sends a statement and returns the answer.
+func (c *client) query(text string) answer {
+	_, _ = c.conn.Write([]byte(queryMessage(text))) // readAnswer reports a closed connection
+	return c.readAnswer()
 }
 
-var ids atomic.Int64
+var lastRequestID atomic.Int64
 
-// stmt is a statement as clients write it.
-func stmt(class string, d int, more string) string {
-	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", ids.Add(1), class, d, more)
+// statement returns a statement with its head comment, as clients send it; options is appended to the comment.
+func statement(class string, deadlineMillis int, options string) string {
+	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=2%s */ ", lastRequestID.Add(1), class, deadlineMillis, options)
 	if class == "write" {
 		return head + `INSERT INTO rows (handle, blob) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING blob`
 	}
 	return head + "SELECT blob FROM rows WHERE handle = '7f3a9c21e0b4d655'"
 }
 
-// meet has the gateway hear of both replicas' positions.
-func (s *site) meet(c *client) {
-	s.eventually("both replicas are heard of", func() bool {
-		c.ask(stmt("own", 1000, ""))
-		return len(s.a.Statements()) > 0 && len(s.b.Statements()) > 0
+// learnPositions sends reads until both replicas have answered, so that the gateway knows their replication positions.
+func (gw *testGateway) learnPositions(c *client) {
+	gw.eventually("both replicas have answered", func() bool {
+		c.query(statement("own", 1000, ""))
+		return len(gw.replicaA.Statements()) > 0 && len(gw.replicaB.Statements()) > 0
 	})
 }
--- a/cmd/lilaccove/shutdown_test.go
+++ b/cmd/lilaccove/shutdown_test.go
@@ -15,196 +15,198 @@
 )
 
 const (
-	accepts = 700 * time.Millisecond // after SIGTERM clients come and ask as before
-	killed  = 3 * time.Second        // the longest deadline: SIGKILL comes so long after that
+	acceptTime = 700 * time.Millisecond // after SIGTERM clients connect and send requests as before
+	killDelay  = 3 * time.Second        // the longest deadline: SIGKILL follows this long after acceptTime
 )
 
-// ending sends SIGTERM and tells when.
-func (s *site) ending() time.Time {
-	s.t.Helper()
-	at := time.Now()
-	s.term()
-	s.eventually("it has heard", func() bool { return strings.Contains(s.logged(), "event=ending") })
-	return at
+// terminate sends SIGTERM, waits until the process shuts down, and returns when it was sent.
+func (gw *testGateway) terminate() time.Time {
+	gw.t.Helper()
+	termTime := time.Now()
+	gw.sendSIGTERM()
+	gw.eventually("it shuts down", func() bool { return strings.Contains(gw.logText(), "event=ending") })
+	return termTime
 }
 
-// exitsInTime waits for the end, which has to come before the process would be killed.
-func (s *site) exitsInTime(term time.Time) {
-	s.t.Helper()
-	s.exits()
-	assert.Less(s.t, time.Since(term), accepts+killed+raceExit)
+// waitExitInTime checks that the process exits before it would be killed.
+func (gw *testGateway) waitExitInTime(termTime time.Time) {
+	gw.t.Helper()
+	gw.waitExit()
+	assert.Less(gw.t, time.Since(termTime), acceptTime+killDelay+raceExitDelay)
 }
 
-// Requests reach resting connections and the listener's queue in the very moment in which a gateway that ends goes
-// through its connections. It has read them, so they are answered, however many there are.
-func TestTermMeetsRequests(t *testing.T) {
+// Requests arrive on idle connections and in the listen queue just when a gateway that shuts down closes its connections. It
+// reads them, so all of them are answered, however many there are.
+func TestTermDuringIncomingRequests(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) { s.sockets = 1024 })
-	var resting, queued []*client
+	gw := startGateway(t, func(gw *testGateway) { gw.sockets = 1024 })
+	var idle, queued []*client
 	for range 20 {
-		resting = append(resting, s.client())
+		idle = append(idle, gw.connect())
 	}
-	term := s.ending()
-	s.stops(func() {
-		time.Sleep(time.Until(term.Add(accepts))) // its moment comes while it stands still
-		for _, c := range resting {
-			c.write(query(stmt("own", 3000, "")))
+	termTime := gw.terminate()
+	gw.whilePaused(func() {
+		time.Sleep(time.Until(termTime.Add(acceptTime))) // the accept time ends during the pause
+		for _, c := range idle {
+			c.write(queryMessage(statement("own", 3000, "")))
 		}
-		for range 300 { // more than are taken from the queue at once
-			c := s.raw()
-			c.write(string(pgwire.Startup("api", "ledger")) + query(stmt("own", 3000, "")))
+		for range 300 { // more than are accepted in one round
+			c := gw.dial()
+			c.write(string(pgwire.Startup("api", "ledger")) + queryMessage(statement("own", 3000, "")))
 			queued = append(queued, c)
 		}
 	})
 	for _, c := range queued {
-		c.read() // the greeting
+		c.readAnswer() // the greeting
 	}
-	for i, c := range append(resting, queued...) {
-		got := c.read()
-		assert.Equal(t, 1, got.rows+got.errs, "%d %+v", i, got)
+	for i, c := range append(idle, queued...) {
+		got := c.readAnswer()
+		assert.Equal(t, 1, got.rows+got.errors, "%d %+v", i, got)
 	}
-	s.exitsInTime(term)
+	gw.waitExitInTime(termTime)
 }
 
-// Half a query has come when the gateway lets its clients go. Its rest is awaited for a moment and answered, before the
-// process is killed even where its database hangs; without a rest the connection is closed.
-func TestTermMeetsHalfAQuery(t *testing.T) {
+// Part of a query has arrived when the gateway closes its clients. It waits a moment for the rest and answers the query,
+// before the process would be killed even if the database hangs. If no rest arrives, the connection is closed.
+func TestTermDuringPartialQuery(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, nil)
-	slow, never, hung := s.client(), s.client(), s.client()
-	text := query(stmt("write", 3000, ""))
-	term := s.ending()
+	gw := startGateway(t, nil)
+	slow, abandoned, hanging := gw.connect(), gw.connect(), gw.connect()
+	text := queryMessage(statement("write", 3000, ""))
+	termTime := gw.terminate()
 	slow.write(text[:40])
-	never.write(text[:40])
-	late := query(stmt("write", 3000, ""))
-	hung.write(late[:40])
-	rest := s.client()
-	assert.True(t, rest.read().ended)
+	abandoned.write(text[:40])
+	hangingText := queryMessage(statement("write", 3000, ""))
+	hanging.write(hangingText[:40])
+	idle := gw.connect()
+	assert.True(t, idle.readAnswer().ended)
 	slow.write(text[40:])
-	assert.Equal(t, "p", slow.read().value)
-	assert.True(t, slow.read().ended)
-	s.p.will(silent)
-	hung.write(late[40:])
-	assert.Equal(t, pgwire.CodeUnknownOutcome, hung.read().code)
-	assert.Less(t, time.Since(term), accepts+killed)
-	assert.True(t, never.read().ended)
-	s.exitsInTime(term)
+	assert.Equal(t, "p", slow.readAnswer().value)
+	assert.True(t, slow.readAnswer().ended)
+	gw.primary.setHandler(neverAnswer)
+	hanging.write(hangingText[40:])
+	assert.Equal(t, pgwire.CodeUnknownOutcome, hanging.readAnswer().code)
+	assert.Less(t, time.Since(termTime), acceptTime+killDelay)
+	assert.True(t, abandoned.readAnswer().ended)
+	gw.waitExitInTime(termTime)
 }
 
-// Clients go on sending on connections that stay open, ahead of the answers. A gateway that ended such a connection only
-// where nothing was left to answer would never end.
-func TestTermAndClientsThatGoOnSending(t *testing.T) {
+// Clients keep pipelining commands on connections that are still open. A gateway that closed such a connection only when it
+// had nothing left to answer would never exit.
+func TestTermWithClientsStillSending(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, nil)
-	release := s.p.waits()
-	c := s.client()
-	text := query(stmt("write", 3000, "")) + strings.Repeat(query(""), 50) // more than are taken at once
+	gw := startGateway(t, nil)
+	release := gw.primary.blockAnswers()
+	c := gw.connect()
+	text := queryMessage(statement("write", 3000, "")) + strings.Repeat(queryMessage(""), 50) // more than are accepted at once
 	c.write(text)
-	s.eventually("the write is out", func() bool { return len(s.p.Statements()) > 0 })
-	term := s.ending()
+	gw.eventually("the write arrives", func() bool { return len(gw.primary.Statements()) > 0 })
+	termTime := gw.terminate()
 	go func() {
 		for {
-			if _, err := c.c.Write([]byte(query(""))); err != nil {
+			if _, err := c.conn.Write([]byte(queryMessage(""))); err != nil {
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	time.Sleep(time.Until(term.Add(accepts + gone)))
+	time.Sleep(time.Until(termTime.Add(acceptTime + disconnectGrace)))
 	close(release)
-	assert.Equal(t, "late", c.read().value)
-	for got := c.read(); !got.ended; got = c.read() {
+	assert.Equal(t, "late", c.readAnswer().value)
+	for got := c.readAnswer(); !got.ended; got = c.readAnswer() {
 		assert.True(t, got.empty)
 	}
-	s.exitsInTime(term)
+	gw.waitExitInTime(termTime)
 }
 
-// A quarter of the databases hang, for good, when SIGTERM comes: twice, beside SIGHUP, and while operators drain the gateway.
-// Each request gets one answer, the write's in its own time, and the process ends before it would be killed.
+// The primary and a replica hang for good when SIGTERM arrives: alone, twice, together with SIGHUP, and while the gateway is
+// drained. Each request gets one answer, a write within its own deadline, and the process exits before it would be killed.
 func TestTermWhileDatabasesHang(t *testing.T) {
 	t.Parallel()
-	for name, also := range map[string]func(s *site){
-		"alone":  func(*site) {},
-		"twice":  func(s *site) { s.term() },
-		"reload": func(s *site) { s.hup() },
-		"drain":  func(s *site) { s.yes("PUT", "/v1/gateway/drain") },
+	for name, concurrently := range map[string]func(gw *testGateway){
+		"alone":  func(*testGateway) {},
+		"twice":  func(gw *testGateway) { gw.sendSIGTERM() },
+		"reload": func(gw *testGateway) { gw.sendSIGHUP() },
+		"drain":  func(gw *testGateway) { gw.mustCall("PUT", "/v1/gateway/drain") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, managed)
-			s.meet(s.client())
-			s.p.will(silent)
-			s.a.will(silent)
-			var all []*client
-			asks := func(d int) {
+			gw := startGateway(t, withManagement)
+			gw.learnPositions(gw.connect())
+			gw.primary.setHandler(neverAnswer)
+			gw.replicaA.setHandler(neverAnswer)
+			var clients []*client
+			sendRequests := func(deadlineMillis int) {
 				for _, class := range []string{"write", "own", "browse"} {
-					c := s.client()
-					c.write(query(stmt(class, d, "")))
-					all = append(all, c)
+					c := gw.connect()
+					c.write(queryMessage(statement(class, deadlineMillis, "")))
+					clients = append(clients, c)
 				}
 			}
-			asks(1200)
+			sendRequests(1200)
 			if name == "drain" {
-				also(s)
+				concurrently(gw)
 			}
-			term := s.ending()
-			asks(3000) // they still come
-			also(s)
-			for i, c := range all {
-				got := c.read()
-				assert.Equal(t, 1, got.rows+got.errs, "%d %+v", i, got)
-				assert.Less(t, time.Since(term), accepts+killed)
-				assert.True(t, c.read().ended)
+			termTime := gw.terminate()
+			sendRequests(3000) // requests are still accepted
+			concurrently(gw)
+			for i, c := range clients {
+				got := c.readAnswer()
+				assert.Equal(t, 1, got.rows+got.errors, "%d %+v", i, got)
+				assert.Less(t, time.Since(termTime), acceptTime+killDelay)
+				assert.True(t, c.readAnswer().ended)
 			}
-			s.exitsInTime(term)
+			gw.waitExitInTime(termTime)
 		})
 	}
 }
 
-// Answers are with the kernel, for clients that read slowly and have sent more than is read. A plain close over that would
-// reset the connection and take them along.
+// Answers wait in the kernel's buffers for clients that read slowly and have sent input that is not read. A plain close would
+// reset these connections and lose the answers.
 func TestTermLosesNoAnswer(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, nil)
-	s.meet(s.client())
-	value := blob(60 << 10)
+	gw := startGateway(t, nil)
+	gw.learnPositions(gw.connect())
+	value := variedValue(60 << 10)
 	release := make(chan struct{})
-	for _, d := range []*database{s.a, s.b, s.p} {
-		d.will(func(d *database, c net.Conn, _ string) {
+	for _, d := range []*database{gw.replicaA, gw.replicaB, gw.primary} {
+		d.setHandler(func(d *database, c net.Conn, _ string) {
 			<-release
 			d.Answer(c, value)
 		})
 	}
-	statements := func() int { return len(s.a.Statements()) + len(s.b.Statements()) + len(s.p.Statements()) }
+	statements := func() int {
+		return len(gw.replicaA.Statements()) + len(gw.replicaB.Statements()) + len(gw.primary.Statements())
+	}
 	before := statements()
-	var all []*client
+	var clients []*client
 	for i := range 6 {
-		c := s.client()
-		require.NoError(t, c.c.(*net.TCPConn).SetReadBuffer(4<<10))
-		c.write(query(stmt("own", 3000, fmt.Sprintf(",n=%d", i))))
-		all = append(all, c)
+		c := gw.connect()
+		require.NoError(t, c.conn.(*net.TCPConn).SetReadBuffer(4<<10))
+		c.write(queryMessage(statement("own", 3000, fmt.Sprintf(",n=%d", i))))
+		clients = append(clients, c)
 	}
-	s.eventually("they are out", func() bool { return statements() == before+6 })
-	term := s.ending()
-	time.Sleep(time.Until(term.Add(accepts + gone)))
-	sends := func() {
-		for _, c := range all {
-			c.write("Q\x00\x00\x02\x00half a command, which nobody will read")
+	gw.eventually("all reads have arrived", func() bool { return statements() == before+6 })
+	termTime := gw.terminate()
+	time.Sleep(time.Until(termTime.Add(acceptTime + disconnectGrace)))
+	sendMore := func() {
+		for _, c := range clients {
+			c.write("Q\x00\x00\x02\x00a partial command, which is not read")
 		}
-		time.Sleep(gone) // the fault: it goes on while answers are on their way
+		time.Sleep(disconnectGrace) // the input continues while answers are sent
 	}
-	sends()
+	sendMore()
 	close(release)
-	sends()
-	sends()
+	sendMore()
+	sendMore()
 	var readers sync.WaitGroup
-	for i, c := range all {
+	for i, c := range clients {
 		readers.Go(func() {
-			got := c.read()
+			got := c.readAnswer()
 			assert.True(t, got.value == value, "%d %s %d bytes", i, got.code, len(got.value))
-			assert.True(t, c.read().ended)
+			assert.True(t, c.readAnswer().ended)
 		})
 	}
 	readers.Wait()
-	s.exits()
+	gw.waitExit()
 }
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -12,94 +12,94 @@
 	"lilaccove/internal/pgwire"
 )
 
-// Where the network cuts what a client sends does not matter: each byte comes by itself.
+// It does not matter how the network splits a client's input: here each byte arrives by itself.
 func TestClientByteByByte(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, managed)
-	c := s.raw()
-	all := string(pgwire.Startup("api", "ledger")) + query("") + query(stmt("write", 2900, "")) + query(stmt("write", 2900, ",r=1"))
-	for i := range len(all) {
-		c.write(all[i : i+1])
+	gw := startGateway(t, withManagement)
+	c := gw.dial()
+	input := string(pgwire.Startup("api", "ledger")) + queryMessage("") + queryMessage(statement("write", 2900, "")) + queryMessage(statement("write", 2900, ",r=1"))
+	for i := range len(input) {
+		c.write(input[i : i+1])
 	}
-	c.read()
-	assert.True(t, c.read().empty)
-	assert.Equal(t, "p", c.read().value)
-	assert.Equal(t, "p", c.read().value)
-	assert.Equal(t, 2, len(s.p.Statements()))
+	c.readAnswer()
+	assert.True(t, c.readAnswer().empty)
+	assert.Equal(t, "p", c.readAnswer().value)
+	assert.Equal(t, "p", c.readAnswer().value)
+	assert.Equal(t, 2, len(gw.primary.Statements()))
 }
 
-// A packet that goes on may take longer than one that does not: a statement whose parts come over more than its first
-// limit is served, and the client that stops in the middle is let go.
-func TestSlowPacketsGoOn(t *testing.T) {
+// A packet that keeps arriving may take longer than one that stops: a statement that takes longer than the first time limit
+// is served, and a client that stops in the middle is closed.
+func TestSlowPacketsAreServed(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, managed)
-	text := query(stmt("write", 2900, ""))
-	slow, used, stopped := s.client(), s.client(), s.client()
-	used.ask("")
+	gw := startGateway(t, withManagement)
+	text := queryMessage(statement("write", 2900, ""))
+	fresh, used, stopped := gw.connect(), gw.connect(), gw.connect()
+	used.query("")
 	stopped.write(text[:20])
-	at := 0
-	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(100 * time.Millisecond) {
-		slow.write(text[at : at+1])
-		used.write(text[at : at+1])
-		at++
+	sent := 0
+	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(100 * time.Millisecond) {
+		fresh.write(text[sent : sent+1])
+		used.write(text[sent : sent+1])
+		sent++
 	}
-	assert.True(t, stopped.read().ended)
-	for _, c := range []*client{slow, used} {
-		c.write(text[at:])
-		assert.Equal(t, "p", c.read().value)
+	assert.True(t, stopped.readAnswer().ended)
+	for _, c := range []*client{fresh, used} {
+		c.write(text[sent:])
+		assert.Equal(t, "p", c.readAnswer().value)
 	}
 }
 
-// A thousand clients that send their queries byte by byte, far more than there are descriptors, and forget to go on, keep
-// nobody out: whoever asks is served all the while.
-func TestTricklingClientsKeepNobodyOut(t *testing.T) {
+// A thousand clients, far more than there are descriptors, each send part of a query and then stop. Meanwhile other clients
+// are served.
+func TestTricklingClientsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, func(s *site) { s.managed, s.sockets = true, 128 })
-	c := s.client()
-	s.meet(c)
+	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.sockets = true, 128 })
+	c := gw.connect()
+	gw.learnPositions(c)
 	rnd := rand.New(rand.NewPCG(3, 4))
-	hello := string(pgwire.Startup("api", "ledger"))
+	startup := string(pgwire.Startup("api", "ledger"))
 	for range 1000 {
-		x := s.raw()
-		text := hello + query(stmt("write", 2900, ""))
-		_, _ = io.WriteString(x.c, text[:1+rnd.IntN(len(text)-1)]) // it may have been closed for others
+		trickling := gw.dial()
+		text := startup + queryMessage(statement("write", 2900, ""))
+		_, _ = io.WriteString(trickling.conn, text[:1+rnd.IntN(len(text)-1)]) // may fail: it may have been evicted
 		if rnd.IntN(20) == 0 {
-			got := s.client().ask(stmt("own", 2000, ""))
+			got := gw.connect().query(statement("own", 2000, ""))
 			require.NotEmpty(t, got.value, "%+v", got)
 		}
 	}
-	assert.True(t, s.ready())
-	assert.NotEmpty(t, s.client().ask(stmt("own", 2000, "")).value)
+	assert.True(t, gw.ready())
+	assert.NotEmpty(t, gw.connect().query(statement("own", 2000, "")).value)
 }
 
-// A request waits in the system while the gateway stands still, for longer than the terms allow a gateway to be held up. The
-// time that its client has waited by then is neither told to the database nor given to the answer.
-func TestRequestThatWaitedWhileTheGatewayStoodStill(t *testing.T) {
+// A request waits in the kernel while the gateway is paused, for longer than the allowed stall. The time that its client has
+// waited by then counts against the deadline, both the one sent to the database and the one for the answer.
+func TestRequestQueuedDuringPause(t *testing.T) {
 	t.Parallel()
 	const (
-		patient = 2 * time.Second
-		stopped = 1200 * time.Millisecond
-		heldUp  = 150 * time.Millisecond // the terms' slack
-		late    = 500 * time.Millisecond // an answer later than this behind its time is lost
+		deadline     = 2 * time.Second
+		pause        = 1200 * time.Millisecond
+		allowedStall = 150 * time.Millisecond // allowed by the terms of service
+		maxLateness  = 500 * time.Millisecond // an answer this long after the deadline is lost
 	)
-	s := newSite(t, nil)
-	s.serves() // a connection to the primary is up
-	c := s.client()
-	release := s.p.waits()
+	gw := startGateway(t, nil)
+	gw.waitServed() // opens a connection to the primary
+	c := gw.connect()
+	release := gw.primary.blockAnswers()
 	defer close(release)
-	before := len(s.p.Statements())
-	var sent, goesOn time.Time
-	s.stops(func() {
+	before := len(gw.primary.Statements())
+	var sent, resumed time.Time
+	gw.whilePaused(func() {
 		sent = time.Now()
-		c.write(query(stmt("write", int(patient.Milliseconds()), "")))
-		time.Sleep(stopped) // the fault itself
-		goesOn = time.Now()
+		c.write(queryMessage(statement("write", int(deadline.Milliseconds()), "")))
+		time.Sleep(pause)
+		resumed = time.Now()
 	})
-	assert.Equal(t, pgwire.CodeUnknownOutcome, c.read().code)
-	assert.Less(t, time.Since(sent), patient+late)
-	require.Len(t, s.p.Statements(), before+1)
-	head, err := pgwire.ParseHead([]byte(s.p.Statements()[before]))
+	assert.Equal(t, pgwire.CodeUnknownOutcome, c.readAnswer().code)
+	assert.Less(t, time.Since(sent), deadline+maxLateness)
+	require.Len(t, gw.primary.Statements(), before+1)
+	head, err := pgwire.ParseHead([]byte(gw.primary.Statements()[before]))
 	require.NoError(t, err)
-	told := time.Duration(head.DeadlineMillis) * time.Millisecond
-	assert.LessOrEqual(t, told, patient-goesOn.Sub(sent)+heldUp, "what is left, and the slack")
+	forwarded := time.Duration(head.DeadlineMillis) * time.Millisecond
+	assert.LessOrEqual(t, forwarded, deadline-resumed.Sub(sent)+allowedStall, "the remaining time and the allowed stall")
 }
