--- a/cmd/lilaccove/audit_test.go
+++ b/cmd/lilaccove/audit_test.go
@@ -18,7 +18,7 @@
 	"lilaccove/internal/standin"
 )
 
-// auditRecords are those that some gateways tell.
+// auditRecords returns the audit records that the given gateways report.
 func (fleet *testFleet) auditRecords(list ...int) (all []audit.ChainedRecord) {
 	fleet.t.Helper()
 	for _, i := range list {
@@ -35,10 +35,10 @@
 	return all
 }
 
-// waitWrites waits until each gateway has served so many writes.
+// waitWrites waits until each gateway has served n writes.
 func (fleet *testFleet) waitWrites(n int) {
 	fleet.t.Helper()
-	fleet.eventually("all have written", func() bool {
+	fleet.eventually("all gateways have served writes", func() bool {
 		for _, i := range fleet.all() {
 			if fleet.metric(i, "passed.write") < n {
 				return false
@@ -48,7 +48,7 @@
 	})
 }
 
-// auditFindings are the findings of a kind in what all gateways tell.
+// auditFindings returns the findings of a kind in the records of all gateways.
 func (fleet *testFleet) auditFindings(kind string) (list []audit.Finding) {
 	for _, f := range audit.Analyze(fleet.auditRecords(fleet.all()...), audit.DefaultTolerances()) {
 		if f.Kind == kind {
@@ -58,17 +58,18 @@
 	return list
 }
 
-// Two databases of a group take writes: no gateway can know it, the records of all show it, and whose they are.
+// Two databases of a group accept writes. No single gateway can notice that; the records of all gateways show it, with the group
+// and both databases.
 func TestFleetAuditTwoPrimaries(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	fleet.waitWrites(5)
-	assert.Empty(t, audit.Analyze(fleet.auditRecords(fleet.all()...), audit.DefaultTolerances()), "a fleet at work has no findings")
+	assert.Empty(t, audit.Analyze(fleet.auditRecords(fleet.all()...), audit.DefaultTolerances()), "a healthy fleet has no findings")
 	members := fleet.World().Members()
 	old, claims := members[0], members[1]
 	require.Equal(t, old.Group, claims.Group)
 	claims.ClaimPrimary()
 	var f audit.Finding
-	fleet.eventually("it is found", func() bool {
+	fleet.eventually("the violation is found", func() bool {
 		list := fleet.auditFindings(audit.TwoPrimaries)
 		if len(list) > 0 {
 			f = list[0]
@@ -80,8 +81,8 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// A gateway that nothing reaches, neither the list's changes nor the others' word that there are some, works on at a
-// database that drains. The records show it with the list that it acted on; once it is reached it stops by itself.
+// A gateway receives neither changes of the list nor the other gateways' list versions, and goes on using a database that drains.
+// The records show that, with the list version it acted on. Once the others reach it, it stops by itself.
 func TestFleetAuditDrain(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "subsets: true, ", "", 1)) // each uses all replicas
 	fleet.makeLagging(0)
@@ -89,29 +90,29 @@
 	fleet.Mesh().Partition(sides, true)
 	host := fleet.World().Members()[1]
 	host.Announce("terminating", time.Time{})
-	fleet.eventually("it is found", func() bool { return len(fleet.auditFindings(audit.AfterDrain)) > 0 })
+	fleet.eventually("the violation is found", func() bool { return len(fleet.auditFindings(audit.AfterDrain)) > 0 })
 	for _, f := range fleet.auditFindings(audit.AfterDrain) {
 		assert.Equal(t, []string{"n0"}, f.Gateways)
 		assert.Equal(t, host.ID, f.Database)
 		assert.Contains(t, f.Text, "list 1")
 	}
 	fleet.Mesh().Partition(sides, false)
-	fleet.eventually("it is brought up and stops", func() bool { return fleet.metric(0, "skipped_databases") == 1 })
+	fleet.eventually("it gets the new list and stops", func() bool { return fleet.metric(0, "skipped_databases") == 1 })
 	fleet.finish()
 	world := fleet.report.World.(standin.Counts)
 	assert.Zero(t, world.Duplicates+world.Stale)
 	assert.Zero(t, fleet.report.Total.Counts[loadrun.InvalidAnswer])
-	assert.Positive(t, world.Drained, "the stand-in saw the same")
+	assert.Positive(t, world.Drained, "the stand-in counted statements while it drained")
 }
 
-// A word that does not reach a gateway: what it does against it is found.
+// An override does not reach a gateway: the audit finds the statements that the gateway sends against it.
 func TestFleetAuditOverride(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	sides := [][]int{{0}, {1, 2, 3}}
 	fleet.Mesh().Partition(sides, true)
 	host := fleet.World().Members()[0]
 	fleet.setOverride(2, host.ID, "suspend")
-	fleet.eventually("it is found", func() bool { return len(fleet.auditFindings(audit.AfterOverride)) > 0 })
+	fleet.eventually("the violation is found", func() bool { return len(fleet.auditFindings(audit.AfterOverride)) > 0 })
 	for _, f := range fleet.auditFindings(audit.AfterOverride) {
 		assert.Equal(t, []string{"n0"}, f.Gateways)
 		assert.Equal(t, host.ID, f.Database)
@@ -121,8 +122,8 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// What a gateway wrote is there after a kill, up to the last whole line; its next process goes on in the file. A record that
-// is changed or taken out afterwards shows.
+// After a kill, the audit file has all that the gateway wrote up to the last complete line, and the next process appends to it. A
+// record that is changed or removed afterwards is detected.
 func TestFleetAuditFile(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, audit: true", 1))
 	file := fleet.AuditFile(1)
@@ -138,8 +139,8 @@
 		}
 		return list, sessions
 	}
-	fleet.eventually("it has written some", func() bool {
-		fleet.auditRecords(1) // a span ends for who reads
+	fleet.eventually("it has written some records", func() bool {
+		fleet.auditRecords(1) // reading the records ends a span
 		list, _ := read()
 		return len(list) >= 3
 	})
@@ -147,7 +148,7 @@
 	before, _ := read()
 	_, err := fleet.Start(1)
 	require.NoError(t, err)
-	fleet.eventually("the next process goes on", func() bool {
+	fleet.eventually("the next process appends records", func() bool {
 		fleet.auditRecords(1)
 		list, sessions := read()
 		return len(sessions) == 2 && len(list) >= len(before)+3
@@ -156,7 +157,7 @@
 	assert.Empty(t, audit.Analyze(list, audit.DefaultTolerances()))
 	require.NoError(t, fleet.Node(1).Terminate())
 	ended, _ := read()
-	assert.Greater(t, len(ended), len(list), "the last span is written at the end")
+	assert.Greater(t, len(ended), len(list), "the last span is written at the shutdown")
 	fleet.finishAndCheck(0.7)
 
 	text, err := os.ReadFile(file)
--- a/cmd/lilaccove/budget_test.go
+++ b/cmd/lilaccove/budget_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All clients are at gateways 0 and 1, whose home parts of the connections to a database do not do for them; nor would the
-// whole, were it not bounded.
+// All clients connect to gateways 0 and 1. The parts of the connections to a database for which these two are the home are too few
+// for them, and the load would take more than the whole budget if that were not bounded.
 const budgetPlan = `seed: 9
 groups: 1
 sessions: {count: 2}
@@ -24,39 +24,40 @@
 lab: {gateways: %d, members: 3, cores: 32, service: 100 ms, delay: constant, lag: 5 ms, fleet: true, budget: %d, lease: 3 s}
 `
 
-const totalBudget = 16 // connections to each database, of four gateways
+const totalBudget = 16 // connections to each database, for the four gateways together
 
-// What is served is little: most of the gateways' parts cannot be used for a lease after their starts, and all starts are
-// new here. What counts is that the sum holds and that the load goes on being answered.
+// newBudgetFleet starts four gateways and waits until gateway 0 holds leases. The share of served requests is low, because a
+// gateway cannot use most of its part during the first lease after its start, and here all have just started. The tests check
+// that the sum of the connections stays within the budget and that requests go on being answered.
 func newBudgetFleet(t *testing.T) *testFleet {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(budgetPlan, 4, totalBudget))
-	fleet.eventually("the busy one borrows", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
+	fleet.eventually("the busy gateway holds leases", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
 	return fleet
 }
 
-// checkBudget judges the load and tells that no database ever had more connections than all gateways together may have, while
-// nearly all of them were in use.
+// checkBudget waits until more than half of the budget is in use at a database, ends and checks the load, and checks that no
+// database ever had more connections than all gateways together may have.
 func (fleet *testFleet) checkBudget(atLeast float64) {
 	fleet.t.Helper()
 	open := func() int { return fleet.World().Counts().MostOpen }
-	fleet.eventually("most of it is in use", func() bool { return open() > totalBudget/2 })
+	fleet.eventually("most of the budget is in use", func() bool { return open() > totalBudget/2 })
 	fleet.finishAndCheck(atLeast)
 	assert.LessOrEqual(fleet.t, open(), totalBudget, "connections at one database")
 }
 
-// The busy one is served from what the others do not need; without that its home part is all it has.
+// The busy gateways lease connections that the others do not need, and serve more than their home parts alone allow.
 func TestFleetBudgetSkew(t *testing.T) {
 	begun := time.Now()
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(budgetPlan, 4, totalBudget))
 	passed := func() float64 { return float64(fleet.metric(0, "passed.browse")) }
-	fleet.eventually("it is served from its home part", func() bool { return passed() > 50 })
+	fleet.eventually("it serves from its home part", func() bool { return passed() > 50 })
 	early := passed() / time.Since(begun).Seconds()
-	fleet.eventually("most of what it needs is borrowed", func() bool {
+	fleet.eventually("most of what the busy gateways need is leased", func() bool {
 		return fleet.metric(0, "fleet_budget.borrowed")+fleet.metric(1, "fleet_budget.borrowed") >= 5
 	})
 	assert.Zero(t, fleet.metric(2, "fleet_budget.borrowed"))
 	from, at := passed(), time.Now()
-	fleet.eventually("it is served more", func() bool {
+	fleet.eventually("it serves more than before", func() bool {
 		return time.Since(at) > time.Second && (passed()-from)/time.Since(at).Seconds() > 1.3*early
 	})
 	lent := 0
@@ -67,42 +68,43 @@
 	fleet.checkBudget(0.03)
 }
 
-// Lenders and the borrower are killed in the middle of transfers and come back without a memory of them.
+// Gateways that grant leases and those that hold them are killed in the middle of transfers and start again without a record of
+// them.
 func TestFleetBudgetKill(t *testing.T) {
 	fleet := newBudgetFleet(t)
 	for _, i := range []int{1, 2, 0, 3, 0} {
 		fleet.Node(i).Kill()
 		_, err := fleet.Start(i)
 		require.NoError(t, err)
-		fleet.eventually("it asks again", func() bool { return fleet.metric(0, "fleet_budget.asked") > 0 })
+		fleet.eventually("gateway 0 asks for leases again", func() bool { return fleet.metric(0, "fleet_budget.asked") > 0 })
 	}
 	fleet.waitView(4, fleet.all()...)
-	fleet.eventually("it borrows again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
+	fleet.eventually("it holds leases again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
 	fleet.checkBudget(0.03)
 }
 
-// Each side of a partition lives with what it holds; what was lent across it lapses.
+// Each side of a partition makes do with the connections that it holds; leases across the partition expire.
 func TestFleetBudgetPartition(t *testing.T) {
 	fleet := newBudgetFleet(t)
 	sides := [][]int{{0}, {1, 2, 3}}
 	fleet.Mesh().Partition(sides, true)
-	fleet.eventually("what was borrowed lapses", func() bool { return fleet.metric(0, "fleet_budget.borrowed") == 0 })
+	fleet.eventually("its leases expire", func() bool { return fleet.metric(0, "fleet_budget.borrowed") == 0 })
 	fleet.Mesh().Partition(sides, false)
-	fleet.eventually("it borrows again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
+	fleet.eventually("it holds leases again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
 	fleet.checkBudget(0.03)
 }
 
-// The borrower stands still for longer than its loans last: it must not use what has lapsed when it goes on.
+// The holder of leases is paused for longer than they last: when it resumes it must not use those that have expired.
 func TestFleetBudgetPause(t *testing.T) {
 	fleet := newBudgetFleet(t)
 	require.NoError(t, fleet.Node(0).Pause())
 	time.Sleep(4 * time.Second) // the fault: longer than a lease
 	require.NoError(t, fleet.Node(0).Resume())
-	fleet.eventually("it borrows again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
+	fleet.eventually("it holds leases again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
 	fleet.checkBudget(0.03)
 }
 
-// All are restarted in turn.
+// All gateways shut down and start again, one after the other: the budget holds during the whole restart.
 func TestFleetBudgetRollingRestart(t *testing.T) {
 	fleet := newBudgetFleet(t)
 	for i := range 4 {
@@ -111,6 +113,6 @@
 		require.NoError(t, err)
 	}
 	fleet.waitView(4, fleet.all()...)
-	fleet.eventually("it borrows again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
+	fleet.eventually("it holds leases again", func() bool { return fleet.metric(0, "fleet_budget.borrowed") >= 2 })
 	fleet.checkBudget(0.03)
 }
--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -19,12 +19,12 @@
 	"lilaccove/internal/standin"
 )
 
-// How many schedules are played, and from which seed on: go test ./cmd/lilaccove -run Chaos -chaos.seeds 50
+// How many schedules run, and from which seed: go test ./cmd/lilaccove -run Chaos -chaos.seeds 50
 var (
-	chaosSeeds = flag.Uint64("chaos.seeds", 2, "schedules of faults that TestFleetChaos plays")
+	chaosSeeds = flag.Uint64("chaos.seeds", 2, "number of fault schedules that TestFleetChaos runs")
 	chaosFrom  = flag.Uint64("chaos.from", 1, "the first seed")
-	auditSeeds = flag.Uint64("audit.seeds", 2, "schedules that TestFleetAuditSchedules plays")
-	chaosTime  = flag.Duration("chaos.time", 8*time.Second, "how long the faults of a schedule go on")
+	auditSeeds = flag.Uint64("audit.seeds", 2, "number of schedules that TestFleetAuditSchedules runs")
+	chaosTime  = flag.Duration("chaos.time", 8*time.Second, "how long each schedule injects faults")
 )
 
 const chaosPlan = `seed: 31
@@ -41,11 +41,11 @@
 lab: {gateways: 7, members: 4, cores: 4, queue: 60, service: 10 ms, lag: 10 ms, cold: 3 s, fleet: true, positions: true, primaries: true, subsets: true, audit: true, words: 1 min}
 `
 
-// listPause is how long the list does not change behind watches that fell silent, and the other way round: what they do not
-// tell binds from the sixth second on.
+// listPause is the minimum time between a change of the list and watches falling silent, in either order: a change that a
+// silent watch does not deliver binds the gateways from the sixth second on.
 const listPause = 6500 * time.Millisecond
 
-// chaos is a schedule of faults that follows from a seed: what is done when, not how processes take it.
+// chaos injects faults by a schedule that a seed determines. How the processes react is not determined.
 type chaos struct {
 	*testFleet
 	rnd       *rand.Rand
@@ -55,11 +55,11 @@
 
 	mu             sync.Mutex
 	steps          []string
-	down           map[int]bool // gateways that are killed or stopped
+	down           map[int]bool // gateways that are killed or paused
 	replacedCount  int          // databases of each group that were replaced
-	lastListChange time.Time    // when the list last began to change, or watches fell silent
-	linksFaulty    bool         // links
-	noOperators    bool         // no operators
+	lastListChange time.Time    // when the list last began to change or watches last fell silent
+	linksFaulty    bool         // links have had their fault of this schedule
+	noOperators    bool         // no overrides are set
 }
 
 func newChaos(t *testing.T, plan string, seed uint64) *chaos {
@@ -78,7 +78,7 @@
 	c.steps = append(c.steps, fmt.Sprintf("%.2fs ", time.Since(c.startTime).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// later does something in a while, or at the end of the faults if that is earlier.
+// later calls do after d, or at the end of the faults if that is earlier.
 func (c *chaos) later(d time.Duration, do func()) {
 	c.pending.Add(1)
 	go func() {
@@ -92,7 +92,7 @@
 	return from + time.Duration(c.rnd.Int64N(int64(to-from)))
 }
 
-// pickVictim is a gateway that runs, as long as no more than three do not.
+// pickVictim draws a gateway for a fault and marks it down. It fails if that gateway is down already or three others are.
 func (c *chaos) pickVictim() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,8 @@
 	delete(c.down, i)
 }
 
-// step does step thing. Draws are made whether or not it can be done, so that a schedule stays the same.
+// step injects one fault. The random numbers are drawn whether or not the fault is possible, so that a seed always gives the
+// same schedule.
 func (c *chaos) step() {
 	what, d := c.rnd.IntN(9), c.randomDuration(200*time.Millisecond, 2500*time.Millisecond)
 	switch what {
@@ -126,7 +127,7 @@
 		}
 	case 2, 3:
 		if i, ok := c.pickVictim(); ok {
-			c.logStep("stop n%d for %v", i, d)
+			c.logStep("pause n%d for %v", i, d)
 			node := c.Node(i)
 			assert.NoError(c.t, node.Pause())
 			c.later(d, func() {
@@ -152,7 +153,7 @@
 			c.later(d, func() { c.setLinks(plan.Link{}) })
 		}
 	case 6:
-		// One at a time in each group, and none while a watch may be silent without anybody's knowledge.
+		// One database at a time in each group, and none while a silent watch may not have been noticed yet.
 		if members := c.World().Members(); c.replacedCount < 2 && time.Since(c.lastListChange) > listPause {
 			c.replacedCount++
 			for g := range 2 {
@@ -179,7 +180,7 @@
 			c.World().SilenceWatches()
 		}
 	}
-	if c.rnd.IntN(3) == 0 && !c.noOperators { // an operator
+	if c.rnd.IntN(3) == 0 && !c.noOperators { // an operator sets an override
 		host, verb, i := c.World().Members()[c.rnd.IntN(8)].ID, []string{"suspend", "resume"}[c.rnd.IntN(2)], c.rnd.IntN(c.n)
 		c.mu.Lock()
 		down := c.down[i]
@@ -201,13 +202,13 @@
 	}
 }
 
-// auditFileRecords are the records of all processes there were, from the gateways' files.
+// auditFileRecords returns the records of all processes that ran, from the gateways' audit files.
 func (c *chaos) auditFileRecords() (all []audit.ChainedRecord) {
 	for i := range c.n {
 		lines, err := auditfile.Lines(c.AuditFile(i))
 		require.NoError(c.t, err)
 		for _, l := range lines {
-			if s, err := audit.ParseRecord(l); err == nil { // a killed process may leave half a line
+			if s, err := audit.ParseRecord(l); err == nil { // a killed process may leave an incomplete line
 				all = append(all, s)
 			}
 		}
@@ -215,10 +216,10 @@
 	return all
 }
 
-// Seven processes under faults drawn from a seed: gateways killed and stopped, partitions, links that lose, databases replaced
-// and cold, answers that go wrong, operators at any of them. All along each request has one answer, no write runs twice, no
-// read is too old, no database gets work that it must not have; afterwards all copies of the operators' words are equal,
-// everybody serves, and the audit finds nothing, for nothing was done that it should find.
+// Seven gateways run under faults drawn from a seed: gateways killed and paused, partitions, links that lose messages, databases
+// replaced and cold, invalid answers, operators who set overrides at any gateway. Throughout, each request gets one answer, no
+// write runs twice, no read is too old, and no database gets work that it must not have. Afterwards all copies of the overrides
+// are equal, all gateways serve, and the audit has no findings, because no rule was broken.
 func TestFleetChaos(t *testing.T) {
 	for seed := *chaosFrom; seed < *chaosFrom+*chaosSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -237,7 +238,7 @@
 			}
 			c.waitSuspendedCount(0, c.all()...)
 			c.waitOverridesEqual()
-			c.eventually("all are in the front", func() bool { return c.Balancer().Admitted() == 7 })
+			c.eventually("the load balancer admits all gateways", func() bool { return c.Balancer().Admitted() == 7 })
 			from := make([]int, 7)
 			for i := range 7 {
 				from[i] = c.metric(i, "passed.write")
@@ -262,14 +263,14 @@
 	}
 }
 
-// plantedViolation is something that the audit has to find, with who and what it has to name.
+// plantedViolation is a violation that the audit has to find, with the gateway and database that the finding has to name.
 type plantedViolation struct {
-	kind   string // empty: nothing happens
+	kind   string // empty: no violation
 	victim int    // the gateway that acts against a rule
 	host   *standin.Host
 }
 
-// plantViolation has it happen.
+// plantViolation draws a violation and causes it.
 func (c *chaos) plantViolation() (x plantedViolation) {
 	x.kind = []string{"", audit.TwoPrimaries, audit.AfterOverride, audit.AfterDrain}[c.rnd.IntN(4)]
 	x.victim = c.rnd.IntN(c.n)
@@ -279,11 +280,11 @@
 	case audit.TwoPrimaries:
 		x.host = members[1+4*c.rnd.IntN(2)]
 		x.host.ClaimPrimary()
-	case audit.AfterOverride: // it does not reach one
+	case audit.AfterOverride: // the override does not reach the victim
 		x.host = members[4*c.rnd.IntN(2)]
 		c.Mesh().Partition(sides, true)
 		c.setOverride((x.victim+1)%c.n, x.host.ID, "suspend")
-	case audit.AfterDrain: // neither the list nor the others' news of it reach one
+	case audit.AfterDrain: // neither the list nor the other gateways' list versions reach the victim
 		x.host = members[1+4*c.rnd.IntN(2)]
 		c.makeLagging(x.victim)
 		c.Mesh().Partition(sides, true)
@@ -293,16 +294,16 @@
 	return x
 }
 
-// Whatever else goes wrong, the audit names what was planted, by whom and where, and nothing else.
+// Under other faults the audit reports the planted violation, with the right gateway and database, and no other.
 func TestFleetAuditSchedules(t *testing.T) {
 	for seed := *chaosFrom; seed < *chaosFrom+*auditSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newChaos(t, strings.Replace(chaosPlan, "subsets: true, ", "", 1), seed)
-			c.linksFaulty, c.replacedCount, c.noOperators = true, 2, true // links, databases and operators are the incident's
+			c.linksFaulty, c.replacedCount, c.noOperators = true, 2, true // only the planted violation changes links, databases and overrides
 			c.waitWrites(3)
 			x := c.plantViolation()
 			c.mu.Lock()
-			c.down[x.victim] = true // nothing else befalls it
+			c.down[x.victim] = true // no other fault hits it
 			c.mu.Unlock()
 			for from := time.Now(); time.Since(from) < 3*time.Second; time.Sleep(c.randomDuration(100*time.Millisecond, 600*time.Millisecond)) {
 				c.step()
@@ -310,7 +311,7 @@
 			close(c.stop)
 			c.pending.Wait()
 			if x.kind != "" {
-				c.eventually("it is found", func() bool { return len(c.auditFindings(x.kind)) > 0 })
+				c.eventually("the violation is found", func() bool { return len(c.auditFindings(x.kind)) > 0 })
 			}
 			c.Mesh().Partition([][]int{{x.victim}, c.except(x.victim)}, false)
 			c.finish()
@@ -321,9 +322,9 @@
 				named := f.Kind == x.kind || x.kind == audit.AfterDrain && f.Kind == audit.LaggingList
 				switch {
 				case slices.Contains([]string{audit.Gap, audit.Incomplete, audit.Unordered}, f.Kind):
-					continue // kills and stops leave them
+					continue // kills and pauses cause them
 				case !named:
-					assert.Fail(t, "nothing of the kind was done", "%+v", f)
+					assert.Fail(t, "no such violation was planted", "%+v", f)
 				case f.Kind == audit.TwoPrimaries:
 					assert.Equal(t, x.host.Group, f.Group)
 				case f.Kind == audit.AfterOverride || f.Kind == audit.AfterDrain:
@@ -335,7 +336,7 @@
 				kinds[f.Kind]++
 			}
 			if x.kind != "" {
-				assert.Positive(t, kinds[x.kind], "it is in the files, too")
+				assert.Positive(t, kinds[x.kind], "the audit files show it, too")
 			}
 			t.Logf("planted %q, found %v", x.kind, kinds)
 		})
--- a/cmd/lilaccove/fence_test.go
+++ b/cmd/lilaccove/fence_test.go
@@ -14,7 +14,7 @@
 	"lilaccove/internal/pgwire"
 )
 
-// fencePlan has gateways shut themselves out; bounded reads find replicas by what others tell.
+// fencePlan is sharedPlan, in which gateways exchange positions for bounded reads, with the fence switched on.
 func fencePlan(n int) string {
 	return strings.Replace(fmt.Sprintf(sharedPlan, n), "fleet: true", "fleet: true, fence: 2 s", 1)
 }
@@ -28,7 +28,7 @@
 	return out
 }
 
-// everFenced tells whether a gateway has ever shut itself out.
+// everFenced reports whether the gateway's current process has ever fenced itself.
 func (fleet *testFleet) everFenced(i int) bool {
 	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_fenced on=true") {
@@ -38,23 +38,25 @@
 	return false
 }
 
-// connectTo is a client of one gateway, past the front.
+// connectTo connects a client to one gateway directly, without the load balancer.
 func (fleet *testFleet) connectTo(i int) *client {
 	return (&testGateway{t: fleet.t, clientAddr: fleet.Node(i).ClientAddr}).connect()
 }
 
+// inGroup directs a statement to a group.
 func inGroup(text string, group int) string {
 	return strings.Replace(text, "cluster=2", fmt.Sprintf("cluster=%d", group), 1)
 }
 
-// A gateway whose discovery tells an old list, whatever it asks, shuts itself out and nobody else does: the front leaves it,
-// it refuses writes at once and serves reads. It is back when its discovery tells the truth. An operator may say otherwise.
+// A gateway whose discovery keeps answering with an old list fences itself, and no other gateway does: the load balancer excludes
+// it, it refuses writes at once and serves reads. The fence ends when its discovery answers with the current list. An operator
+// can end the fence earlier or fence a gateway.
 func TestFleetAuditFence(t *testing.T) {
 	fleet := newTestFleetWithLab(t, 4, fencePlan(4), func(l *lab.Lab) { l.SeparateDiscovery = []int{0} })
 	fleet.Discovery(0).Freeze(true)
 	require.NoError(t, fleet.World().AddReplica(0))
-	fleet.eventually("it shuts itself out", func() bool { return len(fleet.fencedGateways(0)) == 1 })
-	fleet.eventually("the front leaves it", func() bool { return fleet.Balancer().Admitted() == 3 })
+	fleet.eventually("it fences itself", func() bool { return len(fleet.fencedGateways(0)) == 1 })
+	fleet.eventually("the load balancer excludes it", func() bool { return fleet.Balancer().Admitted() == 3 })
 	c := fleet.connectTo(0)
 	begun := time.Now()
 	got := c.query(inGroup(statement("write", 3000, ""), 0))
@@ -67,41 +69,42 @@
 
 	_, err = fleet.Node(0).Call("PUT", "/v1/gateway/unfence")
 	require.NoError(t, err)
-	assert.Empty(t, fleet.fencedGateways(0), "by hand")
+	assert.Empty(t, fleet.fencedGateways(0), "an operator ended the fence")
 	_, err = fleet.Node(0).Call("PUT", "/v1/gateway/fence")
 	require.NoError(t, err)
 	assert.Len(t, fleet.fencedGateways(0), 1)
 	_, err = fleet.Node(0).Call("PUT", "/v1/gateway/unfence")
 	require.NoError(t, err)
 
-	require.NoError(t, fleet.World().AddReplica(1)) // and the word was for the list that it had
+	require.NoError(t, fleet.World().AddReplica(1)) // the operator's unfence held for the old list only
 	fleet.Discovery(0).Freeze(false)
-	fleet.eventually("it is back", func() bool { return fleet.metric(0, "known_databases") == 12 && len(fleet.fencedGateways(0)) == 0 })
-	fleet.eventually("the front gives it clients", func() bool { return fleet.Balancer().Admitted() == 4 })
+	fleet.eventually("it has the list and is not fenced", func() bool { return fleet.metric(0, "known_databases") == 12 && len(fleet.fencedGateways(0)) == 0 })
+	fleet.eventually("the load balancer admits it", func() bool { return fleet.Balancer().Admitted() == 4 })
 	for _, i := range fleet.except(0) {
 		assert.False(t, fleet.everFenced(i), "n%d", i)
 	}
 	fleet.finishAndCheck(0.7)
 }
 
-// Where discovery tells most an old list, nobody is shut out: who is right cannot be known.
+// If discovery gives an old list to half of the gateways, none of them is fenced: without a majority against them it is unknown
+// which list is right.
 func TestFleetAuditFenceNotForMajority(t *testing.T) {
 	fleet := newTestFleetWithLab(t, 4, fencePlan(4), func(l *lab.Lab) { l.SeparateDiscovery = []int{0, 1} })
 	fleet.Discovery(0).Freeze(true)
 	fleet.Discovery(1).Freeze(true)
 	require.NoError(t, fleet.World().AddReplica(0))
 	for _, i := range []int{0, 1} {
-		fleet.eventually("each old one has asked in vain and given up", func() bool { return fleet.metric(i, "fleet_behind_asked") == 3 })
+		fleet.eventually("each lagging gateway has asked in vain and given up", func() bool { return fleet.metric(i, "fleet_behind_asked") == 3 })
 	}
 	reads := fleet.World().Counts().Reads
-	fleet.eventually("and served on", func() bool { return fleet.World().Counts().Reads > reads+200 })
+	fleet.eventually("and reads go on", func() bool { return fleet.World().Counts().Reads > reads+200 })
 	for _, i := range fleet.all() {
 		assert.False(t, fleet.everFenced(i), "n%d", i)
 	}
 	fleet.finishAndCheck(0.7)
 }
 
-// A gateway that stood still takes no write that came meanwhile before it has heard what the others know.
+// A gateway that was paused refuses the writes that arrived meanwhile until it has confirmed its state with the others.
 func TestFleetAuditFenceAfterPause(t *testing.T) {
 	fleet := newTestFleetWithLab(t, 4, fencePlan(4), nil)
 	c := fleet.connectTo(1)
@@ -115,7 +118,7 @@
 	for range 3 {
 		assert.Equal(t, pgwire.CodeTooManyConnections, c.readAnswer().code, "refused, not sent")
 	}
-	fleet.eventually("it has heard", func() bool { return len(fleet.fencedGateways(1)) == 0 })
+	fleet.eventually("it has confirmed its state", func() bool { return len(fleet.fencedGateways(1)) == 0 })
 	assert.Less(t, fleet.waitServed(1), 2*time.Second)
 	assert.True(t, fleet.everFenced(1))
 	for _, i := range fleet.except(1) {
@@ -124,10 +127,10 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// What was on its way while a gateway stood still tells of then, however much of it waits: cut off from the others behind its
-// stop, it takes no write for the two seconds in which it might hear of them.
+// Messages that were queued while a gateway was paused are old and must not lift its fence, however many there are. Cut off from
+// the others after the pause, it accepts no write in the two seconds in which they might answer.
 func TestFleetAuditFenceNotLiftedByQueuedMessages(t *testing.T) {
-	const waits = 100 // datagrams, more than a round reads
+	const waits = 100 // more datagrams than one round of the event loop reads
 	fleet := newTestFleetWithLab(t, 4, fencePlan(4), nil)
 	c := fleet.connectTo(1)
 	c.query("")
@@ -136,22 +139,22 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { to.Close() })
 	for range waits {
-		_, err := to.Write([]byte("nothing that a gateway says"))
+		_, err := to.Write([]byte("no message of a gateway"))
 		require.NoError(t, err)
 	}
-	time.Sleep(3 * time.Second) // the fault itself; the others go on telling
+	time.Sleep(3 * time.Second) // the fault itself; the others go on sending
 	fleet.Mesh().Partition([][]int{{1}, {0, 2, 3}}, true)
 	require.NoError(t, fleet.Node(1).Resume())
 	begun := time.Now()
 	for time.Since(begun) < time.Second {
-		assert.Equal(t, pgwire.CodeTooManyConnections, c.query(inGroup(statement("write", 1000, ""), 0)).code, "%v behind its stop", time.Since(begun))
+		assert.Equal(t, pgwire.CodeTooManyConnections, c.query(inGroup(statement("write", 1000, ""), 0)).code, "%v after the pause", time.Since(begun))
 	}
 	fleet.Mesh().Partition([][]int{{1}, {0, 2, 3}}, false)
-	fleet.eventually("it has heard", func() bool { return len(fleet.fencedGateways(1)) == 0 })
+	fleet.eventually("it has confirmed its state", func() bool { return len(fleet.fencedGateways(1)) == 0 })
 	fleet.finishAndCheck(0.7)
 }
 
-// peerAddress is where a gateway itself listens for the others, behind all relays.
+// peerAddress returns the address on which a gateway itself listens for the others, past the relays.
 func (fleet *testFleet) peerAddress(i int) string {
 	fleet.t.Helper()
 	for _, e := range fleet.Node(i).FleetEvents() {
@@ -160,6 +163,6 @@
 			return strings.Fields(rest)[0]
 		}
 	}
-	fleet.t.Fatal("it has not told where it listens")
+	fleet.t.Fatal("it has not logged where it listens")
 	return ""
 }
--- a/cmd/lilaccove/fleet_clock_test.go
+++ b/cmd/lilaccove/fleet_clock_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startWithClockStep starts some gateways on machines whose wall clocks differ by a step from that of the others.
+// startWithClockStep starts the given gateways with wall clocks that differ by step from that of the others.
 func (fleet *testFleet) startWithClockStep(step time.Duration, list ...int) {
 	fleet.t.Helper()
 	path := filepath.Join(fleet.t.TempDir(), "plan.json")
@@ -22,8 +22,8 @@
 	}
 }
 
-// The wall clock of a machine may be stepped between two starts of its gateway, in either direction. The fleet takes the new
-// process in all the same, whether the old one ended in order or was killed.
+// The wall clock of a machine may be stepped between two starts of its gateway, in either direction. The new process joins the
+// fleet nevertheless, whether the old one shut down gracefully or was killed.
 func TestFleetMembershipAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		for _, end := range []string{"killed", "ended"} {
@@ -39,9 +39,9 @@
 				fleet.waitView(4, fleet.all()...)
 				fleet.eventually("it serves clients", func() bool { return fleet.metric(2, "passed.browse") > 20 && fleet.metric(2, "passed.write") > 20 })
 				for _, i := range fleet.all() {
-					assert.False(t, fleet.everFenced(i), "n%d vouches for what it knows", i)
+					assert.False(t, fleet.everFenced(i), "n%d is never fenced", i)
 				}
-				assert.Empty(t, fleet.declaredDead(2), "who was away blames nobody")
+				assert.Empty(t, fleet.declaredDead(2), "the restarted gateway declares no others dead")
 				fleet.finishAndCheck(0.7)
 			})
 		}
--- a/cmd/lilaccove/fleet_cost_test.go
+++ b/cmd/lilaccove/fleet_cost_test.go
@@ -17,8 +17,8 @@
 	"lilaccove/internal/standin"
 )
 
-// BenchmarkFleetCost tells what membership costs an idle gateway, by processes' own counts, against one without a fleet
-// file: go test -run '^$' -bench FleetPrice -benchtime 1x ./cmd/lilaccove
+// BenchmarkFleetCost measures the CPU time and memory that membership costs an idle gateway, compared with one without a fleet
+// file: go test -run '^$' -bench FleetCost -benchtime 1x ./cmd/lilaccove
 func BenchmarkFleetCost(b *testing.B) {
 	for _, c := range []struct {
 		n     int
@@ -34,8 +34,8 @@
 	}
 }
 
-// measureCost starts gateways that have nothing to do, waits until they know each other, and tells what one takes: its share
-// of a core, and KiB of memory of its own.
+// measureCost starts n idle gateways, waits until all are in one view, and returns the mean use per gateway: the share of a core
+// and the KiB of anonymous memory.
 func measureCost(b *testing.B, n int, fleet bool) (core, kib float64) {
 	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
@@ -50,7 +50,7 @@
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+dir+"/config.json", "TMPDIR="+dir)
 		if fleet {
-			require.NoError(b, os.WriteFile(dir+"/fleet.yaml", []byte("fleet: price\nlisten: 127.0.0.1:0\n"+seeds), 0o600))
+			require.NoError(b, os.WriteFile(dir+"/fleet.yaml", []byte("fleet: cost\nlisten: 127.0.0.1:0\n"+seeds), 0o600))
 			cmd.Env = append(cmd.Env, "GW_FLEET="+dir+"/fleet.yaml")
 		}
 		p := lab.NewProcess(cmd)
@@ -78,11 +78,11 @@
 			select {
 			case <-seen:
 			case <-time.After(time.Minute):
-				b.Fatal("no view of all")
+				b.Fatal("no view has all gateways")
 			}
 		}
 	}
-	time.Sleep(10 * time.Second) // the news of the start go round
+	time.Sleep(10 * time.Second) // until the updates caused by the starts have spread
 	before := cpuSeconds(b, all)
 	const span = 20 * time.Second
 	time.Sleep(span)
@@ -99,13 +99,13 @@
 	return core, kib
 }
 
-// cpuSeconds is the time that processes have had of a core, in seconds.
+// cpuSeconds returns the CPU time that the processes have used, in seconds.
 func cpuSeconds(b *testing.B, all []*lab.Process) (sum float64) {
 	for _, p := range all {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 		require.NoError(b, err)
 		f := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-		for _, i := range []int{11, 12} { // user and system time, in hundredths
+		for _, i := range []int{11, 12} { // user and system time, in hundredths of a second
 			ticks, err := strconv.ParseFloat(string(f[i]), 64)
 			require.NoError(b, err)
 			sum += ticks / 100
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -26,7 +26,7 @@
 	"lilaccove/internal/peer"
 )
 
-// testFleet is several gateways as processes, with relays between them, under load: what the tests of the fleet break.
+// testFleet runs several gateway processes under load, with relays between them that inject network faults.
 type testFleet struct {
 	*lab.Lab
 	t      *testing.T
@@ -35,10 +35,9 @@
 	finish func()
 }
 
-// fleetSlots bounds how many run at once: each is some processes, with little to do.
 var (
-	fleetSlots = make(chan struct{}, 2)
-	exclusive  sync.RWMutex
+	fleetSlots = make(chan struct{}, 2) // bounds how many fleets run at once: each has several processes
+	exclusive  sync.RWMutex             // held for writing by a test that needs this process for itself
 )
 
 const fleetPlan = `seed: 5
@@ -55,23 +54,24 @@
 lab: {gateways: %d, members: 3, cores: 8, service: 2 ms, lag: 5 ms, fleet: true}
 `
 
-// newTestFleet starts n gateways and the load, and waits until all have one view.
+// newTestFleet starts n gateways and the load, and waits until all have the same view. Of the gateways in siblings a test
+// may start a second process under the same name.
 func newTestFleet(t *testing.T, n int, twins ...int) *testFleet {
 	return newTestFleetWithPlan(t, n, fmt.Sprintf(fleetPlan, n), twins...)
 }
 
-// newTestFleetWithPlan is newParty with a plan of its own.
+// newTestFleetWithPlan is newTestFleet with another plan.
 func newTestFleetWithPlan(t *testing.T, n int, text string, twins ...int) *testFleet {
 	return newTestFleetWithLab(t, n, text, func(l *lab.Lab) { l.Siblings = twins })
 }
 
-// newTestFleetWithLab is newPartyOf in a lab that is changed before it opens.
+// newTestFleetWithLab is newTestFleetWithPlan with a lab that change configures before it opens.
 func newTestFleetWithLab(t *testing.T, n int, text string, change func(*lab.Lab)) *testFleet {
 	if testing.Short() {
 		t.Skip("several processes and real time")
 	}
 	t.Parallel()
-	if text == starvedPlan { // what it asks of this process, which plays all databases, leaves no room for others
+	if text == starvedPlan { // this process simulates all databases, and that plan leaves it no time for other tests
 		exclusive.Lock()
 		t.Cleanup(exclusive.Unlock)
 	} else {
@@ -80,7 +80,7 @@
 	}
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
-	pl, err := plan.Parse("party", []byte(text))
+	pl, err := plan.Parse("fleet", []byte(text))
 	require.NoError(t, err)
 	arrivals, err := plan.Schedule(pl)
 	require.NoError(t, err)
@@ -122,7 +122,7 @@
 	if pl.Lab.Fleet {
 		fleet.waitView(n, fleet.all()...)
 	} else {
-		fleet.eventually("all are in the front", func() bool { return fleet.Balancer().Admitted() == n })
+		fleet.eventually("the load balancer admits all gateways", func() bool { return fleet.Balancer().Admitted() == n })
 	}
 	return fleet
 }
@@ -143,7 +143,7 @@
 	require.Eventually(fleet.t, ok, 25*time.Second, 20*time.Millisecond, what)
 }
 
-// waitView waits until the views of some gateways are equal and of so many members.
+// waitView waits until the given gateways have the same view, with so many members.
 func (fleet *testFleet) waitView(members int, list ...int) {
 	fleet.t.Helper()
 	fleet.eventually(fmt.Sprintf("one view of %d members at %v", members, list), func() bool {
@@ -159,7 +159,8 @@
 	})
 }
 
-// makeLagging has the watch of one gateway tell no changes any more, without being silent: the others watch anew.
+// makeLagging leaves one gateway with an old list: its watch delivers heartbeats but no changes any more. The other gateways
+// are restarted, which gives them new watches that deliver changes.
 func (fleet *testFleet) makeLagging(one int) {
 	fleet.t.Helper()
 	fleet.World().WithholdChanges()
@@ -171,17 +172,17 @@
 	fleet.waitView(fleet.n, fleet.all()...)
 }
 
-// metric is one of a gateway's metrics.
+// metric returns the value of one of a gateway's metrics.
 func (fleet *testFleet) metric(i int, name string) int {
 	text, err := fleet.Node(i).Call("GET", "/v1/metrics")
 	require.NoError(fleet.t, err)
 	m := regexp.MustCompile(`(?m)^edge_gw\.` + regexp.QuoteMeta(name) + `=(\d+)$`).FindSubmatch(text)
-	require.NotNil(fleet.t, m, "no figure %s in\n%s", name, text)
+	require.NotNil(fleet.t, m, "no metric %s in\n%s", name, text)
 	n, _ := strconv.Atoi(string(m[1]))
 	return n
 }
 
-// declaredDead are the names that gateways have declared declaredDead so far.
+// declaredDead returns the names that the given gateways have declared dead so far.
 func (fleet *testFleet) declaredDead(list ...int) (names []string) {
 	for _, i := range list {
 		for _, e := range fleet.Node(i).FleetEvents() {
@@ -194,7 +195,8 @@
 	return slices.Compact(names)
 }
 
-// finishAndCheck ends the load: every request has one answer, no write ran twice, no read was too old.
+// finishAndCheck ends the load and checks that every request got one answer, no write ran twice, no read was too old, and more
+// than the share atLeast of the requests was served.
 func (fleet *testFleet) finishAndCheck(atLeast float64) {
 	fleet.t.Helper()
 	fleet.finish()
@@ -206,43 +208,46 @@
 	fleet.t.Logf("served %.3f of %d: %v", served, fleet.report.Total.Count, c)
 }
 
+// A killed gateway leaves every view and the load balancer, nobody else is declared dead, and it can join again.
 func TestFleetMembershipKill(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	fleet.Node(2).Kill()
 	fleet.waitView(4, fleet.except(2)...)
 	assert.Equal(t, []string{"n2"}, fleet.declaredDead(fleet.except(2)...))
-	fleet.eventually("the front leaves it", func() bool { return fleet.Balancer().Admitted() == 4 })
+	fleet.eventually("the load balancer excludes it", func() bool { return fleet.Balancer().Admitted() == 4 })
 	_, err := fleet.Start(2)
 	require.NoError(t, err)
 	fleet.waitView(5, fleet.all()...)
 	fleet.finishAndCheck(0.7)
 }
 
-// A process that stood still is declared dead, refutes that when it goes on, and declares nobody else dead.
+// A process that was paused is declared dead, refutes that when it resumes, and declares no other gateway dead: the messages
+// that it missed were its own fault.
 func TestFleetMembershipPause(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	require.NoError(t, fleet.Node(1).Pause())
 	time.Sleep(3 * time.Second) // the fault itself
 	require.NoError(t, fleet.Node(1).Resume())
-	fleet.eventually("it refutes", func() bool { return fleet.metric(1, "fleet_refutations") > 0 })
+	fleet.eventually("it refutes its death", func() bool { return fleet.metric(1, "fleet_refutations") > 0 })
 	fleet.waitView(5, fleet.all()...)
 	assert.Subset(t, []string{"n1"}, fleet.declaredDead(fleet.all()...))
-	assert.Empty(t, fleet.declaredDead(1), "who stood still blames itself")
+	assert.Empty(t, fleet.declaredDead(1), "a paused gateway declares no others dead")
 	assert.Positive(t, fleet.metric(1, "fleet_pauses"))
 	fleet.finishAndCheck(0.7)
 }
 
+// A link that loses everything in one direction makes nobody dead: other members probe on behalf of the one that gets no answer.
 func TestFleetMembershipOneWayLoss(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	fleet.Mesh().SetCut(0, 1, true)
 	fleet.Mesh().SetCut(3, 2, true)
 	fleet.eventually("many probes are lost on the cut links", func() bool { return fleet.Mesh().Counts().Cut > 30 })
-	assert.Empty(t, fleet.declaredDead(fleet.all()...), "helpers reach whom a link does not")
+	assert.Empty(t, fleet.declaredDead(fleet.all()...), "indirect probes go around the cut links")
 	fleet.waitView(5, fleet.all()...)
 	fleet.finishAndCheck(0.9)
 }
 
-// Each side of a partition goes on and serves; afterwards there is one view again.
+// Each side of a partition has its own view and goes on serving; after the partition there is one view again.
 func TestFleetMembershipPartition(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	sides := [][]int{{0, 1, 2}, {3, 4}}
@@ -258,12 +263,12 @@
 	fleet.finishAndCheck(0.9)
 }
 
-// Gateways that end in order are never taken for dead.
+// Gateways that shut down gracefully are never declared dead.
 func TestFleetMembershipRollingRestart(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	for i := range 5 {
 		require.NoError(t, fleet.Node(i).Terminate())
-		fleet.eventually("its leave is heard", func() bool {
+		fleet.eventually("another gateway removes it from its view", func() bool {
 			r, err := fleet.Node((i + 1) % 5).Fleet()
 			return err == nil && !slices.ContainsFunc(r.View.Members, func(m peer.ReportMember) bool { return m.Name == fmt.Sprintf("n%d", i) })
 		})
@@ -275,7 +280,7 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// Seven in ten are killed at once and come back under their names.
+// Seven of ten gateways are killed at once and start again under the same names; all views agree again.
 func TestFleetMembershipMassRestart(t *testing.T) {
 	fleet := newTestFleet(t, 10)
 	killed := []int{0, 1, 2, 4, 5, 7, 9}
@@ -290,7 +295,8 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// Two processes of one name are told in the log of both and in every view; the fleet has one of them.
+// Two processes that run under one name by mistake are reported in the logs of both and in every view; only one of them is a
+// member. When the second ends, the first is the member again.
 func TestFleetMembershipDuplicateName(t *testing.T) {
 	fleet := newTestFleet(t, 4, 1)
 	first := fleet.Node(1)
@@ -301,14 +307,14 @@
 		return err == nil && len(r.View.Members) == 4 &&
 			slices.ContainsFunc(r.View.Members, func(m peer.ReportMember) bool { return m.Name == "n1" && m.DuplicateName })
 	}
-	fleet.eventually("each view tells", func() bool { return flagged(0) && flagged(2) && flagged(3) })
+	fleet.eventually("each view flags the duplicate name", func() bool { return flagged(0) && flagged(2) && flagged(3) })
 	for _, n := range []*lab.Node{first, second} {
-		fleet.eventually("both logs tell", func() bool {
+		fleet.eventually("both logs report it", func() bool {
 			return slices.ContainsFunc(n.FleetEvents(), func(e string) bool { return strings.HasPrefix(e, "fleet_twice ") })
 		})
 	}
 	second.Kill()
-	fleet.eventually("the first has its name back", func() bool {
+	fleet.eventually("the first process is the member again", func() bool {
 		r, err := first.Fleet()
 		return err == nil && r.Member && !flagged(0)
 	})
@@ -316,7 +322,7 @@
 	fleet.finishAndCheck(0.9)
 }
 
-// Noise of every kind is counted and harms nobody.
+// Invalid messages of every kind, floods and useless connections are counted and dropped, and change no view.
 func TestFleetMembershipMalformedMessages(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	c, err := net.Dial("udp", fleet.Node(0).PeerAddr.String())
@@ -348,7 +354,7 @@
 		}
 		return fleet.metric(0, "fleet_dropped.rate") > 0
 	})
-	for range 40 { // connections that say nothing, or nonsense
+	for range 40 { // connections that send an impossible length and then nothing
 		s, err := net.Dial("tcp", fleet.Node(0).PeerAddr.String())
 		require.NoError(t, err)
 		defer s.Close()
@@ -361,7 +367,7 @@
 			}
 		}
 	}
-	fleet.eventually("links spoil and double", func() bool {
+	fleet.eventually("links corrupt, duplicate and reorder messages", func() bool {
 		n := fleet.Mesh().Counts()
 		return n.Corrupted > 100 && n.Duplicated > 100 && n.Reordered > 100
 	})
@@ -373,14 +379,14 @@
 	fleet.waitView(4, fleet.all()...)
 	r, err := fleet.Node(0).Fleet()
 	require.NoError(t, err)
-	assert.Len(t, r.Known, 3, "nobody came into being by noise")
+	assert.Len(t, r.Known, 3, "invalid messages add no members")
 	fleet.finishAndCheck(0.9)
 }
 
-// peerSettings allow gateways to talk to each other.
+// peerSettings are testSettings that allow gateways to join a fleet.
 var peerSettings = strings.Replace(testSettings, `{"Cancel"`, `{"Peers":true,"Cancel"`, 1)
 
-// freePort is an address that nobody has at the moment, for UDP and TCP.
+// freePort returns a loopback address on which nothing listens at the moment; it serves for UDP and TCP.
 func freePort(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -388,7 +394,8 @@
 	return ln.Addr().String()
 }
 
-// Two processes of an upgrade are one member all along; the new one takes over the address when the old one has ended.
+// The two processes of an upgrade are one member throughout: the name never leaves the view and is never reported as a
+// duplicate. The successor moves to the configured address when the predecessor has ended.
 func TestFleetMembershipUpgrade(t *testing.T) {
 	fleet := newTestFleet(t, 1)
 	peers := fleet.Node(0).PeerAddr.String()
@@ -411,17 +418,17 @@
 	fleet.eventually("it is a member", func() bool { return member().Addr == listen })
 	first := member().Session
 	next := gw.startSuccessor()
-	fleet.eventually("the new process has the name", func() bool {
+	fleet.eventually("the successor is the member", func() bool {
 		m := member()
-		require.NotEmpty(t, m.Session, "the name is in the view all along")
+		require.NotEmpty(t, m.Session, "the name is in the view throughout")
 		return m.Session != first && m.Addr != listen
 	})
-	gw.eventually("the old one knows", func() bool { return strings.Contains(gw.logText(), "event=fleet_superseded") })
+	gw.eventually("the predecessor is notified", func() bool { return strings.Contains(gw.logText(), "event=fleet_superseded") })
 	gw.sendSIGTERM()
 	gw.waitExit()
-	fleet.eventually("it moves to the address that is set", func() bool {
+	fleet.eventually("the successor moves to the configured address", func() bool {
 		m := member()
-		require.NotEmpty(t, m.Session, "the end of the old process takes nobody out")
+		require.NotEmpty(t, m.Session, "the end of the predecessor removes no member")
 		return m.Addr == listen
 	})
 	assert.NotContains(t, gw.logText()+next.logText(), "fleet_twice")
@@ -431,7 +438,7 @@
 	fleet.eventually("it leaves", func() bool { return member().Session == "" })
 }
 
-// memberStates are those in which gateway 0 has told of another, one after the other, without repeats.
+// memberStates returns the states of a member that gateway 0 has logged, in order, without consecutive repeats.
 func (fleet *testFleet) memberStates(name string) (list []string) {
 	for _, e := range fleet.Node(0).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_member name="+name+" ") {
@@ -442,7 +449,7 @@
 	return slices.Compact(list)
 }
 
-// Drained by an operator, a gateway is no member; it observes, and comes back with the second call.
+// A gateway that an operator drains stops being a member but still follows the view; activating it makes it a member again.
 func TestFleetMembershipDrain(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	_, err := fleet.Node(2).Call("PUT", "/v1/gateway/drain")
@@ -455,7 +462,7 @@
 	fleet.finishAndCheck(0.9)
 }
 
-// What the settings forbid is refused at the start, with what would do.
+// A fleet file that is missing, invalid or not allowed by the settings stops the start, with a message that names the mistake.
 func TestFleetFileErrors(t *testing.T) {
 	t.Parallel()
 	for want, c := range map[string]struct{ settings, file string }{
--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -25,7 +25,7 @@
 	"lilaccove/internal/standin"
 )
 
-// mixedFleet is a fleet of hollow gateways in this process and real ones beside them.
+// mixedFleet is a fleet of hollow gateways in this process and of real gateway processes.
 type mixedFleet struct {
 	t      *testing.T
 	dir    string
@@ -37,11 +37,11 @@
 
 	mu          sync.Mutex
 	last        hollow.Report
-	dead        map[string][]string // by who says so
-	reportCount int                 // reports
+	dead        map[string][]string // names declared dead, by the gateway that declared them
+	reportCount int
 }
 
-const statementRate = 300 // statements a second of each hollow gateway
+const statementRate = 300 // statements per second of each hollow gateway
 
 func newMixedFleet(t *testing.T, hollows, real int) *mixedFleet {
 	w, err := standin.New(standin.Options{Groups: 3, Members: 3, Cores: 4, Queue: 10, Service: time.Millisecond, Seed: 1})
@@ -56,7 +56,7 @@
 		start.Gateways = append(start.Gateways, hollow.Spec{Name: name, Config: config, Fleet: fleet, StatementsPerS: statementRate})
 		m.seeds = append(m.seeds, addr)
 	}
-	for i, spec := range start.Gateways { // again: all seeds are known now
+	for i, spec := range start.Gateways { // again, now that all seeds are known
 		m.writeConfig(spec.Name, m.seeds[i])
 	}
 	first, err := json.Marshal(start)
@@ -82,7 +82,7 @@
 	return m
 }
 
-// writeConfig writes what a gateway is told.
+// writeConfig writes a gateway's configuration and fleet file and returns their paths.
 func (m *mixedFleet) writeConfig(name, listen string) (config, fleet string) {
 	config, fleet = filepath.Join(m.dir, name+".json"), filepath.Join(m.dir, name+".yaml")
 	text, err := json.Marshal(map[string]any{
@@ -96,7 +96,7 @@
 	return config, fleet
 }
 
-// startReal starts the program.
+// startReal starts a real gateway.
 func (m *mixedFleet) startReal(name string) {
 	config, fleet := m.writeConfig(name, "127.0.0.1:0")
 	cmd := exec.Command(os.Args[0])
@@ -149,7 +149,8 @@
 	}, 25*time.Second, 20*time.Millisecond, what)
 }
 
-// waitView waits until all that are up, and the real ones, have one view of so many members.
+// waitView waits until so many hollow gateways are up and all of them and the real gateways have the same view, with the given
+// number of members.
 func (m *mixedFleet) waitView(members, up int) {
 	m.t.Helper()
 	m.eventually(fmt.Sprintf("one view of %d members", members), func(r hollow.Report) bool {
@@ -174,18 +175,18 @@
 	})
 }
 
-// waitDeclaredDead waits until all others have told in the reports that one died.
+// waitDeclaredDead waits until all of the given observers have reported that a member died.
 func (m *mixedFleet) waitDeclaredDead(name string, by ...string) {
 	m.t.Helper()
-	m.eventually(name+" is seen dead", func(hollow.Report) bool {
+	m.eventually(name+" is declared dead", func(hollow.Report) bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return !slices.ContainsFunc(by, func(who string) bool { return !slices.Contains(m.dead[who], name) })
 	})
 }
 
-// Hollow gateways and real ones are one fleet: they see each other as members, a killed one as dead, one that ended as
-// left, and one that starts again as back, at its old address and with another session.
+// Hollow and real gateways form one fleet: they see each other as members, a killed one as dead, one that shut down as left,
+// and one that starts again as a member, at its old address and with a new session.
 func TestHollowGatewaysAreMembers(t *testing.T) {
 	m := newMixedFleet(t, 4, 2)
 	m.waitView(6, 4)
@@ -205,13 +206,13 @@
 	}
 	m.sendOrder("end", "h2")
 	m.waitView(4, 2)
-	assert.Contains(t, m.memberState("h2"), "left", "it has told that it goes")
+	assert.Contains(t, m.memberState("h2"), "left", "it has announced that it leaves")
 	m.sendOrder("start", "h1", "h2")
 	m.waitView(6, 4)
 	now := m.lastReport().Gateways[1]
 	assert.Equal(t, was.Addr, now.Addr)
 	assert.NotEqual(t, was.Session, now.Session)
-	assert.Empty(t, m.dead["h1"], "it knows nobody who died")
+	assert.Empty(t, m.dead["h1"], "it has declared nobody dead")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for who, names := range m.dead {
@@ -219,7 +220,7 @@
 	}
 }
 
-// memberState is what a real gateway knows of another.
+// memberState returns the state of a member as a real gateway knows it.
 func (m *mixedFleet) memberState(name string) string {
 	r, err := m.nodes["r0"].Fleet()
 	require.NoError(m.t, err)
@@ -228,11 +229,11 @@
 	return r.Known[i].State
 }
 
-// What the roles have sent and taken in adds up to what the links have, in hollow gateways and in real ones.
+// The bytes that the roles have sent and received add up to the totals of the gateway, in hollow and in real gateways.
 func TestTrafficByRoleAddsUp(t *testing.T) {
 	m := newMixedFleet(t, 3, 1)
 	m.waitView(4, 3)
-	m.eventually("every role that is on has sent and heard", func(r hollow.Report) bool {
+	m.eventually("every active role has sent and received", func(r hollow.Report) bool {
 		return !slices.ContainsFunc(r.Gateways, func(s hollow.State) bool {
 			for _, role := range []string{"membership", "positions", "primaries", "versions", "words", "discovery"} {
 				if x := s.Roles[role]; x.OutMessages == 0 || x.OutBytes == 0 || x.InMessages == 0 || x.InBytes == 0 {
@@ -250,10 +251,10 @@
 			}
 		}
 		assert.Equal(t, s.Totals.OutBytes, out, "%s has sent", s.Name)
-		assert.Equal(t, s.Totals.InBytes, in, "%s has taken in", s.Name)
-		assert.GreaterOrEqual(t, sent, s.Totals.OutMessages, "datagrams, and what went over streams")
+		assert.Equal(t, s.Totals.InBytes, in, "%s has received", s.Name)
+		assert.GreaterOrEqual(t, sent, s.Totals.OutMessages, "the totals count datagrams only, the roles also messages over streams")
 		assert.GreaterOrEqual(t, heard, s.Totals.InMessages)
-		assert.Zero(t, s.Roles["budgets"], "none are divided")
+		assert.Zero(t, s.Roles["budgets"], "no budgets are divided")
 	}
 	text, err := m.nodes["r0"].Call("GET", "/v1/metrics")
 	require.NoError(t, err)
@@ -265,7 +266,7 @@
 		return n
 	}
 	var out, in uint64
-	assert.NotContains(t, string(text), "fleet_budgets_", "a role that is off has no lines")
+	assert.NotContains(t, string(text), "fleet_budgets_", "an inactive role has no metrics")
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} {
 		out, in = out+figure(role+"_out_bytes"), in+figure(role+"_in_bytes")
 	}
@@ -275,7 +276,7 @@
 	assert.Positive(t, figure("discovery_in_bytes"))
 }
 
-// A gateway without a fleet file tells nothing of a fleet.
+// A gateway without a fleet file has no fleet metrics.
 func TestTrafficByRoleNeedsAFleet(t *testing.T) {
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement = true })
 	n := &lab.Node{ManagementAddr: gw.managementAddr}
@@ -284,7 +285,7 @@
 	assert.NotContains(t, string(text), "fleet_")
 }
 
-// Answers are fed in at the rate that was asked for, a tenth of them those of primaries.
+// A hollow gateway learns positions at the configured rate, a tenth of them from primaries.
 func TestHollowGatewaysLearnAtRequestedRate(t *testing.T) {
 	m := newMixedFleet(t, 2, 0)
 	m.waitView(2, 2)
@@ -297,12 +298,12 @@
 		assert.InEpsilon(t, want, s.Learned-was.Learned, 0.02, s.Name)
 		assert.InEpsilon(t, want/10, s.LearnedPrimary-was.LearnedPrimary, 0.35, s.Name)
 		assert.Equal(t, 9, s.KnownPositions)
-		assert.Less(t, s.AgeP50, 500.0, "positions are news")
+		assert.Less(t, s.AgeP50, 500.0, "positions are recent")
 	}
 }
 
-// Beside each other under the same load, hollow gateways and real ones send and hear the same, role by role. That is a trial in
-// small of the calibration, whose figures stand with the page on capacity.
+// Under the same load, hollow and real gateways send and receive the same amounts, role by role. This is a small run of the
+// calibration whose figures are on the capacity page.
 func TestHollowGatewaysMatchRealTraffic(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes and real time")
@@ -314,7 +315,7 @@
 	require.NoError(t, err)
 	for name, by := range map[string]float64{
 		"statements_per_s": 0.1, "positions_learned_per_s": 0.25, "membership.bytes_out_per_s": 0.25, "membership.messages_per_s": 0.25,
-		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few a second, by chance
+		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few per second, which varies by chance
 	} {
 		assert.InDelta(t, 1, r.Ratio[name], by, "%s: %v", name, r.Differ)
 	}
--- a/cmd/lilaccove/large_test.go
+++ b/cmd/lilaccove/large_test.go
@@ -20,7 +20,7 @@
 	"lilaccove/internal/standin"
 )
 
-// variedValue is a value of n bytes in which no two places look alike for long.
+// variedValue returns a value of n pseudorandom bytes, in which misplaced or repeated parts show.
 func variedValue(n int) string {
 	b := make([]byte, n)
 	x := uint32(n)
@@ -31,7 +31,7 @@
 	return string(b)
 }
 
-// Values of any size come whole, on one connection, one after the other, with small ones between.
+// Values of any size arrive complete, one after the other on one connection, with small ones between.
 func TestLargeValues(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -45,11 +45,11 @@
 		assert.Equal(t, 1, got.rows)
 		gw.eventually("it is counted", func() bool { return gw.metric("passed.write") == i+1 })
 	}
-	assert.Equal(t, len(sizes), len(gw.primary.Statements()), "each is asked for once")
+	assert.Equal(t, len(sizes), len(gw.primary.Statements()), "each is requested once")
 	assert.Zero(t, gw.metric("in_progress"))
 }
 
-// The first bytes of a large value do not wait for the last. Once they have gone the deadline has been kept: the
+// The first bytes of a large value are forwarded before the last have arrived. Once they are sent the deadline has been met: the
 // rest may come later.
 func TestFirstBytesAreForwardedAtOnce(t *testing.T) {
 	t.Parallel()
@@ -70,24 +70,24 @@
 	require.NoError(t, err)
 	assert.Equal(t, byte('T'), head[0])
 	assert.Equal(t, 1, gw.metric("in_progress"), "it has not ended")
-	gw.eventually("its time is over", func() bool { return time.Since(asked) > 350*time.Millisecond })
+	gw.eventually("its deadline has passed", func() bool { return time.Since(asked) > 350*time.Millisecond })
 	close(rest)
 	assert.True(t, c.readAnswer().value == value)
 	assert.NotContains(t, gw.logText(), "overdue")
 }
 
-// A value that breaks off, or goes wrong behind its row, ends the connection so that the client can tell, is counted
-// as failed and is not asked for again; the other clients notice nothing.
+// If a value is truncated, or invalid data follows its row, the gateway closes the connection so that the client notices, counts
+// the request as failed and does not send it again; other clients are not affected.
 func TestLargeValueIsTruncated(t *testing.T) {
 	t.Parallel()
 	value := variedValue(300 << 10)
 	whole := string(standin.Row(value, ""))
 	for name, says := range map[string]string{
-		"an end in the row":       whole[:200<<10],
-		"an end behind the row":   whole[:len(whole)-6-14],
-		"noise behind the row":    whole[:len(whole)-6-14] + "noise",
-		"a row behind the row":    whole[:len(whole)-6-14] + whole[30:],
-		"an error behind the row": whole[:len(whole)-6-14] + string(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "XX000", "no", ""))),
+		"truncated in the row":       whole[:200<<10],
+		"truncated after the row":    whole[:len(whole)-6-14],
+		"invalid data after the row": whole[:len(whole)-6-14] + "noise",
+		"another row after the row":  whole[:len(whole)-6-14] + whole[30:],
+		"an error after the row":     whole[:len(whole)-6-14] + string(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "XX000", "no", ""))),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -99,9 +99,9 @@
 			c, other := gw.connect(), gw.connect()
 			c.write(queryMessage(statement("write", 2000, "")))
 			got, err := io.ReadAll(c.reader)
-			require.NoError(t, err, "it ends, in order")
-			assert.True(t, strings.HasPrefix(whole, string(got)), "nothing but what the database gave")
-			assert.NotEqual(t, byte('Z'), got[len(got)-6], "and not as a whole answer")
+			require.NoError(t, err, "the connection is closed without a reset")
+			assert.True(t, strings.HasPrefix(whole, string(got)), "only bytes that the database sent")
+			assert.NotEqual(t, byte('Z'), got[len(got)-6], "the answer does not look complete")
 			assert.Equal(t, 1, gw.metric("bad_gateway.write"))
 			assert.Zero(t, gw.metric("in_progress"))
 			gw.primary.setHandler(nil)
@@ -111,8 +111,8 @@
 	}
 }
 
-// A client that does not read holds up its database connection, not the gateway: the database stops writing, others
-// are served, and all of it comes when the client reads on.
+// A client that does not read blocks its database connection but not the gateway: the database stops writing, other clients are
+// served, and the whole value arrives when the client goes on reading.
 func TestSlowReaderDelaysOnlyItsValue(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -133,7 +133,7 @@
 	others := gw.connect()
 	gw.learnPositions(others)
 	last := int64(-1)
-	gw.eventually("the database is held up", func() bool {
+	gw.eventually("the database cannot write on", func() bool {
 		for range 20 {
 			assert.NotEmpty(t, others.query(statement("own", 2000, "")).value)
 		}
@@ -142,13 +142,13 @@
 		last = now
 		return stopped
 	})
-	assert.Less(t, last, int64(len(value)), "it could not give all")
+	assert.Less(t, last, int64(len(value)), "it could not write the whole value")
 	assert.Equal(t, 1, gw.metric("in_progress"))
 	assert.True(t, c.readAnswer().value == value)
 	gw.eventually("it is counted", func() bool { return gw.metric("passed.write") == 1 })
 }
 
-// Large values that were asked for ahead come in the order of the commands, whatever the order of the answers.
+// Large values of pipelined commands arrive in the order of the commands, whatever the order in which databases answer.
 func TestLargeValuesInOrder(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -164,14 +164,14 @@
 	})
 	c := gw.connect()
 	c.write(queryMessage(statement("write", 2000, ",n=1")) + queryMessage(statement("write", 2000, ",n=2")) + queryMessage(statement("write", 2000, ",n=3")))
-	gw.eventually("all are under way", func() bool { return len(gw.primary.Statements()) == 3 })
+	gw.eventually("all commands are in progress", func() bool { return len(gw.primary.Statements()) == 3 })
 	close(release)
 	assert.True(t, c.readAnswer().value == first)
 	assert.True(t, c.readAnswer().value == second)
 	assert.True(t, c.readAnswer().value == second)
 }
 
-// A client that leaves in the middle of a value frees the database's connection.
+// A client that disconnects in the middle of a value frees the database connection.
 func TestDisconnectDuringLargeValue(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -192,19 +192,19 @@
 	select {
 	case <-gone:
 	case <-time.After(waitTimeout):
-		t.Error("the attempt goes on")
+		t.Error("the attempt was not cancelled")
 	}
 	gw.eventually("nothing is in progress", func() bool { return gw.metric("in_progress") == 0 })
 	assert.Zero(t, gw.metric("passed.write"))
 }
 
-// largeWrite is a write of n bytes of value; it begins with its head comment.
+// largeWrite returns a write statement with a value of n bytes, which begins with the head comment.
 func largeWrite(n int) string {
 	return strings.Replace(statement("write", 2900, ""), `\x9f03`, `\x`+strings.Repeat("9f", n), 1)
 }
 
-// Statements of any size come to the database byte for byte but for d, wherever the network cuts them, and small
-// ones go on before and behind them.
+// Statements of any size reach the database byte for byte, but for the deadline (d) in the head, wherever the network splits them,
+// and a small statement right after each is served too.
 func TestLargeStatements(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -220,7 +220,7 @@
 			message = message[cut:]
 		}
 		assert.Equal(t, "p", c.readAnswer().value, "%d bytes", n)
-		assert.Equal(t, "p", c.readAnswer().value, "the one behind it")
+		assert.Equal(t, "p", c.readAnswer().value, "the statement after it")
 		seen := gw.primary.Statements()
 		require.Equal(t, before+2, len(seen))
 		got, _ := longestStatement(seen[before:])
@@ -238,8 +238,8 @@
 	return text, at
 }
 
-// What cannot be read in a large statement is an error, whether it shows at its head or at its end, and the connection
-// goes on where its end is known.
+// A large statement that cannot be parsed is answered with an error, whether the mistake is at its head or in its middle, and the
+// connection goes on if the end of the statement is known.
 func TestBadLargeStatements(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
@@ -260,15 +260,15 @@
 	assert.Empty(t, gw.replicaA.Statements())
 }
 
-// An attempt that breaks before the whole statement is written has never run: it is sent again, from the bytes that
-// are held. Behind the last byte it may have run, and is not.
+// An attempt whose connection breaks before the whole statement is written cannot have run: it is sent again from the buffered
+// bytes. After the last byte it may have run and is not sent again.
 func TestLargeStatementIsTruncated(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	gw := startGateway(t, withManagement)
-	// A primary that resets the first connection in the midst of the statement.
+	// A primary that resets the first connection in the middle of the statement.
 	go func() {
 		for i := 0; ; i++ {
 			c, err := ln.Accept()
@@ -289,23 +289,23 @@
 		}
 	}()
 	gw.primary.AnnounceAddr(ln.Addr().String())
-	gw.eventually("it has moved", func() bool {
+	gw.eventually("the gateway uses the new address", func() bool {
 		c := gw.connect()
 		got := c.query(largeWrite(4 << 20))
 		return got.value == "p" && gw.metric("upstream_tries.write") > 0
 	})
-	assert.Equal(t, gw.metric("upstream_tries.write"), len(gw.primary.Statements()), "the one that broke off is not counted as written")
+	assert.Equal(t, gw.metric("upstream_tries.write"), len(gw.primary.Statements()), "an attempt that broke off is not counted")
 	assert.Zero(t, gw.metric("bad_gateway.write"))
 }
 
-// Many large statements at once stay within the memory they may have: some wait for the others, those for which it takes
-// too long are refused, and the gateway's memory is bounded by its limit all the while.
+// Many large statements at once stay within the memory for them: some wait for others to end, those that would wait too long are
+// refused, and the memory of the gateway stays within its limit throughout.
 func TestLargeStatementsShareMemory(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.memory = true, 64 })
 	text := queryMessage(largeWrite(2 << 20))
 	var held []*client
-	for range 2 { // both take room and do not end
+	for range 2 { // both hold memory and do not end
 		c := gw.connect()
 		c.write(text[:len(text)-1])
 		held = append(held, c)
@@ -328,7 +328,7 @@
 		if got.value == "p" {
 			served++
 		} else {
-			assert.Equal(t, "53300", got.code, "a refusal, not a cut: %+v", got)
+			assert.Equal(t, "53300", got.code, "refused, not disconnected: %+v", got)
 		}
 	}
 	assert.Positive(t, served)
@@ -339,11 +339,11 @@
 	t.Logf("served %d of 24, peak %d KiB", served, peak)
 	assert.Less(t, peak, 64<<10+raceMemoryKiB)
 	waits.conn.Close()
-	assert.Equal(t, "p", gw.connect().query(largeWrite(4<<20)).value, "the room is given back")
+	assert.Equal(t, "p", gw.connect().query(largeWrite(4<<20)).value, "the memory is released")
 }
 
-// A client that is let go for want of memory in the midst of a large statement gives back at once what that held: nobody else
-// has to go.
+// Evicting a client in the middle of a large statement because memory is short releases the memory of that statement at once: no
+// other client is evicted.
 func TestEvictedLargeStatementReleasesMemory(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.memory, gw.sockets = true, 64, 1024 }) // buffers hold a quarter of the memory
@@ -356,7 +356,7 @@
 		require.NotEmpty(t, other.query(statement("own", 3000, "")).value)
 	}
 	other.write(packet[:50_000])
-	// Those who are owed an answer keep their buffers, so that one of the two has to go.
+	// Clients with a pending answer keep their buffers, so that one of the two above has to be evicted.
 	release := gw.primary.blockAnswers()
 	owed := func() {
 		c := gw.connect()
--- a/cmd/lilaccove/overrides_test.go
+++ b/cmd/lilaccove/overrides_test.go
@@ -15,7 +15,7 @@
 	"lilaccove/internal/standin"
 )
 
-// overrideState is what gateway i knows of operators' words.
+// overrideState returns the overrides that gateway i knows.
 func (fleet *testFleet) overrideState(i int) (r peer.StateReport) {
 	text, err := fleet.Node(i).Call("GET", "/v1/fleet/state")
 	require.NoError(fleet.t, err)
@@ -23,7 +23,7 @@
 	return r
 }
 
-// setOverride takes an operator's setOverride to the fleet at one gateway; it returns the answer.
+// setOverride suspends or resumes a database in the whole fleet by a call to gateway i, and returns the answer.
 func (fleet *testFleet) setOverride(i int, host, verb string) string {
 	fleet.t.Helper()
 	text, err := fleet.Node(i).Call("PUT", "/v1/fleet/databases/"+host+"/"+verb)
@@ -31,10 +31,10 @@
 	return strings.TrimSpace(string(text))
 }
 
-// waitSuspendedCount waits until some gateways leave out so many databases.
+// waitSuspendedCount waits until the given gateways skip n databases.
 func (fleet *testFleet) waitSuspendedCount(n int, list ...int) {
 	fleet.t.Helper()
-	fleet.eventually(fmt.Sprintf("%d databases are left out at %v", n, list), func() bool {
+	fleet.eventually(fmt.Sprintf("%d databases are skipped at %v", n, list), func() bool {
 		for _, i := range list {
 			if fleet.metric(i, "skipped_databases") != n {
 				return false
@@ -44,10 +44,11 @@
 	})
 }
 
-// settledStatementCount is how many statements a database that is left out has begun, once what was under way is over.
+// settledStatementCount waits until the statements in progress at a suspended database have ended, and returns how many it has
+// begun.
 func (fleet *testFleet) settledStatementCount(host *standin.Host) int {
 	fleet.t.Helper()
-	fleet.eventually("what was under way is over", func() bool {
+	fleet.eventually("the statements in progress have ended", func() bool {
 		before, reads := host.StatementCount(), fleet.World().Counts().Reads
 		fleet.eventually("reads go on elsewhere", func() bool { return fleet.World().Counts().Reads > reads+30 })
 		return host.StatementCount() == before
@@ -55,11 +56,11 @@
 	return host.StatementCount()
 }
 
-// A word told to one gateway binds all. One that is killed and returns without a memory knows it before it takes clients:
-// the database gets nothing all along.
+// An override set at one gateway binds all. A gateway that is killed and starts again without stored state learns it before it
+// accepts clients: the suspended database gets no statement throughout.
 func TestFleetStateSuspension(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
-	host := fleet.World().Members()[0] // a primary: who does not know better uses it first
+	host := fleet.World().Members()[0] // a primary: a gateway without the override uses it first
 	fleet.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	fleet.setOverride(2, host.ID, "suspend")
 	fleet.waitSuspendedCount(1, fleet.all()...)
@@ -67,18 +68,18 @@
 	begun := fleet.settledStatementCount(host)
 	for _, i := range []int{2, 0} {
 		fleet.Node(i).Kill()
-		for j := range 4 { // what others know is long on its way
+		for j := range 4 { // what the others know takes long to arrive
 			fleet.Mesh().SetLink(i, j, plan.Link{Delay: 200 * time.Millisecond})
 			fleet.Mesh().SetLink(j, i, plan.Link{Delay: 200 * time.Millisecond})
 		}
 		_, err := fleet.Start(i)
 		require.NoError(t, err)
-		fleet.eventually("it is back in the front", func() bool { return fleet.Balancer().Admitted() == 4 && fleet.overrideState(i).Synced })
+		fleet.eventually("the load balancer admits it again", func() bool { return fleet.Balancer().Admitted() == 4 && fleet.overrideState(i).Synced })
 		reads := fleet.World().Counts().Reads
 		fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > reads+200 })
 	}
 	fleet.waitSuspendedCount(1, fleet.all()...)
-	assert.Equal(t, begun, host.StatementCount(), "a gateway that returned used it")
+	assert.Equal(t, begun, host.StatementCount(), "a restarted gateway used it")
 	fleet.setOverride(1, host.ID, "resume")
 	fleet.waitSuspendedCount(0, fleet.all()...)
 	fleet.eventually("it is in use again", func() bool { return host.StatementCount() > begun })
@@ -87,8 +88,8 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// Two gateways are killed and return at once without a memory, each nearer to the other than to those that have the word. That
-// neither knows of a word tells them nothing: both learn it before they take clients.
+// Two gateways are killed and start again together without stored state, with shorter delays to each other than to those that have
+// the override. That their copies are equal must not count as synchronized: both learn the override before they accept clients.
 func TestFleetStateTwoRestartTogether(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	host := fleet.World().Members()[0]
@@ -104,18 +105,19 @@
 	}
 	for range 2 {
 		fleet.restart(nil, 2, 3)
-		fleet.eventually("both are back in the front", func() bool {
+		fleet.eventually("the load balancer admits both again", func() bool {
 			return fleet.Balancer().Admitted() == 4 && fleet.overrideState(2).Synced && fleet.overrideState(3).Synced
 		})
 		reads := fleet.World().Counts().Reads
 		fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > reads+200 })
 		fleet.waitSuspendedCount(1, fleet.all()...)
 	}
-	assert.Equal(t, begun, host.StatementCount(), "a gateway that returned used it")
+	assert.Equal(t, begun, host.StatementCount(), "a restarted gateway used it")
 	fleet.finishAndCheck(0.6)
 }
 
-// Words said on both sides of a partition: the database stays out and the conflict is told until an operator speaks again.
+// Overrides set on both sides of a partition conflict: the database stays suspended and the conflict is reported until an operator
+// sets another override.
 func TestFleetStateConflict(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	host := fleet.World().Members()[2].ID
@@ -130,7 +132,7 @@
 	fleet.waitSuspendedCount(1, 2, 3)
 	fleet.Mesh().Partition(sides, false)
 	fleet.waitSuspendedCount(1, fleet.all()...)
-	fleet.eventually("each tells of the conflict", func() bool {
+	fleet.eventually("each reports the conflict", func() bool {
 		for i := range 4 {
 			if s := fleet.overrideState(i); len(s.Conflicts) != 1 || s.Digest != fleet.overrideState(0).Digest {
 				return false
@@ -141,7 +143,7 @@
 	fleet.setOverride(2, host, "resume")
 	fleet.waitSuspendedCount(0, fleet.all()...)
 	assert.Empty(t, fleet.overrideState(1).Conflicts)
-	// A word to one gateway alone holds beside the fleet's.
+	// A suspension at a single gateway holds independently of the fleet's overrides.
 	_, err := fleet.Node(0).Call("PUT", "/v1/databases/"+host+"/suspend")
 	require.NoError(t, err)
 	fleet.setOverride(1, host, "suspend")
@@ -152,8 +154,8 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// A gateway is drained by a word told at another, while nobody can reach it. It obeys when it hears of that, and again after it
-// was killed; only the fleet's word has it work again.
+// A gateway is drained by an override set at another one while it is cut off. It drains once it receives the override, and again
+// after it was killed and restarted; only an override of the fleet activates it again, not a call to itself.
 func TestFleetStateDrain(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	say := func(i int, verb string) {
@@ -170,11 +172,11 @@
 	fleet.waitView(3, 0, 1, 3)
 	say(0, "drain")
 	passed := fleet.metric(2, "passed.browse")
-	fleet.eventually("it cannot know yet", func() bool { return fleet.metric(2, "passed.browse") > passed+10 })
+	fleet.eventually("it serves on while it is cut off", func() bool { return fleet.metric(2, "passed.browse") > passed+10 })
 	fleet.Mesh().Partition(sides, false)
-	fleet.eventually("it obeys", func() bool { return drained() && fleet.Balancer().Admitted() == 3 })
+	fleet.eventually("it is drained", func() bool { return drained() && fleet.Balancer().Admitted() == 3 })
 	fleet.restart(nil, 2)
-	fleet.eventually("it obeys after a restart", func() bool { return drained() && fleet.overrideState(2).Synced })
+	fleet.eventually("it is drained after a restart", func() bool { return drained() && fleet.overrideState(2).Synced })
 	_, err := fleet.Node(2).Call("PUT", "/v1/gateway/activate")
 	require.NoError(t, err)
 	fleet.waitView(3, 0, 1, 3)
@@ -182,7 +184,7 @@
 	assert.Equal(t, 3, fleet.Balancer().Admitted())
 	assert.Zero(t, fleet.metric(2, "passed.browse"))
 	say(1, "activate")
-	fleet.eventually("it works again", func() bool { return fleet.Balancer().Admitted() == 4 && fleet.metric(2, "passed.browse") > 0 })
+	fleet.eventually("it serves again", func() bool { return fleet.Balancer().Admitted() == 4 && fleet.metric(2, "passed.browse") > 0 })
 	fleet.waitView(4, fleet.all()...)
 	_, err = fleet.Node(0).Call("PUT", "/v1/fleet/gateways/nobody/drain")
 	assert.ErrorContains(t, err, "404")
--- a/cmd/lilaccove/primaries_test.go
+++ b/cmd/lilaccove/primaries_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A primary hangs and a replica takes its place; discovery does not tell. A gateway that has no clients learns of that from
-// the others' answers, not by failing: its first write goes to the new primary. While a partition keeps it from them it knows
-// nothing, and afterwards it is told.
+// A primary hangs and a replica replaces it, without a change in discovery. A gateway without clients learns the new primary from
+// the other gateways instead of by a failed attempt: its first write goes to the new primary. While it is cut off from them it
+// cannot know; after the partition it is notified.
 func TestFleetStatePrimaries(t *testing.T) { testPrimariesAreLearned(t, "primaries: true") }
 
-// The same holds under a budget.
+// The same holds with a byte budget.
 func TestFleetReconcilePrimaries(t *testing.T) {
 	testPrimariesAreLearned(t, "primaries: true, bytes: 500/s")
 }
@@ -23,7 +23,7 @@
 func testPrimariesAreLearned(t *testing.T, lines string) {
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, "+lines, 1))
 	idle := 3
-	fleet.Balancer().SetAddr(idle, "127.0.0.1:1") // nobody is sent to it
+	fleet.Balancer().SetAddr(idle, "127.0.0.1:1") // the load balancer sends it no clients
 	ask := func(what string) {
 		t.Helper()
 		begun := time.Now()
@@ -31,7 +31,7 @@
 		assert.NotEmpty(t, got.value, "%s: %+v", what, got)
 		assert.Less(t, time.Since(begun), time.Second, what)
 	}
-	ask("at first")
+	ask("before the failover")
 	sides := [][]int{{idle}, {0, 1, 2}}
 	fleet.Mesh().Partition(sides, true)
 	old, next := fleet.World().Members()[0], fleet.World().Members()[1]
@@ -40,12 +40,12 @@
 	next.Promote()
 	writes := func() int { return fleet.World().Counts().Writes }
 	before := writes()
-	fleet.eventually("the others write again", func() bool { return writes() > before+100 })
+	fleet.eventually("the other gateways write again", func() bool { return writes() > before+100 })
 	heard := fleet.metric(idle, "fleet_primaries.heard")
 	fleet.Mesh().Partition(sides, false)
-	fleet.eventually("it is told", func() bool { return fleet.metric(idle, "fleet_primaries.heard") >= heard+4 })
+	fleet.eventually("it receives the new primary", func() bool { return fleet.metric(idle, "fleet_primaries.heard") >= heard+4 })
 	tries := fleet.metric(idle, "upstream_tries.write")
-	ask("behind the hand-over")
+	ask("after the failover")
 	assert.Equal(t, tries+1, fleet.metric(idle, "upstream_tries.write"), "one attempt")
 	fleet.finishAndCheck(0.5)
 }
--- a/cmd/lilaccove/reconcile_test.go
+++ b/cmd/lilaccove/reconcile_test.go
@@ -27,29 +27,30 @@
 lab: {gateways: 4, members: 3, cores: 8, service: 2 ms, lag: 5 ms, fleet: true, positions: true, primaries: true, bytes: %d/s}
 `
 
-// checkByteBudget checks, for the life of each gateway, that a role has sent no more than its budget brought and a burst of it.
+// checkByteBudget checks that each role of each given gateway has sent no more than its budget of bytes per second allows since
+// startTime, plus one second's burst.
 func (fleet *testFleet) checkByteBudget(budget int, begun time.Time, list ...int) {
 	fleet.t.Helper()
 	for _, i := range list {
 		for _, role := range []string{"positions", "primaries"} {
 			assert.Equal(fleet.t, budget, fleet.metric(i, "fleet_"+role+".budget"))
 			sent := fleet.metric(i, "fleet_"+role+".bytes")
-			assert.LessOrEqual(fleet.t, float64(sent), float64(budget)*(time.Since(begun).Seconds()+1), "gateway %d, %s", i, role)
+			assert.LessOrEqual(fleet.t, float64(sent), float64(budget)*(time.Since(begun).Seconds()+1), "gateway %d, role %s", i, role)
 		}
 	}
 }
 
-// Nobody but gateway 0 has heard of fresh replicas. The others use them for their first read: it is told under the budget.
-// One that is cut off asks the primary, and uses a replica once the cut has healed.
+// Only gateway 0 has learned the positions of replicas from its own reads. The others receive them within the byte budget and use
+// replicas from their first read on. A gateway that is cut off reads from the primary, and from a replica after the partition.
 func TestFleetReconcile(t *testing.T) {
 	const budget, cutOff = 600, 3
 	begun := time.Now()
-	// What reads there are is this test's.
+	// The load is so low that practically all reads are those of this test.
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(reconcilePlan, budget), "rate: 120/s", "rate: 1/min", 1))
 	fleet.Mesh().Partition([][]int{{cutOff}, {0, 1, 2}}, true)
 	fleet.waitView(3, 0, 1, 2)
 	reads := func() (all, primary int) { c := fleet.World().Counts(); return c.Reads, c.PrimaryReads }
-	// read has a gateway read in both groups, and tells how often a primary served that.
+	// readBoth reads in both groups through a gateway and returns how many of the reads a primary served.
 	read := func(i int) int {
 		t.Helper()
 		_, before := reads()
@@ -70,26 +71,26 @@
 	has := known(0)
 	knows := func(i int) bool { return known(i) >= has }
 	for _, i := range []int{1, 2} {
-		fleet.eventually("the others are told", func() bool { return knows(i) })
-		assert.Zero(t, read(i), "gateway %d goes to primaries", i)
+		fleet.eventually("the others receive the positions", func() bool { return knows(i) })
+		assert.Zero(t, read(i), "gateway %d reads from primaries", i)
 	}
 	assert.Zero(t, fleet.metric(cutOff, "fleet_positions.heard"))
-	assert.Positive(t, read(cutOff), "who is told nothing asks primaries")
+	assert.Positive(t, read(cutOff), "a gateway without positions reads from primaries")
 	fleet.Mesh().Partition([][]int{{cutOff}, {0, 1, 2}}, false)
-	fleet.eventually("it is told", func() bool { return knows(cutOff) && fleet.metric(cutOff, "fleet_positions.heard") > 0 })
+	fleet.eventually("it receives the positions", func() bool { return knows(cutOff) && fleet.metric(cutOff, "fleet_positions.heard") > 0 })
 	assert.Zero(t, read(cutOff))
 	fleet.checkByteBudget(budget, begun, fleet.all()...)
 }
 
-// Under load, with links that lose, double, reorder and spoil, a cut and a gateway that stands still: the budget holds, no
-// read is too old, and knowledge goes on both sides of the cut.
+// Under load, links lose, duplicate, reorder and corrupt messages, one gateway is paused, and the fleet is partitioned: the byte
+// budget holds, no read is too old, and positions are exchanged on both sides of the partition.
 func TestFleetReconcileFaults(t *testing.T) {
 	const budget = 800
 	begun := time.Now()
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(reconcilePlan, budget), "bound: 20 s", "bound: 1 s", 1))
 	heard := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
 	for i := range 4 {
-		fleet.eventually("positions are heard", func() bool { return heard(i) > 5 })
+		fleet.eventually("positions are received", func() bool { return heard(i) > 5 })
 	}
 	for i := range 4 {
 		for j := range 4 {
@@ -108,7 +109,7 @@
 	fleet.Mesh().Partition(sides, true)
 	fleet.waitView(2, 0, 1)
 	at := heard(0)
-	fleet.eventually("each side goes on telling", func() bool { return heard(0) > at+5 })
+	fleet.eventually("each side goes on exchanging positions", func() bool { return heard(0) > at+5 })
 	fleet.Mesh().Partition(sides, false)
 	fleet.waitView(4, fleet.all()...)
 	assert.Zero(t, fleet.metric(0, "fleet_positions.ahead"))
@@ -116,16 +117,16 @@
 	fleet.finishAndCheck(0.6)
 }
 
-// A fleet that changes over from rumours to a budget: who has one takes rumours in, who has none refuses what it cannot read
-// with a line that says why, and nothing is served that is too old.
+// While a fleet changes from gossip without a byte budget to reconciling under one, gateways with a budget read the gossip of
+// those without, gateways without one refuse messages that they cannot read and log why, and no read is too old.
 func TestFleetReconcileMigration(t *testing.T) {
 	fleet := newTestFleetWithLab(t, 4, fmt.Sprintf(reconcilePlan, 800), func(l *lab.Lab) { l.WithoutByteBudget = []int{0, 1} })
 	for _, i := range []int{2, 3} {
-		fleet.eventually("rumours are taken in", func() bool { return fleet.metric(i, "fleet_positions.heard") > 20 })
+		fleet.eventually("gossip is received", func() bool { return fleet.metric(i, "fleet_positions.heard") > 20 })
 		assert.Positive(t, fleet.metric(i, "fleet_positions.budget"))
 	}
 	for _, i := range []int{0, 1} {
-		fleet.eventually("it says what it refuses", func() bool {
+		fleet.eventually("it logs what it refuses", func() bool {
 			return strings.Contains(strings.Join(fleet.Node(i).FleetEvents(), "\n"), "under a budget, which the fleet file here does not have")
 		})
 		fleet.eventually("it goes on as before", func() bool { return fleet.metric(i, "fleet_positions.heard") > 0 })
--- a/cmd/lilaccove/shared_test.go
+++ b/cmd/lilaccove/shared_test.go
@@ -26,14 +26,13 @@
 lab: {gateways: %d, members: 5, cores: 8, service: 2 ms, lag: 5 ms, fleet: true, subsets: true, positions: true}
 `
 
-// What others know of replicas makes reads find them, and never one that is too far behind: not while half of the
-// replicas lag, nor with news that are late, doubled, out of order or spoilt, across a partition, or from a
-// gateway that stood still.
+// Gateways exchange replicas' positions, and reads never get data that is too old: not while half of the replicas lag, nor when
+// positions arrive late, duplicated, out of order or corrupted, across a partition, or from a gateway that was paused.
 func TestFleetPositions(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 5, fmt.Sprintf(sharedPlan, 5))
 	heard := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
 	for i := range 5 {
-		fleet.eventually("positions are heard", func() bool { return heard(i) > 20 })
+		fleet.eventually("positions are received", func() bool { return heard(i) > 20 })
 	}
 	for i := range 5 {
 		for j := range 5 {
@@ -52,14 +51,14 @@
 	fleet.Mesh().Partition(sides, true)
 	fleet.waitView(2, 0, 1)
 	at := heard(0)
-	fleet.eventually("each side goes on telling", func() bool { return heard(0) > at+5 })
+	fleet.eventually("each side goes on exchanging positions", func() bool { return heard(0) > at+5 })
 	fleet.Mesh().Partition(sides, false)
 	fleet.waitView(5, fleet.all()...)
 	assert.Zero(t, fleet.metric(0, "fleet_positions.ahead"))
 	fleet.finishAndCheck(0.6)
 }
 
-// lastSubset is what a gateway told last of its subsets: gateways and hosts.
+// lastSubset returns the numbers of gateways and hosts that a gateway logged last about its subsets, as key=value fields.
 func (fleet *testFleet) lastSubset(i int) (gateways, hosts string) {
 	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_subset ") {
@@ -70,15 +69,15 @@
 	return gateways, hosts
 }
 
-// Subsets follow the view: a killed gateway's members are taken over, a partition's sides divide them among
-// themselves, and one that is drained prefers nobody.
+// Subsets follow the view: the other gateways take over the databases of a killed one, each side of a partition divides all
+// databases among its gateways, and a drained gateway prefers none.
 func TestFleetShare(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
 	divided := func(n int, list ...int) {
 		t.Helper()
-		fleet.eventually(fmt.Sprintf("%d gateways divide the members", n), func() bool {
+		fleet.eventually(fmt.Sprintf("%d gateways divide the databases", n), func() bool {
 			for _, i := range list {
-				// Two of the five members of each of two groups.
+				// Two or three of the five members of each of two groups.
 				if g, h := fleet.lastSubset(i); g != fmt.Sprintf("gateways=%d", n) || h != "hosts=4" && h != "hosts=6" {
 					return false
 				}
@@ -99,7 +98,7 @@
 	divided(4, fleet.all()...)
 	_, err = fleet.Node(1).Call("PUT", "/v1/gateway/drain")
 	require.NoError(t, err)
-	fleet.eventually("who is drained prefers nobody", func() bool { _, h := fleet.lastSubset(1); return h == "hosts=0" })
+	fleet.eventually("a drained gateway prefers no database", func() bool { _, h := fleet.lastSubset(1); return h == "hosts=0" })
 	divided(3, 0, 2, 3)
 	fleet.finishAndCheck(0.8)
 }
--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -17,10 +17,10 @@
 	"lilaccove/internal/wordstore"
 )
 
-// storePlan has four gateways that keep operators' words on a disk.
+// storePlan has four gateways that store operator overrides on disk.
 var storePlan = strings.NewReplacer("%%", "%", "%d", "4", "fleet: true", "fleet: true, words: 1 min").Replace(fleetPlan)
 
-// restart kills some gateways at once, has something done meanwhile, and starts them.
+// restart kills the given gateways together, calls meanwhile unless it is nil, and starts them again.
 func (fleet *testFleet) restart(meanwhile func(), list ...int) {
 	fleet.t.Helper()
 	for _, i := range list {
@@ -35,7 +35,7 @@
 	}
 }
 
-// hasFleetEvent tells whether the newest process of a gateway has logged something.
+// hasFleetEvent reports whether the newest process of a gateway has logged a fleet event that contains what.
 func (fleet *testFleet) hasFleetEvent(i int, what string) bool {
 	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.Contains(e, what) {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// waitOverridesEqual waits until all copies are waitOverridesEqual.
+// waitOverridesEqual waits until all gateways are synchronized and have equal copies of the overrides.
 func (fleet *testFleet) waitOverridesEqual() {
 	fleet.t.Helper()
 	fleet.eventually("all copies are equal", func() bool {
@@ -58,7 +58,8 @@
 	})
 }
 
-// All gateways are killed right behind the yes. The word is on their disks: nobody uses the database when they are back.
+// All gateways are killed right after an override was confirmed. It is on their disks: no gateway uses the suspended database
+// after the restart.
 func TestFleetStateDiskAllKilled(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[0]
@@ -69,15 +70,15 @@
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	before := fleet.World().Counts().Reads
 	fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > before+200 })
-	assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the word")
+	assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the override")
 	fleet.waitOverridesEqual()
 	fleet.setOverride(0, host.ID, "resume")
 	fleet.waitSuspendedCount(0, fleet.all()...)
 	fleet.finishAndCheck(0.3)
 }
 
-// All gateways are killed, and the clocks of their machines are stepped by far more than words are kept before they start
-// again. The words were away for a moment of real time only: nobody uses the database.
+// All gateways are killed, and their wall clocks are stepped by far more than overrides are kept before they start again. In real
+// time the overrides are only a moment old, so they must not expire: no gateway uses the suspended database.
 func TestFleetStateDiskAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -93,14 +94,14 @@
 			fleet.waitSuspendedCount(1, fleet.all()...)
 			before := fleet.World().Counts().Reads
 			fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > before+200 })
-			assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the word")
+			assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the override")
 			fleet.finishAndCheck(0.3)
 		})
 	}
 }
 
-// The gateway that took the word is killed right behind its yes, cut off from all others: its disk alone has the word, and
-// its yes says so. It is back before the others can be reached, and then all have it.
+// A gateway that is cut off from all others is killed right after it confirmed an override. Only its disk has the override, and
+// the confirmation says so. The gateway restarts while it is still cut off and has the override; after the partition all have it.
 func TestFleetStateDiskOnlyCopy(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[2].ID
@@ -116,7 +117,8 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// lockOverridesFile holds the lock on a gateway's file of words, as a process of it would that hangs on a slow disk.
+// lockOverridesFile holds the lock on a gateway's file of overrides, as another process of the gateway would while it waits for
+// a slow disk.
 func (fleet *testFleet) lockOverridesFile(i int) (release func()) {
 	fleet.t.Helper()
 	lock, err := os.OpenFile(filepath.Join(fleet.OverridesDir(i), "words.lock"), os.O_CREATE|os.O_RDWR, 0o640)
@@ -126,13 +128,13 @@
 	return func() { lock.Close() }
 }
 
-// The file cannot be read while the gateway starts, for another process holds its lock for longer than is waited for. The
-// disk alone has the word, the others do not know of it: the gateway takes it in as soon as it can, and serves nobody until
-// then, or until it has waited for two seconds for the lock and for as long again.
+// A starting gateway cannot read its file of overrides, because another process holds the lock for longer than the start waits.
+// Only that file has the override. The gateway reads it as soon as it can and serves no client until then, or until it has
+// waited two seconds for the lock and two seconds more.
 func TestFleetStateDiskLockedAtStart(t *testing.T) {
 	const (
-		inUse  = 3500 * time.Millisecond // since the process was started
-		served = 4 * time.Second         // it may be without the word from then on
+		inUse  = 3500 * time.Millisecond // the lock is held for this long after the start of the process
+		served = 4 * time.Second         // from then on it may serve without the override
 	)
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[2].ID
@@ -144,7 +146,7 @@
 	begun := time.Now()
 	_, err := fleet.Start(3)
 	require.NoError(t, err)
-	fleet.eventually("it has met the lock", func() bool { return fleet.hasFleetEvent(3, "another process holds the lock") })
+	fleet.eventually("it has found the file locked", func() bool { return fleet.hasFleetEvent(3, "another process holds the lock") })
 	early := 0
 	fleet.eventually("it has waited", func() bool {
 		passed := fleet.metric(3, "passed.browse") + fleet.metric(3, "passed.write")
@@ -153,15 +155,15 @@
 		}
 		return time.Since(begun) > inUse
 	})
-	assert.Zero(t, early, "served without the word")
+	assert.Zero(t, early, "served without the override")
 	release()
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	fleet.waitOverridesEqual()
 	fleet.finishAndCheck(0.5)
 }
 
-// A gateway returns with a copy from before the last word: what all others know to be over does not come back. The copy is
-// theirs by then.
+// A gateway restarts with a file from before the last override, in which a database is still suspended. All other gateways know
+// that it was resumed: the old override must not come back, and the gateway's copy becomes equal to theirs.
 func TestFleetStateDiskStaleCopy(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[1].ID
@@ -179,8 +181,8 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// A copy that is damaged, and one of another gateway, are told and not used. The first is replaced, the second is left alone
-// and the operator is told that nothing is kept.
+// A damaged file of overrides and a file of another gateway are reported and not used. The damaged one is replaced. The other one
+// is left unchanged, and the answers to operators say that overrides are not on disk.
 func TestFleetStateDiskDamaged(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[1].ID
@@ -209,20 +211,21 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// One whose copy lies for longer than words are kept does not use it: it catches up.
+// A gateway whose file is older than overrides are kept does not use it, but synchronizes with the others.
 func TestFleetStateDiskExpiredCopy(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(storePlan, "words: 1 min", "words: 1 s", 1))
 	host := fleet.World().Members()[1].ID
 	fleet.setOverride(0, host, "suspend")
 	fleet.waitSuspendedCount(1, fleet.all()...)
-	fleet.restart(func() { time.Sleep(1300 * time.Millisecond) }, 2) // the fault
+	fleet.restart(func() { time.Sleep(1300 * time.Millisecond) }, 2) // the fault itself
 	assert.True(t, fleet.hasFleetEvent(2, "longer than words are kept"))
 	fleet.waitOverridesEqual()
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	fleet.finishAndCheck(0.5)
 }
 
-// Links that lose a fifth, double and reorder: the yes still tells truly who has the word, for it is told again.
+// Links lose a fifth of the messages, duplicate and reorder. Overrides are sent again until they are acknowledged, so that the
+// confirmation still tells correctly how many gateways hold the override.
 func TestFleetStateReplicatedUnderLoss(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	for i := range 4 {
@@ -244,8 +247,8 @@
 	fleet.finishAndCheck(0.5)
 }
 
-// Words on six databases to which each of twenty processes has spoken, as after as many releases, come whole to gateways that
-// have lost their disks: no message is too large to arrive.
+// Overrides on six databases, each with a version vector of twenty writers, as after as many releases, reach gateways that have
+// lost their disks: no message is too large to arrive.
 func TestFleetStateManyWriters(t *testing.T) {
 	const databases, processes = 6, 20
 	var words []state.Override
@@ -268,7 +271,7 @@
 		require.NoError(t, <-saved)
 		store.Close(time.Second)
 	}, fleet.all()...)
-	fleet.eventually("all have all words", func() bool {
+	fleet.eventually("all gateways have all overrides", func() bool {
 		for i := range 4 {
 			if len(fleet.overrideState(i).Overrides) != databases {
 				return false
--- a/cmd/lilaccove/watch_test.go
+++ b/cmd/lilaccove/watch_test.go
@@ -19,21 +19,21 @@
 	"lilaccove/internal/standin"
 )
 
-// listBindingDelay is how long after discovery had a change, and could be reached, it counts as told.
+// listBindingDelay is the time after which a change binds the gateway, counted from when discovery had it and could be reached.
 const listBindingDelay = 6 * time.Second
 
-// scriptedDiscovery is a discovery that answers each call as the test says, byte by byte.
+// scriptedDiscovery is a discovery whose answer to each call the test writes, byte by byte.
 type scriptedDiscovery struct {
 	t         *testing.T
 	ln        net.Listener
 	mu        sync.Mutex
 	calls     []time.Time
-	handler   func(c net.Conn, call int) // nil: the call is cut off
+	handler   func(c net.Conn, call int) // nil: the connection is closed
 	openCalls map[net.Conn]bool
 	lastPath  string // the path of the last call
 }
 
-// useScriptedDiscovery makes a discovery of s that nobody else knows.
+// useScriptedDiscovery starts a scripted discovery and makes it the one of this gateway.
 func (gw *testGateway) useScriptedDiscovery(do func(c net.Conn, call int)) *scriptedDiscovery {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(gw.t, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-// setHandler changes what is answered from now on.
+// setHandler sets the handler of later calls.
 func (d *scriptedDiscovery) setHandler(do func(c net.Conn, call int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +81,7 @@
 	return d.lastPath
 }
 
-// closeCalls ends all calls that are out.
+// closeCalls closes all open calls.
 func (d *scriptedDiscovery) closeCalls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,10 +91,10 @@
 	clear(d.openCalls)
 }
 
-// waitDiscoveryCall waits for a call after a moment and tells when it came.
+// waitDiscoveryCall waits for the first call after a time and returns when it came.
 func (gw *testGateway) waitDiscoveryCall(d *scriptedDiscovery, after time.Time) (at time.Time) {
 	gw.t.Helper()
-	gw.eventually("discovery is asked", func() bool {
+	gw.eventually("discovery is called", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		for _, at = range d.calls {
@@ -109,10 +109,10 @@
 
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n" // no length: it ends with the connection
 
-// holdOpen keeps a connection open until its caller has given it up.
+// holdOpen keeps a connection open until the peer closes it.
 func holdOpen(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-// streamList answers with the world's list, a line that goes on, and heartbeats.
+// streamList answers with the world's list, indented over many lines if asked for, and then with a heartbeat per second.
 func streamList(w *standin.World, indent bool) func(net.Conn, int) {
 	return func(c net.Conn, _ int) {
 		text := w.List()
@@ -131,18 +131,19 @@
 	}
 }
 
-// large has the gateway take itself for one of many, which spread their calls.
+// withManyInstances configures the gateway as one of 300, which spread their calls of discovery over time.
 func withManyInstances(gw *testGateway) {
 	gw.settings = strings.Replace(testSettings, `"Instances":1`, `"Instances":300`, 1)
 }
 
-// checkReplicaADrained has a leave discovery's list for the draining ones, and checks that it gets nothing once that binds.
+// checkReplicaADrained checks that replica A, which discovery lists as terminating, gets no new statement from two seconds after
+// binding on.
 func (gw *testGateway) checkReplicaADrained(binding time.Time) {
 	gw.t.Helper()
-	gw.checkNoNewStatements(gw.replicaA, binding.Add(2*time.Second)) // the grace in the settings
+	gw.checkNoNewStatements(gw.replicaA, binding.Add(2*time.Second)) // the drain grace in the settings
 }
 
-// checkNoNewStatements checks that a database gets nothing new from a moment on, however many ask.
+// checkNoNewStatements checks that a database gets no new statement from a time on, while reads are served elsewhere.
 func (gw *testGateway) checkNoNewStatements(d *database, from time.Time) {
 	gw.t.Helper()
 	time.Sleep(time.Until(from))
@@ -154,19 +155,19 @@
 	assert.Len(gw.t, d.Statements(), n, "it drains")
 }
 
-// A watch that says nothing any more is opened anew before what it does not tell binds, however it came to fall silent,
-// and however many gateways there are. Bytes that never end a line tell nothing.
+// A watch that falls silent is opened again before a change that it does not deliver binds the gateway, wherever in the answer it
+// fell silent and however many gateways there are. Bytes that never complete a line count as silence.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	whole := func(gw *testGateway) string { return responseHead + string(gw.world.List()) + "\n" }
 	for name, say := range map[string]func(gw *testGateway, c net.Conn){
 		"from the first byte": func(*testGateway, net.Conn) {},
-		"behind its head":     func(_ *testGateway, c net.Conn) { _, _ = io.WriteString(c, responseHead) },
+		"after its head":      func(_ *testGateway, c net.Conn) { _, _ = io.WriteString(c, responseHead) },
 		"in the first line":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)[:len(whole(gw))/2]) },
-		"behind the list":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)) },
-		"behind a heartbeat":  func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+"\n") },
+		"after the list":      func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)) },
+		"after a heartbeat":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+"\n") },
 		"in a later line":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[{"host`) },
-		"while it drips": func(gw *testGateway, c net.Conn) {
+		"while single bytes go on": func(gw *testGateway, c net.Conn) {
 			_, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[`)
 			for {
 				if _, err := io.WriteString(c, " "); err != nil {
@@ -199,23 +200,23 @@
 			gw.learnPositions(gw.connect())
 			gw.replicaA.Announce("terminating", time.Time{})
 			at := gw.waitDiscoveryCall(d, begun)
-			assert.Less(t, at.Sub(begun), listBindingDelay-500*time.Millisecond, "time is left for the answer")
+			assert.Less(t, at.Sub(begun), listBindingDelay-500*time.Millisecond, "the call leaves time for the answer")
 			gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
 		})
 	}
 }
 
-// However a call fails, the next comes soon enough for what discovery has by the time that it can be reached again.
+// However a call of discovery fails, the next one comes before a change binds that discovery has when it can be reached again.
 func TestDiscoveryIsPolledAgainInTime(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(c net.Conn, call int){
-		"cut off":  nil,
-		"503":      func(c net.Conn, _ int) { _, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
-		"silent":   func(c net.Conn, _ int) { holdOpen(c) },
-		"spoilt":   func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"{]\n") },
-		"half":     func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+`{"seq":9,"whole":true,"hosts":[`) },
-		"no hosts": func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"null\n") },
-		"a crowd": func(c net.Conn, _ int) {
+		"closed":    nil,
+		"503":       func(c net.Conn, _ int) { _, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
+		"silent":    func(c net.Conn, _ int) { holdOpen(c) },
+		"invalid":   func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"{]\n") },
+		"cut short": func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+`{"seq":9,"whole":true,"hosts":[`) },
+		"no hosts":  func(c net.Conn, _ int) { _, _ = io.WriteString(c, responseHead+"null\n") },
+		"late 503": func(c net.Conn, _ int) {
 			time.Sleep(time.Second)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		},
@@ -228,9 +229,9 @@
 				gw.t = t
 				d = gw.useScriptedDiscovery(fails)
 			})
-			gw.learnPositions(gw.connect()) // the known list serves meanwhile
+			gw.learnPositions(gw.connect()) // the gateway serves by its known list meanwhile
 			gw.waitDiscoveryCall(d, time.Time{})
-			time.Sleep(3 * time.Second) // the fault lasts
+			time.Sleep(3 * time.Second) // the duration of the fault
 			gw.replicaA.Announce("terminating", time.Time{})
 			d.setHandler(streamList(gw.world, false))
 			back := time.Now()
@@ -241,7 +242,8 @@
 	}
 }
 
-// SIGHUP moves the watch at once, whatever goes on at the old address; a call that fails at the new one is repeated.
+// SIGHUP moves the watch to a new address at once, even if a call to the old address is open; a call that fails at the new address
+// is repeated.
 func TestReloadDuringDiscoveryCall(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) {
@@ -260,7 +262,7 @@
 	gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
 }
 
-// A list may be indented over many lines.
+// A list that is indented over many lines is read like any other.
 func TestIndentedList(t *testing.T) {
 	t.Parallel()
 	var d *scriptedDiscovery
@@ -274,8 +276,8 @@
 	assert.NotContains(t, gw.logText(), "discovery_failed")
 }
 
-// A change of an older version than the list in force tells nothing new: it must not bring a database back. What a discovery
-// that went back has is asked for anew, as a whole.
+// A change with a lower version than the list in force is ignored: it must not bring a draining database back. Because discovery
+// went back to an older version, the gateway asks for the whole list again.
 func TestOlderListChangesAreIgnored(t *testing.T) {
 	t.Parallel()
 	var d *scriptedDiscovery
@@ -303,7 +305,7 @@
 	for begun := time.Now(); time.Since(begun) < time.Second; {
 		c.query(statement("own", 1000, ""))
 	}
-	assert.Equal(t, n, len(gw.replicaA.Statements()), "it drains by the newest that was told")
+	assert.Equal(t, n, len(gw.replicaA.Statements()), "it drains by the newest list received")
 	gw.waitDiscoveryCall(d, at.Add(time.Millisecond))
 	assert.Contains(t, d.lastCallPath(), "after=0", "the whole list is asked for")
 }
