--- a/cmd/lilaccove/audit_test.go
+++ b/cmd/lilaccove/audit_test.go
@@ -19,20 +19,20 @@
 )
 
 // auditRecords returns the audit records that the given gateways report.
-func (fleet *testFleet) auditRecords(list ...int) (all []audit.ChainedRecord) {
+func (fleet *testFleet) auditRecords(gateways ...int) (records []audit.ChainedRecord) {
 	fleet.t.Helper()
-	for _, i := range list {
+	for _, i := range gateways {
 		text, err := fleet.Node(i).Call("GET", "/v1/fleet/audit")
 		require.NoError(fleet.t, err)
 		var r peer.AuditReport
 		require.NoError(fleet.t, json.Unmarshal(text, &r))
 		for _, line := range r.Records {
-			s, err := audit.ParseRecord(line)
+			record, err := audit.ParseRecord(line)
 			require.NoError(fleet.t, err)
-			all = append(all, s)
+			records = append(records, record)
 		}
 	}
-	return all
+	return records
 }
 
 // waitWrites waits until each gateway has served n writes.
@@ -49,13 +49,13 @@
 }
 
 // auditFindings returns the findings of a kind in the records of all gateways.
-func (fleet *testFleet) auditFindings(kind string) (list []audit.Finding) {
+func (fleet *testFleet) auditFindings(kind string) (findings []audit.Finding) {
 	for _, f := range audit.Analyze(fleet.auditRecords(fleet.all()...), audit.DefaultTolerances()) {
 		if f.Kind == kind {
-			list = append(list, f)
+			findings = append(findings, f)
 		}
 	}
-	return list
+	return findings
 }
 
 // Two databases of a group accept writes. No single gateway can notice that; the records of all gateways show it, with the group
@@ -65,19 +65,19 @@
 	fleet.waitWrites(5)
 	assert.Empty(t, audit.Analyze(fleet.auditRecords(fleet.all()...), audit.DefaultTolerances()), "a healthy fleet has no findings")
 	members := fleet.World().Members()
-	old, claims := members[0], members[1]
-	require.Equal(t, old.Group, claims.Group)
-	claims.ClaimPrimary()
-	var f audit.Finding
+	old, claimant := members[0], members[1]
+	require.Equal(t, old.Group, claimant.Group)
+	claimant.ClaimPrimary()
+	var finding audit.Finding
 	fleet.eventually("the violation is found", func() bool {
-		list := fleet.auditFindings(audit.TwoPrimaries)
-		if len(list) > 0 {
-			f = list[0]
+		findings := fleet.auditFindings(audit.TwoPrimaries)
+		if len(findings) > 0 {
+			finding = findings[0]
 		}
-		return len(list) > 0
+		return len(findings) > 0
 	})
-	assert.Equal(t, old.Group, f.Group)
-	assert.ElementsMatch(t, []string{old.ID, claims.ID}, strings.Fields(f.Database))
+	assert.Equal(t, old.Group, finding.Group)
+	assert.ElementsMatch(t, []string{old.ID, claimant.ID}, strings.Fields(finding.Database))
 	fleet.finishAndCheck(0.7)
 }
 
@@ -127,49 +127,49 @@
 func TestFleetAuditFile(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, audit: true", 1))
 	file := fleet.AuditFile(1)
-	read := func() (list []audit.ChainedRecord, sessions map[string]bool) {
+	readFile := func() (records []audit.ChainedRecord, sessions map[string]bool) {
 		lines, err := auditfile.Lines(file)
 		require.NoError(t, err)
 		sessions = map[string]bool{}
 		for _, l := range lines {
-			s, err := audit.ParseRecord(l)
+			record, err := audit.ParseRecord(l)
 			require.NoError(t, err)
-			list = append(list, s)
-			sessions[s.Session] = true
+			records = append(records, record)
+			sessions[record.Session] = true
 		}
-		return list, sessions
+		return records, sessions
 	}
 	fleet.eventually("it has written some records", func() bool {
 		fleet.auditRecords(1) // reading the records ends a span
-		list, _ := read()
-		return len(list) >= 3
+		records, _ := readFile()
+		return len(records) >= 3
 	})
 	fleet.Node(1).Kill()
-	before, _ := read()
+	before, _ := readFile()
 	_, err := fleet.Start(1)
 	require.NoError(t, err)
 	fleet.eventually("the next process appends records", func() bool {
 		fleet.auditRecords(1)
-		list, sessions := read()
-		return len(sessions) == 2 && len(list) >= len(before)+3
+		records, sessions := readFile()
+		return len(sessions) == 2 && len(records) >= len(before)+3
 	})
-	list, _ := read()
-	assert.Empty(t, audit.Analyze(list, audit.DefaultTolerances()))
+	records, _ := readFile()
+	assert.Empty(t, audit.Analyze(records, audit.DefaultTolerances()))
 	require.NoError(t, fleet.Node(1).Terminate())
-	ended, _ := read()
-	assert.Greater(t, len(ended), len(list), "the last span is written at the shutdown")
+	afterExit, _ := readFile()
+	assert.Greater(t, len(afterExit), len(records), "the last span is written at the shutdown")
 	fleet.finishAndCheck(0.7)
 
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	lines := strings.SplitAfter(string(text), "\n")
 	require.NoError(t, os.WriteFile(file, []byte(strings.Join(append(lines[:1:1], lines[2:]...), "")), 0o600))
-	list, _ = read()
-	found := audit.Analyze(list, audit.DefaultTolerances())
-	require.Len(t, found, 1)
-	assert.Equal(t, audit.BrokenChain, found[0].Kind)
-	changed := strings.Replace(lines[1], `"list":1`, `"list":7`, 1)
-	require.NotEqual(t, lines[1], changed)
-	_, err = audit.ParseRecord([]byte(changed))
+	records, _ = readFile()
+	findings := audit.Analyze(records, audit.DefaultTolerances())
+	require.Len(t, findings, 1)
+	assert.Equal(t, audit.BrokenChain, findings[0].Kind)
+	tampered := strings.Replace(lines[1], `"list":1`, `"list":7`, 1)
+	require.NotEqual(t, lines[1], tampered)
+	_, err = audit.ParseRecord([]byte(tampered))
 	assert.ErrorContains(t, err, "changed")
 }
--- a/cmd/lilaccove/budget_test.go
+++ b/cmd/lilaccove/budget_test.go
@@ -37,34 +37,34 @@
 
 // checkBudget waits until more than half of the budget is in use at a database, ends and checks the load, and checks that no
 // database ever had more connections than all gateways together may have.
-func (fleet *testFleet) checkBudget(atLeast float64) {
+func (fleet *testFleet) checkBudget(minServed float64) {
 	fleet.t.Helper()
-	open := func() int { return fleet.World().Counts().MostOpen }
-	fleet.eventually("most of the budget is in use", func() bool { return open() > totalBudget/2 })
-	fleet.finishAndCheck(atLeast)
-	assert.LessOrEqual(fleet.t, open(), totalBudget, "connections at one database")
+	maxOpen := func() int { return fleet.World().Counts().MostOpen }
+	fleet.eventually("most of the budget is in use", func() bool { return maxOpen() > totalBudget/2 })
+	fleet.finishAndCheck(minServed)
+	assert.LessOrEqual(fleet.t, maxOpen(), totalBudget, "connections at one database")
 }
 
 // The busy gateways lease connections that the others do not need, and serve more than their home parts alone allow.
 func TestFleetBudgetSkew(t *testing.T) {
-	begun := time.Now()
+	startTime := time.Now()
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(budgetPlan, 4, totalBudget))
 	passed := func() float64 { return float64(fleet.metric(0, "passed.browse")) }
 	fleet.eventually("it serves from its home part", func() bool { return passed() > 50 })
-	early := passed() / time.Since(begun).Seconds()
+	rateBefore := passed() / time.Since(startTime).Seconds()
 	fleet.eventually("most of what the busy gateways need is leased", func() bool {
 		return fleet.metric(0, "fleet_budget.borrowed")+fleet.metric(1, "fleet_budget.borrowed") >= 5
 	})
 	assert.Zero(t, fleet.metric(2, "fleet_budget.borrowed"))
-	from, at := passed(), time.Now()
+	passedBefore, measuredFrom := passed(), time.Now()
 	fleet.eventually("it serves more than before", func() bool {
-		return time.Since(at) > time.Second && (passed()-from)/time.Since(at).Seconds() > 1.3*early
+		return time.Since(measuredFrom) > time.Second && (passed()-passedBefore)/time.Since(measuredFrom).Seconds() > 1.3*rateBefore
 	})
-	lent := 0
+	granted := 0
 	for i := 2; i < 4; i++ {
-		lent += fleet.metric(i, "fleet_budget.lent")
+		granted += fleet.metric(i, "fleet_budget.lent")
 	}
-	assert.Positive(t, lent)
+	assert.Positive(t, granted)
 	fleet.checkBudget(0.03)
 }
 
--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -113,8 +113,8 @@
 // step injects one fault. The random numbers are drawn whether or not the fault is possible, so that a seed always gives the
 // same schedule.
 func (c *chaos) step() {
-	what, d := c.rnd.IntN(9), c.randomDuration(200*time.Millisecond, 2500*time.Millisecond)
-	switch what {
+	fault, d := c.rnd.IntN(9), c.randomDuration(200*time.Millisecond, 2500*time.Millisecond)
+	switch fault {
 	case 0, 1:
 		if i, ok := c.pickVictim(); ok {
 			c.logStep("kill n%d for %v", i, d/2)
@@ -169,9 +169,9 @@
 		}
 	case 7:
 		faults := []standin.Faults{{ResetBefore: 0.05}, {ResetAfter: 0.05}, {Silence: 0.03}, {Errors: 0.05}, {Malformed: 0.03}}
-		f := faults[c.rnd.IntN(len(faults))]
-		c.logStep("answers %+v for %v", f, d)
-		c.World().SetFaults(f)
+		answerFaults := faults[c.rnd.IntN(len(faults))]
+		c.logStep("answers %+v for %v", answerFaults, d)
+		c.World().SetFaults(answerFaults)
 		c.later(d, func() { c.World().SetFaults(standin.Faults{}) })
 	case 8:
 		if time.Since(c.lastListChange) > listPause {
@@ -203,17 +203,17 @@
 }
 
 // auditFileRecords returns the records of all processes that ran, from the gateways' audit files.
-func (c *chaos) auditFileRecords() (all []audit.ChainedRecord) {
+func (c *chaos) auditFileRecords() (records []audit.ChainedRecord) {
 	for i := range c.n {
 		lines, err := auditfile.Lines(c.AuditFile(i))
 		require.NoError(c.t, err)
 		for _, l := range lines {
-			if s, err := audit.ParseRecord(l); err == nil { // a killed process may leave an incomplete line
-				all = append(all, s)
+			if record, err := audit.ParseRecord(l); err == nil { // a killed process may leave an incomplete line
+				records = append(records, record)
 			}
 		}
 	}
-	return all
+	return records
 }
 
 // Seven gateways run under faults drawn from a seed: gateways killed and paused, partitions, links that lose messages, databases
@@ -239,13 +239,13 @@
 			c.waitSuspendedCount(0, c.all()...)
 			c.waitOverridesEqual()
 			c.eventually("the load balancer admits all gateways", func() bool { return c.Balancer().Admitted() == 7 })
-			from := make([]int, 7)
+			writesBefore := make([]int, 7)
 			for i := range 7 {
-				from[i] = c.metric(i, "passed.write")
+				writesBefore[i] = c.metric(i, "passed.write")
 			}
 			c.eventually("each serves writes", func() bool {
 				for i := range 7 {
-					if c.metric(i, "passed.write") < from[i]+3 {
+					if c.metric(i, "passed.write") < writesBefore[i]+3 {
 						return false
 					}
 				}
@@ -271,27 +271,27 @@
 }
 
 // plantViolation draws a violation and causes it.
-func (c *chaos) plantViolation() (x plantedViolation) {
-	x.kind = []string{"", audit.TwoPrimaries, audit.AfterOverride, audit.AfterDrain}[c.rnd.IntN(4)]
-	x.victim = c.rnd.IntN(c.n)
+func (c *chaos) plantViolation() (planted plantedViolation) {
+	planted.kind = []string{"", audit.TwoPrimaries, audit.AfterOverride, audit.AfterDrain}[c.rnd.IntN(4)]
+	planted.victim = c.rnd.IntN(c.n)
 	members := c.World().Members()
-	sides := [][]int{{x.victim}, c.except(x.victim)}
-	switch x.kind {
+	sides := [][]int{{planted.victim}, c.except(planted.victim)}
+	switch planted.kind {
 	case audit.TwoPrimaries:
-		x.host = members[1+4*c.rnd.IntN(2)]
-		x.host.ClaimPrimary()
+		planted.host = members[1+4*c.rnd.IntN(2)]
+		planted.host.ClaimPrimary()
 	case audit.AfterOverride: // the override does not reach the victim
-		x.host = members[4*c.rnd.IntN(2)]
+		planted.host = members[4*c.rnd.IntN(2)]
 		c.Mesh().Partition(sides, true)
-		c.setOverride((x.victim+1)%c.n, x.host.ID, "suspend")
+		c.setOverride((planted.victim+1)%c.n, planted.host.ID, "suspend")
 	case audit.AfterDrain: // neither the list nor the other gateways' list versions reach the victim
-		x.host = members[1+4*c.rnd.IntN(2)]
-		c.makeLagging(x.victim)
+		planted.host = members[1+4*c.rnd.IntN(2)]
+		c.makeLagging(planted.victim)
 		c.Mesh().Partition(sides, true)
-		x.host.Announce("terminating", time.Time{})
+		planted.host.Announce("terminating", time.Time{})
 	}
-	c.logStep("planted %q at n%d", x.kind, x.victim)
-	return x
+	c.logStep("planted %q at n%d", planted.kind, planted.victim)
+	return planted
 }
 
 // Under other faults the audit reports the planted violation, with the right gateway and database, and no other.
@@ -301,44 +301,44 @@
 			c := newChaos(t, strings.Replace(chaosPlan, "subsets: true, ", "", 1), seed)
 			c.linksFaulty, c.replacedCount, c.noOperators = true, 2, true // only the planted violation changes links, databases and overrides
 			c.waitWrites(3)
-			x := c.plantViolation()
+			planted := c.plantViolation()
 			c.mu.Lock()
-			c.down[x.victim] = true // no other fault hits it
+			c.down[planted.victim] = true // no other fault hits it
 			c.mu.Unlock()
-			for from := time.Now(); time.Since(from) < 3*time.Second; time.Sleep(c.randomDuration(100*time.Millisecond, 600*time.Millisecond)) {
+			for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(c.randomDuration(100*time.Millisecond, 600*time.Millisecond)) {
 				c.step()
 			}
 			close(c.stop)
 			c.pending.Wait()
-			if x.kind != "" {
-				c.eventually("the violation is found", func() bool { return len(c.auditFindings(x.kind)) > 0 })
+			if planted.kind != "" {
+				c.eventually("the violation is found", func() bool { return len(c.auditFindings(planted.kind)) > 0 })
 			}
-			c.Mesh().Partition([][]int{{x.victim}, c.except(x.victim)}, false)
+			c.Mesh().Partition([][]int{{planted.victim}, c.except(planted.victim)}, false)
 			c.finish()
 			world := c.report.World.(standin.Counts)
 			assert.Zero(t, world.Duplicates+world.Stale)
 			kinds := map[string]int{}
 			for _, f := range audit.Analyze(c.auditFileRecords(), audit.DefaultTolerances()) {
-				named := f.Kind == x.kind || x.kind == audit.AfterDrain && f.Kind == audit.LaggingList
+				expected := f.Kind == planted.kind || planted.kind == audit.AfterDrain && f.Kind == audit.LaggingList
 				switch {
 				case slices.Contains([]string{audit.Gap, audit.Incomplete, audit.Unordered}, f.Kind):
 					continue // kills and pauses cause them
-				case !named:
+				case !expected:
 					assert.Fail(t, "no such violation was planted", "%+v", f)
 				case f.Kind == audit.TwoPrimaries:
-					assert.Equal(t, x.host.Group, f.Group)
+					assert.Equal(t, planted.host.Group, f.Group)
 				case f.Kind == audit.AfterOverride || f.Kind == audit.AfterDrain:
-					assert.Equal(t, x.host.ID, f.Database)
+					assert.Equal(t, planted.host.ID, f.Database)
 					fallthrough
 				default:
-					assert.Equal(t, []string{fmt.Sprintf("n%d", x.victim)}, f.Gateways)
+					assert.Equal(t, []string{fmt.Sprintf("n%d", planted.victim)}, f.Gateways)
 				}
 				kinds[f.Kind]++
 			}
-			if x.kind != "" {
-				assert.Positive(t, kinds[x.kind], "the audit files show it, too")
+			if planted.kind != "" {
+				assert.Positive(t, kinds[planted.kind], "the audit files show it, too")
 			}
-			t.Logf("planted %q, found %v", x.kind, kinds)
+			t.Logf("planted %q, found %v", planted.kind, kinds)
 		})
 	}
 }
--- a/cmd/lilaccove/fence_test.go
+++ b/cmd/lilaccove/fence_test.go
@@ -19,13 +19,13 @@
 	return strings.Replace(fmt.Sprintf(sharedPlan, n), "fleet: true", "fleet: true, fence: 2 s", 1)
 }
 
-func (fleet *testFleet) fencedGateways(list ...int) (out []int) {
-	for _, i := range list {
+func (fleet *testFleet) fencedGateways(gateways ...int) (fenced []int) {
+	for _, i := range gateways {
 		if fleet.metric(i, "fleet_fenced") == 1 {
-			out = append(out, i)
+			fenced = append(fenced, i)
 		}
 	}
-	return out
+	return fenced
 }
 
 // everFenced reports whether the gateway's current process has ever fenced itself.
@@ -58,11 +58,11 @@
 	fleet.eventually("it fences itself", func() bool { return len(fleet.fencedGateways(0)) == 1 })
 	fleet.eventually("the load balancer excludes it", func() bool { return fleet.Balancer().Admitted() == 3 })
 	c := fleet.connectTo(0)
-	begun := time.Now()
+	sentAt := time.Now()
 	got := c.query(inGroup(statement("write", 3000, ""), 0))
 	assert.Equal(t, pgwire.CodeTooManyConnections, got.code)
 	assert.NotEmpty(t, got.detail, "with a retry-after")
-	assert.Less(t, time.Since(begun), time.Second, "at once")
+	assert.Less(t, time.Since(sentAt), time.Second, "at once")
 	assert.Empty(t, c.query(inGroup(statement("browse", 1000, ""), 0)).code, "reads go on")
 	_, err := fleet.Node(0).Call("GET", "/v1/readyz")
 	assert.ErrorContains(t, err, "503")
@@ -130,24 +130,24 @@
 // Messages that were queued while a gateway was paused are old and must not lift its fence, however many there are. Cut off from
 // the others after the pause, it accepts no write in the two seconds in which they might answer.
 func TestFleetAuditFenceNotLiftedByQueuedMessages(t *testing.T) {
-	const waits = 100 // more datagrams than one round of the event loop reads
+	const queued = 100 // more datagrams than one round of the event loop reads
 	fleet := newTestFleetWithLab(t, 4, fencePlan(4), nil)
 	c := fleet.connectTo(1)
 	c.query("")
 	require.NoError(t, fleet.Node(1).Pause())
-	to, err := net.Dial("udp", fleet.peerAddress(1))
+	conn, err := net.Dial("udp", fleet.peerAddress(1))
 	require.NoError(t, err)
-	t.Cleanup(func() { to.Close() })
-	for range waits {
-		_, err := to.Write([]byte("no message of a gateway"))
+	t.Cleanup(func() { conn.Close() })
+	for range queued {
+		_, err := conn.Write([]byte("no message of a gateway"))
 		require.NoError(t, err)
 	}
 	time.Sleep(3 * time.Second) // the fault itself; the others go on sending
 	fleet.Mesh().Partition([][]int{{1}, {0, 2, 3}}, true)
 	require.NoError(t, fleet.Node(1).Resume())
-	begun := time.Now()
-	for time.Since(begun) < time.Second {
-		assert.Equal(t, pgwire.CodeTooManyConnections, c.query(inGroup(statement("write", 1000, ""), 0)).code, "%v after the pause", time.Since(begun))
+	resumedAt := time.Now()
+	for time.Since(resumedAt) < time.Second {
+		assert.Equal(t, pgwire.CodeTooManyConnections, c.query(inGroup(statement("write", 1000, ""), 0)).code, "%v after the pause", time.Since(resumedAt))
 	}
 	fleet.Mesh().Partition([][]int{{1}, {0, 2, 3}}, false)
 	fleet.eventually("it has confirmed its state", func() bool { return len(fleet.fencedGateways(1)) == 0 })
--- a/cmd/lilaccove/fleet_clock_test.go
+++ b/cmd/lilaccove/fleet_clock_test.go
@@ -12,11 +12,11 @@
 )
 
 // startWithClockStep starts the given gateways with wall clocks that differ by step from that of the others.
-func (fleet *testFleet) startWithClockStep(step time.Duration, list ...int) {
+func (fleet *testFleet) startWithClockStep(step time.Duration, gateways ...int) {
 	fleet.t.Helper()
 	path := filepath.Join(fleet.t.TempDir(), "plan.json")
 	require.NoError(fleet.t, os.WriteFile(path, fmt.Appendf(nil, `{"wall_step_ms":%d}`, step.Milliseconds()), 0o600))
-	for _, i := range list {
+	for _, i := range gateways {
 		_, err := fleet.StartCommand(i, []string{buildFaultyGateway(fleet.t)}, "LILACCOVE_FAULTS="+path)
 		require.NoError(fleet.t, err)
 	}
@@ -26,10 +26,10 @@
 // fleet nevertheless, whether the old one shut down gracefully or was killed.
 func TestFleetMembershipAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
-		for _, end := range []string{"killed", "ended"} {
-			t.Run(fmt.Sprintf("%s, %v", end, step), func(t *testing.T) {
+		for _, ending := range []string{"killed", "ended"} {
+			t.Run(fmt.Sprintf("%s, %v", ending, step), func(t *testing.T) {
 				fleet := newTestFleetWithPlan(t, 4, fencePlan(4))
-				if end == "killed" {
+				if ending == "killed" {
 					fleet.Node(2).Kill()
 				} else {
 					require.NoError(t, fleet.Node(2).Terminate())
--- a/cmd/lilaccove/fleet_cost_test.go
+++ b/cmd/lilaccove/fleet_cost_test.go
@@ -40,7 +40,7 @@
 	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
 	defer w.Close()
-	var all []*lab.Process
+	var processes []*lab.Process
 	seeds := ""
 	for i := range n {
 		dir := b.TempDir()
@@ -54,13 +54,13 @@
 			cmd.Env = append(cmd.Env, "GW_FLEET="+dir+"/fleet.yaml")
 		}
 		p := lab.NewProcess(cmd)
-		known, seen := make(chan string, 1), make(chan bool, 1)
+		started, complete := make(chan string, 1), make(chan bool, 1)
 		require.NoError(b, p.Launch(func(line string) {
-			if at := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
-				known <- at
+			if addr := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
+				started <- addr
 			} else if strings.Contains(line, "event=fleet_view ") && lab.LogField(line, "members") == strconv.Itoa(n) {
 				select {
-				case seen <- true:
+				case complete <- true:
 				default:
 				}
 			}
@@ -68,26 +68,26 @@
 		defer p.Kill()
 		_, err := p.WaitStarted(waitTimeout)
 		require.NoError(b, err)
-		if all = append(all, p); !fleet {
+		if processes = append(processes, p); !fleet {
 			continue
 		}
-		if at := <-known; i < 3 {
-			seeds = cmp.Or(seeds, "seeds:\n") + "  - " + at + "\n"
+		if addr := <-started; i < 3 {
+			seeds = cmp.Or(seeds, "seeds:\n") + "  - " + addr + "\n"
 		}
 		if i == n-1 {
 			select {
-			case <-seen:
+			case <-complete:
 			case <-time.After(time.Minute):
 				b.Fatal("no view has all gateways")
 			}
 		}
 	}
 	time.Sleep(10 * time.Second) // until the updates caused by the starts have spread
-	before := cpuSeconds(b, all)
+	before := cpuSeconds(b, processes)
 	const span = 20 * time.Second
 	time.Sleep(span)
-	core = (cpuSeconds(b, all) - before) / span.Seconds() / float64(n)
-	for _, p := range all {
+	core = (cpuSeconds(b, processes) - before) / span.Seconds() / float64(n)
+	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 		require.NoError(b, err)
 		_, rest, _ := bytes.Cut(text, []byte("RssAnon:"))
@@ -100,8 +100,8 @@
 }
 
 // cpuSeconds returns the CPU time that the processes have used, in seconds.
-func cpuSeconds(b *testing.B, all []*lab.Process) (sum float64) {
-	for _, p := range all {
+func cpuSeconds(b *testing.B, processes []*lab.Process) (sum float64) {
+	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 		require.NoError(b, err)
 		f := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -56,17 +56,17 @@
 
 // newTestFleet starts n gateways and the load, and waits until all have the same view. Of the gateways in siblings a test
 // may start a second process under the same name.
-func newTestFleet(t *testing.T, n int, twins ...int) *testFleet {
-	return newTestFleetWithPlan(t, n, fmt.Sprintf(fleetPlan, n), twins...)
+func newTestFleet(t *testing.T, n int, siblings ...int) *testFleet {
+	return newTestFleetWithPlan(t, n, fmt.Sprintf(fleetPlan, n), siblings...)
 }
 
 // newTestFleetWithPlan is newTestFleet with another plan.
-func newTestFleetWithPlan(t *testing.T, n int, text string, twins ...int) *testFleet {
-	return newTestFleetWithLab(t, n, text, func(l *lab.Lab) { l.Siblings = twins })
+func newTestFleetWithPlan(t *testing.T, n int, text string, siblings ...int) *testFleet {
+	return newTestFleetWithLab(t, n, text, func(l *lab.Lab) { l.Siblings = siblings })
 }
 
 // newTestFleetWithLab is newTestFleetWithPlan with a lab that change configures before it opens.
-func newTestFleetWithLab(t *testing.T, n int, text string, change func(*lab.Lab)) *testFleet {
+func newTestFleetWithLab(t *testing.T, n int, text string, configure func(*lab.Lab)) *testFleet {
 	if testing.Short() {
 		t.Skip("several processes and real time")
 	}
@@ -87,8 +87,8 @@
 	fleet := &testFleet{t: t, n: n, Lab: &lab.Lab{
 		Plan: pl, Arrivals: arrivals, Gateway: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"},
 	}}
-	if change != nil {
-		change(fleet.Lab)
+	if configure != nil {
+		configure(fleet.Lab)
 	}
 	logs, err := os.Create(t.TempDir() + "/logs")
 	require.NoError(t, err)
@@ -107,10 +107,10 @@
 		defer close(done)
 		fleet.report, err = fleet.Run(ctx)
 	}()
-	ended := false
+	finished := false
 	fleet.finish = func() {
-		if !ended {
-			ended = true
+		if !finished {
+			finished = true
 			cancel()
 			<-done
 		}
@@ -127,15 +127,15 @@
 	return fleet
 }
 
-func (fleet *testFleet) all() (list []int) {
+func (fleet *testFleet) all() (gateways []int) {
 	for i := range fleet.n {
-		list = append(list, i)
+		gateways = append(gateways, i)
 	}
-	return list
+	return gateways
 }
 
-func (fleet *testFleet) except(i ...int) []int {
-	return slices.DeleteFunc(fleet.all(), func(j int) bool { return slices.Contains(i, j) })
+func (fleet *testFleet) except(excluded ...int) []int {
+	return slices.DeleteFunc(fleet.all(), func(j int) bool { return slices.Contains(excluded, j) })
 }
 
 func (fleet *testFleet) eventually(what string, ok func() bool) {
@@ -144,11 +144,11 @@
 }
 
 // waitView waits until the given gateways have the same view, with so many members.
-func (fleet *testFleet) waitView(members int, list ...int) {
+func (fleet *testFleet) waitView(members int, gateways ...int) {
 	fleet.t.Helper()
-	fleet.eventually(fmt.Sprintf("one view of %d members at %v", members, list), func() bool {
+	fleet.eventually(fmt.Sprintf("one view of %d members at %v", members, gateways), func() bool {
 		digest := ""
-		for _, i := range list {
+		for _, i := range gateways {
 			r, err := fleet.Node(i).Fleet()
 			if err != nil || len(r.View.Members) != members || digest != "" && r.View.Digest != digest {
 				return false
@@ -161,10 +161,10 @@
 
 // makeLagging leaves one gateway with an old list: its watch delivers heartbeats but no changes any more. The other gateways
 // are restarted, which gives them new watches that deliver changes.
-func (fleet *testFleet) makeLagging(one int) {
+func (fleet *testFleet) makeLagging(lagging int) {
 	fleet.t.Helper()
 	fleet.World().WithholdChanges()
-	for _, i := range fleet.except(one) {
+	for _, i := range fleet.except(lagging) {
 		require.NoError(fleet.t, fleet.Node(i).Terminate())
 		_, err := fleet.Start(i)
 		require.NoError(fleet.t, err)
@@ -183,8 +183,8 @@
 }
 
 // declaredDead returns the names that the given gateways have declared dead so far.
-func (fleet *testFleet) declaredDead(list ...int) (names []string) {
-	for _, i := range list {
+func (fleet *testFleet) declaredDead(gateways ...int) (names []string) {
+	for _, i := range gateways {
 		for _, e := range fleet.Node(i).FleetEvents() {
 			if strings.HasPrefix(e, "fleet_member ") && strings.Contains(e, " state=dead ") {
 				names = append(names, strings.TrimPrefix(strings.Fields(e)[1], "name="))
@@ -196,16 +196,16 @@
 }
 
 // finishAndCheck ends the load and checks that every request got one answer, no write ran twice, no read was too old, and more
-// than the share atLeast of the requests was served.
-func (fleet *testFleet) finishAndCheck(atLeast float64) {
+// than the share minServed of the requests was served.
+func (fleet *testFleet) finishAndCheck(minServed float64) {
 	fleet.t.Helper()
 	fleet.finish()
 	require.NotNil(fleet.t, fleet.report)
 	assert.Empty(fleet.t, fleet.report.Faults)
-	c := fleet.report.Total.Counts
-	served := float64(c[loadrun.InAim]+c[loadrun.Late]) / float64(max(1, fleet.report.Total.Count))
-	assert.Greater(fleet.t, served, atLeast, "%v", c)
-	fleet.t.Logf("served %.3f of %d: %v", served, fleet.report.Total.Count, c)
+	counts := fleet.report.Total.Counts
+	served := float64(counts[loadrun.InAim]+counts[loadrun.Late]) / float64(max(1, fleet.report.Total.Count))
+	assert.Greater(fleet.t, served, minServed, "%v", counts)
+	fleet.t.Logf("served %.3f of %d: %v", served, fleet.report.Total.Count, counts)
 }
 
 // A killed gateway leaves every view and the load balancer, nobody else is declared dead, and it can join again.
@@ -325,9 +325,9 @@
 // Invalid messages of every kind, floods and useless connections are counted and dropped, and change no view.
 func TestFleetMembershipMalformedMessages(t *testing.T) {
 	fleet := newTestFleet(t, 4)
-	c, err := net.Dial("udp", fleet.Node(0).PeerAddr.String())
+	conn, err := net.Dial("udp", fleet.Node(0).PeerAddr.String())
 	require.NoError(t, err)
-	defer c.Close()
+	defer conn.Close()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	envelope := func(fleet string, version byte, body []byte) []byte {
 		b := append([]byte{0x6c, 0x43, version, 1}, binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(fleet))...)
@@ -342,23 +342,23 @@
 		"malformed": func() []byte { return envelope("lab", 1, []byte{0xa1, 0x01, 0x18, 0xff}) },
 		"large":     func() []byte { return make([]byte, 9000) },
 	}
-	for kind, make := range kinds {
+	for kind, newMessage := range kinds {
 		fleet.eventually(kind+" is counted", func() bool {
-			_, _ = c.Write(make())
+			_, _ = conn.Write(newMessage())
 			return fleet.metric(0, "fleet_dropped."+kind) > 0
 		})
 	}
 	fleet.eventually("a flood is counted", func() bool {
 		for range 2000 {
-			_, _ = c.Write(kinds["garbage"]())
+			_, _ = conn.Write(kinds["garbage"]())
 		}
 		return fleet.metric(0, "fleet_dropped.rate") > 0
 	})
 	for range 40 { // connections that send an impossible length and then nothing
-		s, err := net.Dial("tcp", fleet.Node(0).PeerAddr.String())
+		idle, err := net.Dial("tcp", fleet.Node(0).PeerAddr.String())
 		require.NoError(t, err)
-		defer s.Close()
-		_, _ = s.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3})
+		defer idle.Close()
+		_, _ = idle.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3})
 	}
 	for i := range 4 {
 		for j := range 4 {
@@ -416,12 +416,12 @@
 		return m
 	}
 	fleet.eventually("it is a member", func() bool { return member().Addr == listen })
-	first := member().Session
-	next := gw.startSuccessor()
+	firstSession := member().Session
+	successor := gw.startSuccessor()
 	fleet.eventually("the successor is the member", func() bool {
 		m := member()
 		require.NotEmpty(t, m.Session, "the name is in the view throughout")
-		return m.Session != first && m.Addr != listen
+		return m.Session != firstSession && m.Addr != listen
 	})
 	gw.eventually("the predecessor is notified", func() bool { return strings.Contains(gw.logText(), "event=fleet_superseded") })
 	gw.sendSIGTERM()
@@ -431,22 +431,22 @@
 		require.NotEmpty(t, m.Session, "the end of the predecessor removes no member")
 		return m.Addr == listen
 	})
-	assert.NotContains(t, gw.logText()+next.logText(), "fleet_twice")
+	assert.NotContains(t, gw.logText()+successor.logText(), "fleet_twice")
 	assert.Equal(t, []string{"alive"}, fleet.memberStates("n1"))
-	next.sendSIGTERM()
-	next.waitExit()
+	successor.sendSIGTERM()
+	successor.waitExit()
 	fleet.eventually("it leaves", func() bool { return member().Session == "" })
 }
 
 // memberStates returns the states of a member that gateway 0 has logged, in order, without consecutive repeats.
-func (fleet *testFleet) memberStates(name string) (list []string) {
+func (fleet *testFleet) memberStates(name string) (states []string) {
 	for _, e := range fleet.Node(0).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_member name="+name+" ") {
 			_, rest, _ := strings.Cut(e, "state=")
-			list = append(list, strings.Fields(rest)[0])
+			states = append(states, strings.Fields(rest)[0])
 		}
 	}
-	return slices.Compact(list)
+	return slices.Compact(states)
 }
 
 // A gateway that an operator drains stops being a member but still follows the view; activating it makes it a member again.
--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -27,29 +27,29 @@
 
 // mixedFleet is a fleet of hollow gateways in this process and of real gateway processes.
 type mixedFleet struct {
-	t      *testing.T
-	dir    string
-	world  *standin.World
-	seeds  []string
-	nodes  map[string]*lab.Node
-	orders *io.PipeWriter
-	done   chan error
+	t        *testing.T
+	dir      string
+	world    *standin.World
+	seeds    []string
+	nodes    map[string]*lab.Node
+	commands *io.PipeWriter
+	exit     chan error
 
-	mu          sync.Mutex
-	last        hollow.Report
-	dead        map[string][]string // names declared dead, by the gateway that declared them
-	reportCount int
+	mu           sync.Mutex
+	latest       hollow.Report
+	declaredDead map[string][]string // names declared dead, by the gateway that declared them
+	reportCount  int
 }
 
 const statementRate = 300 // statements per second of each hollow gateway
 
-func newMixedFleet(t *testing.T, hollows, real int) *mixedFleet {
+func newMixedFleet(t *testing.T, hollowCount, realCount int) *mixedFleet {
 	w, err := standin.New(standin.Options{Groups: 3, Members: 3, Cores: 4, Queue: 10, Service: time.Millisecond, Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
-	m := &mixedFleet{t: t, dir: t.TempDir(), world: w, nodes: map[string]*lab.Node{}, done: make(chan error, 1), dead: map[string][]string{}}
+	m := &mixedFleet{t: t, dir: t.TempDir(), world: w, nodes: map[string]*lab.Node{}, exit: make(chan error, 1), declaredDead: map[string][]string{}}
 	start := hollow.Start{ReportMS: 50}
-	for i := range hollows {
+	for i := range hollowCount {
 		name := fmt.Sprintf("h%d", i)
 		addr := freePort(t)
 		config, fleet := m.writeConfig(name, addr)
@@ -61,10 +61,10 @@
 	}
 	first, err := json.Marshal(start)
 	require.NoError(t, err)
-	in, commands := io.Pipe()
-	reports, out := io.Pipe()
-	m.orders = commands
-	go func() { m.done <- hollow.Run(in, out, nil); out.Close() }()
+	commandInput, commands := io.Pipe()
+	reports, reportOutput := io.Pipe()
+	m.commands = commands
+	go func() { m.exit <- hollow.Run(commandInput, reportOutput, nil); reportOutput.Close() }()
 	go m.readReports(reports)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -72,11 +72,11 @@
 			t.Logf("%s", text)
 		}
 		_ = commands.Close()
-		assert.NoError(t, <-m.done)
+		assert.NoError(t, <-m.exit)
 	})
 	_, err = commands.Write(append(first, '\n'))
 	require.NoError(t, err)
-	for i := range real {
+	for i := range realCount {
 		m.startReal(fmt.Sprintf("r%d", i))
 	}
 	return m
@@ -104,9 +104,9 @@
 	n := &lab.Node{Name: name, Process: lab.NewProcess(cmd)}
 	require.NoError(m.t, n.Launch(func(string) {}, func() {}))
 	m.t.Cleanup(n.Kill)
-	said, err := n.WaitStarted(waitTimeout)
+	startLine, err := n.WaitStarted(waitTimeout)
 	require.NoError(m.t, err)
-	n.ClientAddr, n.ManagementAddr = lab.LogField(said, "listen"), lab.LogField(said, "management")
+	n.ClientAddr, n.ManagementAddr = lab.LogField(startLine, "listen"), lab.LogField(startLine, "management")
 	m.nodes[name] = n
 }
 
@@ -119,26 +119,26 @@
 			continue
 		}
 		m.mu.Lock()
-		m.last = r
+		m.latest = r
 		m.reportCount++
 		for _, s := range r.Gateways {
-			m.dead[s.Name] = append(m.dead[s.Name], s.DeadNames...)
+			m.declaredDead[s.Name] = append(m.declaredDead[s.Name], s.DeadNames...)
 		}
 		m.mu.Unlock()
 	}
 }
 
-func (m *mixedFleet) sendOrder(what string, names ...string) {
-	text, err := json.Marshal(hollow.Order{Do: what, Names: names})
+func (m *mixedFleet) sendOrder(action string, names ...string) {
+	text, err := json.Marshal(hollow.Order{Do: action, Names: names})
 	require.NoError(m.t, err)
-	_, err = m.orders.Write(append(text, '\n'))
+	_, err = m.commands.Write(append(text, '\n'))
 	require.NoError(m.t, err)
 }
 
 func (m *mixedFleet) lastReport() hollow.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last
+	return m.latest
 }
 
 func (m *mixedFleet) eventually(what string, ok func(r hollow.Report) bool) {
@@ -154,12 +154,12 @@
 func (m *mixedFleet) waitView(members, up int) {
 	m.t.Helper()
 	m.eventually(fmt.Sprintf("one view of %d members", members), func(r hollow.Report) bool {
-		digest, n := "", 0
+		digest, upCount := "", 0
 		for _, s := range r.Gateways {
 			if !s.Up {
 				continue
 			}
-			n++
+			upCount++
 			if s.ViewMembers != members || digest != "" && s.ViewDigest != digest {
 				return false
 			}
@@ -171,17 +171,17 @@
 				return false
 			}
 		}
-		return n == up
+		return upCount == up
 	})
 }
 
 // waitDeclaredDead waits until all of the given observers have reported that a member died.
-func (m *mixedFleet) waitDeclaredDead(name string, by ...string) {
+func (m *mixedFleet) waitDeclaredDead(name string, observers ...string) {
 	m.t.Helper()
 	m.eventually(name+" is declared dead", func(hollow.Report) bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return !slices.ContainsFunc(by, func(who string) bool { return !slices.Contains(m.dead[who], name) })
+		return !slices.ContainsFunc(observers, func(observer string) bool { return !slices.Contains(m.declaredDead[observer], name) })
 	})
 }
 
@@ -195,7 +195,7 @@
 			return s.ListDatabases != 9 || s.Roles["discovery"].InMessages == 0 || s.KnownPositions != 9
 		})
 	})
-	was := m.lastReport().Gateways[1]
+	before := m.lastReport().Gateways[1]
 	m.sendOrder("kill", "h1")
 	m.waitDeclaredDead("h1", "h0", "h2", "h3")
 	m.waitView(5, 3)
@@ -209,14 +209,14 @@
 	assert.Contains(t, m.memberState("h2"), "left", "it has announced that it leaves")
 	m.sendOrder("start", "h1", "h2")
 	m.waitView(6, 4)
-	now := m.lastReport().Gateways[1]
-	assert.Equal(t, was.Addr, now.Addr)
-	assert.NotEqual(t, was.Session, now.Session)
-	assert.Empty(t, m.dead["h1"], "it has declared nobody dead")
+	after := m.lastReport().Gateways[1]
+	assert.Equal(t, before.Addr, after.Addr)
+	assert.NotEqual(t, before.Session, after.Session)
+	assert.Empty(t, m.declaredDead["h1"], "it has declared nobody dead")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for who, names := range m.dead {
-		assert.Equal(t, []string{"h1"}, append(slices.Compact(slices.Clone(names)), []string{"h1"}[:max(0, 1-len(names))]...), who)
+	for observer, names := range m.declaredDead {
+		assert.Equal(t, []string{"h1"}, append(slices.Compact(slices.Clone(names)), []string{"h1"}[:max(0, 1-len(names))]...), observer)
 	}
 }
 
@@ -236,7 +236,7 @@
 	m.eventually("every active role has sent and received", func(r hollow.Report) bool {
 		return !slices.ContainsFunc(r.Gateways, func(s hollow.State) bool {
 			for _, role := range []string{"membership", "positions", "primaries", "versions", "words", "discovery"} {
-				if x := s.Roles[role]; x.OutMessages == 0 || x.OutBytes == 0 || x.InMessages == 0 || x.InBytes == 0 {
+				if traffic := s.Roles[role]; traffic.OutMessages == 0 || traffic.OutBytes == 0 || traffic.InMessages == 0 || traffic.InBytes == 0 {
 					return true
 				}
 			}
@@ -244,21 +244,21 @@
 		})
 	})
 	for _, s := range m.lastReport().Gateways {
-		var out, in, sent, heard uint64
-		for role, x := range s.Roles {
+		var out, in, sent, received uint64
+		for role, traffic := range s.Roles {
 			if role != "discovery" {
-				out, in, sent, heard = out+x.OutBytes, in+x.InBytes, sent+x.OutMessages, heard+x.InMessages
+				out, in, sent, received = out+traffic.OutBytes, in+traffic.InBytes, sent+traffic.OutMessages, received+traffic.InMessages
 			}
 		}
 		assert.Equal(t, s.Totals.OutBytes, out, "%s has sent", s.Name)
 		assert.Equal(t, s.Totals.InBytes, in, "%s has received", s.Name)
 		assert.GreaterOrEqual(t, sent, s.Totals.OutMessages, "the totals count datagrams only, the roles also messages over streams")
-		assert.GreaterOrEqual(t, heard, s.Totals.InMessages)
+		assert.GreaterOrEqual(t, received, s.Totals.InMessages)
 		assert.Zero(t, s.Roles["budgets"], "no budgets are divided")
 	}
 	text, err := m.nodes["r0"].Call("GET", "/v1/metrics")
 	require.NoError(t, err)
-	figure := func(name string) (n uint64) {
+	metric := func(name string) (n uint64) {
 		_, rest, found := strings.Cut(string(text), "edge_gw.fleet_"+name+"=")
 		require.True(t, found, "%s in\n%s", name, text)
 		_, err := fmt.Sscan(rest, &n)
@@ -268,12 +268,12 @@
 	var out, in uint64
 	assert.NotContains(t, string(text), "fleet_budgets_", "an inactive role has no metrics")
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} {
-		out, in = out+figure(role+"_out_bytes"), in+figure(role+"_in_bytes")
+		out, in = out+metric(role+"_out_bytes"), in+metric(role+"_in_bytes")
 	}
-	assert.Equal(t, figure("sent_bytes"), out)
-	assert.Equal(t, figure("received_bytes"), in)
-	assert.Positive(t, figure("membership_in_messages"))
-	assert.Positive(t, figure("discovery_in_bytes"))
+	assert.Equal(t, metric("sent_bytes"), out)
+	assert.Equal(t, metric("received_bytes"), in)
+	assert.Positive(t, metric("membership_in_messages"))
+	assert.Positive(t, metric("discovery_in_bytes"))
 }
 
 // A gateway without a fleet file has no fleet metrics.
@@ -289,14 +289,14 @@
 func TestHollowGatewaysLearnAtRequestedRate(t *testing.T) {
 	m := newMixedFleet(t, 2, 0)
 	m.waitView(2, 2)
-	begun := m.lastReport()
-	m.eventually("six seconds", func(r hollow.Report) bool { return r.AtMS >= begun.AtMS+6000 })
-	now := m.lastReport()
-	for i, s := range now.Gateways {
-		was := begun.Gateways[i]
-		want := statementRate * float64(now.AtMS-begun.AtMS) / 1000
-		assert.InEpsilon(t, want, s.Learned-was.Learned, 0.02, s.Name)
-		assert.InEpsilon(t, want/10, s.LearnedPrimary-was.LearnedPrimary, 0.35, s.Name)
+	first := m.lastReport()
+	m.eventually("six seconds", func(r hollow.Report) bool { return r.AtMS >= first.AtMS+6000 })
+	last := m.lastReport()
+	for i, s := range last.Gateways {
+		before := first.Gateways[i]
+		want := statementRate * float64(last.AtMS-first.AtMS) / 1000
+		assert.InEpsilon(t, want, s.Learned-before.Learned, 0.02, s.Name)
+		assert.InEpsilon(t, want/10, s.LearnedPrimary-before.LearnedPrimary, 0.35, s.Name)
 		assert.Equal(t, 9, s.KnownPositions)
 		assert.Less(t, s.AgeP50, 500.0, "positions are recent")
 	}
@@ -313,11 +313,11 @@
 		Program: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"}, Hollow: []string{os.Args[0]}, HollowEnv: []string{"LILACCOVE_RUN=hollow"},
 	})
 	require.NoError(t, err)
-	for name, by := range map[string]float64{
+	for name, tolerance := range map[string]float64{
 		"statements_per_s": 0.1, "positions_learned_per_s": 0.25, "membership.bytes_out_per_s": 0.25, "membership.messages_per_s": 0.25,
 		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few per second, which varies by chance
 	} {
-		assert.InDelta(t, 1, r.Ratio[name], by, "%s: %v", name, r.Differ)
+		assert.InDelta(t, 1, r.Ratio[name], tolerance, "%s: %v", name, r.Differ)
 	}
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} { // the last two are too rare for a rate
 		assert.InEpsilon(t, r.Real.ByRole[role].BytesByEach, r.Hollow.ByRole[role].BytesByEach, 0.25, role)
--- a/cmd/lilaccove/large_test.go
+++ b/cmd/lilaccove/large_test.go
@@ -54,24 +54,24 @@
 func TestFirstBytesAreForwardedAtOnce(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
-	value, rest := variedValue(1<<20), make(chan struct{})
+	value, sendRest := variedValue(1<<20), make(chan struct{})
 	gw.primary.setHandler(func(_ *database, c net.Conn, _ string) {
 		text := standin.Row(value, "")
 		_, _ = io.WriteString(c, string(text[:200<<10]))
-		<-rest
+		<-sendRest
 		for text = text[200<<10:]; len(text) > 0; text = text[min(len(text), 7001):] {
 			_, _ = c.Write(text[:min(len(text), 7001)])
 		}
 	})
 	c := gw.connect()
-	asked := time.Now()
+	sentAt := time.Now()
 	c.write(queryMessage(statement("write", 300, "")))
 	head, err := c.reader.Peek(4000)
 	require.NoError(t, err)
 	assert.Equal(t, byte('T'), head[0])
 	assert.Equal(t, 1, gw.metric("in_progress"), "it has not ended")
-	gw.eventually("its deadline has passed", func() bool { return time.Since(asked) > 350*time.Millisecond })
-	close(rest)
+	gw.eventually("its deadline has passed", func() bool { return time.Since(sentAt) > 350*time.Millisecond })
+	close(sendRest)
 	assert.True(t, c.readAnswer().value == value)
 	assert.NotContains(t, gw.logText(), "overdue")
 }
@@ -82,7 +82,7 @@
 	t.Parallel()
 	value := variedValue(300 << 10)
 	whole := string(standin.Row(value, ""))
-	for name, says := range map[string]string{
+	for name, response := range map[string]string{
 		"truncated in the row":       whole[:200<<10],
 		"truncated after the row":    whole[:len(whole)-6-14],
 		"invalid data after the row": whole[:len(whole)-6-14] + "noise",
@@ -93,7 +93,7 @@
 			t.Parallel()
 			gw := startGateway(t, withManagement)
 			gw.primary.setHandler(func(_ *database, c net.Conn, _ string) {
-				_, _ = io.WriteString(c, says)
+				_, _ = io.WriteString(c, response)
 				c.Close()
 			})
 			c, other := gw.connect(), gw.connect()
@@ -117,12 +117,12 @@
 	t.Parallel()
 	gw := startGateway(t, withManagement)
 	value := variedValue(pgwire.MaxServerMessage - 100)
-	var given atomic.Int64
+	var written atomic.Int64
 	gw.primary.setHandler(func(_ *database, c net.Conn, _ string) {
 		_ = c.(*net.TCPConn).SetWriteBuffer(64 << 10)
 		for text := standin.Row(value, ""); len(text) > 0; text = text[min(len(text), 64<<10):] {
 			n, _ := c.Write(text[:min(len(text), 64<<10)])
-			given.Add(int64(n))
+			written.Add(int64(n))
 		}
 	})
 	c := gw.connect()
@@ -137,7 +137,7 @@
 		for range 20 {
 			assert.NotEmpty(t, others.query(statement("own", 2000, "")).value)
 		}
-		now := given.Load()
+		now := written.Load()
 		stopped := now == last
 		last = now
 		return stopped
@@ -175,11 +175,11 @@
 func TestDisconnectDuringLargeValue(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, withManagement)
-	gone := make(chan struct{})
+	writeFailed := make(chan struct{})
 	gw.primary.setHandler(func(_ *database, c net.Conn, _ string) {
 		for text := standin.Row(variedValue(1<<20), ""); ; {
 			if _, err := c.Write(text[:200<<10]); err != nil {
-				close(gone)
+				close(writeFailed)
 				return
 			}
 		}
@@ -190,7 +190,7 @@
 	require.NoError(t, err)
 	c.conn.Close()
 	select {
-	case <-gone:
+	case <-writeFailed:
 	case <-time.After(waitTimeout):
 		t.Error("the attempt was not cancelled")
 	}
@@ -209,7 +209,7 @@
 	t.Parallel()
 	gw := startGateway(t, withManagement)
 	c := gw.connect()
-	d := regexp.MustCompile(`,d=(\d+),`)
+	deadlineField := regexp.MustCompile(`,d=(\d+),`)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{pgwire.MaxBufferedValue, pgwire.MaxBufferedMessage / 2, pgwire.MaxBufferedMessage/2 + 1000, 500 << 10, 4 << 20} {
 		text := largeWrite(n)
@@ -224,18 +224,18 @@
 		seen := gw.primary.Statements()
 		require.Equal(t, before+2, len(seen))
 		got, _ := longestStatement(seen[before:])
-		assert.True(t, d.ReplaceAllString(got, ",d=,") == d.ReplaceAllString(text, ",d=,"), "%d bytes are not what was sent", n)
+		assert.True(t, deadlineField.ReplaceAllString(got, ",d=,") == deadlineField.ReplaceAllString(text, ",d=,"), "%d bytes are not what was sent", n)
 	}
 	assert.Equal(t, 10, gw.metric("upstream_tries.write"))
 }
 
-func longestStatement(list []string) (text string, at int) {
-	for i, s := range list {
+func longestStatement(statements []string) (text string, index int) {
+	for i, s := range statements {
 		if len(s) > len(text) {
-			text, at = s, i
+			text, index = s, i
 		}
 	}
-	return text, at
+	return text, index
 }
 
 // A large statement that cannot be parsed is answered with an error, whether the mistake is at its head or in its middle, and the
@@ -310,20 +310,20 @@
 		c.write(text[:len(text)-1])
 		held = append(held, c)
 	}
-	waits := gw.connect()
-	waits.write(queryMessage(largeWrite(4 << 20))[:100<<10])
+	waiting := gw.connect()
+	waiting.write(queryMessage(largeWrite(4 << 20))[:100<<10])
 	for _, c := range held {
 		c.write("\x00")
 		assert.Equal(t, "p", c.readAnswer().value)
 	}
-	var all []*client
+	var clients []*client
 	for range 24 {
 		c := gw.connect()
 		go func() { _, _ = io.WriteString(c.conn, queryMessage(largeWrite(2<<20))) }()
-		all = append(all, c)
+		clients = append(clients, c)
 	}
 	served := 0
-	for _, c := range all {
+	for _, c := range clients {
 		got := c.readAnswer()
 		if got.value == "p" {
 			served++
@@ -332,13 +332,13 @@
 		}
 	}
 	assert.Positive(t, served)
-	text2, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", gw.Pid()))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", gw.Pid()))
 	require.NoError(t, err)
-	m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(text2)
-	peak, _ := strconv.Atoi(string(m[1]))
+	match := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
+	peak, _ := strconv.Atoi(string(match[1]))
 	t.Logf("served %d of 24, peak %d KiB", served, peak)
 	assert.Less(t, peak, 64<<10+raceMemoryKiB)
-	waits.conn.Close()
+	waiting.conn.Close()
 	assert.Equal(t, "p", gw.connect().query(largeWrite(4<<20)).value, "the memory is released")
 }
 
@@ -348,8 +348,8 @@
 	t.Parallel()
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement, gw.memory, gw.sockets = true, 64, 1024 }) // buffers hold a quarter of the memory
 	text := queryMessage(largeWrite(4 << 20))
-	half := gw.connect()
-	half.write(text[:len(text)*9/10])
+	incomplete := gw.connect()
+	incomplete.write(text[:len(text)*9/10])
 	packet := queryMessage(strings.Replace(statement("own", 3000, ""), "SELECT", strings.Repeat(" ", 60_000)+"SELECT", 1))
 	other := gw.connect()
 	for range 100 { // rounds, in each of which some hundred kilobytes of the statement are read
@@ -358,17 +358,17 @@
 	other.write(packet[:50_000])
 	// Clients with a pending answer keep their buffers, so that one of the two above has to be evicted.
 	release := gw.primary.blockAnswers()
-	owed := func() {
+	addPendingClient := func() {
 		c := gw.connect()
 		c.write(queryMessage(statement("write", 3000, "")) + packet[:50_000])
 		assert.True(t, gw.connect().query("").empty, "it has been read meanwhile")
 	}
 	gw.eventually("memory runs short", func() bool {
-		owed()
+		addPendingClient()
 		return gw.metric("closed.memory") > 0
 	})
 	for range 10 {
-		owed()
+		addPendingClient()
 	}
 	close(release)
 	assert.Equal(t, 1, gw.metric("closed.memory"))
--- a/cmd/lilaccove/overrides_test.go
+++ b/cmd/lilaccove/overrides_test.go
@@ -32,10 +32,10 @@
 }
 
 // waitSuspendedCount waits until the given gateways skip n databases.
-func (fleet *testFleet) waitSuspendedCount(n int, list ...int) {
+func (fleet *testFleet) waitSuspendedCount(n int, gateways ...int) {
 	fleet.t.Helper()
-	fleet.eventually(fmt.Sprintf("%d databases are skipped at %v", n, list), func() bool {
-		for _, i := range list {
+	fleet.eventually(fmt.Sprintf("%d databases are skipped at %v", n, gateways), func() bool {
+		for _, i := range gateways {
 			if fleet.metric(i, "skipped_databases") != n {
 				return false
 			}
@@ -65,7 +65,7 @@
 	fleet.setOverride(2, host.ID, "suspend")
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	require.Equal(t, fleet.overrideState(0).Digest, fleet.overrideState(3).Digest)
-	begun := fleet.settledStatementCount(host)
+	statements := fleet.settledStatementCount(host)
 	for _, i := range []int{2, 0} {
 		fleet.Node(i).Kill()
 		for j := range 4 { // what the others know takes long to arrive
@@ -79,10 +79,10 @@
 		fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > reads+200 })
 	}
 	fleet.waitSuspendedCount(1, fleet.all()...)
-	assert.Equal(t, begun, host.StatementCount(), "a restarted gateway used it")
+	assert.Equal(t, statements, host.StatementCount(), "a restarted gateway used it")
 	fleet.setOverride(1, host.ID, "resume")
 	fleet.waitSuspendedCount(0, fleet.all()...)
-	fleet.eventually("it is in use again", func() bool { return host.StatementCount() > begun })
+	fleet.eventually("it is in use again", func() bool { return host.StatementCount() > statements })
 	_, err := fleet.Node(1).Call("PUT", "/v1/fleet/databases/nobody/suspend")
 	assert.ErrorContains(t, err, "404")
 	fleet.finishAndCheck(0.7)
@@ -96,7 +96,7 @@
 	fleet.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	fleet.setOverride(0, host.ID, "suspend")
 	fleet.waitSuspendedCount(1, fleet.all()...)
-	begun := fleet.settledStatementCount(host)
+	statements := fleet.settledStatementCount(host)
 	for _, i := range []int{0, 1} {
 		for _, j := range []int{2, 3} {
 			fleet.Mesh().SetLink(i, j, plan.Link{Delay: 200 * time.Millisecond})
@@ -112,7 +112,7 @@
 		fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > reads+200 })
 		fleet.waitSuspendedCount(1, fleet.all()...)
 	}
-	assert.Equal(t, begun, host.StatementCount(), "a restarted gateway used it")
+	assert.Equal(t, statements, host.StatementCount(), "a restarted gateway used it")
 	fleet.finishAndCheck(0.6)
 }
 
@@ -158,7 +158,7 @@
 // after it was killed and restarted; only an override of the fleet activates it again, not a call to itself.
 func TestFleetStateDrain(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
-	say := func(i int, verb string) {
+	setGatewayOverride := func(i int, verb string) {
 		t.Helper()
 		_, err := fleet.Node(i).Call("PUT", "/v1/fleet/gateways/n2/"+verb)
 		require.NoError(t, err)
@@ -170,7 +170,7 @@
 	sides := [][]int{{2}, {0, 1, 3}}
 	fleet.Mesh().Partition(sides, true)
 	fleet.waitView(3, 0, 1, 3)
-	say(0, "drain")
+	setGatewayOverride(0, "drain")
 	passed := fleet.metric(2, "passed.browse")
 	fleet.eventually("it serves on while it is cut off", func() bool { return fleet.metric(2, "passed.browse") > passed+10 })
 	fleet.Mesh().Partition(sides, false)
@@ -183,7 +183,7 @@
 	assert.True(t, drained())
 	assert.Equal(t, 3, fleet.Balancer().Admitted())
 	assert.Zero(t, fleet.metric(2, "passed.browse"))
-	say(1, "activate")
+	setGatewayOverride(1, "activate")
 	fleet.eventually("it serves again", func() bool { return fleet.Balancer().Admitted() == 4 && fleet.metric(2, "passed.browse") > 0 })
 	fleet.waitView(4, fleet.all()...)
 	_, err = fleet.Node(0).Call("PUT", "/v1/fleet/gateways/nobody/drain")
--- a/cmd/lilaccove/primaries_test.go
+++ b/cmd/lilaccove/primaries_test.go
@@ -20,32 +20,32 @@
 	testPrimariesAreLearned(t, "primaries: true, bytes: 500/s")
 }
 
-func testPrimariesAreLearned(t *testing.T, lines string) {
-	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, "+lines, 1))
+func testPrimariesAreLearned(t *testing.T, options string) {
+	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(sharedPlan, 4), "fleet: true", "fleet: true, "+options, 1))
 	idle := 3
 	fleet.Balancer().SetAddr(idle, "127.0.0.1:1") // the load balancer sends it no clients
-	ask := func(what string) {
+	checkWrite := func(when string) {
 		t.Helper()
-		begun := time.Now()
+		sentAt := time.Now()
 		got := fleet.connectTo(idle).query(inGroup(statement("write", 2500, ""), 0))
-		assert.NotEmpty(t, got.value, "%s: %+v", what, got)
-		assert.Less(t, time.Since(begun), time.Second, what)
+		assert.NotEmpty(t, got.value, "%s: %+v", when, got)
+		assert.Less(t, time.Since(sentAt), time.Second, when)
 	}
-	ask("before the failover")
+	checkWrite("before the failover")
 	sides := [][]int{{idle}, {0, 1, 2}}
 	fleet.Mesh().Partition(sides, true)
-	old, next := fleet.World().Members()[0], fleet.World().Members()[1]
-	require.Equal(t, old.Group, next.Group)
+	old, promoted := fleet.World().Members()[0], fleet.World().Members()[1]
+	require.Equal(t, old.Group, promoted.Group)
 	old.Hang()
-	next.Promote()
+	promoted.Promote()
 	writes := func() int { return fleet.World().Counts().Writes }
 	before := writes()
 	fleet.eventually("the other gateways write again", func() bool { return writes() > before+100 })
-	heard := fleet.metric(idle, "fleet_primaries.heard")
+	heardBefore := fleet.metric(idle, "fleet_primaries.heard")
 	fleet.Mesh().Partition(sides, false)
-	fleet.eventually("it receives the new primary", func() bool { return fleet.metric(idle, "fleet_primaries.heard") >= heard+4 })
-	tries := fleet.metric(idle, "upstream_tries.write")
-	ask("after the failover")
-	assert.Equal(t, tries+1, fleet.metric(idle, "upstream_tries.write"), "one attempt")
+	fleet.eventually("it receives the new primary", func() bool { return fleet.metric(idle, "fleet_primaries.heard") >= heardBefore+4 })
+	attemptsBefore := fleet.metric(idle, "upstream_tries.write")
+	checkWrite("after the failover")
+	assert.Equal(t, attemptsBefore+1, fleet.metric(idle, "upstream_tries.write"), "one attempt")
 	fleet.finishAndCheck(0.5)
 }
--- a/cmd/lilaccove/reconcile_test.go
+++ b/cmd/lilaccove/reconcile_test.go
@@ -29,13 +29,13 @@
 
 // checkByteBudget checks that each role of each given gateway has sent no more than its budget of bytes per second allows since
 // startTime, plus one second's burst.
-func (fleet *testFleet) checkByteBudget(budget int, begun time.Time, list ...int) {
+func (fleet *testFleet) checkByteBudget(budget int, startTime time.Time, gateways ...int) {
 	fleet.t.Helper()
-	for _, i := range list {
+	for _, i := range gateways {
 		for _, role := range []string{"positions", "primaries"} {
 			assert.Equal(fleet.t, budget, fleet.metric(i, "fleet_"+role+".budget"))
 			sent := fleet.metric(i, "fleet_"+role+".bytes")
-			assert.LessOrEqual(fleet.t, float64(sent), float64(budget)*(time.Since(begun).Seconds()+1), "gateway %d, role %s", i, role)
+			assert.LessOrEqual(fleet.t, float64(sent), float64(budget)*(time.Since(startTime).Seconds()+1), "gateway %d, role %s", i, role)
 		}
 	}
 }
@@ -44,14 +44,14 @@
 // replicas from their first read on. A gateway that is cut off reads from the primary, and from a replica after the partition.
 func TestFleetReconcile(t *testing.T) {
 	const budget, cutOff = 600, 3
-	begun := time.Now()
+	startTime := time.Now()
 	// The load is so low that practically all reads are those of this test.
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(reconcilePlan, budget), "rate: 120/s", "rate: 1/min", 1))
 	fleet.Mesh().Partition([][]int{{cutOff}, {0, 1, 2}}, true)
 	fleet.waitView(3, 0, 1, 2)
 	reads := func() (all, primary int) { c := fleet.World().Counts(); return c.Reads, c.PrimaryReads }
 	// readBoth reads in both groups through a gateway and returns how many of the reads a primary served.
-	read := func(i int) int {
+	readBoth := func(i int) int {
 		t.Helper()
 		_, before := reads()
 		for g := range 2 {
@@ -65,32 +65,32 @@
 		for g := range 2 {
 			fleet.connectTo(0).query(inGroup(statement("own", 1500, ""), g)) // any member serves it
 		}
-		return read(0) == 0
+		return readBoth(0) == 0
 	})
-	known := func(i int) int { return 6 - fleet.metric(i, "fleet_positions.not_known") }
-	has := known(0)
-	knows := func(i int) bool { return known(i) >= has }
+	knownPositions := func(i int) int { return 6 - fleet.metric(i, "fleet_positions.not_known") }
+	target := knownPositions(0)
+	knowsAll := func(i int) bool { return knownPositions(i) >= target }
 	for _, i := range []int{1, 2} {
-		fleet.eventually("the others receive the positions", func() bool { return knows(i) })
-		assert.Zero(t, read(i), "gateway %d reads from primaries", i)
+		fleet.eventually("the others receive the positions", func() bool { return knowsAll(i) })
+		assert.Zero(t, readBoth(i), "gateway %d reads from primaries", i)
 	}
 	assert.Zero(t, fleet.metric(cutOff, "fleet_positions.heard"))
-	assert.Positive(t, read(cutOff), "a gateway without positions reads from primaries")
+	assert.Positive(t, readBoth(cutOff), "a gateway without positions reads from primaries")
 	fleet.Mesh().Partition([][]int{{cutOff}, {0, 1, 2}}, false)
-	fleet.eventually("it receives the positions", func() bool { return knows(cutOff) && fleet.metric(cutOff, "fleet_positions.heard") > 0 })
-	assert.Zero(t, read(cutOff))
-	fleet.checkByteBudget(budget, begun, fleet.all()...)
+	fleet.eventually("it receives the positions", func() bool { return knowsAll(cutOff) && fleet.metric(cutOff, "fleet_positions.heard") > 0 })
+	assert.Zero(t, readBoth(cutOff))
+	fleet.checkByteBudget(budget, startTime, fleet.all()...)
 }
 
 // Under load, links lose, duplicate, reorder and corrupt messages, one gateway is paused, and the fleet is partitioned: the byte
 // budget holds, no read is too old, and positions are exchanged on both sides of the partition.
 func TestFleetReconcileFaults(t *testing.T) {
 	const budget = 800
-	begun := time.Now()
+	startTime := time.Now()
 	fleet := newTestFleetWithPlan(t, 4, strings.Replace(fmt.Sprintf(reconcilePlan, budget), "bound: 20 s", "bound: 1 s", 1))
-	heard := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
+	received := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
 	for i := range 4 {
-		fleet.eventually("positions are received", func() bool { return heard(i) > 5 })
+		fleet.eventually("positions are received", func() bool { return received(i) > 5 })
 	}
 	for i := range 4 {
 		for j := range 4 {
@@ -108,12 +108,12 @@
 	sides := [][]int{{0, 1}, {2, 3}}
 	fleet.Mesh().Partition(sides, true)
 	fleet.waitView(2, 0, 1)
-	at := heard(0)
-	fleet.eventually("each side goes on exchanging positions", func() bool { return heard(0) > at+5 })
+	receivedBefore := received(0)
+	fleet.eventually("each side goes on exchanging positions", func() bool { return received(0) > receivedBefore+5 })
 	fleet.Mesh().Partition(sides, false)
 	fleet.waitView(4, fleet.all()...)
 	assert.Zero(t, fleet.metric(0, "fleet_positions.ahead"))
-	fleet.checkByteBudget(budget, begun, fleet.all()...)
+	fleet.checkByteBudget(budget, startTime, fleet.all()...)
 	fleet.finishAndCheck(0.6)
 }
 
--- a/cmd/lilaccove/shared_test.go
+++ b/cmd/lilaccove/shared_test.go
@@ -30,9 +30,9 @@
 // positions arrive late, duplicated, out of order or corrupted, across a partition, or from a gateway that was paused.
 func TestFleetPositions(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 5, fmt.Sprintf(sharedPlan, 5))
-	heard := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
+	received := func(i int) int { return fleet.metric(i, "fleet_positions.heard") }
 	for i := range 5 {
-		fleet.eventually("positions are received", func() bool { return heard(i) > 20 })
+		fleet.eventually("positions are received", func() bool { return received(i) > 20 })
 	}
 	for i := range 5 {
 		for j := range 5 {
@@ -50,8 +50,8 @@
 	sides := [][]int{{0, 1}, {2, 3, 4}}
 	fleet.Mesh().Partition(sides, true)
 	fleet.waitView(2, 0, 1)
-	at := heard(0)
-	fleet.eventually("each side goes on exchanging positions", func() bool { return heard(0) > at+5 })
+	receivedBefore := received(0)
+	fleet.eventually("each side goes on exchanging positions", func() bool { return received(0) > receivedBefore+5 })
 	fleet.Mesh().Partition(sides, false)
 	fleet.waitView(5, fleet.all()...)
 	assert.Zero(t, fleet.metric(0, "fleet_positions.ahead"))
@@ -62,8 +62,8 @@
 func (fleet *testFleet) lastSubset(i int) (gateways, hosts string) {
 	for _, e := range fleet.Node(i).FleetEvents() {
 		if strings.HasPrefix(e, "fleet_subset ") {
-			f := strings.Fields(e)
-			gateways, hosts = f[1], f[2]
+			fields := strings.Fields(e)
+			gateways, hosts = fields[1], fields[2]
 		}
 	}
 	return gateways, hosts
@@ -73,10 +73,10 @@
 // databases among its gateways, and a drained gateway prefers none.
 func TestFleetShare(t *testing.T) {
 	fleet := newTestFleetWithPlan(t, 4, fmt.Sprintf(sharedPlan, 4))
-	divided := func(n int, list ...int) {
+	waitDivided := func(n int, gateways ...int) {
 		t.Helper()
 		fleet.eventually(fmt.Sprintf("%d gateways divide the databases", n), func() bool {
-			for _, i := range list {
+			for _, i := range gateways {
 				// Two or three of the five members of each of two groups.
 				if g, h := fleet.lastSubset(i); g != fmt.Sprintf("gateways=%d", n) || h != "hosts=4" && h != "hosts=6" {
 					return false
@@ -85,20 +85,20 @@
 			return true
 		})
 	}
-	divided(4, fleet.all()...)
+	waitDivided(4, fleet.all()...)
 	fleet.Node(3).Kill()
-	divided(3, 0, 1, 2)
+	waitDivided(3, 0, 1, 2)
 	_, err := fleet.Start(3)
 	require.NoError(t, err)
-	divided(4, fleet.all()...)
+	waitDivided(4, fleet.all()...)
 	sides := [][]int{{0, 1}, {2, 3}}
 	fleet.Mesh().Partition(sides, true)
-	divided(2, fleet.all()...)
+	waitDivided(2, fleet.all()...)
 	fleet.Mesh().Partition(sides, false)
-	divided(4, fleet.all()...)
+	waitDivided(4, fleet.all()...)
 	_, err = fleet.Node(1).Call("PUT", "/v1/gateway/drain")
 	require.NoError(t, err)
 	fleet.eventually("a drained gateway prefers no database", func() bool { _, h := fleet.lastSubset(1); return h == "hosts=0" })
-	divided(3, 0, 2, 3)
+	waitDivided(3, 0, 2, 3)
 	fleet.finishAndCheck(0.8)
 }
--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -21,15 +21,15 @@
 var storePlan = strings.NewReplacer("%%", "%", "%d", "4", "fleet: true", "fleet: true, words: 1 min").Replace(fleetPlan)
 
 // restart kills the given gateways together, calls meanwhile unless it is nil, and starts them again.
-func (fleet *testFleet) restart(meanwhile func(), list ...int) {
+func (fleet *testFleet) restart(meanwhile func(), gateways ...int) {
 	fleet.t.Helper()
-	for _, i := range list {
+	for _, i := range gateways {
 		fleet.Node(i).Kill()
 	}
 	if meanwhile != nil {
 		meanwhile()
 	}
-	for _, i := range list {
+	for _, i := range gateways {
 		_, err := fleet.Start(i)
 		require.NoError(fleet.t, err)
 	}
@@ -65,12 +65,12 @@
 	host := fleet.World().Members()[0]
 	fleet.eventually("it is in use", func() bool { return host.StatementCount() > 20 })
 	assert.Equal(t, "ok: held by 3 of 3 others, on disk", fleet.setOverride(2, host.ID, "suspend"))
-	var begun int
-	fleet.restart(func() { begun = host.StatementCount() }, fleet.all()...)
+	var statements int
+	fleet.restart(func() { statements = host.StatementCount() }, fleet.all()...)
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	before := fleet.World().Counts().Reads
 	fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > before+200 })
-	assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the override")
+	assert.Equal(t, statements, host.StatementCount(), "it was used in spite of the override")
 	fleet.waitOverridesEqual()
 	fleet.setOverride(0, host.ID, "resume")
 	fleet.waitSuspendedCount(0, fleet.all()...)
@@ -89,12 +89,12 @@
 			for _, i := range fleet.all() {
 				fleet.Node(i).Kill()
 			}
-			begun := host.StatementCount()
+			statements := host.StatementCount()
 			fleet.startWithClockStep(step, fleet.all()...)
 			fleet.waitSuspendedCount(1, fleet.all()...)
 			before := fleet.World().Counts().Reads
 			fleet.eventually("reads go on", func() bool { return fleet.World().Counts().Reads > before+200 })
-			assert.Equal(t, begun, host.StatementCount(), "it was used in spite of the override")
+			assert.Equal(t, statements, host.StatementCount(), "it was used in spite of the override")
 			fleet.finishAndCheck(0.3)
 		})
 	}
@@ -133,8 +133,8 @@
 // waited two seconds for the lock and two seconds more.
 func TestFleetStateDiskLockedAtStart(t *testing.T) {
 	const (
-		inUse  = 3500 * time.Millisecond // the lock is held for this long after the start of the process
-		served = 4 * time.Second         // from then on it may serve without the override
+		lockedFor   = 3500 * time.Millisecond // the lock is held for this long after the start of the process
+		servesAfter = 4 * time.Second         // from then on it may serve without the override
 	)
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	host := fleet.World().Members()[2].ID
@@ -143,19 +143,19 @@
 	fleet.Node(3).Kill()
 	fleet.Mesh().Partition([][]int{{3}, {0, 1, 2}}, false)
 	release := fleet.lockOverridesFile(3)
-	begun := time.Now()
+	startTime := time.Now()
 	_, err := fleet.Start(3)
 	require.NoError(t, err)
 	fleet.eventually("it has found the file locked", func() bool { return fleet.hasFleetEvent(3, "another process holds the lock") })
-	early := 0
+	servedEarly := 0
 	fleet.eventually("it has waited", func() bool {
 		passed := fleet.metric(3, "passed.browse") + fleet.metric(3, "passed.write")
-		if time.Since(begun) < served {
-			early = passed
+		if time.Since(startTime) < servesAfter {
+			servedEarly = passed
 		}
-		return time.Since(begun) > inUse
+		return time.Since(startTime) > lockedFor
 	})
-	assert.Zero(t, early, "served without the override")
+	assert.Zero(t, servedEarly, "served without the override")
 	release()
 	fleet.waitSuspendedCount(1, fleet.all()...)
 	fleet.waitOverridesEqual()
@@ -250,14 +250,14 @@
 // Overrides on six databases, each with a version vector of twenty writers, as after as many releases, reach gateways that have
 // lost their disks: no message is too large to arrive.
 func TestFleetStateManyWriters(t *testing.T) {
-	const databases, processes = 6, 20
-	var words []state.Override
+	const databases, writers = 6, 20
+	var overrides []state.Override
 	for d := range databases {
-		w := state.Override{Key: fmt.Sprintf("database-%d", d), Active: true, VersionVector: map[string]uint64{}, Origin: "n0"}
-		for k := range processes {
-			w.VersionVector[fmt.Sprintf("n%d@%016x", k%4, k+1)] = uint64(d + 1)
+		override := state.Override{Key: fmt.Sprintf("database-%d", d), Active: true, VersionVector: map[string]uint64{}, Origin: "n0"}
+		for k := range writers {
+			override.VersionVector[fmt.Sprintf("n%d@%016x", k%4, k+1)] = uint64(d + 1)
 		}
-		words = append(words, w)
+		overrides = append(overrides, override)
 	}
 	fleet := newTestFleetWithPlan(t, 4, storePlan)
 	fleet.restart(func() {
@@ -267,7 +267,7 @@
 		store, _, err := wordstore.Open(wordstore.Options{Dir: fleet.OverridesDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
 		require.NoError(t, err)
 		saved := make(chan error, 1)
-		store.Save(words, func(err error) { saved <- err })
+		store.Save(overrides, func(err error) { saved <- err })
 		require.NoError(t, <-saved)
 		store.Close(time.Second)
 	}, fleet.all()...)
--- a/cmd/lilaccove/watch_test.go
+++ b/cmd/lilaccove/watch_test.go
@@ -34,10 +34,10 @@
 }
 
 // useScriptedDiscovery starts a scripted discovery and makes it the one of this gateway.
-func (gw *testGateway) useScriptedDiscovery(do func(c net.Conn, call int)) *scriptedDiscovery {
+func (gw *testGateway) useScriptedDiscovery(handler func(c net.Conn, call int)) *scriptedDiscovery {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(gw.t, err)
-	d := &scriptedDiscovery{t: gw.t, ln: ln, handler: do, openCalls: map[net.Conn]bool{}}
+	d := &scriptedDiscovery{t: gw.t, ln: ln, handler: handler, openCalls: map[net.Conn]bool{}}
 	gw.t.Cleanup(func() { ln.Close() })
 	go d.accept(ln)
 	gw.discovery = &standin.Discovery{Addr: ln.Addr().String()}
@@ -52,27 +52,27 @@
 		}
 		go func() {
 			defer c.Close()
-			q, err := http.ReadRequest(bufio.NewReader(c))
-			if err != nil || q.URL.Path != "/api/targets" {
+			request, err := http.ReadRequest(bufio.NewReader(c))
+			if err != nil || request.URL.Path != "/api/targets" {
 				return
 			}
 			d.mu.Lock()
 			d.calls = append(d.calls, time.Now())
-			n, do := len(d.calls), d.handler
-			d.openCalls[c], d.lastPath = true, q.URL.String()
+			call, handler := len(d.calls), d.handler
+			d.openCalls[c], d.lastPath = true, request.URL.String()
 			d.mu.Unlock()
-			if do != nil {
-				do(c, n)
+			if handler != nil {
+				handler(c, call)
 			}
 		}()
 	}
 }
 
 // setHandler sets the handler of later calls.
-func (d *scriptedDiscovery) setHandler(do func(c net.Conn, call int)) {
+func (d *scriptedDiscovery) setHandler(handler func(c net.Conn, call int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.handler = do
+	d.handler = handler
 }
 
 func (d *scriptedDiscovery) lastCallPath() string {
@@ -147,28 +147,28 @@
 func (gw *testGateway) checkNoNewStatements(d *database, from time.Time) {
 	gw.t.Helper()
 	time.Sleep(time.Until(from))
-	n := len(d.Statements())
+	statements := len(d.Statements())
 	c := gw.connect()
 	for range 20 {
 		assert.NotEmpty(gw.t, c.query(statement("own", 1000, "")).value)
 	}
-	assert.Len(gw.t, d.Statements(), n, "it drains")
+	assert.Len(gw.t, d.Statements(), statements, "it drains")
 }
 
 // A watch that falls silent is opened again before a change that it does not deliver binds the gateway, wherever in the answer it
 // fell silent and however many gateways there are. Bytes that never complete a line count as silence.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
-	whole := func(gw *testGateway) string { return responseHead + string(gw.world.List()) + "\n" }
-	for name, say := range map[string]func(gw *testGateway, c net.Conn){
+	fullAnswer := func(gw *testGateway) string { return responseHead + string(gw.world.List()) + "\n" }
+	for name, respond := range map[string]func(gw *testGateway, c net.Conn){
 		"from the first byte": func(*testGateway, net.Conn) {},
 		"after its head":      func(_ *testGateway, c net.Conn) { _, _ = io.WriteString(c, responseHead) },
-		"in the first line":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)[:len(whole(gw))/2]) },
-		"after the list":      func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)) },
-		"after a heartbeat":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+"\n") },
-		"in a later line":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[{"host`) },
+		"in the first line":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)[:len(fullAnswer(gw))/2]) },
+		"after the list":      func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)) },
+		"after a heartbeat":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)+"\n") },
+		"in a later line":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)+`{"seq":9,"hosts":[{"host`) },
 		"while single bytes go on": func(gw *testGateway, c net.Conn) {
-			_, _ = io.WriteString(c, whole(gw)+`{"seq":9,"hosts":[`)
+			_, _ = io.WriteString(c, fullAnswer(gw)+`{"seq":9,"hosts":[`)
 			for {
 				if _, err := io.WriteString(c, " "); err != nil {
 					return
@@ -179,7 +179,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var begun time.Time
+			var calledAt time.Time
 			silent := make(chan struct{})
 			var d *scriptedDiscovery
 			gw := startGateway(t, func(gw *testGateway) {
@@ -190,18 +190,18 @@
 						streamList(gw.world, false)(c, call)
 						return
 					}
-					begun = time.Now()
+					calledAt = time.Now()
 					close(silent)
-					say(gw, c)
+					respond(gw, c)
 					holdOpen(c)
 				})
 			})
 			<-silent
 			gw.learnPositions(gw.connect())
 			gw.replicaA.Announce("terminating", time.Time{})
-			at := gw.waitDiscoveryCall(d, begun)
-			assert.Less(t, at.Sub(begun), listBindingDelay-500*time.Millisecond, "the call leaves time for the answer")
-			gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
+			nextCall := gw.waitDiscoveryCall(d, calledAt)
+			assert.Less(t, nextCall.Sub(calledAt), listBindingDelay-500*time.Millisecond, "the call leaves time for the answer")
+			gw.checkReplicaADrained(nextCall.Add(500 * time.Millisecond))
 		})
 	}
 }
@@ -209,7 +209,7 @@
 // However a call of discovery fails, the next one comes before a change binds that discovery has when it can be reached again.
 func TestDiscoveryIsPolledAgainInTime(t *testing.T) {
 	t.Parallel()
-	for name, fails := range map[string]func(c net.Conn, call int){
+	for name, respond := range map[string]func(c net.Conn, call int){
 		"closed":    nil,
 		"503":       func(c net.Conn, _ int) { _, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
 		"silent":    func(c net.Conn, _ int) { holdOpen(c) },
@@ -227,17 +227,17 @@
 			gw := startGateway(t, func(gw *testGateway) {
 				withManyInstances(gw)
 				gw.t = t
-				d = gw.useScriptedDiscovery(fails)
+				d = gw.useScriptedDiscovery(respond)
 			})
 			gw.learnPositions(gw.connect()) // the gateway serves by its known list meanwhile
 			gw.waitDiscoveryCall(d, time.Time{})
 			time.Sleep(3 * time.Second) // the duration of the fault
 			gw.replicaA.Announce("terminating", time.Time{})
 			d.setHandler(streamList(gw.world, false))
-			back := time.Now()
-			at := gw.waitDiscoveryCall(d, back)
-			assert.Less(t, at.Sub(back), listBindingDelay-500*time.Millisecond)
-			gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
+			restoredAt := time.Now()
+			nextCall := gw.waitDiscoveryCall(d, restoredAt)
+			assert.Less(t, nextCall.Sub(restoredAt), listBindingDelay-500*time.Millisecond)
+			gw.checkReplicaADrained(nextCall.Add(500 * time.Millisecond))
 		})
 	}
 }
@@ -252,14 +252,14 @@
 	})
 	next := gw.useScriptedDiscovery(nil)
 	gw.configure(gw.discovery.Addr, []byte("{}"))
-	begun := time.Now()
+	reloadedAt := time.Now()
 	gw.sendSIGHUP()
-	at := gw.waitDiscoveryCall(next, begun)
+	lastCall := gw.waitDiscoveryCall(next, reloadedAt)
 	gw.replicaA.Announce("terminating", time.Time{})
 	next.setHandler(streamList(gw.world, false))
-	at = gw.waitDiscoveryCall(next, at)
-	assert.Less(t, at.Sub(begun), 4*time.Second, "a change binds 4 s after SIGHUP")
-	gw.checkReplicaADrained(at.Add(500 * time.Millisecond))
+	lastCall = gw.waitDiscoveryCall(next, lastCall)
+	assert.Less(t, lastCall.Sub(reloadedAt), 4*time.Second, "a change binds 4 s after SIGHUP")
+	gw.checkReplicaADrained(lastCall.Add(500 * time.Millisecond))
 }
 
 // A list that is indented over many lines is read like any other.
@@ -281,31 +281,31 @@
 func TestOlderListChangesAreIgnored(t *testing.T) {
 	t.Parallel()
 	var d *scriptedDiscovery
-	older := make(chan struct{})
+	sendOlder := make(chan struct{})
 	gw := startGateway(t, func(gw *testGateway) {
 		gw.replicaA.Announce("terminating", time.Time{})
 		list := strings.Replace(string(gw.world.List()), `"seq":2`, `"seq":50`, 1)
 		d = gw.useScriptedDiscovery(func(c net.Conn, call int) {
 			if call == 1 {
 				_, _ = fmt.Fprintf(c, "%s%s\n", responseHead, list)
-				<-older
+				<-sendOlder
 				gw.replicaA.Announce("in_service", time.Time{})
-				back := strings.Replace(string(gw.world.List()), `"whole":true`, `"whole":false`, 1)
+				olderChange := strings.Replace(string(gw.world.List()), `"whole":true`, `"whole":false`, 1)
 				gw.replicaA.Announce("terminating", time.Time{})
-				_, _ = fmt.Fprintf(c, "%s\n", back)
+				_, _ = fmt.Fprintf(c, "%s\n", olderChange)
 				holdOpen(c)
 			}
 			streamList(gw.world, false)(c, call)
 		})
 	})
-	at := gw.waitDiscoveryCall(d, time.Time{})
-	gw.checkReplicaADrained(at)
-	n, c := len(gw.replicaA.Statements()), gw.connect()
-	close(older)
-	for begun := time.Now(); time.Since(begun) < time.Second; {
+	firstCall := gw.waitDiscoveryCall(d, time.Time{})
+	gw.checkReplicaADrained(firstCall)
+	statements, c := len(gw.replicaA.Statements()), gw.connect()
+	close(sendOlder)
+	for start := time.Now(); time.Since(start) < time.Second; {
 		c.query(statement("own", 1000, ""))
 	}
-	assert.Equal(t, n, len(gw.replicaA.Statements()), "it drains by the newest list received")
-	gw.waitDiscoveryCall(d, at.Add(time.Millisecond))
+	assert.Equal(t, statements, len(gw.replicaA.Statements()), "it drains by the newest list received")
+	gw.waitDiscoveryCall(d, firstCall.Add(time.Millisecond))
 	assert.Contains(t, d.lastCallPath(), "after=0", "the whole list is asked for")
 }
