--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -59,7 +59,7 @@
 	replacedCount  int          // databases of each group that were replaced
 	lastListChange time.Time    // when the list last began to change or watches last fell silent
 	linksFaulty    bool         // links have had their fault of this schedule
-	noOperators    bool         // no overrides are set
+	noOperators    bool         // no operator sets overrides
 }
 
 func newChaos(t *testing.T, plan string, seed uint64) *chaos {
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -65,7 +65,7 @@
 	return newTestFleetWithLab(t, n, text, func(l *lab.Lab) { l.Siblings = siblings })
 }
 
-// newTestFleetWithLab is newTestFleetWithPlan with a lab that change configures before it opens.
+// newTestFleetWithLab is newTestFleetWithPlan with a lab to which configure is applied, unless it is nil, before it opens.
 func newTestFleetWithLab(t *testing.T, n int, text string, configure func(*lab.Lab)) *testFleet {
 	if testing.Short() {
 		t.Skip("several processes and real time")
@@ -208,7 +208,7 @@
 	fleet.t.Logf("served %.3f of %d: %v", served, fleet.report.Total.Count, counts)
 }
 
-// A killed gateway leaves every view and the load balancer, nobody else is declared dead, and it can join again.
+// A killed gateway leaves every view and the load balancer, no other gateway is declared dead, and it can join again.
 func TestFleetMembershipKill(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	fleet.Node(2).Kill()
@@ -221,8 +221,8 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// A process that was paused is declared dead, refutes that when it resumes, and declares no other gateway dead: the messages
-// that it missed were its own fault.
+// A process that was paused is declared dead, refutes that when it resumes, and declares no other gateway dead, since
+// it missed their answers only because it was paused.
 func TestFleetMembershipPause(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	require.NoError(t, fleet.Node(1).Pause())
@@ -236,7 +236,7 @@
 	fleet.finishAndCheck(0.7)
 }
 
-// A link that loses everything in one direction makes nobody dead: other members probe on behalf of the one that gets no answer.
+// A link that loses all messages in one direction must not cause a false death: other members probe the member indirectly.
 func TestFleetMembershipOneWayLoss(t *testing.T) {
 	fleet := newTestFleet(t, 5)
 	fleet.Mesh().SetCut(0, 1, true)
--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -212,7 +212,7 @@
 	after := m.lastReport().Gateways[1]
 	assert.Equal(t, before.Addr, after.Addr)
 	assert.NotEqual(t, before.Session, after.Session)
-	assert.Empty(t, m.declaredDead["h1"], "it has declared nobody dead")
+	assert.Empty(t, m.declaredDead["h1"], "it has declared no gateway dead")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for observer, names := range m.declaredDead {
--- a/cmd/lilaccove/watch_test.go
+++ b/cmd/lilaccove/watch_test.go
@@ -167,7 +167,7 @@
 		"after the list":      func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)) },
 		"after a heartbeat":   func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)+"\n") },
 		"in a later line":     func(gw *testGateway, c net.Conn) { _, _ = io.WriteString(c, fullAnswer(gw)+`{"seq":9,"hosts":[{"host`) },
-		"while single bytes go on": func(gw *testGateway, c net.Conn) {
+		"in spaces that go on": func(gw *testGateway, c net.Conn) {
 			_, _ = io.WriteString(c, fullAnswer(gw)+`{"seq":9,"hosts":[`)
 			for {
 				if _, err := io.WriteString(c, " "); err != nil {
