--- a/cmd/lilaccove/fleet_cost_test.go
+++ b/cmd/lilaccove/fleet_cost_test.go
@@ -17,16 +17,16 @@
 	"lilaccove/internal/standin"
 )
 
-// BenchmarkFleetCost measures the CPU time and memory that fleet membership costs an idle gateway, compared with one without
-// a fleet file: go test -run '^$' -bench FleetCost -benchtime 1x ./cmd/lilaccove
+// BenchmarkFleetCost measures the CPU time and memory that membership costs an idle gateway, compared with one without a fleet
+// file: go test -run '^$' -bench FleetCost -benchtime 1x ./cmd/lilaccove
 func BenchmarkFleetCost(b *testing.B) {
 	for _, c := range []struct {
-		gateways int
-		fleet    bool
+		n     int
+		fleet bool
 	}{{16, false}, {16, true}, {48, true}, {100, true}} {
-		b.Run(fmt.Sprintf("%d/fleet=%t", c.gateways, c.fleet), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d/fleet=%t", c.n, c.fleet), func(b *testing.B) {
 			for b.Loop() {
-				core, kib := measureCost(b, c.gateways, c.fleet)
+				core, kib := measureCost(b, c.n, c.fleet)
 				b.ReportMetric(100*core, "%core/gateway")
 				b.ReportMetric(kib/1024, "MB/gateway")
 			}
@@ -34,61 +34,61 @@
 	}
 }
 
-// measureCost starts n idle gateways, waits until they know each other, and returns what one uses: its share of a core, and
-// its anonymous memory in KiB.
+// measureCost starts n idle gateways, waits until all are in one view, and returns the mean use per gateway: the share of a core
+// and the KiB of anonymous memory.
 func measureCost(b *testing.B, n int, fleet bool) (core, kib float64) {
-	world, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
+	w, err := standin.New(standin.Options{Groups: 1, FirstGroup: 2, Members: 3, Cores: 1, Seed: 1})
 	require.NoError(b, err)
-	defer world.Close()
+	defer w.Close()
 	var processes []*lab.Process
 	seeds := ""
 	for i := range n {
 		dir := b.TempDir()
 		config := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":256},
-			"known":%s,"settings":%s}`, i, world.Discovery().Addr, i+1, world.List(), peerSettings)
+			"known":%s,"settings":%s}`, i, w.Discovery().Addr, i+1, w.List(), peerSettings)
 		require.NoError(b, os.WriteFile(dir+"/config.json", []byte(config), 0o600))
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "LILACCOVE_RUN=1", "GW_CONFIG="+dir+"/config.json", "TMPDIR="+dir)
 		if fleet {
-			require.NoError(b, os.WriteFile(dir+"/fleet.yaml", []byte("fleet: price\nlisten: 127.0.0.1:0\n"+seeds), 0o600))
+			require.NoError(b, os.WriteFile(dir+"/fleet.yaml", []byte("fleet: cost\nlisten: 127.0.0.1:0\n"+seeds), 0o600))
 			cmd.Env = append(cmd.Env, "GW_FLEET="+dir+"/fleet.yaml")
 		}
-		process := lab.NewProcess(cmd)
-		peerAddr, viewComplete := make(chan string, 1), make(chan bool, 1)
-		require.NoError(b, process.Launch(func(line string) {
+		p := lab.NewProcess(cmd)
+		started, complete := make(chan string, 1), make(chan bool, 1)
+		require.NoError(b, p.Launch(func(line string) {
 			if addr := lab.LogField(line, "listen"); strings.Contains(line, "event=fleet_started ") {
-				peerAddr <- addr
+				started <- addr
 			} else if strings.Contains(line, "event=fleet_view ") && lab.LogField(line, "members") == strconv.Itoa(n) {
 				select {
-				case viewComplete <- true:
+				case complete <- true:
 				default:
 				}
 			}
 		}, func() {}))
-		defer process.Kill()
-		_, err := process.WaitStarted(waitTimeout)
+		defer p.Kill()
+		_, err := p.WaitStarted(waitTimeout)
 		require.NoError(b, err)
-		if processes = append(processes, process); !fleet {
+		if processes = append(processes, p); !fleet {
 			continue
 		}
-		if addr := <-peerAddr; i < 3 {
+		if addr := <-started; i < 3 {
 			seeds = cmp.Or(seeds, "seeds:\n") + "  - " + addr + "\n"
 		}
 		if i == n-1 {
 			select {
-			case <-viewComplete:
+			case <-complete:
 			case <-time.After(time.Minute):
-				b.Fatal("no view has all members")
+				b.Fatal("no view has all gateways")
 			}
 		}
 	}
-	time.Sleep(10 * time.Second) // until the updates of the start have spread
+	time.Sleep(10 * time.Second) // until the updates caused by the starts have spread
 	before := cpuSeconds(b, processes)
-	const duration = 20 * time.Second
-	time.Sleep(duration)
-	core = (cpuSeconds(b, processes) - before) / duration.Seconds() / float64(n)
-	for _, process := range processes {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Pid()))
+	const span = 20 * time.Second
+	time.Sleep(span)
+	core = (cpuSeconds(b, processes) - before) / span.Seconds() / float64(n)
+	for _, p := range processes {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 		require.NoError(b, err)
 		_, rest, _ := bytes.Cut(text, []byte("RssAnon:"))
 		var size float64
@@ -99,14 +99,14 @@
 	return core, kib
 }
 
-// cpuSeconds returns the CPU time that processes have used, in seconds.
+// cpuSeconds returns the CPU time that the processes have used, in seconds.
 func cpuSeconds(b *testing.B, processes []*lab.Process) (sum float64) {
 	for _, p := range processes {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 		require.NoError(b, err)
-		fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
+		f := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 		for _, i := range []int{11, 12} { // user and system time, in hundredths of a second
-			ticks, err := strconv.ParseFloat(string(fields[i]), 64)
+			ticks, err := strconv.ParseFloat(string(f[i]), 64)
 			require.NoError(b, err)
 			sum += ticks / 100
 		}
--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -25,46 +25,46 @@
 	"lilaccove/internal/standin"
 )
 
-// mixedFleet is a fleet of hollow gateways in this process and real ones beside them.
+// mixedFleet is a fleet of hollow gateways in this process and of real gateway processes.
 type mixedFleet struct {
-	t      *testing.T
-	dir    string
-	world  *standin.World
-	seeds  []string
-	nodes  map[string]*lab.Node
-	orders *io.PipeWriter
-	done   chan error
+	t        *testing.T
+	dir      string
+	world    *standin.World
+	seeds    []string
+	nodes    map[string]*lab.Node
+	commands *io.PipeWriter
+	exit     chan error
 
-	mu          sync.Mutex
-	last        hollow.Report
-	dead        map[string][]string // by who says so
-	reportCount int                 // reports
+	mu           sync.Mutex
+	latest       hollow.Report
+	declaredDead map[string][]string // names declared dead, by the gateway that declared them
+	reportCount  int
 }
 
-const statementRate = 300 // statements a second of each hollow gateway
+const statementRate = 300 // statements per second of each hollow gateway
 
-func newMixedFleet(t *testing.T, hollows, real int) *mixedFleet {
+func newMixedFleet(t *testing.T, hollowCount, realCount int) *mixedFleet {
 	w, err := standin.New(standin.Options{Groups: 3, Members: 3, Cores: 4, Queue: 10, Service: time.Millisecond, Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(w.Close)
-	m := &mixedFleet{t: t, dir: t.TempDir(), world: w, nodes: map[string]*lab.Node{}, done: make(chan error, 1), dead: map[string][]string{}}
+	m := &mixedFleet{t: t, dir: t.TempDir(), world: w, nodes: map[string]*lab.Node{}, exit: make(chan error, 1), declaredDead: map[string][]string{}}
 	start := hollow.Start{ReportMS: 50}
-	for i := range hollows {
+	for i := range hollowCount {
 		name := fmt.Sprintf("h%d", i)
 		addr := freePort(t)
 		config, fleet := m.writeConfig(name, addr)
 		start.Gateways = append(start.Gateways, hollow.Spec{Name: name, Config: config, Fleet: fleet, StatementsPerS: statementRate})
 		m.seeds = append(m.seeds, addr)
 	}
-	for i, spec := range start.Gateways { // again: all seeds are known now
+	for i, spec := range start.Gateways { // again, now that all seeds are known
 		m.writeConfig(spec.Name, m.seeds[i])
 	}
 	first, err := json.Marshal(start)
 	require.NoError(t, err)
-	in, commands := io.Pipe()
-	reports, out := io.Pipe()
-	m.orders = commands
-	go func() { m.done <- hollow.Run(in, out, nil); out.Close() }()
+	commandInput, commands := io.Pipe()
+	reports, reportOutput := io.Pipe()
+	m.commands = commands
+	go func() { m.exit <- hollow.Run(commandInput, reportOutput, nil); reportOutput.Close() }()
 	go m.readReports(reports)
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -72,17 +72,17 @@
 			t.Logf("%s", text)
 		}
 		_ = commands.Close()
-		assert.NoError(t, <-m.done)
+		assert.NoError(t, <-m.exit)
 	})
 	_, err = commands.Write(append(first, '\n'))
 	require.NoError(t, err)
-	for i := range real {
+	for i := range realCount {
 		m.startReal(fmt.Sprintf("r%d", i))
 	}
 	return m
 }
 
-// writeConfig writes what a gateway is told.
+// writeConfig writes a gateway's configuration and fleet file and returns their paths.
 func (m *mixedFleet) writeConfig(name, listen string) (config, fleet string) {
 	config, fleet = filepath.Join(m.dir, name+".json"), filepath.Join(m.dir, name+".yaml")
 	text, err := json.Marshal(map[string]any{
@@ -96,7 +96,7 @@
 	return config, fleet
 }
 
-// startReal starts the program.
+// startReal starts a real gateway.
 func (m *mixedFleet) startReal(name string) {
 	config, fleet := m.writeConfig(name, "127.0.0.1:0")
 	cmd := exec.Command(os.Args[0])
@@ -104,9 +104,9 @@
 	n := &lab.Node{Name: name, Process: lab.NewProcess(cmd)}
 	require.NoError(m.t, n.Launch(func(string) {}, func() {}))
 	m.t.Cleanup(n.Kill)
-	said, err := n.WaitStarted(waitTimeout)
+	startLine, err := n.WaitStarted(waitTimeout)
 	require.NoError(m.t, err)
-	n.ClientAddr, n.ManagementAddr = lab.LogField(said, "listen"), lab.LogField(said, "management")
+	n.ClientAddr, n.ManagementAddr = lab.LogField(startLine, "listen"), lab.LogField(startLine, "management")
 	m.nodes[name] = n
 }
 
@@ -119,26 +119,26 @@
 			continue
 		}
 		m.mu.Lock()
-		m.last = r
+		m.latest = r
 		m.reportCount++
 		for _, s := range r.Gateways {
-			m.dead[s.Name] = append(m.dead[s.Name], s.DeadNames...)
+			m.declaredDead[s.Name] = append(m.declaredDead[s.Name], s.DeadNames...)
 		}
 		m.mu.Unlock()
 	}
 }
 
-func (m *mixedFleet) sendOrder(what string, names ...string) {
-	text, err := json.Marshal(hollow.Order{Do: what, Names: names})
+func (m *mixedFleet) sendOrder(action string, names ...string) {
+	text, err := json.Marshal(hollow.Order{Do: action, Names: names})
 	require.NoError(m.t, err)
-	_, err = m.orders.Write(append(text, '\n'))
+	_, err = m.commands.Write(append(text, '\n'))
 	require.NoError(m.t, err)
 }
 
 func (m *mixedFleet) lastReport() hollow.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last
+	return m.latest
 }
 
 func (m *mixedFleet) eventually(what string, ok func(r hollow.Report) bool) {
@@ -149,16 +149,17 @@
 	}, 25*time.Second, 20*time.Millisecond, what)
 }
 
-// waitView waits until all that are up, and the real ones, have one view of so many members.
+// waitView waits until so many hollow gateways are up and all of them and the real gateways have the same view, with the given
+// number of members.
 func (m *mixedFleet) waitView(members, up int) {
 	m.t.Helper()
 	m.eventually(fmt.Sprintf("one view of %d members", members), func(r hollow.Report) bool {
-		digest, n := "", 0
+		digest, upCount := "", 0
 		for _, s := range r.Gateways {
 			if !s.Up {
 				continue
 			}
-			n++
+			upCount++
 			if s.ViewMembers != members || digest != "" && s.ViewDigest != digest {
 				return false
 			}
@@ -170,22 +171,22 @@
 				return false
 			}
 		}
-		return n == up
+		return upCount == up
 	})
 }
 
-// waitDeclaredDead waits until all others have told in the reports that one died.
-func (m *mixedFleet) waitDeclaredDead(name string, by ...string) {
+// waitDeclaredDead waits until all of the given observers have reported that a member died.
+func (m *mixedFleet) waitDeclaredDead(name string, observers ...string) {
 	m.t.Helper()
-	m.eventually(name+" is seen dead", func(hollow.Report) bool {
+	m.eventually(name+" is declared dead", func(hollow.Report) bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return !slices.ContainsFunc(by, func(who string) bool { return !slices.Contains(m.dead[who], name) })
+		return !slices.ContainsFunc(observers, func(observer string) bool { return !slices.Contains(m.declaredDead[observer], name) })
 	})
 }
 
-// Hollow gateways and real ones are one fleet: they see each other as members, a killed one as dead, one that ended as
-// left, and one that starts again as back, at its old address and with another session.
+// Hollow and real gateways form one fleet: they see each other as members, a killed one as dead, one that shut down as left,
+// and one that starts again as a member, at its old address and with a new session.
 func TestHollowGatewaysAreMembers(t *testing.T) {
 	m := newMixedFleet(t, 4, 2)
 	m.waitView(6, 4)
@@ -194,7 +195,7 @@
 			return s.ListDatabases != 9 || s.Roles["discovery"].InMessages == 0 || s.KnownPositions != 9
 		})
 	})
-	was := m.lastReport().Gateways[1]
+	before := m.lastReport().Gateways[1]
 	m.sendOrder("kill", "h1")
 	m.waitDeclaredDead("h1", "h0", "h2", "h3")
 	m.waitView(5, 3)
@@ -205,21 +206,21 @@
 	}
 	m.sendOrder("end", "h2")
 	m.waitView(4, 2)
-	assert.Contains(t, m.memberState("h2"), "left", "it has told that it goes")
+	assert.Contains(t, m.memberState("h2"), "left", "it has announced that it leaves")
 	m.sendOrder("start", "h1", "h2")
 	m.waitView(6, 4)
-	now := m.lastReport().Gateways[1]
-	assert.Equal(t, was.Addr, now.Addr)
-	assert.NotEqual(t, was.Session, now.Session)
-	assert.Empty(t, m.dead["h1"], "it knows nobody who died")
+	after := m.lastReport().Gateways[1]
+	assert.Equal(t, before.Addr, after.Addr)
+	assert.NotEqual(t, before.Session, after.Session)
+	assert.Empty(t, m.declaredDead["h1"], "it has declared no gateway dead")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for who, names := range m.dead {
-		assert.Equal(t, []string{"h1"}, append(slices.Compact(slices.Clone(names)), []string{"h1"}[:max(0, 1-len(names))]...), who)
+	for observer, names := range m.declaredDead {
+		assert.Equal(t, []string{"h1"}, append(slices.Compact(slices.Clone(names)), []string{"h1"}[:max(0, 1-len(names))]...), observer)
 	}
 }
 
-// memberState is what a real gateway knows of another.
+// memberState returns the state of a member as a real gateway knows it.
 func (m *mixedFleet) memberState(name string) string {
 	r, err := m.nodes["r0"].Fleet()
 	require.NoError(m.t, err)
@@ -228,14 +229,14 @@
 	return r.Known[i].State
 }
 
-// What the roles have sent and taken in adds up to what the links have, in hollow gateways and in real ones.
+// The bytes that the roles have sent and received add up to the totals of the gateway, in hollow and in real gateways.
 func TestTrafficByRoleAddsUp(t *testing.T) {
 	m := newMixedFleet(t, 3, 1)
 	m.waitView(4, 3)
-	m.eventually("every role that is on has sent and heard", func(r hollow.Report) bool {
+	m.eventually("every active role has sent and received", func(r hollow.Report) bool {
 		return !slices.ContainsFunc(r.Gateways, func(s hollow.State) bool {
 			for _, role := range []string{"membership", "positions", "primaries", "versions", "words", "discovery"} {
-				if x := s.Roles[role]; x.OutMessages == 0 || x.OutBytes == 0 || x.InMessages == 0 || x.InBytes == 0 {
+				if traffic := s.Roles[role]; traffic.OutMessages == 0 || traffic.OutBytes == 0 || traffic.InMessages == 0 || traffic.InBytes == 0 {
 					return true
 				}
 			}
@@ -243,21 +244,21 @@
 		})
 	})
 	for _, s := range m.lastReport().Gateways {
-		var out, in, sent, heard uint64
-		for role, x := range s.Roles {
+		var out, in, sent, received uint64
+		for role, traffic := range s.Roles {
 			if role != "discovery" {
-				out, in, sent, heard = out+x.OutBytes, in+x.InBytes, sent+x.OutMessages, heard+x.InMessages
+				out, in, sent, received = out+traffic.OutBytes, in+traffic.InBytes, sent+traffic.OutMessages, received+traffic.InMessages
 			}
 		}
 		assert.Equal(t, s.Totals.OutBytes, out, "%s has sent", s.Name)
-		assert.Equal(t, s.Totals.InBytes, in, "%s has taken in", s.Name)
-		assert.GreaterOrEqual(t, sent, s.Totals.OutMessages, "datagrams, and what went over streams")
-		assert.GreaterOrEqual(t, heard, s.Totals.InMessages)
-		assert.Zero(t, s.Roles["budgets"], "none are divided")
+		assert.Equal(t, s.Totals.InBytes, in, "%s has received", s.Name)
+		assert.GreaterOrEqual(t, sent, s.Totals.OutMessages, "the totals count datagrams only, the roles also messages over streams")
+		assert.GreaterOrEqual(t, received, s.Totals.InMessages)
+		assert.Zero(t, s.Roles["budgets"], "no budgets are divided")
 	}
 	text, err := m.nodes["r0"].Call("GET", "/v1/metrics")
 	require.NoError(t, err)
-	figure := func(name string) (n uint64) {
+	metric := func(name string) (n uint64) {
 		_, rest, found := strings.Cut(string(text), "edge_gw.fleet_"+name+"=")
 		require.True(t, found, "%s in\n%s", name, text)
 		_, err := fmt.Sscan(rest, &n)
@@ -265,17 +266,17 @@
 		return n
 	}
 	var out, in uint64
-	assert.NotContains(t, string(text), "fleet_budgets_", "a role that is off has no lines")
+	assert.NotContains(t, string(text), "fleet_budgets_", "an inactive role has no metrics")
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} {
-		out, in = out+figure(role+"_out_bytes"), in+figure(role+"_in_bytes")
+		out, in = out+metric(role+"_out_bytes"), in+metric(role+"_in_bytes")
 	}
-	assert.Equal(t, figure("sent_bytes"), out)
-	assert.Equal(t, figure("received_bytes"), in)
-	assert.Positive(t, figure("membership_in_messages"))
-	assert.Positive(t, figure("discovery_in_bytes"))
+	assert.Equal(t, metric("sent_bytes"), out)
+	assert.Equal(t, metric("received_bytes"), in)
+	assert.Positive(t, metric("membership_in_messages"))
+	assert.Positive(t, metric("discovery_in_bytes"))
 }
 
-// A gateway without a fleet file tells nothing of a fleet.
+// A gateway without a fleet file has no fleet metrics.
 func TestTrafficByRoleNeedsAFleet(t *testing.T) {
 	gw := startGateway(t, func(gw *testGateway) { gw.hasManagement = true })
 	n := &lab.Node{ManagementAddr: gw.managementAddr}
@@ -284,25 +285,25 @@
 	assert.NotContains(t, string(text), "fleet_")
 }
 
-// Answers are fed in at the rate that was asked for, a tenth of them those of primaries.
+// A hollow gateway learns positions at the configured rate, a tenth of them from primaries.
 func TestHollowGatewaysLearnAtRequestedRate(t *testing.T) {
 	m := newMixedFleet(t, 2, 0)
 	m.waitView(2, 2)
-	begun := m.lastReport()
-	m.eventually("six seconds", func(r hollow.Report) bool { return r.AtMS >= begun.AtMS+6000 })
-	now := m.lastReport()
-	for i, s := range now.Gateways {
-		was := begun.Gateways[i]
-		want := statementRate * float64(now.AtMS-begun.AtMS) / 1000
-		assert.InEpsilon(t, want, s.Learned-was.Learned, 0.02, s.Name)
-		assert.InEpsilon(t, want/10, s.LearnedPrimary-was.LearnedPrimary, 0.35, s.Name)
+	first := m.lastReport()
+	m.eventually("six seconds", func(r hollow.Report) bool { return r.AtMS >= first.AtMS+6000 })
+	last := m.lastReport()
+	for i, s := range last.Gateways {
+		before := first.Gateways[i]
+		want := statementRate * float64(last.AtMS-first.AtMS) / 1000
+		assert.InEpsilon(t, want, s.Learned-before.Learned, 0.02, s.Name)
+		assert.InEpsilon(t, want/10, s.LearnedPrimary-before.LearnedPrimary, 0.35, s.Name)
 		assert.Equal(t, 9, s.KnownPositions)
-		assert.Less(t, s.AgeP50, 500.0, "positions are news")
+		assert.Less(t, s.AgeP50, 500.0, "positions are recent")
 	}
 }
 
-// Beside each other under the same load, hollow gateways and real ones send and hear the same, role by role. That is a trial in
-// small of the calibration, whose figures stand with the page on capacity.
+// Under the same load, hollow and real gateways send and receive the same amounts, role by role. This is a small run of the
+// calibration whose figures are on the capacity page.
 func TestHollowGatewaysMatchRealTraffic(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes and real time")
@@ -312,11 +313,11 @@
 		Program: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"}, Hollow: []string{os.Args[0]}, HollowEnv: []string{"LILACCOVE_RUN=hollow"},
 	})
 	require.NoError(t, err)
-	for name, by := range map[string]float64{
+	for name, tolerance := range map[string]float64{
 		"statements_per_s": 0.1, "positions_learned_per_s": 0.25, "membership.bytes_out_per_s": 0.25, "membership.messages_per_s": 0.25,
-		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few a second, by chance
+		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few per second, which varies by chance
 	} {
-		assert.InDelta(t, 1, r.Ratio[name], by, "%s: %v", name, r.Differ)
+		assert.InDelta(t, 1, r.Ratio[name], tolerance, "%s: %v", name, r.Differ)
 	}
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} { // the last two are too rare for a rate
 		assert.InEpsilon(t, r.Real.ByRole[role].BytesByEach, r.Hollow.ByRole[role].BytesByEach, 0.25, role)
