--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -7,67 +7,67 @@
 	"strings"
 )
 
-// Kind tells where a value is from.
+// Kind is the origin of a value.
 type Kind int
 
-// The kinds.
+// The kinds of values.
 const (
 	NotKnown   Kind = iota
-	NotRun          // no run is there that would tell
-	Given           // the letter's
-	Arithmetic      // by the formula beside it
-	Measured        // in a run of that very size
-	Fitted          // by a slope, within the sizes it was measured over
+	NotRun          // there is no run that has the figure
+	Given           // from the requirements
+	Arithmetic      // from the figure's formula
+	Measured        // in a run of the same size
+	Fitted          // by a slope, within the sizes of its runs
 	Beyond          // by a slope, outside them
 )
 
-var kinds = [...]string{"not known", "not run", "given", "arithmetic", "measured", "from the slope", "from the slope, beyond the sizes measured"}
+var kindNames = [...]string{"not known", "not run", "given", "arithmetic", "measured", "from the slope", "from the slope, beyond the sizes measured"}
 
-// Value is a figure at a size.
+// Value is a figure at one size.
 type Value struct {
 	X     float64
 	Kind  Kind
 	Note  string
-	Under bool // of a size smaller than all measured
+	Under bool // of a size smaller than all measured ones
 	Else  bool // of a run of another size
 }
 
 func (v Value) known() bool { return v.Kind > NotRun }
 
-// Figure is one line of a table.
+// Figure is one row of a table.
 type Figure struct {
 	Name, Unit string
 	At         func(Size) Value
 	Slope      func(regions int) (Slope, bool) // nil: no slope is fitted
 	Formula    string
-	Bounded    bool // Allowance holds
+	Bounded    bool // Allowance applies
 	Allowance  float64
-	Allowed    string // in place of a number
+	Allowed    string // shown instead of Allowance
 	Mechanism  string
 }
 
-// Part is one table's worth of figures.
+// Part is the figures of one table.
 type Part struct {
 	Name    string // of its markers
 	Title   string
 	Figures []Figure
 }
 
-// state is what is computed from: the runs, with or without the mechanism that came out of them.
-type state struct {
-	runs  *Runs
-	after bool
-	sets  map[int][]Scale // see series
+// dataset is the input of the figures: the runs without or with (after) the mechanism that was added because of the first runs.
+type dataset struct {
+	runs          *Runs
+	after         bool
+	runsByRegions map[int][]Scale // cache of fitRuns
 }
 
-// calm tells whether nothing befell the fleet: slopes are fitted on such runs alone.
-func calm(s *Scale) bool {
-	return len(s.ViewsEqual) == 0 && !slices.ContainsFunc(strings.Split(s.plan(), "-"), func(w string) bool { return w == "worst" || w == "faults" || w == "fault" })
+// withoutFaults reports whether a run had no faults or other events: slopes are fitted to such runs only.
+func withoutFaults(s *Scale) bool {
+	return len(s.ViewsEqual) == 0 && !slices.ContainsFunc(strings.Split(s.planName(), "-"), func(w string) bool { return w == "worst" || w == "faults" || w == "fault" })
 }
 
-// series are the runs of one plan and one round-trip time with so many regions that have the most sizes.
-func (st *state) series(regions int) []Scale {
-	if best, ok := st.sets[regions]; ok {
+// fitRuns returns the runs with this number of regions that share a plan and a round-trip time, the group with the most sizes.
+func (st *dataset) fitRuns(regions int) []Scale {
+	if best, ok := st.runsByRegions[regions]; ok {
 		return best
 	}
 	type key struct {
@@ -77,33 +77,33 @@
 	groups := map[key][]Scale{}
 	var keys []key
 	for _, s := range st.runs.Scale {
-		if !s.good() || !s.target() || s.Regions != regions || s.after() != st.after || !calm(&s) {
+		if !s.usable() || !s.hasTargetLoad() || s.Regions != regions || s.withMechanism() != st.after || !withoutFaults(&s) {
 			continue
 		}
 		if s.Regions > 1 && s.RTT != targetRTT {
 			continue
 		}
-		k := key{s.plan(), s.RTT}
+		k := key{s.planName(), s.RTT}
 		if groups[k] == nil {
 			keys = append(keys, k)
 		}
 		groups[k] = append(groups[k], s)
 	}
 	var best []Scale
-	most := 0
+	maxSizes := 0
 	for _, k := range keys {
 		sizes := map[[2]int]bool{}
 		for _, s := range groups[k] {
 			sizes[[2]int{s.Gateways, s.Databases}] = true
 		}
-		if len(sizes) >= most {
-			best, most = groups[k], len(sizes)
+		if len(sizes) >= maxSizes {
+			best, maxSizes = groups[k], len(sizes)
 		}
 	}
-	if st.sets == nil {
-		st.sets = map[int][]Scale{}
+	if st.runsByRegions == nil {
+		st.runsByRegions = map[int][]Scale{}
 	}
-	st.sets[regions] = best
+	st.runsByRegions[regions] = best
 	return best
 }
 
@@ -111,24 +111,24 @@
 	return Size{Gateways: float64(s.Gateways), Databases: float64(s.Databases), Regions: s.Regions}
 }
 
-// fitted is one figure of scale runs with its slopes, by the number of regions.
-type fitted struct {
-	st        *state
-	get, most func(*Scale) (float64, bool) // most: in the worst hour
-	slopes    map[int]*Slope               // nil: none can be fitted
+// scaleFit is one figure of scale runs and its slopes by number of regions.
+type scaleFit struct {
+	st                *dataset
+	value, worstValue func(*Scale) (float64, bool) // worstValue: in the worst hour
+	slopes            map[int]*Slope               // nil: too few runs for a fit
 }
 
-// points are what the runs of a set say; those that do not have the figure are left out.
-func (f *fitted) points(regions int) (list []Point) {
-	for _, s := range f.st.series(regions) {
-		if y, ok := f.get(&s); ok {
+// points returns the figure's values in the fitted runs, without the runs that lack it.
+func (f *scaleFit) points(regions int) (list []Point) {
+	for _, s := range f.st.fitRuns(regions) {
+		if y, ok := f.value(&s); ok {
 			list = append(list, Point{s.size(), y})
 		}
 	}
 	return list
 }
 
-func (f *fitted) slope(regions int) (Slope, bool) {
+func (f *scaleFit) slope(regions int) (Slope, bool) {
 	l, ok := f.slopes[regions]
 	if !ok {
 		if x, ok := Fit(f.points(regions), Gateways, Databases, Product); ok {
@@ -142,10 +142,10 @@
 	return *l, true
 }
 
-// at is what runs of a size say, or else the slope; in the worst hour the runs with faults alone, the most of them.
-func (f *fitted) at(s Size) Value {
+// at returns the mean of the runs of a size, or else the slope's value. The worst hour takes the maximum of the runs with faults.
+func (f *scaleFit) at(s Size) Value {
 	if s.Name == Worst.Name {
-		return f.st.worst(f.most)
+		return f.st.worstOfRuns(f.worstValue)
 	}
 	sum, n := 0.0, 0.0
 	points := f.points(s.Regions)
@@ -162,24 +162,24 @@
 	case len(points) == 0:
 		return Value{Kind: NotRun}
 	case !ok:
-		return f.moved(s)
+		return f.extrapolateRegions(s)
 	}
 	return l.value(s)
 }
 
-// moved is for regions that were run at too few sizes for a slope: the line of one region, moved by what regions made of it at
-// the sizes that were run with both. It is an extrapolation.
-func (f *fitted) moved(s Size) Value {
+// extrapolateRegions estimates a figure whose runs with several regions have too few sizes for a slope: the one-region slope,
+// shifted by the mean difference at the sizes that were run with both. It is an extrapolation.
+func (f *scaleFit) extrapolateRegions(s Size) Value {
 	none := Value{Kind: NotKnown, Note: "too few sizes"}
 	l, ok := f.slope(Today.Regions)
 	if !ok || s.Regions == Today.Regions {
 		return none
 	}
-	sum, n, at := 0.0, 0.0, Size{}
+	sum, n, size := 0.0, 0.0, Size{}
 	for _, p := range f.points(s.Regions) {
 		for _, q := range f.points(Today.Regions) {
 			if p.Gateways == q.Gateways && p.Databases == q.Databases {
-				sum, n, at = sum+p.Y-q.Y, n+1, p.Size
+				sum, n, size = sum+p.Y-q.Y, n+1, p.Size
 			}
 		}
 	}
@@ -191,9 +191,9 @@
 	if !v.known() {
 		return v
 	}
-	note := fmt.Sprintf("regions by the difference at %s by %s", number(at.Gateways), number(at.Databases))
+	note := fmt.Sprintf("regions by the difference at %s by %s", formatNumber(size.Gateways), formatNumber(size.Databases))
 	if n > 1 {
-		note = fmt.Sprintf("regions by the mean difference at %s sizes", number(n))
+		note = fmt.Sprintf("regions by the mean difference at %s sizes", formatNumber(n))
 	}
 	if v.Note != "" {
 		note += "; " + v.Note
@@ -205,27 +205,27 @@
 	return v
 }
 
-// value is a line at a size, with how far it can be trusted.
+// value returns the line's value at a size, and marks poor fits and extrapolations.
 func (l Slope) value(s Size) Value {
 	y, beyond := l.At(s)
 	v := Value{X: y, Kind: Fitted}
-	if l.Residual > poorFit {
+	if l.Residual > poorFitResidual {
 		v.Note = fmt.Sprintf("a poor fit: residual %.0f%%", 100*l.Residual)
 	}
 	switch {
 	case y < 0:
 		return Value{Kind: NotKnown, Note: "the slope leads under 0"}
 	case beyond:
-		v.Kind, v.Under = Beyond, s.Gateways < l.low.Gateways || s.Databases < l.low.Databases
+		v.Kind, v.Under = Beyond, s.Gateways < l.minSize.Gateways || s.Databases < l.minSize.Databases
 	}
 	return v
 }
 
-// worst is the most that any run with faults came to.
-func (st *state) worst(get func(*Scale) (float64, bool)) Value {
+// worstOfRuns returns the maximum over all runs with faults.
+func (st *dataset) worstOfRuns(get func(*Scale) (float64, bool)) Value {
 	v := Value{Kind: NotRun}
 	for _, s := range st.runs.Scale {
-		if !s.good() || s.after() != st.after || calm(&s) {
+		if !s.usable() || s.withMechanism() != st.after || withoutFaults(&s) {
 			continue
 		}
 		if y, ok := get(&s); ok && (v.Kind == NotRun || y > v.X) {
@@ -245,26 +245,26 @@
 	return fmt.Sprintf("%d regions", n)
 }
 
-// measured makes a figure of scale runs.
-func (st *state) measured(name, unit, mechanism string, get func(*Scale) (float64, bool)) Figure {
-	return st.most(name, unit, mechanism, get, get)
+// scaleFigure makes a figure of scale runs.
+func (st *dataset) scaleFigure(name, unit, mechanism string, get func(*Scale) (float64, bool)) Figure {
+	return st.scaleFigureWithWorst(name, unit, mechanism, get, get)
 }
 
-// most is measured with another figure for the worst hour.
-func (st *state) most(name, unit, mechanism string, get, most func(*Scale) (float64, bool)) Figure {
-	f := &fitted{st: st, get: get, most: most, slopes: map[int]*Slope{}}
+// scaleFigureWithWorst makes a figure of scale runs that uses another value for the worst hour.
+func (st *dataset) scaleFigureWithWorst(name, unit, mechanism string, get, most func(*Scale) (float64, bool)) Figure {
+	f := &scaleFit{st: st, value: get, worstValue: most, slopes: map[int]*Slope{}}
 	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: f.slope}
 }
 
-// calibrated is a figure of hollow gateways as real ones would have it, by the ratio of the last loaded calibration.
-func (st *state) calibrated(f Figure, get func(*Control) *Stat) (Figure, bool) {
+// calibratedFigure converts a figure of hollow gateways to real ones, by the ratio of the last calibration under load.
+func (st *dataset) calibratedFigure(f Figure, get func(*Control) *Stat) (Figure, bool) {
 	for _, c := range slices.Backward(st.runs.Calibration) {
 		h, x := get(&c.Hollow.Control), get(&c.Real.Control)
-		if !c.good() || c.State != "loaded" || h == nil || x == nil || h.Mean == 0 {
+		if !c.usable() || c.State != "loaded" || h == nil || x == nil || h.Mean == 0 {
 			continue
 		}
 		ratio, at := x.Mean/h.Mean, f.At
-		f.Slope, f.Formula = nil, "that of hollow ones x "+number(ratio)+": real / hollow, `"+c.File+"`"
+		f.Slope, f.Formula = nil, "that of hollow ones x "+formatNumber(ratio)+": real / hollow, `"+c.File+"`"
 		f.At = func(s Size) Value {
 			v := at(s)
 			v.X *= ratio
@@ -275,7 +275,7 @@
 	return f, false
 }
 
-// computed makes a figure by a formula. In the worst hour it is the most of the cases that the hour may bring.
+// computed makes a figure by a formula. Its value in the worst hour is the maximum over worstHourCases.
 func computed(name, unit, formula, mechanism string, f func(Size) float64, needs ...Variable) Figure {
 	return Figure{Name: name, Unit: unit, Formula: formula, Mechanism: mechanism, At: func(s Size) Value {
 		if s.Name != Worst.Name {
@@ -287,7 +287,7 @@
 			return Value{X: f(s), Kind: Arithmetic}
 		}
 		v := Value{X: math.Inf(-1), Kind: Arithmetic}
-		for _, h := range worstHours {
+		for _, h := range worstHourCases {
 			if y := f(h); y > v.X {
 				v.X, v.Note = y, h.Name
 			}
@@ -317,65 +317,65 @@
 	return f
 }
 
-// dataFit is one figure of runs of one gateway with its clients, and its slopes.
-type dataFit struct {
-	points         []Point
-	others         []Point // made with other settings, which their names tell
-	list, load     Slope   // what each listed database costs; what clients and statements cost
-	listAt, loadAt Size    // what was equal in the runs of each
-	listed, loaded bool
-	each           Slope // what clients cost where statements and list are equal
-	hasEach        bool
+// datapathFit is one figure of datapath runs and its slopes.
+type datapathFit struct {
+	points               []Point
+	others               []Point // runs with other settings, which their Name holds
+	listSlope, loadSlope Slope   // cost of each listed database; cost of clients and statements
+	listSize, loadSize   Size    // the part of the size that was equal in the runs of each slope
+	hasList, hasLoad     bool
+	clientSlope          Slope // cost of clients where statements and list are equal
+	hasClients           bool
 }
 
-// setting is the one that most good runs of the data path were made with, the first of equals; others are in no figure.
-func (r *Runs) setting() (most string) {
+// usualSettings returns the settings of most usable datapath runs, the first of equals. Other runs enter no slope over load or list.
+func (r *Runs) usualSettings() (usual string) {
 	n := map[string]int{}
 	for i := range r.Datapath {
-		if d := &r.Datapath[i]; d.good() {
-			n[d.setting()]++
+		if d := &r.Datapath[i]; d.usable() {
+			n[d.settings()]++
 		}
 	}
 	for i := range r.Datapath {
-		if s := r.Datapath[i].setting(); n[s] > n[most] {
-			most = s
+		if s := r.Datapath[i].settings(); n[s] > n[usual] {
+			usual = s
 		}
 	}
-	return most
+	return usual
 }
 
-func (st *state) fitData(get func(*Datapath) float64) *dataFit {
-	f := &dataFit{}
-	setting := st.runs.setting()
+func (st *dataset) fitDatapath(get func(*Datapath) float64) *datapathFit {
+	f := &datapathFit{}
+	setting := st.runs.usualSettings()
 	for i := range st.runs.Datapath {
 		d := &st.runs.Datapath[i]
 		p := Point{Size{Gateways: 1, Databases: d.Databases, Connections: d.Clients, Statements: d.Statements}, get(d)}
 		switch {
-		case !d.good():
-		case d.setting() == setting:
+		case !d.usable():
+		case d.settings() == setting:
 			f.points = append(f.points, p)
 		default:
-			p.Name = differs(d.setting(), setting)
+			p.Name = extraSettings(d.settings(), setting)
 			f.others = append(f.others, p)
 		}
 	}
-	f.list, f.listAt, f.listed = alike(f.points, func(s Size) Size { s.Databases = 0; return s }, Databases)
-	f.load, f.loadAt, f.loaded = alike(f.points, func(s Size) Size { s.Connections, s.Statements = clientsEach(s), 0; return s }, Connections, Statements)
-	f.each, _, f.hasEach = alike(slices.Concat(f.points, f.others), func(s Size) Size { s.Connections = 0; return s }, Connections)
+	f.listSlope, f.listSize, f.hasList = fitLargestGroup(f.points, func(s Size) Size { s.Databases = 0; return s }, Databases)
+	f.loadSlope, f.loadSize, f.hasLoad = fitLargestGroup(f.points, func(s Size) Size { s.Connections, s.Statements = clientsPerStatement(s), 0; return s }, Connections, Statements)
+	f.clientSlope, _, f.hasClients = fitLargestGroup(slices.Concat(f.points, f.others), func(s Size) Size { s.Connections = 0; return s }, Connections)
 	return f
 }
 
-// clientsEach are the clients for each statement a second, to a tenth: a line over load is of one such mix.
-func clientsEach(s Size) float64 { return math.Round(10*s.Connections/s.Statements) / 10 }
+// clientsPerStatement returns the clients per statement/s, rounded to a tenth: a slope over load holds for one such ratio.
+func clientsPerStatement(s Size) float64 { return math.Round(10*s.Connections/s.Statements) / 10 }
 
-// differs is what one setting says and another does not.
-func differs(one, other string) string {
-	usual := strings.Fields(other)
-	return strings.Join(slices.DeleteFunc(strings.Fields(one), func(w string) bool { return slices.Contains(usual, w) }), " ")
+// extraSettings returns the words of one that other lacks.
+func extraSettings(one, other string) string {
+	others := strings.Fields(other)
+	return strings.Join(slices.DeleteFunc(strings.Fields(one), func(w string) bool { return slices.Contains(others, w) }), " ")
 }
 
-// alike fits over the largest group of points that are equal in what key leaves.
-func alike(points []Point, key func(Size) Size, candidates ...Variable) (Slope, Size, bool) {
+// fitLargestGroup fits the group of points with equal keys that has the most sizes.
+func fitLargestGroup(points []Point, key func(Size) Size, candidates ...Variable) (Slope, Size, bool) {
 	groups := map[Size][]Point{}
 	var keys []Size
 	for _, p := range points {
@@ -396,8 +396,8 @@
 	return best, at, found
 }
 
-// exact is what runs of a size say, and nothing else.
-func (f *dataFit) exact(s Size) Value {
+// measuredAt returns the mean of the runs of exactly this size.
+func (f *datapathFit) measuredAt(s Size) Value {
 	switch {
 	case s.Connections == 0:
 		return Value{Kind: NotKnown, Note: "clients not told"}
@@ -425,28 +425,28 @@
 	return Value{Kind: NotKnown, Note: "not run at this size"}
 }
 
-// at is what runs of a size say, or else the slopes.
-func (f *dataFit) at(s Size) Value {
-	if v := f.exact(s); v.known() || s.Connections == 0 || len(f.points) == 0 {
+// at returns the mean of the runs of a size, or else the value from the slopes.
+func (f *datapathFit) at(s Size) Value {
+	if v := f.measuredAt(s); v.known() || s.Connections == 0 || len(f.points) == 0 {
 		return v
 	}
 	s.Gateways = 1
 	switch {
-	case f.listed && s.Connections == f.listAt.Connections && s.Statements == f.listAt.Statements:
-		return f.list.value(s)
-	case !f.loaded:
+	case f.hasList && s.Connections == f.listSize.Connections && s.Statements == f.listSize.Statements:
+		return f.listSlope.value(s)
+	case !f.hasLoad:
 		return Value{Kind: NotKnown, Note: "too few sizes"}
-	case clientsEach(s) != f.loadAt.Connections:
+	case clientsPerStatement(s) != f.loadSize.Connections:
 		return Value{Kind: NotKnown, Note: "not run with so many clients for each statement"}
-	case !f.listed && s.Databases != f.loadAt.Databases:
+	case !f.hasList && s.Databases != f.loadSize.Databases:
 		return Value{Kind: NotKnown, Note: "too few sizes of the list"}
 	}
-	x, z := s, f.listAt
-	x.Databases, z.Databases = f.loadAt.Databases, s.Databases
-	v := f.load.value(x)
-	if d := s.Databases - f.loadAt.Databases; d != 0 && v.known() {
-		w := f.list.value(z)
-		v.X += f.list.Per * d
+	loadPart, listPart := s, f.listSize
+	loadPart.Databases, listPart.Databases = f.loadSize.Databases, s.Databases
+	v := f.loadSlope.value(loadPart)
+	if d := s.Databases - f.loadSize.Databases; d != 0 && v.known() {
+		w := f.listSlope.value(listPart)
+		v.X += f.listSlope.Per * d
 		if w.Kind == Beyond {
 			v.Kind, v.Under = Beyond, v.Under || w.Under
 		}
@@ -454,31 +454,31 @@
 	return v
 }
 
-// data makes a figure of runs of one gateway with the slope over its load beside it.
-func (st *state) data(name, unit, mechanism string, get func(*Datapath) float64) Figure {
-	f := st.fitData(get)
-	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: func(int) (Slope, bool) { return f.load, f.loaded }}
+// datapathFigure makes a figure of datapath runs and shows its slope over load.
+func (st *dataset) datapathFigure(name, unit, mechanism string, get func(*Datapath) float64) Figure {
+	f := st.fitDatapath(get)
+	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: func(int) (Slope, bool) { return f.loadSlope, f.hasLoad }}
 }
 
-// byClients is data with the slope over clients alone, where there are runs for it.
-func (st *state) byClients(name, unit, mechanism string, get func(*Datapath) float64) Figure {
-	f := st.fitData(get)
+// clientsFigure is datapathFigure with the slope over clients only, where there are runs for it.
+func (st *dataset) clientsFigure(name, unit, mechanism string, get func(*Datapath) float64) Figure {
+	f := st.fitDatapath(get)
 	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: func(int) (Slope, bool) {
-		if f.hasEach {
-			return f.each, true
+		if f.hasClients {
+			return f.clientSlope, true
 		}
-		return f.load, f.loaded
+		return f.loadSlope, f.hasLoad
 	}}
 }
 
-// byList is data with the slope over the databases listed.
-func (st *state) byList(name, unit, mechanism string, get func(*Datapath) float64) Figure {
-	f := st.fitData(get)
-	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: func(int) (Slope, bool) { return f.list, f.listed }}
+// listFigure is datapathFigure with the slope over the listed databases.
+func (st *dataset) listFigure(name, unit, mechanism string, get func(*Datapath) float64) Figure {
+	f := st.fitDatapath(get)
+	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: func(int) (Slope, bool) { return f.listSlope, f.hasList }}
 }
 
-// asked makes a figure of calls of the operators' tool, which see gateways only.
-func (st *state) asked(what, name, unit, mechanism string, get func(ToolRow) float64) Figure {
+// toolFigure makes a figure of calls of the operators' tool, which depend on the number of gateways only.
+func (st *dataset) toolFigure(what, name, unit, mechanism string, get func(ToolRow) float64) Figure {
 	var points []Point
 	for _, t := range st.runs.Tool {
 		for _, r := range t.Rows {
@@ -507,7 +507,7 @@
 	}}
 }
 
-// roles are the parts of control, in the order of the page, and by what they are carried.
+// roles are the roles of control traffic in the page's order, with the packages that implement them.
 var roles = []struct{ name, mechanism string }{
 	{"membership", "`internal/fleet/membership`, `internal/peer`"},
 	{"positions", "`internal/fleet/state` (Positions), `internal/peer`"},
@@ -518,14 +518,14 @@
 	{"discovery", "`internal/discovery`, `policy` (askForList)"},
 }
 
-// roleNames are those, and others that a run tells of.
-func (st *state) roleNames() (names []string) {
+// roleNames returns the names of roles and of any others that the runs have.
+func (st *dataset) roleNames() (names []string) {
 	for _, r := range roles {
 		names = append(names, r.name)
 	}
 	var more []string
 	for _, s := range st.runs.Scale {
-		if s.after() != st.after {
+		if s.withMechanism() != st.after {
 			continue
 		}
 		for n := range s.ByRole {
@@ -538,7 +538,7 @@
 	return append(names, more...)
 }
 
-func carrier(role string) string {
+func mechanismOf(role string) string {
 	for _, r := range roles {
 		if r.name == role {
 			return r.mechanism
@@ -547,19 +547,19 @@
 	return "`internal/peer`"
 }
 
-func role(name string, get func(RoleTraffic) float64) func(*Scale) (float64, bool) {
+func ofRole(name string, get func(RoleTraffic) float64) func(*Scale) (float64, bool) {
 	return func(s *Scale) (float64, bool) {
 		r, ok := s.ByRole[name]
 		return get(r), ok
 	}
 }
 
-func overall(get func(*Scale) float64) func(*Scale) (float64, bool) {
+func always(get func(*Scale) float64) func(*Scale) (float64, bool) {
 	return func(s *Scale) (float64, bool) { return get(s), true }
 }
 
-// some takes from what may be absent.
-func some[T any](which func(*Scale) *T, get func(*T) float64) func(*Scale) (float64, bool) {
+// optional gets a figure from a part of the report that may be absent.
+func optional[T any](which func(*Scale) *T, get func(*T) float64) func(*Scale) (float64, bool) {
 	return func(s *Scale) (float64, bool) {
 		if p := which(s); p != nil {
 			return get(p), true
@@ -568,21 +568,21 @@
 	}
 }
 
-// states are what each part of control keeps, as far as it follows from the code.
-func states(role string) (f Figure, ok bool) {
+// keptState returns how many entries each role keeps, as far as the code determines it.
+func keptState(role string) (f Figure, ok bool) {
 	switch role {
 	case "membership":
-		return computed("membership: gateways known", "", "G", carrier(role), func(s Size) float64 { return s.Gateways }).within(membersMost), true
+		return computed("membership: gateways known", "", "G", mechanismOf(role), func(s Size) float64 { return s.Gateways }).within(maxMembers), true
 	case "positions", "primaries":
-		return computed(role+": databases kept", "", "D", carrier(role), func(s Size) float64 { return s.Databases }), true
+		return computed(role+": databases kept", "", "D", mechanismOf(role), func(s Size) float64 { return s.Databases }), true
 	case "words":
-		return computed("words: kept at most, for databases and gateways", "", "1,024", carrier(role), func(s Size) float64 { return 1024 }), true
+		return computed("words: kept at most, for databases and gateways", "", "1,024", mechanismOf(role), func(s Size) float64 { return 1024 }), true
 	case "versions":
-		return computed("versions: gateways known", "", "G", carrier(role), func(s Size) float64 { return s.Gateways }).within(4096), true
+		return computed("versions: gateways known", "", "G", mechanismOf(role), func(s Size) float64 { return s.Gateways }).within(4096), true
 	case "budgets":
-		return computed("budgets: databases with an account", "", "D", carrier(role), func(s Size) float64 { return s.Databases }).within(4096), true
+		return computed("budgets: databases with an account", "", "D", mechanismOf(role), func(s Size) float64 { return s.Databases }).within(4096), true
 	case "discovery":
-		return computed("discovery: databases listed", "", "D", carrier(role), func(s Size) float64 { return s.Databases }), true
+		return computed("discovery: databases listed", "", "D", mechanismOf(role), func(s Size) float64 { return s.Databases }), true
 	}
 	return Figure{}, false
 }
--- a/internal/capacity/figures_test.go
+++ b/internal/capacity/figures_test.go
@@ -11,7 +11,7 @@
 )
 
 // figure finds one by part and name.
-func figure(t *testing.T, st *state, part, name string) Figure {
+func figure(t *testing.T, st *dataset, part, name string) Figure {
 	for _, p := range st.parts() {
 		if i := slices.IndexFunc(p.Figures, func(f Figure) bool { return f.Name == name }); p.Name == part && i >= 0 {
 			return p.Figures[i]
@@ -23,7 +23,7 @@
 
 // The made-up runs have known laws; each value says where it is from.
 func TestFiguresOfMadeUpRuns(t *testing.T) {
-	st := &state{runs: madeUp(t)}
+	st := &dataset{runs: madeUp(t)}
 	big := Size{Name: "big", Gateways: 367, Databases: 405, Regions: 3}
 	for _, tt := range []struct {
 		part, name string
@@ -61,7 +61,7 @@
 		{"tool", "`lilacctl versions`: memory", Target, 0, NotRun},
 	} {
 		v := figure(t, st, tt.part, tt.name).At(tt.at)
-		assert.Equal(t, kinds[tt.kind], kinds[v.Kind], "%s at %+v", tt.name, tt.at)
+		assert.Equal(t, kindNames[tt.kind], kindNames[v.Kind], "%s at %+v", tt.name, tt.at)
 		assert.InDelta(t, tt.x, v.X, 0.002*math.Abs(tt.x), "%s at %+v", tt.name, tt.at)
 	}
 	assert.Equal(t, "with --again 1h", figure(t, st, "gateway", "clients: memory of the process").At(Size{Databases: 810, Connections: 6000, Statements: 2400}).Note)
@@ -76,7 +76,7 @@
 	assert.Equal(t, Databases, l.Of)
 	assert.InDelta(t, 0.01, l.Per, 1e-4)
 
-	after := st.controlAfter()
+	after := st.controlWithMechanism()
 	i := slices.IndexFunc(after.Figures, func(f Figure) bool { return f.Name == "positions: sent" })
 	require.GreaterOrEqual(t, i, 0)
 	v := after.Figures[i].At(Size{Gateways: 245, Databases: 400, Regions: 3})
@@ -85,42 +85,42 @@
 
 // The formulas, at sizes where they can be told by hand.
 func TestFormulas(t *testing.T) {
-	assert.InDelta(t, 100*(1-math.Exp(-2)), heldConnections(Size{Gateways: 100, Databases: 10, Statements: 10}), 1e-9)
-	assert.InDelta(t, 10*math.Exp(-1), clientsBack(Size{Connections: 50, Statements: 10}), 1e-9)
-	assert.Equal(t, 22028.0, descriptors(Target))
-	assert.Equal(t, 1235.0, math.Round(databaseStatements(Target)))
-	assert.Equal(t, 4050.0, positionNews(Target))
-	assert.Equal(t, 300.0, positionRoom())
+	assert.InDelta(t, 100*(1-math.Exp(-2)), connectionsPerDatabase(Size{Gateways: 100, Databases: 10, Statements: 10}), 1e-9)
+	assert.InDelta(t, 10*math.Exp(-1), returningClients(Size{Connections: 50, Statements: 10}), 1e-9)
+	assert.Equal(t, 22028.0, wantedDescriptors(Target))
+	assert.Equal(t, 1235.0, math.Round(statementsPerDatabase(Target)))
+	assert.Equal(t, 4050.0, positionUpdates(Target))
+	assert.Equal(t, 300.0, maxPositionRate())
 	assert.Equal(t, 3.0*(240+21*300), positionBytesOut(Target), "no more than goes out")
 	assert.Equal(t, 3.0*(240+21*50), positionBytesOut(Size{Databases: 10}))
 	assert.Equal(t, 196.0, offeredCalls(Target))
 	assert.Equal(t, 10.0, offeredCalls(Size{Gateways: 20}), "paced while the span grows")
-	assert.Equal(t, 24.5, lastAnswered(Target))
-	assert.InDelta(t, 490.0/410*86400, restartOfAll(Target), 1e-6)
-	assert.InDelta(t, restartOfAll(Target), restartOfAll(Today), 1e-6, "restarts are as frequent for each gateway")
-	assert.Equal(t, 490.0/16, versionsHeard(Target))
+	assert.Equal(t, 24.5, lastListTime(Target))
+	assert.InDelta(t, 490.0/410*86400, restartAllTime(Target), 1e-6)
+	assert.InDelta(t, restartAllTime(Target), restartAllTime(Today), 1e-6, "restarts are as frequent for each gateway")
+	assert.Equal(t, 490.0/16, versionsReceiveTime(Target))
 	for u, want := range map[float64]Size{0.5: {Gateways: 150, Databases: 60, Regions: 1}, 1: {Gateways: 300, Databases: 120, Regions: 1}, 1.5: {Gateways: 395, Databases: 465, Regions: 3}} {
-		s := growth(u)
-		assert.InDelta(t, databaseStatements(Target), databaseStatements(s), 1e-9, "a database is asked for the same all along")
+		s := sizeAtProgress(u)
+		assert.InDelta(t, statementsPerDatabase(Target), statementsPerDatabase(s), 1e-9, "a database is asked for the same all along")
 		assert.InDelta(t, Target.Connections/Target.Statements, s.Connections/s.Statements, 1e-9)
 		s.Connections, s.Statements = 0, 0
 		assert.Equal(t, want, s)
 	}
 	end := Target
 	end.Name = ""
-	assert.Equal(t, end, growth(2))
+	assert.Equal(t, end, sizeAtProgress(2))
 }
 
 // Growth meets what does not fit in the order of its sizes; what no run tells stands apart.
 func TestBreaks(t *testing.T) {
-	st := &state{runs: madeUp(t)}
+	st := &dataset{runs: madeUp(t)}
 	list, open := st.breaks()
 	at := map[string]Break{}
 	for i, b := range list {
 		at[b.Figure.Name] = b
 		assert.Greater(t, b.Value.X, b.Figure.Allowance)
 		if i > 0 {
-			assert.LessOrEqual(t, list[i-1].u, b.u)
+			assert.LessOrEqual(t, list[i-1].progress, b.progress)
 		}
 	}
 	for _, tt := range []struct {
@@ -149,13 +149,13 @@
 
 	// Regions bring a break half way.
 	f := Figure{Bounded: true, Allowance: 1, At: func(s Size) Value { return Value{X: float64(s.Regions), Kind: Arithmetic} }}
-	b, ok := f.meets()
+	b, ok := f.firstExceeded()
 	assert.True(t, ok)
 	assert.Equal(t, 395.0, b.At.Gateways)
 	// What breaks at the target alone is met there.
 	f.At = func(s Size) Value { return Value{X: s.Gateways * s.Databases / (490 * 810), Kind: Arithmetic} }
 	f.Allowance = 0.9999
-	b, ok = f.meets()
+	b, ok = f.firstExceeded()
 	assert.True(t, ok)
 	assert.Equal(t, Target, b.At)
 }
@@ -178,32 +178,32 @@
 // Runs before and after the mechanism are set side by side only if they played the same.
 func TestComparison(t *testing.T) {
 	runs := madeUp(t)
-	text, err := runs.comparison()
+	text, err := runs.comparisonTables()
 	require.NoError(t, err)
 	assert.Contains(t, text, "| positions: sent | 18,900 B/s | 1,200 B/s | 0.0635 |")
-	i := slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.after() })
+	i := slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.withMechanism() })
 	for _, change := range []func(s *Scale){
 		func(s *Scale) { s.Seed++ }, func(s *Scale) { s.Gateways++ }, func(s *Scale) { s.Databases++ }, func(s *Scale) { s.Regions++ }, func(s *Scale) { s.RTT++ },
 		func(s *Scale) { s.Command = strings.Replace(s.Command, "made-up", "other", 1) }, func(s *Scale) { s.Skew++ }, func(s *Scale) { s.Statements = new(float64) },
 	} {
 		was := runs.Scale[i]
 		change(&runs.Scale[i])
-		_, err = runs.comparison()
-		assert.ErrorContains(t, err, "play both with the same")
+		_, err = runs.comparisonTables()
+		assert.ErrorContains(t, err, "make both runs with the same")
 		runs.Scale[i] = was
 	}
 	runs.Scale[i].Command = strings.Replace(runs.Scale[i].Command, "made-up", "made-up-budget", 1)
-	text, err = runs.comparison()
+	text, err = runs.comparisonTables()
 	require.NoError(t, err)
 	assert.Contains(t, text, "`made-up` and `made-up-budget`, seed 7")
 	runs.Scale[i].Valid = false
-	text, err = runs.comparison()
+	text, err = runs.comparisonTables()
 	require.NoError(t, err)
 	assert.Contains(t, text, "INVALID: not compared")
 	runs.Scale[i].File = "scale-lost-after.json"
-	_, err = runs.comparison()
+	_, err = runs.comparisonTables()
 	assert.ErrorContains(t, err, "scale-lost.json is missing")
-	text, err = (&Runs{}).comparison()
+	text, err = (&Runs{}).comparisonTables()
 	require.NoError(t, err)
 	assert.Equal(t, "Not run.\n", text)
 }
@@ -220,39 +220,39 @@
 // Something that befell a fleet keeps its run out of the slopes, whatever the plan is called.
 func TestOnlyCalmRunsAreFitted(t *testing.T) {
 	runs := madeUp(t)
-	n := len((&state{runs: runs}).series(1))
+	n := len((&dataset{runs: runs}).fitRuns(1))
 	assert.Equal(t, 5, n)
 	for i := range runs.Scale {
 		if runs.Scale[i].File == "scale-one-122.json" {
 			runs.Scale[i].ViewsEqual = []Settled{{After: "kill of 2 gateways"}}
 		}
 	}
-	assert.Len(t, (&state{runs: runs}).series(1), 4)
+	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 4)
 	none := 0.0
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-60.json" })].Statements = &none
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-245.json" })].Skew = 1
-	assert.Len(t, (&state{runs: runs}).series(1), 2, "of the target's load alone")
+	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 2, "of the target's load alone")
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-490.json" })].Command += " --without subsets"
-	assert.Len(t, (&state{runs: runs}).series(1), 1, "and of the plan's fleet file")
+	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 1, "and of the plan's fleet file")
 }
 
 // With too few sizes in three regions the line of one is moved by what regions made of it, and said to be an extrapolation.
 func TestRegionsAtOneSize(t *testing.T) {
 	runs := madeUp(t)
-	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 3 && (s.Gateways != 122 || s.after()) })
-	v := figure(t, &state{runs: runs}, "control", "membership: sent").At(Target)
+	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 3 && (s.Gateways != 122 || s.withMechanism()) })
+	v := figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
 	assert.Equal(t, Value{X: 630 + (900 + 2.5*122 - 630), Kind: Beyond, Note: "regions by the difference at 122 by 810"}, v)
-	v = figure(t, &state{runs: runs}, "control", "membership: sent").At(Size{Gateways: 122, Databases: 810, Regions: 3})
+	v = figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Size{Gateways: 122, Databases: 810, Regions: 3})
 	assert.Equal(t, Measured, v.Kind)
 	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 1 && s.Gateways == 122 })
-	v = figure(t, &state{runs: runs}, "control", "membership: sent").At(Target)
+	v = figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
 	assert.Equal(t, NotKnown, v.Kind, "no size was run with both")
 	for i := range runs.Scale {
 		if runs.Scale[i].Regions == 3 {
 			runs.Scale[i].RTT = 60
 		}
 	}
-	v = figure(t, &state{runs: runs}, "control", "membership: sent").At(Target)
+	v = figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
 	assert.Equal(t, NotRun, v.Kind, "of another round-trip time")
 }
 
@@ -260,6 +260,6 @@
 	for x, s := range map[float64]string{
 		0: "0", 1: "1", 0.1234: "0.123", 999.96: "1,000", 1234: "1,234", 7653: "7,653", 18936.2: "18,940", 1e6: "1,000,000", -1234.56: "-1,235", 0.00001: "0.00001",
 	} {
-		assert.Equal(t, s, number(x))
+		assert.Equal(t, s, formatNumber(x))
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	leastSizes = 4    // over which a slope is fitted
-	flatSpread = 0.10 // (most - least) / mean under which a figure depends on nothing
-	poorFit    = 0.15 // a residual over which a line is said to miss its runs
-	sameLine   = 1 - 1e-9
+	minSizes          = 4    // distinct sizes that a fit needs
+	flatSpread        = 0.10 // (highest - lowest) / mean up to which a figure counts as constant
+	poorFitResidual   = 0.15 // residual above which a slope is reported as a poor fit
+	residualTieFactor = 1 - 1e-9
 )
 
-// Size is what a figure is asked for. Connections and statements a second are those of one gateway.
+// Size is a fleet size at which a figure is computed. Connections and Statements (per second) are those of one gateway.
 type Size struct {
 	Name                    string
 	Gateways, Databases     float64
@@ -21,10 +21,10 @@
 	Connections, Statements float64
 }
 
-// Variable is what a figure may depend on.
+// Variable is a quantity that a figure may depend on.
 type Variable string
 
-// The variables.
+// The variables of the fits.
 const (
 	None        Variable = "none"
 	Gateways    Variable = "G"
@@ -35,7 +35,7 @@
 	Statements  Variable = "statements/s"
 )
 
-// Of is its value at a size.
+// Of returns the value of the variable at a size.
 func (v Variable) Of(s Size) float64 {
 	switch v {
 	case Gateways:
@@ -54,56 +54,56 @@
 	return 0
 }
 
-// Point is one figure of one run.
+// Point is the value of one figure in one run.
 type Point struct {
 	Size
 	Y float64
 }
 
-// Slope is a line through the figures of several sizes.
+// Slope is a line fitted to a figure over several sizes.
 type Slope struct {
-	Of        Variable
-	Per       float64 // what one more of the variable adds
-	Intercept float64
-	Residual  float64 // root of the mean square of what the line misses, as a share of the mean figure
-	Sizes     int     // different ones
-	Runs      int
-	Like      []Variable // moved in step with the variable in these runs: not told apart from it
-	low, high Size
+	Of               Variable
+	Per              float64 // increase of the figure for one more of the variable
+	Intercept        float64
+	Residual         float64 // root mean square of the deviations from the line, as a share of the mean figure
+	Sizes            int     // distinct sizes
+	Runs             int
+	Like             []Variable // variables perfectly correlated with Of in these runs, which can't be distinguished from it
+	minSize, maxSize Size
 }
 
-// Fit draws a line through points. Among the candidates the one with the least residual wins, the first of equals; a
-// figure whose spread is under flatSpread depends on none. false: there are fewer than four sizes, or none of the
-// candidates has four values.
+// Fit fits a line to points for each candidate and returns the one with the smallest residual, the first of equals. A figure
+// whose spread is at most flatSpread gets a constant. It returns false if there are fewer than four sizes, or if no candidate
+// has four distinct values.
 func Fit(points []Point, candidates ...Variable) (Slope, bool) {
 	sizes := map[Size]bool{}
 	ys := make([]float64, 0, len(points))
-	var low, high Size
+	var minSize, maxSize Size
 	for i, p := range points {
 		s := p.Size
 		s.Name = ""
 		sizes[s] = true
 		ys = append(ys, p.Y)
 		if i == 0 {
-			low, high = s, s
+			minSize, maxSize = s, s
 		}
-		low.Gateways, high.Gateways = min(low.Gateways, s.Gateways), max(high.Gateways, s.Gateways)
-		low.Databases, high.Databases = min(low.Databases, s.Databases), max(high.Databases, s.Databases)
-		low.Connections, high.Connections = min(low.Connections, s.Connections), max(high.Connections, s.Connections)
-		low.Statements, high.Statements = min(low.Statements, s.Statements), max(high.Statements, s.Statements)
+		minSize.Gateways, maxSize.Gateways = min(minSize.Gateways, s.Gateways), max(maxSize.Gateways, s.Gateways)
+		minSize.Databases, maxSize.Databases = min(minSize.Databases, s.Databases), max(maxSize.Databases, s.Databases)
+		minSize.Connections, maxSize.Connections = min(minSize.Connections, s.Connections), max(maxSize.Connections, s.Connections)
+		minSize.Statements, maxSize.Statements = min(minSize.Statements, s.Statements), max(maxSize.Statements, s.Statements)
 	}
-	if len(sizes) < leastSizes {
+	if len(sizes) < minSizes {
 		return Slope{}, false
 	}
-	best := Slope{Of: None, Sizes: len(sizes), Runs: len(points), low: low, high: high}
+	best := Slope{Of: None, Sizes: len(sizes), Runs: len(points), minSize: minSize, maxSize: maxSize}
 	mean := stat.Mean(ys, nil)
-	least, most := ys[0], ys[0]
+	lowest, highest := ys[0], ys[0]
 	for _, y := range ys {
-		least, most = min(least, y), max(most, y)
+		lowest, highest = min(lowest, y), max(highest, y)
 	}
-	if most-least <= flatSpread*math.Abs(mean) {
+	if highest-lowest <= flatSpread*math.Abs(mean) {
 		best.Intercept = mean
-		best.Residual = miss(ys, mean, func(int) float64 { return mean })
+		best.Residual = relativeRMS(ys, mean, func(int) float64 { return mean })
 		return best, true
 	}
 	xs := map[Variable][]float64{}
@@ -114,13 +114,13 @@
 			x[i] = v.Of(p.Size)
 			values[x[i]] = true
 		}
-		if len(values) < leastSizes {
+		if len(values) < minSizes {
 			continue
 		}
 		xs[v] = x
 		a, b := stat.LinearRegression(x, ys, nil, false)
-		residual := miss(ys, mean, func(i int) float64 { return a + b*x[i] })
-		if best.Of == None || residual < best.Residual*sameLine-1e-12 {
+		residual := relativeRMS(ys, mean, func(i int) float64 { return a + b*x[i] })
+		if best.Of == None || residual < best.Residual*residualTieFactor-1e-12 {
 			best.Of, best.Intercept, best.Per, best.Residual = v, a, b, residual
 		}
 	}
@@ -135,8 +135,8 @@
 	return best, true
 }
 
-// miss is the root of the mean square of what a line misses, as a share of the mean.
-func miss(ys []float64, mean float64, line func(i int) float64) float64 {
+// relativeRMS is the root mean square of the deviations from a line, as a share of the mean.
+func relativeRMS(ys []float64, mean float64, line func(i int) float64) float64 {
 	sum := 0.0
 	for i, y := range ys {
 		sum += (y - line(i)) * (y - line(i))
@@ -148,11 +148,11 @@
 	}
 }
 
-// At is what the line comes to at a size; beyond: that lies outside the sizes it was measured over.
+// At returns the value of the line at a size; beyond: the size lies outside the range of the runs.
 func (l Slope) At(s Size) (y float64, beyond bool) {
-	out := func(x, low, high float64) bool { return x < low || x > high }
-	beyond = out(s.Gateways, l.low.Gateways, l.high.Gateways) || out(s.Databases, l.low.Databases, l.high.Databases) ||
-		l.high.Connections > 0 && out(s.Connections, l.low.Connections, l.high.Connections) ||
-		l.high.Statements > 0 && out(s.Statements, l.low.Statements, l.high.Statements)
+	outside := func(x, low, high float64) bool { return x < low || x > high }
+	beyond = outside(s.Gateways, l.minSize.Gateways, l.maxSize.Gateways) || outside(s.Databases, l.minSize.Databases, l.maxSize.Databases) ||
+		l.maxSize.Connections > 0 && outside(s.Connections, l.minSize.Connections, l.maxSize.Connections) ||
+		l.maxSize.Statements > 0 && outside(s.Statements, l.minSize.Statements, l.maxSize.Statements)
 	return l.Intercept + l.Per*l.Of.Of(s), beyond
 }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -29,7 +29,7 @@
 		for i := range list {
 			values[u.Of(list[i].Size)] = true
 		}
-		if len(values) < leastSizes {
+		if len(values) < minSizes {
 			return false
 		}
 		if u != v && math.Abs(correlation(list, u, v)) > 0.9 {
@@ -68,7 +68,7 @@
 			mean += list[i].Y / float64(len(list))
 		}
 		l, ok := Fit(list, all...)
-		if !ok || l.Of != v || len(l.Like) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*moved/mean+1e-9 || l.Sizes < leastSizes {
+		if !ok || l.Of != v || len(l.Like) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*moved/mean+1e-9 || l.Sizes < minSizes {
 			t.Fatalf("%+v %v, want %v for each of %s behind %v", l, ok, per, v, from)
 		}
 		y, beyond := l.At(list[0].Size)
@@ -87,7 +87,7 @@
 			list[i].Y = mean * (1 + 0.0475*rapid.Float64Range(-1, 1).Draw(t, "noise"))
 		}
 		l, ok := Fit(list, all...)
-		if len(distinct(list)) < leastSizes {
+		if len(distinct(list)) < minSizes {
 			if ok {
 				t.Fatalf("%+v from too few sizes", l)
 			}
@@ -145,7 +145,7 @@
 }
 
 func TestPoorFitIsSaid(t *testing.T) {
-	l := Slope{Of: Gateways, Per: 1, Residual: 0.16, low: Size{Gateways: 1}, high: Size{Gateways: 9}}
+	l := Slope{Of: Gateways, Per: 1, Residual: 0.16, minSize: Size{Gateways: 1}, maxSize: Size{Gateways: 9}}
 	assert.Equal(t, Value{X: 5, Kind: Fitted, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 5}))
 	assert.Equal(t, Value{X: 10, Kind: Beyond, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 10}))
 	l.Residual = 0.14
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	markOpen  = "<!-- capacity:"
-	markClose = "<!-- /capacity -->"
-	markEnd   = " -->"
+	markerPrefix = "<!-- capacity:"
+	endMarker    = "<!-- /capacity -->"
+	markerSuffix = " -->"
 )
 
-// Fill puts the tables between their markers; all else stays as it is.
+// Fill replaces the tables between their markers; the rest of the page stays as it is.
 func Fill(page string, tables map[string]string) (string, error) {
 	var out strings.Builder
 	var seen []string
-	inside := ""
+	openTable := ""
 	for i, line := range strings.SplitAfter(page, "\n") {
 		text := strings.TrimRight(line, "\r\n")
 		switch {
-		case strings.HasPrefix(text, markOpen) && strings.HasSuffix(text, markEnd):
-			name := strings.TrimSuffix(strings.TrimPrefix(text, markOpen), markEnd)
+		case strings.HasPrefix(text, markerPrefix) && strings.HasSuffix(text, markerSuffix):
+			name := strings.TrimSuffix(strings.TrimPrefix(text, markerPrefix), markerSuffix)
 			switch {
-			case inside != "":
-				return "", fmt.Errorf("line %d: %s begins within %s; end that one with %s", i+1, name, inside, markClose)
+			case openTable != "":
+				return "", fmt.Errorf("line %d: table %s begins inside table %s; end that one with %s", i+1, name, openTable, endMarker)
 			case slices.Contains(seen, name):
-				return "", fmt.Errorf("line %d: table %s is there twice; leave one out", i+1, name)
+				return "", fmt.Errorf("line %d: table %s occurs twice; remove one", i+1, name)
 			}
 			table, ok := tables[name]
 			if !ok {
-				return "", fmt.Errorf("line %d: no table is named %s", i+1, name)
+				return "", fmt.Errorf("line %d: unknown table %s", i+1, name)
 			}
-			seen, inside = append(seen, name), name
+			seen, openTable = append(seen, name), name
 			out.WriteString(line + table)
-		case text == markClose:
-			if inside == "" {
-				return "", fmt.Errorf("line %d: no table ends here", i+1)
+		case text == endMarker:
+			if openTable == "" {
+				return "", fmt.Errorf("line %d: end marker outside a table", i+1)
 			}
-			inside = ""
+			openTable = ""
 			out.WriteString(line)
-		case inside == "":
+		case openTable == "":
 			out.WriteString(line)
 		}
 	}
-	if inside != "" {
-		return "", fmt.Errorf("table %s has no end; put %s behind it", inside, markClose)
+	if openTable != "" {
+		return "", fmt.Errorf("table %s has no end marker; add %s after it", openTable, endMarker)
 	}
 	for _, name := range slices.Sorted(maps.Keys(tables)) {
 		if !slices.Contains(seen, name) {
-			return "", fmt.Errorf("table %s is nowhere; put %s%s%s and %s where it is to stand", name, markOpen, name, markEnd, markClose)
+			return "", fmt.Errorf("table %s is not on the page; add %s%s%s and %s where it belongs", name, markerPrefix, name, markerSuffix, endMarker)
 		}
 	}
 	return out.String(), nil
 }
 
-// Differs tells the first line in which a page is not what its runs come to; "": none.
+// Differs returns the first line in which a page differs from what its runs give, or "".
 func Differs(page string, tables map[string]string) (string, error) {
 	want, err := Fill(page, tables)
 	if err != nil {
 		return "", err
 	}
-	p, w := strings.Split(page, "\n"), strings.Split(want, "\n")
-	for i := range max(len(p), len(w)) {
-		at := func(l []string) string {
+	pageLines, wantLines := strings.Split(page, "\n"), strings.Split(want, "\n")
+	for i := range max(len(pageLines), len(wantLines)) {
+		lineAt := func(l []string) string {
 			if i < len(l) {
 				return l[i]
 			}
-			return "(the end)"
+			return "(end of the page)"
 		}
-		if at(p) != at(w) {
-			return fmt.Sprintf("line %d: the page has\n  %s\nits runs come to\n  %s", i+1, at(p), at(w)), nil
+		if lineAt(pageLines) != lineAt(wantLines) {
+			return fmt.Sprintf("line %d: the page has\n  %s\nits runs give\n  %s", i+1, lineAt(pageLines), lineAt(wantLines)), nil
 		}
 	}
 	return "", nil
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -63,7 +63,7 @@
 		changed[i] = l[:at] + "0" + l[at+1:]
 		found, err := Differs(strings.Join(changed, "\n"), tables)
 		require.NoError(t, err)
-		assert.True(t, strings.HasPrefix(found, "line "+number(float64(i+1))+":"), "%d: %q", i+1, found)
+		assert.True(t, strings.HasPrefix(found, "line "+formatNumber(float64(i+1))+":"), "%d: %q", i+1, found)
 	}
 	// Other runs come to other figures.
 	for i := range runs.Scale {
@@ -95,12 +95,12 @@
 	tables := map[string]string{"a": "x\n"}
 	open, end := "<!-- capacity:a -->\n", "<!-- /capacity -->\n"
 	for _, tt := range []struct{ page, says string }{
-		{"", "table a is nowhere"},
-		{open, "table a has no end"},
-		{end, "line 1: no table ends here"},
-		{open + open + end, "line 2: a begins within a"},
-		{open + end + open + end, "line 3: table a is there twice"},
-		{open + end + "<!-- capacity:b -->\n" + end, "line 3: no table is named b"},
+		{"", "table a is not on the page"},
+		{open, "table a has no end marker"},
+		{end, "line 1: end marker outside a table"},
+		{open + open + end, "line 2: table a begins inside table a"},
+		{open + end + open + end, "line 3: table a occurs twice"},
+		{open + end + "<!-- capacity:b -->\n" + end, "line 3: unknown table b"},
 	} {
 		_, err := Fill(tt.page, tables)
 		assert.ErrorContains(t, err, tt.says)
@@ -127,7 +127,7 @@
 		{"calibration-a.json", `{}`, "command: missing"},
 		{"tool-a.json", `{}`, "command: missing"},
 		{"sim-a.json", `{}`, "command: missing"},
-		{"notes.json", `{}`, "no kind of run"},
+		{"notes.json", `{}`, "unknown kind of run"},
 	} {
 		_, err := Read(fstest.MapFS{tt.name: {Data: []byte(tt.text)}})
 		assert.ErrorContains(t, err, tt.says)
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -1,5 +1,5 @@
-// Package capacity computes the figures of docs/CAPACITY.md from the runs under docs/capacity: slopes, what they come to at
-// three sizes, and the order in which growth meets what does not fit. Only Read touches files; all else is arithmetic.
+// Package capacity computes the figures of docs/CAPACITY.md from the runs under docs/capacity: slopes, their values at three
+// sizes, and the order in which growth exceeds the allowances. Only Read touches files; the rest is arithmetic.
 package capacity
 
 import (
@@ -18,14 +18,14 @@
 	Max  float64 `json:"max"`
 }
 
-// Spread is how long something took.
+// Spread is the distribution of a duration.
 type Spread struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Control is the control traffic and its cost for a gateway, all roles together.
+// Control is the control traffic of a gateway and its cost, all roles together.
 type Control struct {
 	BytesOut *Stat `json:"bytes_out_per_s"`
 	BytesIn  *Stat `json:"bytes_in_per_s"`
@@ -34,7 +34,7 @@
 	Memory   *Stat `json:"memory_mb"`
 }
 
-// RoleTraffic is one role's, a gateway in the mean.
+// RoleTraffic is the control traffic of one role, the mean over the gateways.
 type RoleTraffic struct {
 	BytesOut float64 `json:"bytes_out_per_s"`
 	BytesIn  float64 `json:"bytes_in_per_s"`
@@ -48,21 +48,21 @@
 	P99   *float64 `json:"stale_p99_s"`
 }
 
-// Settled is how long all views took to be equal again behind something that happened; nil: they were not in time.
+// Settled is how long it took after an event until all views were equal again; a nil Took: not within the time allowed.
 type Settled struct {
 	After string   `json:"after"`
 	At    float64  `json:"at_s"`
 	Took  *float64 `json:"took_s"`
 }
 
-// Window is the most that one gateway sent in any 10 s.
+// Window is the highest sending rate of any gateway over 10 s.
 type Window struct {
 	BytesOut float64 `json:"bytes_out_per_s"`
 	Role     string  `json:"most_by"`
 	Over     int     `json:"gateways_over"`
 }
 
-// Asked is the most that discovery was asked in a second, and before the fleet had settled.
+// Asked is the highest rate of calls to discovery in any second, after and before the fleet had settled.
 type Asked struct {
 	Calls float64 `json:"calls_per_s_max"`
 	Early float64 `json:"calls_per_s_max_settling"`
@@ -102,7 +102,7 @@
 	Discovery     *Asked                 `json:"discovery"`
 }
 
-// Datapath is one gateway with its clients before one stand-in.
+// Datapath is a report of lilacload datapath: one gateway with its clients and simulated databases.
 type Datapath struct {
 	File    string `json:"-"`
 	Command string `json:"command"`
@@ -138,31 +138,31 @@
 	} `json:"gateway"`
 }
 
-// PerDatabase is how many connections one gateway has to a database of a role, over all of them and all moments.
+// PerDatabase is how many connections one gateway has to a database of a role, over all such databases and all samples.
 type PerDatabase struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
 }
 
-// Calibration sets hollow gateways beside real ones.
+// Calibration compares hollow gateways with real ones.
 type Calibration struct {
 	File    string `json:"-"`
 	Command string `json:"command"`
-	State   string `json:"state"` // idle, or loaded
-	Valid   *bool  `json:"valid"` // nil: it is
+	State   string `json:"state"` // idle or loaded
+	Valid   *bool  `json:"valid"` // nil: valid
 	Why     string `json:"invalid_because"`
 	Hollow  Side   `json:"hollow"`
 	Real    Side   `json:"real"`
 }
 
-// Side is one kind of gateways: what the fleet file makes of them.
+// Side is one kind of gateways of a calibration: the cost that a fleet file adds to them.
 type Side struct {
 	Scale
 }
 
-func (c *Calibration) good() bool { return c.Valid == nil || *c.Valid }
+func (c *Calibration) usable() bool { return c.Valid == nil || *c.Valid }
 
-// Trial is one row of a simulated network.
+// Trial is one row of results from a simulated network.
 type Trial struct {
 	Part        string   `json:"part"`
 	Mode        string   `json:"mode"`
@@ -187,7 +187,7 @@
 	Rows    []Trial `json:"rows"`
 }
 
-// ToolRow is one call of the operators' tool that asked all gateways.
+// ToolRow is one call of the operators' tool that queried all gateways.
 type ToolRow struct {
 	What      string  `json:"what"`
 	Gateways  float64 `json:"gateways"`
@@ -204,7 +204,7 @@
 	Rows    []ToolRow `json:"rows"`
 }
 
-// Runs are all that was measured, in the order of their files' names.
+// Runs holds all runs, in the order of their file names.
 type Runs struct {
 	Scale       []Scale
 	Datapath    []Datapath
@@ -213,7 +213,7 @@
 	Tool        []Tool
 }
 
-// Read takes in the files of a directory. Each bears the command that made it.
+// Read reads the runs of a directory. Each file must name the command that made it.
 func Read(dir fs.FS) (*Runs, error) {
 	names, err := fs.Glob(dir, "*.json")
 	if err != nil {
@@ -242,7 +242,7 @@
 		err, command = json.Unmarshal(text, &x), x.Command
 		r.Scale = append(r.Scale, x)
 		if err == nil && (x.Gateways <= 0 || x.Databases <= 0 || x.Regions <= 0) {
-			err = fmt.Errorf("gateways %d, databases %d, regions %d: each is to be 1 or more", x.Gateways, x.Databases, x.Regions)
+			err = fmt.Errorf("gateways %d, databases %d, regions %d: each must be 1 or more", x.Gateways, x.Databases, x.Regions)
 		}
 	case "datapath":
 		x := Datapath{File: base}
@@ -261,52 +261,52 @@
 		err, command = json.Unmarshal(text, &x), x.Command
 		r.Tool = append(r.Tool, x)
 	default:
-		return fmt.Errorf("no kind of run is named so; call it scale-, datapath-, calibration-, tool- or sim-NAME.json")
+		return fmt.Errorf("unknown kind of run; name the file scale-, datapath-, calibration-, tool- or sim-NAME.json")
 	}
 	if err == nil && strings.TrimSpace(command) == "" {
-		err = fmt.Errorf("command: missing; put in how the run was started")
+		err = fmt.Errorf("command: missing; add the command that made the run")
 	}
 	return err
 }
 
-// plan is the plan that a scale run played, by its file's name.
-func (s *Scale) plan() string {
-	f := strings.Fields(s.Command)
-	for i := range f {
-		if f[i] == "scale" && i+1 < len(f) {
-			name := strings.TrimSuffix(path.Base(f[i+1]), path.Ext(f[i+1]))
+// planName returns the name of the plan that a scale run played, from its command.
+func (s *Scale) planName() string {
+	words := strings.Fields(s.Command)
+	for i := range words {
+		if words[i] == "scale" && i+1 < len(words) {
+			name := strings.TrimSuffix(path.Base(words[i+1]), path.Ext(words[i+1]))
 			return strings.TrimSuffix(name, "-after")
 		}
 	}
 	return ""
 }
 
-// setting is what a run was made with besides its size: the command without the options that say that, or how long.
-func (d *Datapath) setting() string {
+// settings returns what a run was made with besides its size and duration: its command without the options for those.
+func (d *Datapath) settings() string {
 	var kept []string
-	f := strings.Fields(d.Command)
-	for i := 0; i < len(f); i++ {
-		name, _, whole := strings.Cut(strings.TrimLeft(f[i], "-"), "=")
-		if strings.HasPrefix(f[i], "--") && slices.Contains([]string{"clients", "statements", "databases", "for", "idle", "warm", "seed", "json", "logs", "gateway"}, name) {
-			if !whole {
+	words := strings.Fields(d.Command)
+	for i := 0; i < len(words); i++ {
+		name, _, hasValue := strings.Cut(strings.TrimLeft(words[i], "-"), "=")
+		if strings.HasPrefix(words[i], "--") && slices.Contains([]string{"clients", "statements", "databases", "for", "idle", "warm", "seed", "json", "logs", "gateway"}, name) {
+			if !hasValue {
 				i++
 			}
 			continue
 		}
-		kept = append(kept, f[i])
+		kept = append(kept, words[i])
 	}
 	return strings.Join(kept, " ")
 }
 
-func (d *Datapath) good() bool { return d.Valid && !d.Partial }
+func (d *Datapath) usable() bool { return d.Valid && !d.Partial }
 
-// target tells whether hollow gateways were fed with the target's statements, spread as the module does, in a fleet with all that the plan has.
-func (s *Scale) target() bool {
+// hasTargetLoad reports whether the hollow gateways had the target's statement rate without skew, and the plan's whole fleet file.
+func (s *Scale) hasTargetLoad() bool {
 	return (s.Statements == nil || *s.Statements == Target.Statements) && s.Skew == 0 && !strings.Contains(s.Command, " --without")
 }
 
-// good tells whether a run is a result.
-func (s *Scale) good() bool { return s.Valid && !s.Partial }
+// usable reports whether a run may enter the figures.
+func (s *Scale) usable() bool { return s.Valid && !s.Partial }
 
-// after tells whether a run was made with the mechanism that came out of the first ones.
-func (s *Scale) after() bool { return strings.HasSuffix(s.File, "-after.json") }
+// withMechanism reports whether a run was made with the mechanism that was added because of the first runs.
+func (s *Scale) withMechanism() bool { return strings.HasSuffix(s.File, "-after.json") }
--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -7,74 +7,74 @@
 
 // The three sizes of the page.
 var (
-	// Today is the standing test's. It tells nothing of clients: 0.
+	// Today is the size of the current load test, which says nothing about clients: 0.
 	Today = Size{Name: "today", Gateways: 300, Databases: 120, Regions: 1}
-	// Target is what is expected within two years.
+	// Target is the size expected within two years.
 	Target = Size{Name: "target", Gateways: 490, Databases: 810, Regions: 3, Connections: 5102, Statements: 2041}
-	// Worst is the worst hour: all that it holds at once at its most. What cannot be at once is in worstHours.
+	// Worst is the worst hour: the maximum of all that can happen at once. Cases that exclude each other are in worstHourCases.
 	Worst = Size{Name: "worst hour", Gateways: 490, Databases: 810, Regions: 3, Connections: 7653, Statements: 3061}
 
-	zoneGone   = Size{Name: "a zone gone", Gateways: 490 - 45, Databases: 810 - 74, Regions: 3, Connections: 5102 * 490 / (490 - 45), Statements: 2041 * 490 / (490 - 45)}
-	regionGone = Size{Name: "a region gone", Gateways: 490 - 163, Databases: 810 - 270, Regions: 2, Connections: 7653, Statements: 3061}
-	healing    = Size{Name: "regions healing", Gateways: 490, Databases: 810, Regions: 3, Connections: 5102, Statements: 2041}
-	worstHours = []Size{zoneGone, regionGone, healing}
+	zoneLost       = Size{Name: "a zone gone", Gateways: 490 - 45, Databases: 810 - 74, Regions: 3, Connections: 5102 * 490 / (490 - 45), Statements: 2041 * 490 / (490 - 45)}
+	regionLost     = Size{Name: "a region gone", Gateways: 490 - 163, Databases: 810 - 270, Regions: 2, Connections: 7653, Statements: 3061}
+	regionsHealing = Size{Name: "regions healing", Gateways: 490, Databases: 810, Regions: 3, Connections: 5102, Statements: 2041}
+	worstHourCases = []Size{zoneLost, regionLost, regionsHealing}
 )
 
-// What is allowed.
+// Allowances and other given values.
 const (
-	allowedCore     = 1.9  // percent of a core for control
-	allowedMemory   = 256  // MB for control
-	allowedBytes    = 5000 // B/s for control, sent, and as much received
-	allowedInForce  = 6    // s until a change is in force everywhere
-	allowedPrimary  = 8    // s from a primary's end to the first write that every gateway serves
-	allowedAtOne    = 100  // connections: PostgreSQL's default
-	machinesSet     = 8    // machines set aside for control
-	discoveryLeast  = 10.0 // calls a second at which discovery is paced, at least
-	discoveryMost   = 20.0 // and at most
-	day             = 24 * 60 * 60.0
-	restartsADay    = 410.0 // one each 210 s
-	changesADay     = 860.0 // of the configuration, one each 100 s
-	beatEvery       = 2.0   // s between two signs of life of a watch
-	zoneGateways    = 45.0
-	toolWaits       = 2.0 // s, --timeout of lilacctl
-	idleAfter       = 5.0 // s after which a client's connection that asks nothing is closed
-	holdersAtWhole1 = 1.0 // holders of a budget for each unit that its home parts can be
+	allowedCore                = 1.9  // percent of a core for control
+	allowedMemory              = 256  // MB for control
+	allowedBytes               = 5000 // B/s for control, sent, and as much received
+	allowedInForce             = 6    // s until a change is in force everywhere
+	allowedPrimary             = 8    // s from the loss of a primary to the first write that every gateway serves
+	allowedDatabaseConnections = 100  // PostgreSQL's default max_connections
+	controlMachines            = 8    // machines reserved for control
+	minDiscoveryRate           = 10.0 // calls per second to discovery, lower limit of the pacing
+	maxDiscoveryRate           = 20.0 // and its upper limit
+	secondsPerDay              = 24 * 60 * 60.0
+	restartsPerDay             = 410.0 // one every 210 s
+	changesPerDay              = 860.0 // of the configuration, one every 100 s
+	watchHeartbeat             = 2.0   // s between two heartbeats of a watch
+	zoneGateways               = 45.0
+	toolTimeout                = 2.0 // s, --timeout of lilacctl
+	clientIdleTimeout          = 5.0 // s after which an idle client connection is closed
+	maxHoldersPerConnection    = 1.0 // holders of a budget for each connection that its home can grant
 )
 
-// What stands in the code as well. TestInputsStandInTheCode holds these against it.
+// Values that the program's source has too. TestInputsStandInTheCode checks that they are equal.
 const (
-	keptFor        = 2 * time.Second         // policy, seldom: a connection to a database that is seldom asked
-	askPace        = 100 * time.Millisecond  // policy, askPace
-	askMost        = 2500 * time.Millisecond // policy, askMost
-	positionsStep  = 200 * time.Millisecond  // peer, positionStep: a position that rose by less is no news
-	positionsTick  = 100 * time.Millisecond  // fleet/state, Tick
-	positionsSend  = 30                      // fleet/state, perSend
-	versionsSend   = 8                       // fleet/audit, perSend
-	versionsTo     = 2                       // fleet/audit, tellTo
-	versionsEvery  = time.Second             // fleet/audit, tellEvery
-	membersMost    = 4096                    // fleet, MostMembers
-	listMost       = 480 << 10               // B, peer, mostFrame
-	answerMost     = 8 << 20                 // B, lilacctl, mostAnswer
-	clientsQuarter = 4                       // of the descriptors front closes idle clients from a quarter on (ARCHITECTURE.md, Bounds)
-	memberBytes    = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestBytesOfATypicalEntry
-	versionBytes   = 226                     // B of JSON for a gateway in GET /v1/fleet/versions; the same test
-	positionBytes  = 21                      // B of CBOR for a position, name of eight letters; the same test
-	envelopeBytes  = 24                      // B of a datagram besides them; the same test
-	positionsTo    = 3                       // fleet/state, fanout
-	listEntryBytes = 40                      // B of CBOR for an entry of a whole list; the same test
+	rareResultInterval     = 2 * time.Second         // policy: also how long a rarely used connection to a database is kept
+	listCallInterval       = 100 * time.Millisecond  // policy
+	maxListCallDelay       = 2500 * time.Millisecond // policy
+	minPositionStep        = 200 * time.Millisecond  // peer: a smaller advance of a position is not sent
+	positionGossipInterval = 100 * time.Millisecond  // fleet/state, GossipInterval
+	positionsPerMessage    = 30                      // fleet/state
+	versionsPerMessage     = 8                       // fleet/audit
+	versionFanout          = 2                       // fleet/audit, reportFanout
+	versionReportInterval  = time.Second             // fleet/audit, reportInterval
+	maxMembers             = 4096                    // fleet, MaxMembers
+	maxFrame               = 480 << 10               // B, peer
+	maxAnswer              = 8 << 20                 // B, lilacctl, mostAnswer
+	idleCloseDivisor       = 4                       // front closes idle clients once they use this fraction of the descriptors (ARCHITECTURE.md, Bounds)
+	memberBytes            = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestBytesOfATypicalEntry
+	versionBytes           = 226                     // B of JSON for a gateway in GET /v1/fleet/versions; the same test
+	positionBytes          = 21                      // B of CBOR for a position, name of eight letters; the same test
+	envelopeBytes          = 24                      // B of a datagram besides the positions
+	positionFanout         = 3                       // fleet/state, fanout
+	listEntryBytes         = 40                      // B of CBOR for an entry of a whole member list; the same test
 )
 
-// growth is the size on the way from nothing (0) over today (1) to the target (2). On the first part gateways and
-// databases grow in proportion, on the second each to its target. A database is asked for the target's statements all along,
-// and a gateway has the target's clients for each statement.
-func growth(u float64) Size {
+// sizeAtProgress returns the size during growth from nothing (0) over today (1) to the target (2). Up to today gateways and
+// databases grow in proportion, then each linearly to its target. Each database always gets the target's statement rate, and a
+// gateway has as many clients per statement as at the target.
+func sizeAtProgress(progress float64) Size {
 	s := Size{Regions: Today.Regions}
-	if u <= 1 {
-		s.Gateways, s.Databases = u*Today.Gateways, u*Today.Databases
+	if progress <= 1 {
+		s.Gateways, s.Databases = progress*Today.Gateways, progress*Today.Databases
 	} else {
-		s.Gateways = Today.Gateways + (u-1)*(Target.Gateways-Today.Gateways)
-		s.Databases = Today.Databases + (u-1)*(Target.Databases-Today.Databases)
-		if u >= regionsFrom {
+		s.Gateways = Today.Gateways + (progress-1)*(Target.Gateways-Today.Gateways)
+		s.Databases = Today.Databases + (progress-1)*(Target.Databases-Today.Databases)
+		if progress >= regionsFromProgress {
 			s.Regions = Target.Regions
 		}
 	}
@@ -83,66 +83,66 @@
 	return s
 }
 
-// targetRTT, in ms, is between two regions: the plans' and an assumption, for the operators tell none.
+// targetRTT is the round-trip time between two regions in ms, as in the plans. It is an assumption: the operators name none.
 const targetRTT = 120
 
-// regionsFrom is where on that way the regions come: an assumption, half way from today to the target.
-const regionsFrom = 1.5
+// regionsFromProgress is where during growth the regions are added: an assumption, half way from today to the target.
+const regionsFromProgress = 1.5
 
-// seconds of a duration, for formulas.
+// seconds converts a duration for the formulas.
 func seconds(d time.Duration) float64 { return d.Seconds() }
 
-// heldConnections are those that all gateways together hold to one database: each gateway holds one while it asked
-// within keptFor, statements coming at random.
-func heldConnections(s Size) float64 {
-	return s.Gateways * (1 - math.Exp(-seconds(keptFor)*s.Statements/s.Databases))
+// connectionsPerDatabase returns how many connections all gateways together hold to one database: each gateway holds one if
+// it sent a statement within rareResultInterval, statements coming at random.
+func connectionsPerDatabase(s Size) float64 {
+	return s.Gateways * (1 - math.Exp(-seconds(rareResultInterval)*s.Statements/s.Databases))
 }
 
-// clientsBack are clients of one gateway whose connection idled out and who come again, a second: each statement is
-// followed by a pause longer than idleAfter with the chance of an exponential pause.
-func clientsBack(s Size) float64 {
+// returningClients returns how many clients of one gateway reconnect per second after an idle close: the pause after a
+// statement is exponential, and is longer than clientIdleTimeout with the probability used here.
+func returningClients(s Size) float64 {
 	if s.Connections == 0 {
 		return 0
 	}
-	return s.Statements * math.Exp(-idleAfter*s.Statements/s.Connections)
+	return s.Statements * math.Exp(-clientIdleTimeout*s.Statements/s.Connections)
 }
 
-// descriptors are those that one gateway wants: front lets idle clients go from a quarter of all on, and each database may have two
-// connections.
-func descriptors(s Size) float64 { return clientsQuarter*s.Connections + 2*s.Databases }
+// wantedDescriptors returns how many descriptors one gateway should be allowed: front starts closing idle clients when they
+// use a quarter of them, and each database may have two connections.
+func wantedDescriptors(s Size) float64 { return idleCloseDivisor*s.Connections + 2*s.Databases }
 
-// databaseStatements are those a second at one database.
-func databaseStatements(s Size) float64 { return s.Statements * s.Gateways / s.Databases }
+// statementsPerDatabase returns the statements per second at one database.
+func statementsPerDatabase(s Size) float64 { return s.Statements * s.Gateways / s.Databases }
 
-// positionNews are positions a second that are news somewhere: each database's each positionsStep.
-func positionNews(s Size) float64 { return s.Databases / seconds(positionsStep) }
+// positionUpdates returns how many positions per second gateways want to send: one per database every minPositionStep.
+func positionUpdates(s Size) float64 { return s.Databases / seconds(minPositionStep) }
 
-// positionRoom are positions a second that one gateway sends on at most.
-func positionRoom() float64 { return positionsSend / seconds(positionsTick) }
+// maxPositionRate returns how many positions per second one gateway can send on.
+func maxPositionRate() float64 { return positionsPerMessage / seconds(positionGossipInterval) }
 
-// positionBytesOut are those that one gateway sends a second for positions.
+// positionBytesOut returns the bytes per second that one gateway sends for positions.
 func positionBytesOut(s Size) float64 {
-	return positionsTo * (envelopeBytes/seconds(positionsTick) + positionBytes*min(positionNews(s), positionRoom()))
+	return positionFanout * (envelopeBytes/seconds(positionGossipInterval) + positionBytes*min(positionUpdates(s), maxPositionRate()))
 }
 
-// offeredCalls are calls a second to discovery when all gateways lost their watch at once, before any was refused for a
-// crowd.
+// offeredCalls returns the calls per second to discovery when all gateways lose their watch at once, before discovery refuses
+// any for overload.
 func offeredCalls(s Size) float64 {
-	return s.Gateways / min(seconds(askPace)*s.Gateways, seconds(askMost))
+	return s.Gateways / min(seconds(listCallInterval)*s.Gateways, seconds(maxListCallDelay))
 }
 
-// lastAnswered is how long after an outage the last gateway has its list, at the most that discovery is paced at.
-func lastAnswered(s Size) float64 { return s.Gateways / discoveryMost }
+// lastListTime returns how long after an outage the last gateway gets its list, at the highest rate that discovery is paced at.
+func lastListTime(s Size) float64 { return s.Gateways / maxDiscoveryRate }
 
-// restartOfAll is how long it takes, in s, until each gateway was restarted once at the pace of a day.
-func restartOfAll(s Size) float64 {
-	return day * s.Gateways / (restartsADay * s.Gateways / Target.Gateways)
+// restartAllTime returns how many seconds it takes to restart each gateway once at the daily rate of restarts.
+func restartAllTime(s Size) float64 {
+	return secondsPerDay * s.Gateways / (restartsPerDay * s.Gateways / Target.Gateways)
 }
 
-// silentZone is how long, in s, the tool waits for the gateways of a zone that is gone where it asks one after the other.
-func silentZone(Size) float64 { return zoneGateways * toolWaits }
+// silentZoneWait returns how many seconds the tool waits for the gateways of a lost zone when it queries them one by one.
+func silentZoneWait(Size) float64 { return zoneGateways * toolTimeout }
 
-// versionsHeard is the least time, in s, in which one gateway hears the versions of all.
-func versionsHeard(s Size) float64 {
-	return s.Gateways / (versionsSend * versionsTo / seconds(versionsEvery))
+// versionsReceiveTime returns the shortest time in seconds in which one gateway receives the versions of all.
+func versionsReceiveTime(s Size) float64 {
+	return s.Gateways / (versionsPerMessage * versionFanout / seconds(versionReportInterval))
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// number writes a figure with four digits that count, three under 1,000.
-func number(x float64) string {
+// formatNumber formats a number with three significant digits, four from 1,000 on.
+func formatNumber(x float64) string {
 	digits := 3
 	if math.Abs(x) >= 1000 {
 		digits = 4
@@ -19,17 +19,17 @@
 		return "0"
 	}
 	if r := math.Round(x); math.Abs(x-r) < 1e-9 && math.Abs(x) < 1e5 {
-		return thousands(strconv.FormatFloat(r, 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(r, 'f', 0, 64))
 	}
 	s := strconv.FormatFloat(x, 'e', digits-1, 64)
 	y, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return s
 	}
-	return thousands(strconv.FormatFloat(y, 'f', -1, 64))
+	return groupThousands(strconv.FormatFloat(y, 'f', -1, 64))
 }
 
-func thousands(s string) string {
+func groupThousands(s string) string {
 	whole, rest, dot := strings.Cut(s, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -44,22 +44,22 @@
 	return sign + whole
 }
 
-func withUnit(x float64, unit string) string {
+func formatWithUnit(x float64, unit string) string {
 	switch {
 	case unit == "":
-		return number(x)
+		return formatNumber(x)
 	case strings.HasPrefix(unit, "/"), strings.HasPrefix(unit, "%"):
-		return number(x) + unit
+		return formatNumber(x) + unit
 	}
-	return number(x) + " " + unit
+	return formatNumber(x) + " " + unit
 }
 
-// cell is a value with where it is from.
+// cell formats a value with its origin.
 func (f Figure) cell(s Size) string {
 	v := f.At(s)
-	text := kinds[v.Kind]
+	text := kindNames[v.Kind]
 	if v.known() {
-		text = withUnit(v.X, f.Unit) + ", " + text
+		text = formatWithUnit(v.X, f.Unit) + ", " + text
 	}
 	if v.Note != "" {
 		text += " (" + v.Note + ")"
@@ -67,20 +67,20 @@
 	return text
 }
 
-// per names the unit of a slope.
-func per(l Slope, unit string) string {
+// slopeText formats a slope with its unit and variable.
+func slopeText(l Slope, unit string) string {
 	if l.Of == None {
-		return "flat: " + withUnit(l.Intercept, unit)
+		return "flat: " + formatWithUnit(l.Intercept, unit)
 	}
-	like := ""
+	collinear := ""
 	for _, v := range l.Like {
-		like += " or " + string(v)
+		collinear += " or " + string(v)
 	}
-	return fmt.Sprintf("%s for each %s%s, from %s", withUnit(l.Per, unit), l.Of, like, withUnit(l.Intercept, unit))
+	return fmt.Sprintf("%s for each %s%s, from %s", formatWithUnit(l.Per, unit), l.Of, collinear, formatWithUnit(l.Intercept, unit))
 }
 
-// slope is the column of that name: for three regions where there is one, or else for one; or the formula.
-func (f Figure) slope() string {
+// slopeCell formats the slope at the target's regions, or else today's; or the formula.
+func (f Figure) slopeCell() string {
 	if f.Slope == nil {
 		if f.Formula == "" {
 			return "none"
@@ -89,44 +89,44 @@
 	}
 	for _, n := range []int{Target.Regions, Today.Regions} {
 		if l, ok := f.Slope(n); ok {
-			return fmt.Sprintf("%s; residual %.1f%%", per(l, f.Unit), 100*l.Residual)
+			return fmt.Sprintf("%s; residual %.1f%%", slopeText(l, f.Unit), 100*l.Residual)
 		}
 	}
 	return "none fitted"
 }
 
-func (f Figure) allowance() string {
+func (f Figure) allowanceCell() string {
 	switch {
 	case f.Allowed != "":
 		return f.Allowed
 	case !f.Bounded:
 		return "none told"
 	}
-	return withUnit(f.Allowance, f.Unit)
+	return formatWithUnit(f.Allowance, f.Unit)
 }
 
-// fits says in a word whether a value is within the allowance, and by how much.
-func (f Figure) fits(v Value) string {
+// fitText states whether a value is within the allowance, and the margin.
+func (f Figure) fitText(v Value) string {
 	switch {
 	case !f.Bounded:
 		return ""
 	case !v.known():
-		return kinds[v.Kind]
+		return kindNames[v.Kind]
 	case v.X > f.Allowance && f.Allowance == 0:
 		return "does not fit"
 	case v.X > f.Allowance:
-		return "does not fit, " + number(v.X/f.Allowance) + " times"
+		return "does not fit, " + formatNumber(v.X/f.Allowance) + " times"
 	case f.Allowance == 0 || v.X == 0:
 		return "fits"
 	}
-	return "fits, " + number(100*(1-v.X/f.Allowance)) + "% left"
+	return "fits, " + formatNumber(100*(1-v.X/f.Allowance)) + "% left"
 }
 
-func (f Figure) margin() string {
+func (f Figure) marginCell() string {
 	if !f.Bounded {
 		return "-"
 	}
-	at, worst := f.fits(f.At(Target)), f.fits(f.At(Worst))
+	at, worst := f.fitText(f.At(Target)), f.fitText(f.At(Worst))
 	if f.At(Worst).Else {
 		worst = "not run at its size"
 	}
@@ -136,45 +136,45 @@
 	return at + "; worst hour: " + worst
 }
 
-func row(b *strings.Builder, cells ...string) {
+func writeRow(b *strings.Builder, cells ...string) {
 	b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-func head(b *strings.Builder, cells ...string) {
-	row(b, cells...)
-	row(b, slices.Repeat([]string{"---"}, len(cells))...)
+func writeHeader(b *strings.Builder, cells ...string) {
+	writeRow(b, cells...)
+	writeRow(b, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
 func (p Part) table() string {
 	var b strings.Builder
-	head(&b, "what", "today", "target", "worst hour", "slope or formula", "allowance", "margin at the target", "mechanism")
+	writeHeader(&b, "what", "today", "target", "worst hour", "slope or formula", "allowance", "margin at the target", "mechanism")
 	for _, f := range p.Figures {
-		row(&b, f.Name, f.cell(Today), f.cell(Target), f.cell(Worst), f.slope(), f.allowance(), f.margin(), f.Mechanism)
+		writeRow(&b, f.Name, f.cell(Today), f.cell(Target), f.cell(Worst), f.slopeCell(), f.allowanceCell(), f.marginCell(), f.Mechanism)
 	}
 	return b.String()
 }
 
 func sizesTable() string {
 	var b strings.Builder
-	head(&b, "", "gateways G", "databases D", "regions", "connections a gateway C", "statements/s a gateway S")
-	for _, s := range append([]Size{Today, Target, Worst}, worstHours...) {
+	writeHeader(&b, "", "gateways G", "databases D", "regions", "connections a gateway C", "statements/s a gateway S")
+	for _, s := range append([]Size{Today, Target, Worst}, worstHourCases...) {
 		name := s.Name
 		if !slices.Contains([]string{Today.Name, Target.Name, Worst.Name}, name) {
 			name = "in it: " + name
 		}
-		clients, statements := number(math.Round(s.Connections)), number(math.Round(s.Statements))
+		clients, statements := formatNumber(math.Round(s.Connections)), formatNumber(math.Round(s.Statements))
 		if s.Connections == 0 {
 			clients, statements = "not known", "not known"
 		}
-		row(&b, name, number(s.Gateways), number(s.Databases), strconv.Itoa(s.Regions), clients, statements)
+		writeRow(&b, name, formatNumber(s.Gateways), formatNumber(s.Databases), strconv.Itoa(s.Regions), clients, statements)
 	}
 	return b.String()
 }
 
-// slopesTable has every line that was fitted.
-func (st *state) slopesTable() string {
+// slopesTable lists every fitted slope.
+func (st *dataset) slopesTable() string {
 	var b strings.Builder
-	head(&b, "figure", "runs", "slope", "variable", "intercept", "residual", "sizes, runs")
+	writeHeader(&b, "figure", "runs", "slope", "variable", "intercept", "residual", "sizes, runs")
 	fitted := 0
 	add := func(name, unit, set string, l Slope) {
 		of := string(l.Of)
@@ -183,9 +183,9 @@
 		}
 		unitPer := "-"
 		if l.Of != None {
-			unitPer = withUnit(l.Per, unit) + " for each"
+			unitPer = formatWithUnit(l.Per, unit) + " for each"
 		}
-		row(&b, name, set, unitPer, of, withUnit(l.Intercept, unit), fmt.Sprintf("%.1f%%", 100*l.Residual), fmt.Sprintf("%d, %d", l.Sizes, l.Runs))
+		writeRow(&b, name, set, unitPer, of, formatWithUnit(l.Intercept, unit), fmt.Sprintf("%.1f%%", 100*l.Residual), fmt.Sprintf("%d, %d", l.Sizes, l.Runs))
 		fitted++
 	}
 	for _, p := range st.parts() {
@@ -201,8 +201,8 @@
 			}
 			for _, n := range []int{Today.Regions, Target.Regions} {
 				if l, ok := f.Slope(n); ok {
-					set := st.series(n)[0]
-					add(f.Name, f.Unit, fmt.Sprintf("`%s`, %s, %s ms", set.plan(), regions(n), number(set.RTT)), l)
+					set := st.fitRuns(n)[0]
+					add(f.Name, f.Unit, fmt.Sprintf("`%s`, %s, %s ms", set.planName(), regions(n), formatNumber(set.RTT)), l)
 				}
 			}
 		}
@@ -213,29 +213,29 @@
 	return b.String()
 }
 
-// breaksTable is the order in which growth meets what does not fit.
-func (st *state) breaksTable() string {
+// breaksTable lists the exceeded figures in the order in which growth reaches them.
+func (st *dataset) breaksTable() string {
 	list, open := st.breaks()
 	var b strings.Builder
 	if len(list) == 0 {
 		b.WriteString("Nothing that was measured or computed does not fit.\n")
 	} else {
-		head(&b, "", "breaks at", "what", "there", "allowance", "at the target", "mechanism")
+		writeHeader(&b, "", "breaks at", "what", "there", "allowance", "at the target", "mechanism")
 		rank := 0
 		for _, x := range list {
-			place, at := "-", "missing at any size" // growth does not meet it
+			place, at := "-", "missing at any size" // growth doesn't reach it
 			if !x.Any {
 				rank++
 				place = strconv.Itoa(rank)
-				at = fmt.Sprintf("%s gateways, %s databases, %s", number(math.Ceil(x.At.Gateways)), number(math.Ceil(x.At.Databases)), regions(x.At.Regions))
+				at = fmt.Sprintf("%s gateways, %s databases, %s", formatNumber(math.Ceil(x.At.Gateways)), formatNumber(math.Ceil(x.At.Databases)), regions(x.At.Regions))
 				if x.First {
 					at = "at or before " + at + ", the first size known"
 				}
-				if x.u < 1 {
+				if x.progress < 1 {
 					at += "; before today's size"
 				}
 			}
-			row(&b, place, at, x.Part+": "+x.Figure.Name, withUnit(x.Value.X, x.Figure.Unit)+", "+kinds[x.Value.Kind], x.Figure.allowance(),
+			writeRow(&b, place, at, x.Part+": "+x.Figure.Name, formatWithUnit(x.Value.X, x.Figure.Unit)+", "+kindNames[x.Value.Kind], x.Figure.allowanceCell(),
 				x.Figure.cell(Target), x.Figure.Mechanism)
 		}
 	}
@@ -248,10 +248,10 @@
 	return b.String()
 }
 
-// runsTable lists what everything is from.
+// runsTable lists all runs.
 func (r *Runs) runsTable() string {
 	var b strings.Builder
-	head(&b, "file", "command", "size", "result")
+	writeHeader(&b, "file", "command", "size", "result")
 	result := func(valid, partial bool, why string) string {
 		switch {
 		case !valid:
@@ -263,32 +263,32 @@
 	}
 	n := 0
 	add := func(file, command, size, result string) {
-		row(&b, "`"+file+"`", "`"+command+"`", size, strings.ReplaceAll(result, "|", "/"))
+		writeRow(&b, "`"+file+"`", "`"+command+"`", size, strings.ReplaceAll(result, "|", "/"))
 		n++
 	}
 	for _, s := range r.Scale {
 		x := result(s.Valid, s.Partial, s.Why)
-		if s.good() && !s.target() {
+		if s.usable() && !s.hasTargetLoad() {
 			x += ", of another load or fleet file; in no slope"
 		}
 		if len(s.Faults) > 0 {
 			x += "; " + strings.Join(s.Faults, "; ")
 		}
-		add(s.File, s.Command, fmt.Sprintf("%d by %d, %s, %s ms, %s s, %d real", s.Gateways, s.Databases, regions(s.Regions), number(s.RTT), number(s.Seconds), s.Real), x)
+		add(s.File, s.Command, fmt.Sprintf("%d by %d, %s, %s ms, %s s, %d real", s.Gateways, s.Databases, regions(s.Regions), formatNumber(s.RTT), formatNumber(s.Seconds), s.Real), x)
 	}
-	setting := r.setting()
+	setting := r.usualSettings()
 	for _, d := range r.Datapath {
 		x := result(d.Valid, d.Partial, d.Why)
-		if d.good() && d.setting() != setting {
+		if d.usable() && d.settings() != setting {
 			x += ", made with other settings: in no line over load or list, and at its size only where no other run is"
 		}
 		if len(d.Faults) > 0 {
 			x += "; " + strings.Join(d.Faults, "; ")
 		}
-		add(d.File, d.Command, fmt.Sprintf("%s clients, %s statements/s, %s databases", number(d.Clients), number(d.Statements), number(d.Databases)), x)
+		add(d.File, d.Command, fmt.Sprintf("%s clients, %s statements/s, %s databases", formatNumber(d.Clients), formatNumber(d.Statements), formatNumber(d.Databases)), x)
 	}
 	for _, c := range r.Calibration {
-		add(c.File, c.Command, fmt.Sprintf("%d by %d, %s", c.Hollow.Gateways, c.Hollow.Databases, c.State), result(c.good(), false, c.Why))
+		add(c.File, c.Command, fmt.Sprintf("%d by %d, %s", c.Hollow.Gateways, c.Hollow.Databases, c.State), result(c.usable(), false, c.Why))
 	}
 	for _, t := range r.Tool {
 		add(t.File, t.Command, fmt.Sprintf("%d rows", len(t.Rows)), "valid")
@@ -302,11 +302,11 @@
 	return b.String()
 }
 
-// scaleTable has what each calm run of many gateways came to, the smallest first, for those whose slopes lack sizes too.
+// scaleTable lists the results of each scale run without faults, the smallest first, including those with too few sizes for a slope.
 func (r *Runs) scaleTable() string {
 	var list []*Scale
 	for i := range r.Scale {
-		if s := &r.Scale[i]; s.good() && calm(s) {
+		if s := &r.Scale[i]; s.usable() && withoutFaults(s) {
 			list = append(list, s)
 		}
 	}
@@ -317,39 +317,39 @@
 		return cmp.Or(cmp.Compare(a.Regions, b.Regions), cmp.Compare(a.RTT, b.RTT), cmp.Compare(a.Gateways, b.Gateways), cmp.Compare(a.Databases, b.Databases))
 	})
 	var b strings.Builder
-	head(&b, "G", "D", "regions, round trip", "statements/s a gateway", "sent, mean; most", "received, mean; most", "membership, positions, primaries, versions: sent", "processor time", "memory", "false deaths", "file")
+	writeHeader(&b, "G", "D", "regions, round trip", "statements/s a gateway", "sent, mean; most", "received, mean; most", "membership, positions, primaries, versions: sent", "processor time", "memory", "false deaths", "file")
 	two := func(x *Stat, unit string) string {
 		if x == nil {
 			return "not known"
 		}
-		return withUnit(x.Mean, unit) + "; " + withUnit(x.Max, unit)
+		return formatWithUnit(x.Mean, unit) + "; " + formatWithUnit(x.Max, unit)
 	}
 	one := func(x *Stat, unit string) string {
 		if x == nil {
 			return "not known"
 		}
-		return withUnit(x.Mean, unit)
+		return formatWithUnit(x.Mean, unit)
 	}
 	for _, s := range list {
 		load := "the plan's"
 		if s.Statements != nil {
-			load = number(*s.Statements)
+			load = formatNumber(*s.Statements)
 		}
 		if s.Skew != 0 {
-			load += ", skew " + number(s.Skew)
+			load += ", skew " + formatNumber(s.Skew)
 		}
 		var parts []string
 		for _, n := range []string{"membership", "positions", "primaries", "versions"} {
-			parts = append(parts, number(s.ByRole[n].BytesOut))
+			parts = append(parts, formatNumber(s.ByRole[n].BytesOut))
 		}
-		row(&b, strconv.Itoa(s.Gateways), strconv.Itoa(s.Databases), regions(s.Regions)+", "+withUnit(s.RTT, "ms"), load, two(s.Control.BytesOut, "B/s"), two(s.Control.BytesIn, "B/s"),
-			strings.Join(parts, ", ")+" B/s", one(s.Control.Core, "% of a core"), one(s.Control.Memory, "MB"), number(s.FalseDeaths), "`"+s.File+"`")
+		writeRow(&b, strconv.Itoa(s.Gateways), strconv.Itoa(s.Databases), regions(s.Regions)+", "+formatWithUnit(s.RTT, "ms"), load, two(s.Control.BytesOut, "B/s"), two(s.Control.BytesIn, "B/s"),
+			strings.Join(parts, ", ")+" B/s", one(s.Control.Core, "% of a core"), one(s.Control.Memory, "MB"), formatNumber(s.FalseDeaths), "`"+s.File+"`")
 	}
 	return b.String()
 }
 
-// befalls are the faults that are wanted at size, by what a run says it settled after.
-var befalls = []struct{ name, after string }{
+// faultKinds are the faults that the page needs at full size, with the prefix by which a report's views_equal entries name them.
+var faultKinds = []struct{ name, after string }{
 	{"two machines killed", "kill of "},
 	{"restarts one after another", "restart of "},
 	{"a rack at once", "rack of "},
@@ -358,17 +358,17 @@
 	{"regions cut and healed", "heal of the cut "},
 }
 
-// faultsTable tells what each fault did, and which was not run.
+// faultsTable lists the effect of each fault, and the faults that were not run.
 func (r *Runs) faultsTable() string {
 	var b strings.Builder
-	head(&b, "fault", "run", "size", "views equal again after", "false deaths", "most sent in 10 s", "most calls at discovery", "result")
+	writeHeader(&b, "fault", "run", "size", "views equal again after", "false deaths", "most sent in 10 s", "most calls at discovery", "result")
 	line := func(name, what, took string, s *Scale) {
 		sent, calls, result := "not known", "not known", "valid"
 		if s.Window != nil {
-			sent = withUnit(s.Window.BytesOut, "B/s")
+			sent = formatWithUnit(s.Window.BytesOut, "B/s")
 		}
 		if s.Discovery != nil {
-			calls = withUnit(s.Discovery.Calls, "/s")
+			calls = formatWithUnit(s.Discovery.Calls, "/s")
 		}
 		switch {
 		case !s.Valid:
@@ -381,17 +381,17 @@
 		if what != "" {
 			name += ": " + what
 		}
-		row(&b, name, "`"+s.File+"`", fmt.Sprintf("%d by %d, %s", s.Gateways, s.Databases, regions(s.Regions)), took, number(s.FalseDeaths), sent, calls, result)
+		writeRow(&b, name, "`"+s.File+"`", fmt.Sprintf("%d by %d, %s", s.Gateways, s.Databases, regions(s.Regions)), took, formatNumber(s.FalseDeaths), sent, calls, result)
 	}
-	none := func(name string) { row(&b, name, "not run", "-", "-", "-", "-", "-", "-") }
-	for _, f := range befalls {
+	none := func(name string) { writeRow(&b, name, "not run", "-", "-", "-", "-", "-", "-") }
+	for _, f := range faultKinds {
 		found := false
 		for i := range r.Scale {
 			for _, v := range r.Scale[i].ViewsEqual {
 				if strings.HasPrefix(v.After, f.after) {
 					took := "not before the next thing or the end"
 					if v.Took != nil {
-						took = withUnit(*v.Took, "s")
+						took = formatWithUnit(*v.Took, "s")
 					}
 					line(f.name, v.After, took, &r.Scale[i])
 					found = true
@@ -413,7 +413,7 @@
 		found := false
 		for i := range r.Scale {
 			if p := f.get(&r.Scale[i]); p != nil {
-				line(f.name, "in force everywhere after "+withUnit(p.Max, "s")+" at most", "-", &r.Scale[i])
+				line(f.name, "in force everywhere after "+formatWithUnit(p.Max, "s")+" at most", "-", &r.Scale[i])
 				found = true
 			}
 		}
@@ -424,18 +424,18 @@
 	return b.String()
 }
 
-// calibrationTable sets hollow gateways beside real ones.
+// calibrationTable compares hollow gateways with real ones.
 func (r *Runs) calibrationTable() string {
 	var b strings.Builder
 	n := 0
 	for _, c := range r.Calibration {
-		if !c.good() {
+		if !c.usable() {
 			continue
 		}
 		n++
 		fmt.Fprintf(&b, "`%s`, %d gateways, %d databases, %s:\n\n", c.File, c.Hollow.Gateways, c.Hollow.Databases, c.State)
-		head(&b, "what the fleet file costs a gateway, mean", "hollow", "real", "hollow / real", "")
-		compare(&b, &c.Hollow, &c.Real, 0.15)
+		writeHeader(&b, "what the fleet file costs a gateway, mean", "hollow", "real", "hollow / real", "")
+		writeComparison(&b, &c.Hollow, &c.Real, 0.15)
 		b.WriteString("\n")
 	}
 	if n == 0 {
@@ -444,26 +444,26 @@
 	return strings.TrimRight(b.String(), "\n") + "\n"
 }
 
-// compare writes a line for each figure of two reports; over limit a difference is said.
-func compare(b *strings.Builder, x, y *Side, limit float64) {
+// writeComparison writes a row for each figure of two reports, and marks differences above limit.
+func writeComparison(b *strings.Builder, x, y *Side, limit float64) {
 	line := func(name, unit string, p, q float64) {
-		ratio, said := "-", ""
+		ratio, remark := "-", ""
 		if q != 0 {
-			ratio = number(p / q)
+			ratio = formatNumber(p / q)
 			if limit > 0 && math.Abs(p/q-1) > limit {
-				said = fmt.Sprintf("over %s%%", number(100*limit))
+				remark = fmt.Sprintf("over %s%%", formatNumber(100*limit))
 			}
 		} else if p != 0 && limit > 0 {
-			said = fmt.Sprintf("over %s%%", number(100*limit))
+			remark = fmt.Sprintf("over %s%%", formatNumber(100*limit))
 		}
-		row(b, name, withUnit(p, unit), withUnit(q, unit), ratio, said)
+		writeRow(b, name, formatWithUnit(p, unit), formatWithUnit(q, unit), ratio, remark)
 	}
 	for _, f := range overallFigures {
 		if p, q := f.get(&x.Scale), f.get(&y.Scale); p != nil && q != nil {
 			line(f.name, f.unit, p.Mean, q.Mean)
 		}
 	}
-	for _, n := range bothRoles(&x.Scale, &y.Scale) {
+	for _, n := range unionRoles(&x.Scale, &y.Scale) {
 		p, q := x.ByRole[n], y.ByRole[n]
 		line(n+": sent", "B/s", p.BytesOut, q.BytesOut)
 		line(n+": received", "B/s", p.BytesIn, q.BytesIn)
@@ -482,7 +482,7 @@
 	{"memory", "MB", func(s *Scale) *Stat { return s.Control.Memory }},
 }
 
-func bothRoles(x, y *Scale) (names []string) {
+func unionRoles(x, y *Scale) (names []string) {
 	for _, r := range roles {
 		_, p := x.ByRole[r.name]
 		_, q := y.ByRole[r.name]
@@ -502,16 +502,16 @@
 	return append(names, more...)
 }
 
-// trialsTable has the rows of simulated networks from today's size on.
+// trialsTable lists the trials in simulated networks from today's number of gateways on.
 func (r *Runs) trialsTable() string {
 	var b strings.Builder
-	head(&b, "part", "gateways", "databases", "regions", "one way", "loss", "sent", "sent, most", "messages sent", "false deaths", "age p99", "file")
+	writeHeader(&b, "part", "gateways", "databases", "regions", "one way", "loss", "sent", "sent, most", "messages sent", "false deaths", "age p99", "file")
 	n := 0
 	opt := func(x *float64, unit string) string {
 		if x == nil {
 			return "-"
 		}
-		return withUnit(*x, unit)
+		return formatWithUnit(*x, unit)
 	}
 	for _, s := range r.Sim {
 		for _, t := range s.Rows {
@@ -528,7 +528,7 @@
 			if t.Regions > 0 {
 				regions = strconv.Itoa(t.Regions)
 			}
-			row(&b, part, number(t.Gateways), number(t.Databases), regions, withUnit(t.OneWay, "ms"), number(100*t.Loss)+"%", opt(t.BytesOut, "B/s"), opt(t.BytesMost, "B/s"), opt(t.Messages, "/s"), opt(t.FalseDeaths, ""), opt(t.AgeP99, "ms"), "`"+s.File+"`")
+			writeRow(&b, part, formatNumber(t.Gateways), formatNumber(t.Databases), regions, formatWithUnit(t.OneWay, "ms"), formatNumber(100*t.Loss)+"%", opt(t.BytesOut, "B/s"), opt(t.BytesMost, "B/s"), opt(t.Messages, "/s"), opt(t.FalseDeaths, ""), opt(t.AgeP99, "ms"), "`"+s.File+"`")
 			n++
 		}
 	}
@@ -538,7 +538,7 @@
 	return b.String()
 }
 
-// sameLoad tells whether two runs fed their hollow gateways alike.
+// sameLoad reports whether two runs gave their hollow gateways the same load.
 func sameLoad(x, y *Scale) bool {
 	of := func(s *Scale) float64 {
 		if s.Statements == nil {
@@ -549,52 +549,52 @@
 	return of(x) == of(y) && x.Skew == y.Skew
 }
 
-// comparison sets runs with the mechanism beside those before it: the same plan, or one named after it with the mechanism's lines,
-// the same seed, load and size.
-func (r *Runs) comparison() (string, error) {
+// comparisonTables compares each run with the mechanism with the one before it. Both must have the same seed, load and size, and
+// the same plan, or one whose name extends the other's.
+func (r *Runs) comparisonTables() (string, error) {
 	var b strings.Builder
 	for i := range r.Scale {
-		y := &r.Scale[i]
-		if !y.after() {
+		after := &r.Scale[i]
+		if !after.withMechanism() {
 			continue
 		}
-		name := strings.TrimSuffix(y.File, "-after.json") + ".json"
+		name := strings.TrimSuffix(after.File, "-after.json") + ".json"
 		k := slices.IndexFunc(r.Scale, func(s Scale) bool { return s.File == name })
 		if k < 0 {
-			return "", fmt.Errorf("%s: %s is missing, which it is to be set beside; put it in, or name the run otherwise", y.File, name)
+			return "", fmt.Errorf("%s: %s is missing, with which it is compared; add it or rename this run", after.File, name)
 		}
-		x := &r.Scale[k]
-		if x.Seed != y.Seed || x.Gateways != y.Gateways || x.Databases != y.Databases || x.Regions != y.Regions || x.RTT != y.RTT || !sameLoad(x, y) || y.plan() != x.plan() && !strings.HasPrefix(y.plan(), x.plan()+"-") {
-			return "", fmt.Errorf("%s and %s differ in plan, seed, load or size; play both with the same", x.File, y.File)
+		before := &r.Scale[k]
+		if before.Seed != after.Seed || before.Gateways != after.Gateways || before.Databases != after.Databases || before.Regions != after.Regions || before.RTT != after.RTT || !sameLoad(before, after) || after.planName() != before.planName() && !strings.HasPrefix(after.planName(), before.planName()+"-") {
+			return "", fmt.Errorf("%s and %s differ in plan, seed, load or size; make both runs with the same", before.File, after.File)
 		}
 		if b.Len() > 0 {
 			b.WriteString("\n")
 		}
-		plans := "`" + x.plan() + "`"
-		if y.plan() != x.plan() {
-			plans += " and `" + y.plan() + "`"
+		plans := "`" + before.planName() + "`"
+		if after.planName() != before.planName() {
+			plans += " and `" + after.planName() + "`"
 		}
-		fmt.Fprintf(&b, "%s, seed %d, %d gateways, %d databases, %s, %s ms:\n\n", plans, x.Seed, x.Gateways, x.Databases, regions(x.Regions), number(x.RTT))
-		if !x.good() || !y.good() {
+		fmt.Fprintf(&b, "%s, seed %d, %d gateways, %d databases, %s, %s ms:\n\n", plans, before.Seed, before.Gateways, before.Databases, regions(before.Regions), formatNumber(before.RTT))
+		if !before.usable() || !after.usable() {
 			b.WriteString("INVALID: not compared.\n")
 			continue
 		}
-		head(&b, "a gateway", "before", "after", "after / before")
-		line := func(name, unit string, p, q float64, has, had bool) {
+		writeHeader(&b, "a gateway", "before", "after", "after / before")
+		line := func(name, unit string, p, q float64, hasBefore, hasAfter bool) {
 			side := func(v float64, ok bool) string {
 				if !ok {
 					return "not run"
 				}
-				return withUnit(v, unit)
+				return formatWithUnit(v, unit)
 			}
 			ratio := "-"
-			if has && had && p != 0 {
-				ratio = number(q / p)
+			if hasBefore && hasAfter && p != 0 {
+				ratio = formatNumber(q / p)
 			}
-			row(&b, name, side(p, has), side(q, had), ratio)
+			writeRow(&b, name, side(p, hasBefore), side(q, hasAfter), ratio)
 		}
 		for _, f := range overallFigures {
-			p, q := f.get(x), f.get(y)
+			p, q := f.get(before), f.get(after)
 			has, had := p != nil, q != nil
 			if !has {
 				p = &Stat{}
@@ -606,27 +606,27 @@
 			line(f.name+", p99", f.unit, p.P99, q.P99, has, had)
 			line(f.name+", most", f.unit, p.Max, q.Max, has, had)
 		}
-		for _, n := range bothRoles(x, y) {
-			p, has := x.ByRole[n]
-			q, had := y.ByRole[n]
+		for _, n := range unionRoles(before, after) {
+			p, has := before.ByRole[n]
+			q, had := after.ByRole[n]
 			line(n+": sent", "B/s", p.BytesOut, q.BytesOut, has, had)
 			line(n+": received", "B/s", p.BytesIn, q.BytesIn, has, had)
 			line(n+": messages sent", "/s", p.Messages, q.Messages, has, had)
 		}
 		pair := func(name, unit string, get func(*Scale) (float64, bool)) {
-			p, has := get(x)
-			q, had := get(y)
+			p, has := get(before)
+			q, had := get(after)
 			line(name, unit, p, q, has, had)
 		}
-		most := func(p *Spread) float64 { return p.Max }
-		pair("sent, the most of any gateway in 10 s", "B/s", some(func(s *Scale) *Window { return s.Window }, func(w *Window) float64 { return w.BytesOut }))
-		pair("positions: known", "", some(func(s *Scale) *Stale { return s.Positions }, func(p *Stale) float64 { return p.Known }))
-		pair("positions: age of what is known, p50", "s", stale(func(p *Stale) *float64 { return p.P50 }))
-		pair("positions: age of what is known, p99", "s", stale(func(p *Stale) *float64 { return p.P99 }))
-		pair("a change of configuration in force, most", "s", some(func(s *Scale) *Spread { return s.InForce }, most))
-		pair("a change of the list in force, most", "s", some(func(s *Scale) *Spread { return s.ListInForce }, most))
-		pair("a change of primary, most", "s", some(func(s *Scale) *Spread { return s.PrimaryChange }, most))
-		line("false deaths", "", x.FalseDeaths, y.FalseDeaths, true, true)
+		maxOf := func(p *Spread) float64 { return p.Max }
+		pair("sent, the most of any gateway in 10 s", "B/s", optional(func(s *Scale) *Window { return s.Window }, func(w *Window) float64 { return w.BytesOut }))
+		pair("positions: known", "", optional(func(s *Scale) *Stale { return s.Positions }, func(p *Stale) float64 { return p.Known }))
+		pair("positions: age of what is known, p50", "s", positionAge(func(p *Stale) *float64 { return p.P50 }))
+		pair("positions: age of what is known, p99", "s", positionAge(func(p *Stale) *float64 { return p.P99 }))
+		pair("a change of configuration in force, most", "s", optional(func(s *Scale) *Spread { return s.InForce }, maxOf))
+		pair("a change of the list in force, most", "s", optional(func(s *Scale) *Spread { return s.ListInForce }, maxOf))
+		pair("a change of primary, most", "s", optional(func(s *Scale) *Spread { return s.PrimaryChange }, maxOf))
+		line("false deaths", "", before.FalseDeaths, after.FalseDeaths, true, true)
 	}
 	if b.Len() == 0 {
 		return "Not run.\n", nil
@@ -634,21 +634,21 @@
 	return b.String(), nil
 }
 
-// Tables are all of the page, by the names of their markers.
+// Tables returns all tables of the page by the names of their markers.
 func (r *Runs) Tables() (map[string]string, error) {
 	t := map[string]string{
 		"sizes": sizesTable(), "faults": r.faultsTable(), "scale": r.scaleTable(), "runs": r.runsTable(), "calibration": r.calibrationTable(), "trials": r.trialsTable(),
 	}
-	st := &state{runs: r}
+	st := &dataset{runs: r}
 	for _, p := range st.parts() {
 		t[p.Name] = p.table()
 	}
 	t["control-after"] = "Not run.\n"
-	if p := st.controlAfter(); len(p.Figures) > 0 {
+	if p := st.controlWithMechanism(); len(p.Figures) > 0 {
 		t[p.Name] = p.table()
 	}
 	t["slopes"], t["breaks"] = st.slopesTable(), st.breaksTable()
 	var err error
-	t["before-after"], err = r.comparison()
+	t["before-after"], err = r.comparisonTables()
 	return t, err
 }
