--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -251,8 +251,8 @@
 }
 
 // scaleFigureWithWorst makes a figure of scale runs that uses another value for the worst hour.
-func (st *dataset) scaleFigureWithWorst(name, unit, mechanism string, get, most func(*Scale) (float64, bool)) Figure {
-	f := &scaleFit{st: st, value: get, worstValue: most, slopes: map[int]*Slope{}}
+func (st *dataset) scaleFigureWithWorst(name, unit, mechanism string, value, worstValue func(*Scale) (float64, bool)) Figure {
+	f := &scaleFit{st: st, value: value, worstValue: worstValue, slopes: map[int]*Slope{}}
 	return Figure{Name: name, Unit: unit, Mechanism: mechanism, At: f.at, Slope: f.slope}
 }
 
--- a/internal/datapath/clients.go
+++ b/internal/datapath/clients.go
@@ -25,45 +25,45 @@
 )
 
 const (
-	connectRate  = 4000                   // first connections a second
-	connectTime  = 3 * time.Second        // by when one is greeted
-	settleTime   = 300 * time.Millisecond // behind the last first connection
-	answerSlack  = 2 * time.Second        // behind a deadline: what has no answer by then has none
-	sources      = 16                     // loopback addresses that clients come from, each with ports of its own
-	sampleEvery  = 100 * time.Millisecond
-	heartbeat    = 5 * time.Millisecond // of a process that measures its own lateness
-	mostMessages = 20                   // texts of a kind that are kept, and statements that went amiss
+	firstConnectionRate = 4000                   // per second
+	connectTimeout      = 3 * time.Second        // until a connection has its greeting
+	settleTime          = 300 * time.Millisecond // after the last first connection
+	answerSlack         = 2 * time.Second        // after a deadline; a statement without answer by then counts as "no answer"
+	sourceAddresses     = 16                     // loopback addresses of the clients; each has its own range of ports
+	sampleInterval      = 100 * time.Millisecond
+	heartbeatInterval   = 5 * time.Millisecond // of the timer that measures a helper process's own lateness
+	maxTexts            = 20                   // distinct texts of a kind, and statements in Amiss
 )
 
-// clientSide is what the process of the clients is told.
-type clientSide struct {
+// clientSettings is the first line that the clients' process receives.
+type clientSettings struct {
 	Target     string        `json:"target"`
 	Clients    int           `json:"clients"`
-	Statements float64       `json:"statements_per_s"` // of all
+	Statements float64       `json:"statements_per_s"` // of all clients
 	Databases  int           `json:"databases"`
 	GroupsOf   int           `json:"groups_of"`
 	Classes    []plan.Class  `json:"classes"`
-	Idle       time.Duration `json:"idle_ns"`  // all are connected and ask for nothing
-	Warm       time.Duration `json:"warm_ns"`  // they ask, and it is not in the figures
-	For        time.Duration `json:"for_ns"`   // measured
-	Again      time.Duration `json:"again_ns"` // mean pause before one that was closed comes again
-	Even       bool          `json:"even"`     // statements of a client are evenly spaced
+	Idle       time.Duration `json:"idle_ns"`  // all clients are connected and send nothing
+	Warm       time.Duration `json:"warm_ns"`  // under load, not measured
+	For        time.Duration `json:"for_ns"`   // measured time
+	Again      time.Duration `json:"again_ns"` // mean pause before a client reconnects after its connection was closed
+	Even       bool          `json:"even"`     // a client's statements are evenly spaced
 	Seed       uint64        `json:"seed"`
 }
 
-// schedule is when the clients do what, in ms of the Unix epoch.
+// schedule is when the phases begin, in ms of the Unix epoch.
 type schedule struct {
-	Connected int64 `json:"connected_ms"` // all should be
+	Connected int64 `json:"connected_ms"` // all clients should be connected
 	Load      int64 `json:"load_ms"`
 	Begin     int64 `json:"begin_ms"`
 	End       int64 `json:"end_ms"`
 }
 
-// Counts are statements by how they ended.
+// Counts are numbers of statements by result.
 type Counts struct {
 	Sent    int `json:"sent"`
 	Served  int `json:"served"`
-	Late    int `json:"late"` // served, over the aim
+	Late    int `json:"late"` // served, later than the aim
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// Quantiles are in ms, or whatever their name says.
+// Quantiles of a duration in ms, unless the field's name says otherwise.
 type Quantiles struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -92,64 +92,64 @@
 	Max  float64 `json:"max"`
 }
 
-// ClassReport is one class of statements.
+// ClassReport is the result of one class of statements.
 type ClassReport struct {
 	Counts
-	LatencyMS Quantiles `json:"latency_ms"` // of what was served, from the intended moment
+	LatencyMS Quantiles `json:"latency_ms"` // of served statements, from their scheduled time
 }
 
 // Amiss is a statement that was not served.
 type Amiss struct {
 	Class  string  `json:"class"`
-	AtS    float64 `json:"at_s"` // when it was due, from the load's beginning on
+	AtS    float64 `json:"at_s"` // when it was due, since the beginning of the load
 	TookMS float64 `json:"took_ms"`
 	How    string  `json:"how"`
 }
 
-// clientReport is what the process of the clients tells at its end.
+// clientReport is the last line that the clients' process sends.
 type clientReport struct {
-	Seconds     float64                 `json:"seconds"`   // measured
+	Seconds     float64                 `json:"seconds"`   // measured time
 	Connected   int                     `json:"connected"` // when the load began
 	OpenIdle    float64                 `json:"open_idle"`
 	Open        float64                 `json:"open"`
 	OpenMax     int                     `json:"open_max"`
-	AgainIdle   float64                 `json:"again_idle_per_s"` // connections/s while nobody asked
+	AgainIdle   float64                 `json:"again_idle_per_s"` // connections/s while no client sent statements
 	Again       float64                 `json:"again_per_s"`
-	Closed      int                     `json:"closed"` // by the gateway while they asked for nothing, measured
+	Closed      int                     `json:"closed"` // by the gateway while idle, in the measured time
 	TurnedAway  map[string]int          `json:"turned_away"`
-	Whole       Counts                  `json:"whole"` // from the first statement on, the warming up included
+	Whole       Counts                  `json:"whole"` // from the first statement on, including the warm-up
 	Measured    Counts                  `json:"measured"`
 	Latency     Quantiles               `json:"latency_ms"`
 	Classes     map[string]*ClassReport `json:"classes"`
 	RefusedBy   map[string]int          `json:"refused_by"`
 	FailedBy    map[string]int          `json:"failed_by"`
 	Amiss       []Amiss                 `json:"amiss"`
-	Extra       int                     `json:"extra"` // messages that nobody asked for
+	Extra       int                     `json:"extra"` // unsolicited messages
 	Lateness    Quantiles               `json:"lateness_ms"`
 	Heartbeat   Quantiles               `json:"heartbeat_ms"`
 	Descriptors int                     `json:"descriptors"`
-	Short       map[string]int          `json:"short"` // of descriptors or ports of its own
-}
-
-// crowd is all clients of a process.
-type crowd struct {
-	clientSide
-	began, load, begin time.Time
-	end                atomic.Int64 // ns since began
-	stop               chan struct{}
-	clients            []*client
-	open               atomic.Int64
-	nonce              atomic.Uint64
-
-	mu        sync.Mutex
-	report    clientReport
-	latency   *hdrhistogram.Histogram
-	byClass   map[string]*hdrhistogram.Histogram
-	lateness  *hdrhistogram.Histogram
-	againIdle int
-	again     int
-	openSum   [2]float64 // idle, measured
-	openN     [2]float64
+	Short       map[string]int          `json:"short"` // errors for lack of descriptors or ports in this process
+}
+
+// clientPool is all clients of a process.
+type clientPool struct {
+	clientSettings
+	started, loadStart, measureStart time.Time
+	loadEndNanos                     atomic.Int64 // since started
+	stopped                          chan struct{}
+	clients                          []*client
+	open                             atomic.Int64
+	nonce                            atomic.Uint64
+
+	mu             sync.Mutex
+	report         clientReport
+	latency        *hdrhistogram.Histogram
+	byClass        map[string]*hdrhistogram.Histogram
+	lateness       *hdrhistogram.Histogram
+	reconnectsIdle int
+	reconnects     int
+	openSum        [2]float64 // without load, measured time
+	openSamples    [2]float64
 }
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
@@ -171,167 +171,167 @@
 	return math.Round(x*f) / f
 }
 
-// Clients is the process of the clients: it reads what it is told as a line of JSON, says when it does what, and reports
-// when it has ended, at the time set, at a further line, or when its input ends.
+// Clients runs the clients' process. It reads its settings as a line of JSON and writes its schedule, then its report when the
+// load has ended: at the scheduled time, or earlier on a further line or the end of its input.
 func Clients(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
 		return err
 	}
-	w := &crowd{
-		stop: make(chan struct{}), latency: histogram(), lateness: histogram(), byClass: map[string]*hdrhistogram.Histogram{},
+	pool := &clientPool{
+		stopped: make(chan struct{}), latency: histogram(), lateness: histogram(), byClass: map[string]*hdrhistogram.Histogram{},
 		report: clientReport{
 			TurnedAway: map[string]int{}, Classes: map[string]*ClassReport{}, RefusedBy: map[string]int{}, FailedBy: map[string]int{},
 			Short: map[string]int{},
 		},
 	}
-	if err := json.Unmarshal(first, &w.clientSide); err != nil {
+	if err := json.Unmarshal(first, &pool.clientSettings); err != nil {
 		return err
 	}
-	for _, c := range w.Classes {
-		w.report.Classes[c.Name], w.byClass[c.Name] = &ClassReport{}, histogram()
-	}
-	w.began = time.Now()
-	connected := time.Duration(float64(w.Clients)/connectRate*float64(time.Second)) + settleTime
-	w.load = w.began.Add(connected + w.Idle)
-	w.begin = w.load.Add(w.Warm)
-	end := w.begin.Add(w.For)
-	w.end.Store(int64(end.Sub(w.began)))
-	w.nonce.Store(uint64(w.began.UnixNano()) << 24) // ids of one run are none of another's
-	say := json.NewEncoder(out)
-	if err := say.Encode(schedule{w.began.Add(connected).UnixMilli(), w.load.UnixMilli(), w.begin.UnixMilli(), end.UnixMilli()}); err != nil {
+	for _, c := range pool.Classes {
+		pool.report.Classes[c.Name], pool.byClass[c.Name] = &ClassReport{}, histogram()
+	}
+	pool.started = time.Now()
+	connected := time.Duration(float64(pool.Clients)/firstConnectionRate*float64(time.Second)) + settleTime
+	pool.loadStart = pool.started.Add(connected + pool.Idle)
+	pool.measureStart = pool.loadStart.Add(pool.Warm)
+	end := pool.measureStart.Add(pool.For)
+	pool.loadEndNanos.Store(int64(end.Sub(pool.started)))
+	pool.nonce.Store(uint64(pool.started.UnixNano()) << 24) // makes statement ids differ between runs
+	encoder := json.NewEncoder(out)
+	if err := encoder.Encode(schedule{pool.started.Add(connected).UnixMilli(), pool.loadStart.UnixMilli(), pool.measureStart.UnixMilli(), end.UnixMilli()}); err != nil {
 		return err
 	}
-	var all sync.WaitGroup
-	for i := range w.Clients {
-		w.clients = append(w.clients, &client{crowd: w, number: i, rnd: rand.New(rand.NewPCG(w.Seed, uint64(i)))})
+	var clients sync.WaitGroup
+	for i := range pool.Clients {
+		pool.clients = append(pool.clients, &client{clientPool: pool, number: i, random: rand.New(rand.NewPCG(pool.Seed, uint64(i)))})
 	}
 	go func() {
 		_, _ = lines.ReadBytes('\n')
-		w.halt()
+		pool.endLoad()
 	}()
-	for _, c := range w.clients {
-		all.Add(1)
+	for _, c := range pool.clients {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			c.live()
+			defer clients.Done()
+			c.run()
 		}()
 	}
-	watched := make(chan struct{})
-	beats := histogram()
-	var watching sync.WaitGroup
-	watching.Add(2)
+	samplingEnd := make(chan struct{})
+	heartbeats := histogram()
+	var samplers sync.WaitGroup
+	samplers.Add(2)
 	go func() {
-		defer watching.Done()
-		beat(beats, time.Now(), watched)
+		defer samplers.Done()
+		recordHeartbeats(heartbeats, time.Now(), samplingEnd)
 	}()
 	go func() {
-		defer watching.Done()
-		w.watch(watched)
+		defer samplers.Done()
+		pool.sampleConnections(samplingEnd)
 	}()
-	all.Wait()
-	close(watched)
-	watching.Wait()
-	return say.Encode(w.total(beats))
+	clients.Wait()
+	close(samplingEnd)
+	samplers.Wait()
+	return encoder.Encode(pool.finalReport(heartbeats))
 }
 
-// beat records how late a timer of this process fires, from a moment on until it is told to end.
-func beat(h *hdrhistogram.Histogram, due time.Time, end <-chan struct{}) {
+// recordHeartbeats records how late a timer of this process fires, from due until end is closed.
+func recordHeartbeats(h *hdrhistogram.Histogram, due time.Time, end <-chan struct{}) {
 	for {
-		due = due.Add(heartbeat)
+		due = due.Add(heartbeatInterval)
 		select {
 		case <-end:
 			if late := time.Since(due); late > 0 {
-				record(h, late) // it stood still up to its end
+				record(h, late) // the process was stalled until the end
 			}
 			return
 		case <-time.After(time.Until(due)):
 		}
 		late := time.Since(due)
 		record(h, late)
-		if late > heartbeat {
+		if late > heartbeatInterval {
 			due = time.Now()
 		}
 	}
 }
 
-// ends is when the load ends.
-func (w *crowd) ends() time.Time { return w.began.Add(time.Duration(w.end.Load())) }
+// loadEnd returns when the load ends.
+func (p *clientPool) loadEnd() time.Time { return p.started.Add(time.Duration(p.loadEndNanos.Load())) }
 
-// halt ends the load now.
-func (w *crowd) halt() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// endLoad ends the load now.
+func (p *clientPool) endLoad() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	select {
-	case <-w.stop:
+	case <-p.stopped:
 		return
 	default:
 	}
-	w.end.Store(min(w.end.Load(), int64(time.Since(w.began))))
-	close(w.stop)
-	for _, c := range w.clients {
+	p.loadEndNanos.Store(min(p.loadEndNanos.Load(), int64(time.Since(p.started))))
+	close(p.stopped)
+	for _, c := range p.clients {
 		c.wake()
 	}
 }
 
-// watch counts the open connections again and again.
-func (w *crowd) watch(end <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+// sampleConnections counts the open connections at every sampleInterval.
+func (p *clientPool) sampleConnections(end <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-end:
 			return
 		case now := <-tick.C:
-			w.mu.Lock()
-			n := float64(w.open.Load())
+			p.mu.Lock()
+			n := float64(p.open.Load())
 			switch {
-			case now.After(w.load.Add(-w.Idle)) && now.Before(w.load):
-				w.openSum[0] += n
-				w.openN[0]++
-				w.report.Connected = int(n)
-			case now.After(w.begin) && now.Before(w.ends()):
-				w.openSum[1] += n
-				w.openN[1]++
-				w.report.OpenMax = max(w.report.OpenMax, int(n))
-				w.report.Descriptors = max(w.report.Descriptors, descriptors(os.Getpid()))
+			case now.After(p.loadStart.Add(-p.Idle)) && now.Before(p.loadStart):
+				p.openSum[0] += n
+				p.openSamples[0]++
+				p.report.Connected = int(n)
+			case now.After(p.measureStart) && now.Before(p.loadEnd()):
+				p.openSum[1] += n
+				p.openSamples[1]++
+				p.report.OpenMax = max(p.report.OpenMax, int(n))
+				p.report.Descriptors = max(p.report.Descriptors, descriptors(os.Getpid()))
 			}
-			w.mu.Unlock()
+			p.mu.Unlock()
 		}
 	}
 }
 
-func (w *crowd) total(beats *hdrhistogram.Histogram) clientReport {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.report
-	r.Seconds = round(max(0, w.ends().Sub(w.begin).Seconds()), 3)
-	r.OpenIdle, r.Open = round(w.openSum[0]/max(1, w.openN[0]), 1), round(w.openSum[1]/max(1, w.openN[1]), 1)
-	r.AgainIdle = round(float64(w.againIdle)/max(0.001, w.Idle.Seconds()), 1)
-	r.Again = round(float64(w.again)/max(0.001, r.Seconds), 1)
-	r.Latency, r.Lateness, r.Heartbeat = quantiles(w.latency), quantiles(w.lateness), quantiles(beats)
+func (p *clientPool) finalReport(heartbeats *hdrhistogram.Histogram) clientReport {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r := p.report
+	r.Seconds = round(max(0, p.loadEnd().Sub(p.measureStart).Seconds()), 3)
+	r.OpenIdle, r.Open = round(p.openSum[0]/max(1, p.openSamples[0]), 1), round(p.openSum[1]/max(1, p.openSamples[1]), 1)
+	r.AgainIdle = round(float64(p.reconnectsIdle)/max(0.001, p.Idle.Seconds()), 1)
+	r.Again = round(float64(p.reconnects)/max(0.001, r.Seconds), 1)
+	r.Latency, r.Lateness, r.Heartbeat = quantiles(p.latency), quantiles(p.lateness), quantiles(heartbeats)
 	for name, c := range r.Classes {
-		c.LatencyMS = quantiles(w.byClass[name])
+		c.LatencyMS = quantiles(p.byClass[name])
 	}
 	return r
 }
 
-// client is one, with a connection that it keeps.
+// client is one client. It keeps its connection until the gateway closes it.
 type client struct {
-	*crowd
-	number int
-	rnd    *rand.Rand
-	in     *bufio.Reader
-	commit int64 // newest that it was told
-	met    bool  // it has been connected before
+	*clientPool
+	number          int
+	random          *rand.Rand
+	in              *bufio.Reader
+	commit          int64 // newest commit that a response reported
+	connectedBefore bool
 
-	mu   sync.Mutex
-	conn net.Conn // nil: it has none
-	idle bool     // it waits for nothing but time
+	mu      sync.Mutex
+	conn    net.Conn // nil: not connected
+	waiting bool     // waits for its next statement in waitOpen
 }
 
-// outcome is how a statement ended.
+// outcome is the result of a statement.
 type outcome struct {
 	class           int
 	refused, failed string
@@ -339,85 +339,85 @@
 	latency         time.Duration
 }
 
-func (c *client) live() {
-	defer c.hangUp()
-	pause := time.Duration(float64(c.number) / connectRate * float64(time.Second))
-	c.sleep(c.began.Add(pause))
-	due := c.load.Add(c.gap(true))
+func (c *client) run() {
+	defer c.closeConn()
+	pause := time.Duration(float64(c.number) / firstConnectionRate * float64(time.Second))
+	c.sleep(c.started.Add(pause))
+	due := c.loadStart.Add(c.nextPause(true))
 	for {
 		until := due
-		if end := c.ends(); end.Before(due) {
+		if end := c.loadEnd(); end.Before(due) {
 			until = end
 		}
 		switch {
 		case c.conn == nil && time.Now().Before(until):
 			if c.connect() != nil {
-				c.sleep(c.comesAgain(until))
+				c.sleep(c.reconnectTime(until))
 			}
-		case c.conn != nil && c.rest(until):
-			c.sleep(c.comesAgain(until))
+		case c.conn != nil && c.waitOpen(until):
+			c.sleep(c.reconnectTime(until))
 		}
 		now := time.Now()
-		if !due.Before(c.ends()) {
-			if !now.Before(c.ends()) {
+		if !due.Before(c.loadEnd()) {
+			if !now.Before(c.loadEnd()) {
 				return
 			}
 			continue
 		}
 		if !now.Before(due) {
-			c.count(due, c.one(due))
-			due = due.Add(c.gap(false))
+			c.countStatement(due, c.issue(due))
+			due = due.Add(c.nextPause(false))
 		}
 	}
 }
 
-// gap is the time to a client's next statement.
-func (c *client) gap(first bool) time.Duration {
+// nextPause returns the time to a client's next statement.
+func (c *client) nextPause(first bool) time.Duration {
 	mean := float64(c.Clients) / max(1e-9, c.Statements) * float64(time.Second)
 	switch {
 	case !c.Even:
-		mean *= c.rnd.ExpFloat64()
+		mean *= c.random.ExpFloat64()
 	case first:
-		mean *= c.rnd.Float64()
+		mean *= c.random.Float64()
 	}
 	return time.Duration(min(mean, float64(24*time.Hour)))
 }
 
-// comesAgain is when a client that was closed connects again: at the latest when it has something to ask.
-func (c *client) comesAgain(until time.Time) time.Time {
-	at := time.Now().Add(time.Duration(2 * c.rnd.Float64() * float64(c.Again)))
+// reconnectTime returns when a client connects again after a close: at the latest when its next statement is due.
+func (c *client) reconnectTime(until time.Time) time.Time {
+	at := time.Now().Add(time.Duration(2 * c.random.Float64() * float64(c.Again)))
 	if at.After(until) {
 		return until
 	}
 	return at
 }
 
-// sleep waits, at most until the load is ended early.
+// sleep waits until a time, or until the load is ended early.
 func (c *client) sleep(until time.Time) {
 	if d := time.Until(until); d > 0 {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
-		case <-c.stop:
+		case <-c.stopped:
 		}
 	}
 }
 
-// wake ends its waiting.
+// wake interrupts waitOpen.
 func (c *client) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle && c.conn != nil {
+	if c.waiting && c.conn != nil {
 		_ = c.conn.SetReadDeadline(time.Now())
 	}
 }
 
-// rest waits with an open connection until a moment; closed: the gateway has closed it.
-func (c *client) rest(until time.Time) (closed bool) {
+// waitOpen waits with an open connection until a time, and reports whether the gateway has closed the connection.
+func (c *client) waitOpen(until time.Time) (closed bool) {
 	c.mu.Lock()
-	c.idle = true
-	if end := c.ends(); end.Before(until) {
+	c.waiting = true
+	if end := c.loadEnd(); end.Before(until) {
 		until = end
 	}
 	_ = c.conn.SetReadDeadline(until)
@@ -425,28 +425,28 @@
 	begun := time.Now()
 	_, err := c.in.Peek(1)
 	c.mu.Lock()
-	c.idle = false
+	c.waiting = false
 	c.mu.Unlock()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// At the end of the load all wake at once: that is no statement's lateness.
-		if late := time.Since(until); begun.Before(until) && late >= 0 && until.Before(c.ends()) {
-			c.crowd.mu.Lock()
-			defer c.crowd.mu.Unlock()
+		// At the end of the load all clients wake at once; that is not the lateness of a statement.
+		if late := time.Since(until); begun.Before(until) && late >= 0 && until.Before(c.loadEnd()) {
+			c.clientPool.mu.Lock()
+			defer c.clientPool.mu.Unlock()
 			record(c.lateness, late)
 		}
 		return false
 	}
 	if err == nil {
-		c.note(func(r *clientReport) { r.Extra++ })
+		c.updateReport(func(r *clientReport) { r.Extra++ })
 	}
-	if now := time.Now(); now.After(c.begin) && now.Before(c.ends()) {
-		c.note(func(r *clientReport) { r.Closed++ })
+	if now := time.Now(); now.After(c.measureStart) && now.Before(c.loadEnd()) {
+		c.updateReport(func(r *clientReport) { r.Closed++ })
 	}
-	c.hangUp()
+	c.closeConn()
 	return true
 }
 
-func (c *client) hangUp() {
+func (c *client) closeConn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
@@ -456,15 +456,15 @@
 	}
 }
 
-func (c *client) note(do func(r *clientReport)) {
-	c.crowd.mu.Lock()
-	defer c.crowd.mu.Unlock()
+func (c *client) updateReport(do func(r *clientReport)) {
+	c.clientPool.mu.Lock()
+	defer c.clientPool.mu.Unlock()
 	do(&c.report)
 }
 
-// few counts under a text, of which there are not many kinds.
-func few(m map[string]int, text string) {
-	if _, known := m[text]; !known && len(m) >= mostMessages {
+// countText counts a text; beyond maxTexts different ones it counts "other".
+func countText(m map[string]int, text string) {
+	if _, known := m[text]; !known && len(m) >= maxTexts {
 		text = "other"
 	}
 	m[text]++
@@ -472,33 +472,33 @@
 
 // connect connects and waits for the greeting.
 func (c *client) connect() error {
-	limit := time.Now().Add(connectTime)
-	d := net.Dialer{Deadline: limit, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(1+c.number%sources))}}
+	deadline := time.Now().Add(connectTimeout)
+	d := net.Dialer{Deadline: deadline, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(1+c.number%sourceAddresses))}}
 	conn, err := d.Dial("tcp", c.Target)
 	if err != nil {
 		if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.EADDRNOTAVAIL) || errors.Is(err, unix.EADDRINUSE) || errors.Is(err, unix.ENFILE) {
-			c.note(func(r *clientReport) { few(r.Short, rootText(err)) })
+			c.updateReport(func(r *clientReport) { countText(r.Short, rootText(err)) })
 		} else {
-			c.note(func(r *clientReport) { few(r.TurnedAway, rootText(err)) })
+			c.updateReport(func(r *clientReport) { countText(r.TurnedAway, rootText(err)) })
 		}
 		return err
 	}
 	c.in = bufio.NewReaderSize(conn, 1024)
-	_ = conn.SetDeadline(limit)
+	_ = conn.SetDeadline(deadline)
 	_, err = conn.Write(pgwire.Startup("api", "ledger"))
 	for err == nil {
 		var kind byte
 		var body []byte
-		if kind, body, err = message(c.in); kind == pgwire.Ready {
+		if kind, body, err = readMessage(c.in); kind == pgwire.Ready {
 			break
 		}
 		if kind == pgwire.ErrorResponse {
-			err = said(body)
+			err = serverError(body)
 		}
 	}
 	if err != nil {
 		conn.Close()
-		c.note(func(r *clientReport) { few(r.TurnedAway, rootText(err)) })
+		c.updateReport(func(r *clientReport) { countText(r.TurnedAway, rootText(err)) })
 		return err
 	}
 	_ = conn.SetDeadline(time.Time{})
@@ -506,21 +506,21 @@
 	c.conn = conn
 	c.mu.Unlock()
 	c.open.Add(1)
-	c.crowd.mu.Lock()
-	defer c.crowd.mu.Unlock()
-	if c.met {
+	c.clientPool.mu.Lock()
+	defer c.clientPool.mu.Unlock()
+	if c.connectedBefore {
 		switch now := time.Now(); {
-		case now.Before(c.load) && now.After(c.load.Add(-c.Idle)):
-			c.againIdle++
-		case now.After(c.begin) && now.Before(c.ends()):
-			c.again++
+		case now.Before(c.loadStart) && now.After(c.loadStart.Add(-c.Idle)):
+			c.reconnectsIdle++
+		case now.After(c.measureStart) && now.Before(c.loadEnd()):
+			c.reconnects++
 		}
 	}
-	c.met = true
+	c.connectedBefore = true
 	return nil
 }
 
-// rootText is what an error says without the addresses in it.
+// rootText returns an error's text without the addresses in it.
 func rootText(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -529,12 +529,12 @@
 	return err.Error()
 }
 
-func said(body []byte) error {
+func serverError(body []byte) error {
 	return fmt.Errorf("%s %s", pgwire.ErrorCode(body), pgwire.ErrorMessage(body))
 }
 
-// message reads one.
-func message(in *bufio.Reader) (kind byte, body []byte, err error) {
+// readMessage reads one message of the server.
+func readMessage(in *bufio.Reader) (kind byte, body []byte, err error) {
 	var h [5]byte
 	if _, err = io.ReadFull(in, h[:]); err != nil {
 		return 0, nil, err
@@ -548,30 +548,30 @@
 	return h[0], body, err
 }
 
-// one asks what was due at a moment, and returns how it ended.
-func (c *client) one(due time.Time) outcome {
-	class := c.draw()
+// issue sends the statement that was due at a time, and returns its outcome.
+func (c *client) issue(due time.Time) outcome {
+	class := c.drawClass()
 	o := outcome{class: class}
 	k := &c.Classes[class]
-	limit := due.Add(k.Deadline)
+	deadline := due.Add(k.Deadline)
 	for c.conn == nil {
 		if c.connect() == nil {
 			break
 		}
-		if !time.Now().Add(sampleEvery).Before(limit) {
+		if !time.Now().Add(sampleInterval).Before(deadline) {
 			o.failed = "no connection in time"
 			return o
 		}
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 	}
-	left := time.Until(limit)
+	left := time.Until(deadline)
 	if left <= 0 {
 		o.failed = "its time was over before it could be sent"
 		return o
 	}
-	value, err := c.ask(c.statement(k, left), limit.Add(answerSlack))
+	value, err := c.query(c.statement(k, left), deadline.Add(answerSlack))
 	o.latency = time.Since(due)
-	var no *refusal
+	var no *serverRefusal
 	switch {
 	case errors.As(err, &no) && (no.code == pgwire.CodeTooManyConnections || no.code == pgwire.CodeCannotConnectNow):
 		o.refused = no.Error()
@@ -593,28 +593,28 @@
 	return o
 }
 
-// refusal is an error that the gateway told.
-type refusal struct{ code, text string }
+// serverRefusal is an ErrorResponse of the gateway.
+type serverRefusal struct{ code, text string }
 
-func (e *refusal) Error() string { return e.code + " " + e.text }
+func (e *serverRefusal) Error() string { return e.code + " " + e.text }
 
-var errForm = errors.New("not one row with one value")
+var errNotOneValue = errors.New("not one row with one value")
 
-// ask sends a statement and reads its one answer whole.
-func (c *client) ask(text string, limit time.Time) (value string, err error) {
+// query sends a statement and reads its whole response.
+func (c *client) query(text string, limit time.Time) (value string, err error) {
 	_ = c.conn.SetDeadline(limit)
 	if _, err := c.conn.Write(pgwire.AppendQuery(nil, text)); err != nil {
-		c.hangUp()
+		c.closeConn()
 		return "", err
 	}
-	var no *refusal
+	var no *serverRefusal
 	rows := 0
 	for {
-		kind, body, err := message(c.in)
+		kind, body, err := readMessage(c.in)
 		if err != nil {
-			c.hangUp()
+			c.closeConn()
 			if no != nil {
-				return "", no // the last word on this connection
+				return "", no // the server closed the connection after its error
 			}
 			return "", err
 		}
@@ -626,23 +626,23 @@
 			}
 			value = string(b)
 		case pgwire.ErrorResponse:
-			no = &refusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))}
+			no = &serverRefusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))}
 		case pgwire.Ready:
 			_ = c.conn.SetDeadline(time.Time{})
 			switch {
 			case no != nil && rows == 0:
 				return "", no
 			case no != nil || rows != 1:
-				return "", errForm
+				return "", errNotOneValue
 			}
 			return value, nil
 		}
 	}
 }
 
-// draw picks a class by the mix.
-func (c *client) draw() int {
-	x := c.rnd.Float64()
+// drawClass picks a class by the mix.
+func (c *client) drawClass() int {
+	x := c.random.Float64()
 	for i, k := range c.Classes {
 		if x -= k.Mix; x < 0 {
 			return i
@@ -651,30 +651,30 @@
 	return len(c.Classes) - 1
 }
 
-// statement is what a client of the platform writes, to a group drawn by how many databases it has.
+// statement returns a statement as the platform's clients write it, to a group drawn in proportion to its number of databases.
 func (c *client) statement(k *plan.Class, left time.Duration) string {
-	head := fmt.Sprintf("id=%016x,c=%s,d=%d,cluster=%d", c.nonce.Add(1), k.Name, max(1, left.Milliseconds()), c.rnd.IntN(c.Databases)/c.GroupsOf)
+	head := fmt.Sprintf("id=%016x,c=%s,d=%d,cluster=%d", c.nonce.Add(1), k.Name, max(1, left.Milliseconds()), c.random.IntN(c.Databases)/c.GroupsOf)
 	if k.Kind == plan.SessionRead && c.commit > 0 {
 		head += fmt.Sprintf(",after=%d", c.commit)
 	}
 	return pgwire.ClientStatement(head, fmt.Sprintf("%016x", c.number+1), k.Kind == plan.Write)
 }
 
-// count puts a statement into the figures, by when it was due.
-func (c *client) count(due time.Time, o outcome) {
-	c.crowd.mu.Lock()
-	defer c.crowd.mu.Unlock()
+// countStatement counts a statement by when it was due.
+func (c *client) countStatement(due time.Time, o outcome) {
+	c.clientPool.mu.Lock()
+	defer c.clientPool.mu.Unlock()
 	r := &c.report
 	r.Whole.add(o)
 	if o.refused != "" {
-		few(r.RefusedBy, o.refused)
+		countText(r.RefusedBy, o.refused)
 	} else if o.failed != "" {
-		few(r.FailedBy, o.failed)
+		countText(r.FailedBy, o.failed)
 	}
-	if how := o.refused + o.failed; how != "" && len(r.Amiss) < mostMessages {
-		r.Amiss = append(r.Amiss, Amiss{c.Classes[o.class].Name, round(due.Sub(c.load).Seconds(), 3), round(o.latency.Seconds()*1000, 1), how})
+	if how := o.refused + o.failed; how != "" && len(r.Amiss) < maxTexts {
+		r.Amiss = append(r.Amiss, Amiss{c.Classes[o.class].Name, round(due.Sub(c.loadStart).Seconds(), 3), round(o.latency.Seconds()*1000, 1), how})
 	}
-	if due.Before(c.begin) {
+	if due.Before(c.measureStart) {
 		return
 	}
 	k := r.Classes[c.Classes[o.class].Name]
--- a/internal/datapath/databases.go
+++ b/internal/datapath/databases.go
@@ -11,8 +11,8 @@
 	"lilaccove/internal/standin"
 )
 
-// databaseSide is what the process of the databases is told.
-type databaseSide struct {
+// databaseSettings is the first line that the databases' process receives.
+type databaseSettings struct {
 	Databases int           `json:"databases"`
 	GroupsOf  int           `json:"groups_of"`
 	Cores     int           `json:"cores"`
@@ -22,13 +22,13 @@
 	Seed      uint64        `json:"seed"`
 }
 
-// listening is its first line.
-type listening struct {
+// databaseAddrs is the first line that the databases' process sends.
+type databaseAddrs struct {
 	Discovery string          `json:"discovery"`
 	List      json.RawMessage `json:"list"`
 }
 
-// PerDatabase is how many connections a database has at once, over all moments and all databases of a role.
+// PerDatabase is the distribution of the connections to a database, over all samples and all databases of a role.
 type PerDatabase struct {
 	Databases   int     `json:"databases"`
 	Mean        float64 `json:"mean"`
@@ -36,91 +36,91 @@
 	Max         int     `json:"max"`
 	ShareAny    float64 `json:"share_of_time_with_one_or_more"`
 	ShareOne    float64 `json:"share_of_time_with_just_one"`
-	BusiestMean float64 `json:"busiest_mean"` // of the database with most
+	BusiestMean float64 `json:"busiest_mean"` // of the database with the highest mean
 	PerSecond   float64 `json:"statements_per_s"`
 }
 
-// databaseReport is what it tells when asked; figures are since it was told to begin.
+// databaseReport is its response to count and report; the figures cover the time since begin.
 type databaseReport struct {
 	Counts      standin.Counts         `json:"counts"` // since its start
 	Connections int                    `json:"connections"`
-	New         int                    `json:"new"` // connections
+	New         int                    `json:"new"` // connections accepted
 	Mean        float64                `json:"mean"`
-	Max         int                    `json:"max"` // of all at once
+	Max         int                    `json:"max"` // of all databases together
 	Per         map[string]PerDatabase `json:"per"`
 	Heartbeat   Quantiles              `json:"heartbeat_ms"`
 }
 
-// books are what is counted between begin and report.
-type books struct {
-	w      *standin.World
-	mu     sync.Mutex
-	began  time.Time
-	from   []standin.DatabaseLoad
-	accept int
-	per    [][]int // by database: connections at each moment
-	total  []int
+// connectionStats are sampled between begin and report.
+type connectionStats struct {
+	world               *standin.World
+	mu                  sync.Mutex
+	began               time.Time
+	baseline            []standin.DatabaseLoad
+	baselineConnections int
+	perDatabase         [][]int // by database: connections in each sample
+	total               []int
 }
 
-// Databases is the process of all databases and their discovery. It reads what it is told as a line of JSON, says where
-// discovery is, and answers the lines {"do":"begin"} and {"do":"report"} until its input ends.
+// Databases runs the process of all databases and their discovery. It reads its settings as a line of JSON, writes the address
+// of discovery, and answers {"do":"begin"}, {"do":"count"} and {"do":"report"} until its input ends.
 func Databases(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
 		return err
 	}
-	var set databaseSide
-	if err := json.Unmarshal(first, &set); err != nil {
+	var settings databaseSettings
+	if err := json.Unmarshal(first, &settings); err != nil {
 		return err
 	}
-	w, err := standin.New(standin.Options{
-		Groups: set.Databases / set.GroupsOf, Members: set.GroupsOf, LastGroupMembers: set.Databases % set.GroupsOf, Cores: set.Cores, Queue: set.Queue,
-		Service: set.Service, Exponential: true, Lag: set.Lag, Seed: set.Seed,
+	world, err := standin.New(standin.Options{
+		Groups: settings.Databases / settings.GroupsOf, Members: settings.GroupsOf, LastGroupMembers: settings.Databases % settings.GroupsOf, Cores: settings.Cores, Queue: settings.Queue,
+		Service: settings.Service, Exponential: true, Lag: settings.Lag, Seed: settings.Seed,
 	})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	say := json.NewEncoder(out)
-	if err := say.Encode(listening{w.Discovery().Addr, w.List()}); err != nil {
+	defer world.Close()
+	encoder := json.NewEncoder(out)
+	if err := encoder.Encode(databaseAddrs{world.Discovery().Addr, world.List()}); err != nil {
 		return err
 	}
 	end := make(chan struct{})
 	defer close(end)
-	beats, beatEnd := histogram(), make(chan struct{})
-	beaten := make(chan struct{})
+	heartbeats, heartbeatEnd := histogram(), make(chan struct{})
+	heartbeatsEnded := make(chan struct{})
 	go func() {
-		defer close(beaten)
-		beat(beats, time.Now(), beatEnd)
+		defer close(heartbeatsEnded)
+		recordHeartbeats(heartbeats, time.Now(), heartbeatEnd)
 	}()
-	b := &books{w: w}
-	go b.keep(end)
+	stats := &connectionStats{world: world}
+	go stats.sample(end)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return nil // whoever started it has gone, or has done with it
+			return nil // the parent process has ended or closed the pipe
 		}
-		var word struct{ Do string }
-		if err := json.Unmarshal(line, &word); err != nil {
+		var command struct{ Do string }
+		if err := json.Unmarshal(line, &command); err != nil {
 			return err
 		}
-		switch word.Do {
+		switch command.Do {
 		case "begin":
-			b.begin()
-			err = say.Encode(struct{}{})
+			stats.begin()
+			err = encoder.Encode(struct{}{})
 		case "count":
 			n := 0
-			for _, o := range w.DatabaseLoads() {
+			for _, o := range world.DatabaseLoads() {
 				n += o.Connections
 			}
-			err = say.Encode(databaseReport{Connections: n, Counts: w.Counts()})
+			err = encoder.Encode(databaseReport{Connections: n, Counts: world.Counts()})
 		case "report":
-			close(beatEnd)
-			<-beaten
-			r := b.report()
-			r.Heartbeat = quantiles(beats)
-			err = say.Encode(r)
+			close(heartbeatEnd)
+			<-heartbeatsEnded
+			r := stats.report()
+			r.Heartbeat = quantiles(heartbeats)
+			err = encoder.Encode(r)
 		}
 		if err != nil {
 			return err
@@ -128,16 +128,16 @@
 	}
 }
 
-func (b *books) begin() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.began, b.from, b.accept = time.Now(), b.w.DatabaseLoads(), b.w.Counts().Connections
-	b.per, b.total = make([][]int, len(b.from)), nil
+func (s *connectionStats) begin() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.began, s.baseline, s.baselineConnections = time.Now(), s.world.DatabaseLoads(), s.world.Counts().Connections
+	s.perDatabase, s.total = make([][]int, len(s.baseline)), nil
 }
 
-// keep looks again and again.
-func (b *books) keep(end <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+// sample counts the connections of each database at every sampleInterval.
+func (s *connectionStats) sample(end <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -145,37 +145,37 @@
 			return
 		case <-tick.C:
 		}
-		b.mu.Lock()
-		if b.from != nil {
+		s.mu.Lock()
+		if s.baseline != nil {
 			sum := 0
-			for i, o := range b.w.DatabaseLoads() {
-				b.per[i] = append(b.per[i], o.Connections)
+			for i, o := range s.world.DatabaseLoads() {
+				s.perDatabase[i] = append(s.perDatabase[i], o.Connections)
 				sum += o.Connections
 			}
-			b.total = append(b.total, sum)
+			s.total = append(s.total, sum)
 		}
-		b.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-func (b *books) report() databaseReport {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.w.DatabaseLoads()
-	r := databaseReport{Counts: b.w.Counts(), Per: map[string]PerDatabase{}}
-	if b.from == nil {
+func (s *connectionStats) report() databaseReport {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.world.DatabaseLoads()
+	r := databaseReport{Counts: s.world.Counts(), Per: map[string]PerDatabase{}}
+	if s.baseline == nil {
 		return r
 	}
 	for _, o := range now {
 		r.Connections += o.Connections
 	}
-	r.New = r.Counts.Connections - b.accept
-	for _, n := range b.total {
-		r.Mean += float64(n) / float64(len(b.total))
+	r.New = r.Counts.Connections - s.baselineConnections
+	for _, n := range s.total {
+		r.Mean += float64(n) / float64(len(s.total))
 		r.Max = max(r.Max, n)
 	}
 	r.Mean = round(r.Mean, 1)
-	seconds := time.Since(b.began).Seconds()
+	seconds := time.Since(s.began).Seconds()
 	for role, in := range map[string]func(standin.DatabaseLoad) bool{
 		"all":     func(standin.DatabaseLoad) bool { return true },
 		"primary": func(o standin.DatabaseLoad) bool { return o.Primary },
@@ -188,23 +188,23 @@
 				continue
 			}
 			p.Databases++
-			p.PerSecond += float64(o.Begun-b.from[i].Begun) / seconds
+			p.PerSecond += float64(o.Begun-s.baseline[i].Begun) / seconds
 			sum := 0
-			for _, n := range b.per[i] {
+			for _, n := range s.perDatabase[i] {
 				sum += n
 			}
-			p.BusiestMean = max(p.BusiestMean, round(float64(sum)/float64(max(1, len(b.per[i]))), 3))
-			all = append(all, b.per[i]...)
+			p.BusiestMean = max(p.BusiestMean, round(float64(sum)/float64(max(1, len(s.perDatabase[i]))), 3))
+			all = append(all, s.perDatabase[i]...)
 		}
 		p.PerSecond = round(p.PerSecond/float64(max(1, p.Databases)), 3)
-		p.spread(all)
+		p.setDistribution(all)
 		r.Per[role] = p
 	}
 	return r
 }
 
-// spread fills in what the counts at all moments come to.
-func (p *PerDatabase) spread(all []int) {
+// setDistribution sets the figures that follow from the counts in all samples.
+func (p *PerDatabase) setDistribution(all []int) {
 	if len(all) == 0 {
 		return
 	}
--- a/internal/datapath/datapath.go
+++ b/internal/datapath/datapath.go
@@ -1,5 +1,5 @@
-// Package datapath measures what one gateway spends on its clients, statements and databases: one real gateway, the
-// databases in a process of their own, and the clients in another, each with a connection that it keeps.
+// Package datapath measures what one gateway spends on its clients, statements and databases: one real gateway, a process
+// with all databases, and a process with all clients, each of which keeps a connection.
 package datapath
 
 import (
@@ -25,39 +25,39 @@
 )
 
 const (
-	sidePatience = 10 * time.Second
-	startTime    = 10 * time.Second
-	restTime     = time.Second // before the idle gateway's memory is read
-	lookEvery    = 250 * time.Millisecond
-	backTime     = 25 * time.Second // by when the descriptors are back
-	backSlack    = 2                // discovery's connection comes and goes
-	spareOwn     = 200              // descriptors of a side besides its connections
+	replyTimeout            = 10 * time.Second
+	startTimeout            = 10 * time.Second
+	idleInterval            = time.Second // measured without clients
+	pollInterval            = 250 * time.Millisecond
+	descriptorReturnTimeout = 25 * time.Second // for the descriptors to return to their number without clients
+	descriptorSlack         = 2                // discovery's connection comes and goes
+	spareDescriptors        = 200              // descriptors of a helper process besides its connections
 )
 
-// Options are one run.
+// Options are the settings of one run.
 type Options struct {
 	Clients    int
-	Statements float64 // a second, of all clients
+	Statements float64 // per second, of all clients
 	Databases  int
 	GroupsOf   int
-	For        time.Duration // measured
-	Idle       time.Duration // clients are connected and ask for nothing
-	Warm       time.Duration // before the measuring
-	Again      time.Duration // mean pause before a client that was closed comes again
+	For        time.Duration // measured time
+	Idle       time.Duration // all clients are connected and send nothing
+	Warm       time.Duration // under load, before the measured time
+	Again      time.Duration // mean pause before a client reconnects after its connection was closed
 	Even       bool
 	Seed       uint64
-	Sockets    int // the gateway's; 0: see sockets
+	Sockets    int // the gateway's limits.sockets; 0: see Sockets
 	MemoryMB   int
-	Told       int           // gateways that there are, as this one is told
-	Keep       time.Duration // Allowed.ConnIdleUs; 0: as the lab has it
+	Told       int           // number of gateways that the configuration announces
+	Keep       time.Duration // Allowed.ConnIdleUs; 0: as in the lab
 	Service    time.Duration // mean time of a statement at a database
-	Stall      time.Duration // lateness of a side that makes the run invalid
-	Gateway    []string      // its command
+	Stall      time.Duration // lateness of a helper process that makes the run invalid
+	Gateway    []string      // command of the gateway
 	Sides      func(role string) []string
-	Log        io.Writer                   // what the gateway says; nil: nowhere
-	Started    func(role string, pid int)  // for tests
-	Loaded     func()                      // likewise: the measured time has begun
-	Fault      func(config map[string]any) // for tests: changes what the gateway is told
+	Log        io.Writer                   // receives the gateway's log; may be nil
+	Started    func(role string, pid int)  // for tests: a process has started
+	Loaded     func()                      // for tests: the measured time has begun
+	Fault      func(config map[string]any) // for tests: changes the gateway's configuration
 }
 
 // classes are those of deploy/load/day.yaml.
@@ -67,26 +67,26 @@
 	{Name: "licence-write", Kind: plan.Write, Mix: 0.20, Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
 }
 
-// Gateway is what the gateway spent.
+// Gateway is the gateway's part of the report: its resources, and the results of the clients' statements.
 type Gateway struct {
 	RSSIdle         float64 `json:"rss_mb_idle"`         // without clients
-	RSSClientsIdle  float64 `json:"rss_mb_clients_idle"` // all connected, none asks
+	RSSClientsIdle  float64 `json:"rss_mb_clients_idle"` // all connected, without load
 	RSS             float64 `json:"rss_mb"`              // mean under load
 	RSSMax          float64 `json:"rss_mb_max"`
-	AnonIdle        float64 `json:"anon_mb_idle"` // of these what is no file's
+	AnonIdle        float64 `json:"anon_mb_idle"` // anonymous memory: the share not backed by files
 	AnonClientsIdle float64 `json:"anon_mb_clients_idle"`
 	Anon            float64 `json:"anon_mb"`
-	BytesPerClient  float64 `json:"bytes_per_client_idle"` // growth from no client to idle ones, by connection
+	BytesPerClient  float64 `json:"bytes_per_client_idle"` // growth from no clients to idle ones, per connection
 
 	CoreIdle        float64 `json:"core_percent_idle"`
 	CoreClientsIdle float64 `json:"core_percent_clients_idle"`
 	Core            float64 `json:"core_percent"`
-	PerStatement    float64 `json:"cpu_us_per_statement"` // all of its processor time by the statements sent
+	PerStatement    float64 `json:"cpu_us_per_statement"` // processor time of the whole process per statement sent
 
 	DescriptorsIdle  int     `json:"descriptors_idle"`
 	Descriptors      int     `json:"descriptors"`
 	DescriptorsAfter int     `json:"descriptors_after"`
-	BackSeconds      float64 `json:"descriptors_back_s"` // behind the last client; below 0: they did not come back
+	BackSeconds      float64 `json:"descriptors_back_s"` // after the last client; negative: they did not return
 
 	ClientConnectionsIdle float64 `json:"client_connections_idle"`
 	ClientConnections     float64 `json:"client_connections"`
@@ -101,9 +101,9 @@
 
 	NewConnections float64 `json:"new_connections_per_s"` // to databases
 	ClientNewIdle  float64 `json:"client_connections_idle_per_s"`
-	ClientNew      float64 `json:"client_connections_per_s"` // from clients that came again
+	ClientNew      float64 `json:"client_connections_per_s"` // clients that reconnected
 	ClosedIdle     float64 `json:"clients_closed_idle_per_s"`
-	LostMS         int     `json:"lost_ms"` // by its own count, while measured
+	LostMS         int     `json:"lost_ms"` // process pauses by its own metric, in the measured time
 	Sockets        int     `json:"sockets"`
 	MemoryMB       int     `json:"memory_mb"`
 	ToldGateways   int     `json:"told_gateways"`
@@ -112,31 +112,31 @@
 	Classes    map[string]*ClassReport `json:"classes"`
 	RefusedBy  map[string]int          `json:"refused_by"` // whole run
 	FailedBy   map[string]int          `json:"failed_by"`
-	Amiss      []Amiss                 `json:"amiss"`       // the first of those
+	Amiss      []Amiss                 `json:"amiss"`       // the first statements that were refused or failed
 	TurnedAway map[string]int          `json:"turned_away"` // connections
-	Figures    map[string]uint64       `json:"figures"`     // its own, at the end of the load
-	Events     map[string]int          `json:"events"`      // lines of its log by event, sparse ones as they are told
+	Figures    map[string]uint64       `json:"figures"`     // its metrics at the end of the load
+	Events     map[string]int          `json:"events"`      // log lines by event and reason
 }
 
-// StandIn is the databases' side.
+// StandIn is the report of the databases' process.
 type StandIn struct {
 	Core        float64                `json:"core_percent"`
 	Descriptors int                    `json:"descriptors"`
 	HeartbeatMS Quantiles              `json:"lateness_ms"`
-	Most        int                    `json:"connections_max"` // of all at once
+	Most        int                    `json:"connections_max"` // of all databases together
 	Per         map[string]PerDatabase `json:"connections_per_database"`
 	Reads       int                    `json:"reads"`
 	Writes      int                    `json:"writes"`
 	Duplicates  int                    `json:"duplicates"`
 	Stale       int                    `json:"stale"`
-	Firsts      int                    `json:"firsts"`  // statements that came for the first time
-	Repeats     int                    `json:"repeats"` // and again
+	Firsts      int                    `json:"firsts"`  // first attempts of statements
+	Repeats     int                    `json:"repeats"` // repeated attempts
 	Misses      int                    `json:"misses"`  // writes at a replica
-	Full        int                    `json:"full"`    // turned away with a full queue
+	Full        int                    `json:"full"`    // refused because the queue was full
 	ServiceMS   float64                `json:"service_ms"`
 }
 
-// ClientSide is the clients' side.
+// ClientSide is the report of the clients' process.
 type ClientSide struct {
 	Core        float64   `json:"core_percent"`
 	Descriptors int       `json:"descriptors"`
@@ -144,11 +144,11 @@
 	HeartbeatMS Quantiles `json:"heartbeat_ms"`
 	AgainMS     float64   `json:"comes_again_ms"`
 	Arrivals    string    `json:"arrivals"`
-	Whole       Counts    `json:"whole"` // the warming up included
+	Whole       Counts    `json:"whole"` // including the warm-up
 	Unasked     int       `json:"unasked_messages"`
 }
 
-// Report is one run.
+// Report is the result of one run.
 type Report struct {
 	Command    string     `json:"command"`
 	Clients    int        `json:"clients"`
@@ -160,87 +160,87 @@
 	Invalid    string     `json:"invalid_because"`
 	Partial    bool       `json:"partial"`
 	Faults     []string   `json:"faults"`
-	Seconds    float64    `json:"seconds"` // measured
+	Seconds    float64    `json:"seconds"` // measured time
 	Gateway    Gateway    `json:"gateway"`
 	StandIn    StandIn    `json:"standin"`
 	ClientSide ClientSide `json:"client_side"`
 }
 
-// Sockets are as many as the deployment would set: clients may have half of them, 7,653 at the target with a region gone, and
-// each database two.
+// Sockets returns the descriptor limit that the deployment would set: clients may use half of it, at least the 7,653 of the
+// target with a region lost, and each database may have two connections.
 func Sockets(clients, databases int) int { return 2*max(clients, 7653) + 2*databases }
 
-// check tells all that does not fit before anything is started.
+// check returns all problems of the options at once, before anything is started.
 func (o *Options) check() error {
-	var all []error
-	bad := func(format string, args ...any) { all = append(all, fmt.Errorf(format, args...)) }
+	var problems []error
+	addError := func(format string, args ...any) { problems = append(problems, fmt.Errorf(format, args...)) }
 	if o.Clients < 1 {
-		bad("--clients %d: one or more are wanted", o.Clients)
+		addError("--clients %d: must be at least 1", o.Clients)
 	}
 	if o.Statements <= 0 {
-		bad("--statements %v: more than none is wanted", o.Statements)
+		addError("--statements %v: must be positive", o.Statements)
 	}
 	if o.GroupsOf < 1 || o.Databases < o.GroupsOf {
-		bad("--databases %d in --groups-of %d: one whole group or more is wanted", o.Databases, o.GroupsOf)
+		addError("--databases %d in --groups-of %d: must be at least one whole group", o.Databases, o.GroupsOf)
 	}
 	if o.For <= 0 {
-		bad("--for %v: more than no time is wanted", o.For)
+		addError("--for %v: must be positive", o.For)
 	}
 	hard := hardLimit()
 	if o.Sockets == 0 {
 		o.Sockets = min(hard, Sockets(o.Clients, o.Databases))
 	}
 	if o.Sockets > hard {
-		bad("--sockets %d: a process may have %d descriptors here (ulimit -Hn); set at most that", o.Sockets, hard)
+		addError("--sockets %d: a process may have %d descriptors here (ulimit -Hn); set at most that", o.Sockets, hard)
 	}
-	if need := o.Clients + spareOwn; need > hard {
-		bad("--clients %d: their process needs %d descriptors and may have %d here (ulimit -Hn); ask for %d clients at most", o.Clients, need, hard, hard-spareOwn)
+	if need := o.Clients + spareDescriptors; need > hard {
+		addError("--clients %d: their process needs %d descriptors and may have %d here (ulimit -Hn); ask for %d clients at most", o.Clients, need, hard, hard-spareDescriptors)
 	}
-	if need := 4*o.Databases + spareOwn; need > hard {
-		bad("--databases %d: their process needs %d descriptors and may have %d here (ulimit -Hn)", o.Databases, need, hard)
+	if need := 4*o.Databases + spareDescriptors; need > hard {
+		addError("--databases %d: their process needs %d descriptors and may have %d here (ulimit -Hn)", o.Databases, need, hard)
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
-// meter is a process's processor time between two moments.
+// meter measures the processor time of a process from its creation on.
 type meter struct {
-	pid  int
-	at   time.Time
-	used time.Duration
+	pid   int
+	start time.Time
+	used  time.Duration
 }
 
 func newMeter(pid int) meter {
 	used, _ := processorTime(pid)
-	return meter{pid: pid, at: time.Now(), used: used}
+	return meter{pid: pid, start: time.Now(), used: used}
 }
 
-// since is the processor time from then on, and its share of a core in percent.
+// since returns the processor time since the meter's creation, and its share of a core in percent.
 func (m meter) since() (used time.Duration, percent float64) {
 	now, _ := processorTime(m.pid)
 	used = now - m.used
-	return used, round(100*used.Seconds()/max(0.001, time.Since(m.at).Seconds()), 2)
+	return used, round(100*used.Seconds()/max(0.001, time.Since(m.start).Seconds()), 2)
 }
 
-// run is one under way.
+// run is a run in progress.
 type run struct {
 	Options
-	r       *Report
-	gateway *lab.Process
-	manage  string
-	bases   *side
-	people  *side
+	report          *Report
+	gateway         *lab.Process
+	managementAddr  string
+	databaseProcess *helperProcess
+	clientProcess   *helperProcess
 
 	mu     sync.Mutex
 	events map[string]int
-	ended  bool // the gateway is meant to end
+	ended  bool // the gateway was asked to stop
 }
 
-// Run plays one. The report is whole where no error is told; its faults and what makes it invalid stand in it.
+// Run does one run. Unless it returns an error, the report is complete and contains the faults and the reasons for invalidity.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	r := &run{Options: o, events: map[string]int{}, r: &Report{
+	r := &run{Options: o, events: map[string]int{}, report: &Report{
 		Clients: o.Clients, Statements: o.Statements, Databases: o.Databases, GroupsOf: o.GroupsOf, Seed: o.Seed, Faults: []string{},
 	}}
 	defer r.close()
@@ -250,38 +250,38 @@
 	if err := r.measure(ctx); err != nil {
 		return nil, err
 	}
-	r.r.Partial = ctx.Err() != nil
-	r.judge()
-	return r.r, nil
+	r.report.Partial = ctx.Err() != nil
+	r.evaluate()
+	return r.report, nil
 }
 
-// start brings up the databases and the gateway.
+// start starts the databases, the gateway and, after measuring the gateway without clients, the clients.
 func (r *run) start() (err error) {
-	set := databaseSide{
+	databaseConfig := databaseSettings{
 		Databases: r.Databases, GroupsOf: r.GroupsOf, Cores: 5, Queue: 60, Service: r.Service, Lag: 10 * time.Millisecond, Seed: r.Seed,
 	}
-	if r.bases, err = startSide("the databases' process", r.Sides("databases"), set); err != nil {
+	if r.databaseProcess, err = startHelper("the databases' process", r.Sides("databases"), databaseConfig); err != nil {
 		return err
 	}
-	var at listening
-	if err = r.bases.hear(&at, sidePatience); err != nil {
+	var databases databaseAddrs
+	if err = r.databaseProcess.receive(&databases, replyTimeout); err != nil {
 		return err
 	}
-	r.started("databases", r.bases.pid())
+	r.started("databases", r.databaseProcess.pid())
 	dir, err := os.MkdirTemp("", "datapath-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	p := &plan.Plan{Seed: r.Seed, Classes: classes, Lab: plan.Lab{Gateways: 1, AnnouncedGateways: r.Told}}
-	config := lab.Config(p, "g1", at.Discovery, r.Seed, at.List)
+	config := lab.Config(p, "g1", databases.Discovery, r.Seed, databases.List)
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": r.MemoryMB, "sockets": r.Sockets}
 	allowed := config["settings"].(map[string]any)["Allowed"].(map[string]any)
 	if r.Keep > 0 {
 		allowed["ConnIdleUs"] = r.Keep.Microseconds()
 	}
 	if us, err := strconv.ParseInt(fmt.Sprint(allowed["ConnIdleUs"]), 10, 64); err == nil {
-		r.r.Gateway.KeepSeconds = float64(us) / 1e6
+		r.report.Gateway.KeepSeconds = float64(us) / 1e6
 	}
 	if r.Fault != nil {
 		r.Fault(config)
@@ -298,33 +298,33 @@
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+dir, "GW_MANAGEMENT=127.0.0.1:0")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	r.gateway = lab.NewProcess(cmd)
-	if err := r.gateway.Launch(r.heard, func() {}); err != nil {
+	if err := r.gateway.Launch(r.countLogLine, func() {}); err != nil {
 		r.gateway = nil
 		return err
 	}
-	event, err := r.gateway.WaitStarted(startTime)
+	event, err := r.gateway.WaitStarted(startTimeout)
 	if err != nil {
 		return fmt.Errorf("the gateway %w", err)
 	}
 	r.started("gateway", r.gateway.Pid())
-	r.manage = lab.LogField(event, "management")
+	r.managementAddr = lab.LogField(event, "management")
 	if got := lab.LogField(event, "sockets"); got != strconv.Itoa(r.Sockets) {
 		return fmt.Errorf("the gateway has %s descriptors, not %d", got, r.Sockets)
 	}
-	r.r.Gateway.Sockets, r.r.Gateway.MemoryMB, r.r.Gateway.ToldGateways = r.Sockets, r.MemoryMB, r.Told
-	set2 := clientSide{
+	r.report.Gateway.Sockets, r.report.Gateway.MemoryMB, r.report.Gateway.ToldGateways = r.Sockets, r.MemoryMB, r.Told
+	clientConfig := clientSettings{
 		Target: lab.LogField(event, "listen"), Clients: r.Clients, Statements: r.Statements, Databases: r.Databases, GroupsOf: r.GroupsOf,
 		Classes: classes, Idle: r.Idle, Warm: r.Warm, For: r.For, Again: r.Again, Even: r.Even, Seed: r.Seed,
 	}
-	// What the gateway holds and does without a client.
-	time.Sleep(restTime)
+	// Measure the gateway without clients.
+	time.Sleep(idleInterval)
 	idle := newMeter(r.gateway.Pid())
-	time.Sleep(restTime)
-	g := &r.r.Gateway
+	time.Sleep(idleInterval)
+	g := &r.report.Gateway
 	_, g.CoreIdle = idle.since()
 	g.RSSIdle, g.AnonIdle = r.memory()
 	g.DescriptorsIdle = descriptors(r.gateway.Pid())
-	r.people, err = startSide("the clients' process", r.Sides("clients"), set2)
+	r.clientProcess, err = startHelper("the clients' process", r.Sides("clients"), clientConfig)
 	return err
 }
 
@@ -334,8 +334,8 @@
 	}
 }
 
-// heard takes a line of the gateway's log.
-func (r *run) heard(line string) {
+// countLogLine counts a line of the gateway's log by event and reason.
+func (r *run) countLogLine(line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Log != nil {
@@ -352,12 +352,12 @@
 const megabyte = 1 << 20
 
 func (r *run) memory() (rss, anonymous float64) {
-	all, own := resident(r.gateway.Pid())
+	all, own := residentMemory(r.gateway.Pid())
 	return round(float64(all)/megabyte, 2), round(float64(own)/megabyte, 2)
 }
 
-// until waits for a moment; false: ctx ended first.
-func until(ctx context.Context, ms int64) bool {
+// waitUntil waits until a Unix time in ms; it returns false if ctx ends first.
+func waitUntil(ctx context.Context, ms int64) bool {
 	t := time.NewTimer(time.Until(time.UnixMilli(ms)))
 	defer t.Stop()
 	select {
@@ -368,107 +368,107 @@
 	}
 }
 
-// measure follows the clients through their phases.
+// measure follows the clients through their phases and measures the gateway in each.
 func (r *run) measure(ctx context.Context) error {
-	var when schedule
-	if err := r.people.hear(&when, sidePatience); err != nil {
+	var times schedule
+	if err := r.clientProcess.receive(&times, replyTimeout); err != nil {
 		return err
 	}
-	r.started("clients", r.people.pid())
+	r.started("clients", r.clientProcess.pid())
 	go func() {
 		<-ctx.Done()
-		_ = r.people.tell(map[string]string{"do": "stop"})
+		_ = r.clientProcess.send(map[string]string{"do": "stop"})
 	}()
-	g, pid := &r.r.Gateway, r.gateway.Pid()
-	if until(ctx, when.Connected) {
+	g, pid := &r.report.Gateway, r.gateway.Pid()
+	if waitUntil(ctx, times.Connected) {
 		idle := newMeter(pid)
-		if until(ctx, when.Load-int64(lookEvery/time.Millisecond)) {
+		if waitUntil(ctx, times.Load-int64(pollInterval/time.Millisecond)) {
 			_, g.CoreClientsIdle = idle.since()
 			g.RSSClientsIdle, g.AnonClientsIdle = r.memory()
 		}
 	}
-	if until(ctx, when.Begin) {
-		if err := r.load(ctx, when.End); err != nil {
+	if waitUntil(ctx, times.Begin) {
+		if err := r.measureLoad(ctx, times.End); err != nil {
 			return err
 		}
 	}
-	left := time.Until(time.UnixMilli(when.End))
+	left := time.Until(time.UnixMilli(times.End))
 	if ctx.Err() != nil {
 		left = 0
 	}
-	var c clientReport
-	if err := r.people.hear(&c, left+10*time.Second+sidePatience); err != nil {
+	var clients clientReport
+	if err := r.clientProcess.receive(&clients, left+10*time.Second+replyTimeout); err != nil {
 		return err
 	}
-	gone := time.Now()
-	r.people.close()
-	r.take(c)
+	clientsEnded := time.Now()
+	r.clientProcess.close()
+	r.takeClientReport(clients)
 	var err error
-	if g.Figures, err = r.figures(); err != nil {
+	if g.Figures, err = r.metrics(); err != nil {
 		return fmt.Errorf("the gateway's figures: %w", err)
 	}
-	// Its connections to databases are kept for a while.
+	// The gateway keeps idle connections to databases for a while.
 	g.BackSeconds = -1
-	for time.Since(gone) < backTime && ctx.Err() == nil {
-		if g.DescriptorsAfter = descriptors(pid); g.DescriptorsAfter <= g.DescriptorsIdle+backSlack {
-			g.BackSeconds = round(time.Since(gone).Seconds(), 1)
+	for time.Since(clientsEnded) < descriptorReturnTimeout && ctx.Err() == nil {
+		if g.DescriptorsAfter = descriptors(pid); g.DescriptorsAfter <= g.DescriptorsIdle+descriptorSlack {
+			g.BackSeconds = round(time.Since(clientsEnded).Seconds(), 1)
 			break
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// load looks at all processes while it is measured.
-func (r *run) load(ctx context.Context, end int64) error {
-	g, pid := &r.r.Gateway, r.gateway.Pid()
-	if err := r.bases.ask("begin", &struct{}{}); err != nil {
+// measureLoad samples all processes during the measured time.
+func (r *run) measureLoad(ctx context.Context, end int64) error {
+	g, pid := &r.report.Gateway, r.gateway.Pid()
+	if err := r.databaseProcess.call("begin", &struct{}{}); err != nil {
 		return err
 	}
-	before, err := r.figures()
+	before, err := r.metrics()
 	if err != nil {
 		return err
 	}
 	if r.Loaded != nil {
 		r.Loaded()
 	}
-	meters := []meter{newMeter(pid), newMeter(r.bases.pid()), newMeter(r.people.pid())}
+	meters := []meter{newMeter(pid), newMeter(r.databaseProcess.pid()), newMeter(r.clientProcess.pid())}
 	n := 0.0
-	for ctx.Err() == nil && time.Now().UnixMilli() < end-int64(lookEvery/time.Millisecond) {
+	for ctx.Err() == nil && time.Now().UnixMilli() < end-int64(pollInterval/time.Millisecond) {
 		rss, own := r.memory()
 		g.RSS, g.Anon, g.RSSMax = g.RSS+rss, g.Anon+own, max(g.RSSMax, rss)
 		g.Descriptors = max(g.Descriptors, descriptors(pid))
-		r.r.StandIn.Descriptors = max(r.r.StandIn.Descriptors, descriptors(r.bases.pid()))
+		r.report.StandIn.Descriptors = max(r.report.StandIn.Descriptors, descriptors(r.databaseProcess.pid()))
 		n++
-		until(ctx, time.Now().Add(lookEvery).UnixMilli())
+		waitUntil(ctx, time.Now().Add(pollInterval).UnixMilli())
 	}
 	used, share := meters[0].since()
-	took := time.Since(meters[0].at).Seconds()
+	took := time.Since(meters[0].start).Seconds()
 	g.Core = share
-	g.PerStatement = used.Seconds() * 1e6 / max(1, took) // by the second; take divides by the rate
-	_, r.r.StandIn.Core = meters[1].since()
-	_, r.r.ClientSide.Core = meters[2].since()
+	g.PerStatement = used.Seconds() * 1e6 / max(1, took) // per second; takeClientReport divides by the rate
+	_, r.report.StandIn.Core = meters[1].since()
+	_, r.report.ClientSide.Core = meters[2].since()
 	g.RSS, g.Anon = round(g.RSS/max(1, n), 2), round(g.Anon/max(1, n), 2)
-	var d databaseReport
-	if err := r.bases.ask("report", &d); err != nil {
+	var databases databaseReport
+	if err := r.databaseProcess.call("report", &databases); err != nil {
 		return err
 	}
-	after, err := r.figures()
+	after, err := r.metrics()
 	if err != nil {
 		return err
 	}
 	g.LostMS = int(after["lost_ms"] - before["lost_ms"])
-	s := &r.r.StandIn
-	s.HeartbeatMS, s.Per, s.Most, s.ServiceMS = d.Heartbeat, d.Per, d.Max, float64(r.Service)/float64(time.Millisecond)
-	g.DatabaseConnections = d.Mean
-	g.NewConnections = round(float64(d.New)/max(0.001, took), 1)
+	s := &r.report.StandIn
+	s.HeartbeatMS, s.Per, s.Most, s.ServiceMS = databases.Heartbeat, databases.Per, databases.Max, float64(r.Service)/float64(time.Millisecond)
+	g.DatabaseConnections = databases.Mean
+	g.NewConnections = round(float64(databases.New)/max(0.001, took), 1)
 	return nil
 }
 
-// take puts what the clients saw into the report.
-func (r *run) take(c clientReport) {
-	g, s := &r.r.Gateway, &r.r.ClientSide
-	r.r.Seconds = c.Seconds
+// takeClientReport adds the clients' results to the report.
+func (r *run) takeClientReport(c clientReport) {
+	g, s := &r.report.Gateway, &r.report.ClientSide
+	r.report.Seconds = c.Seconds
 	g.ClientConnectionsIdle, g.ClientConnections = c.OpenIdle, c.Open
 	g.Sent, g.Served, g.Refused, g.Failed, g.Late = c.Measured.Sent, c.Measured.Served, c.Measured.Refused, c.Measured.Failed, c.Measured.Late
 	g.P50, g.P99 = c.Latency.P50, c.Latency.P99
@@ -485,93 +485,93 @@
 		s.Arrivals = "even"
 	}
 	if len(c.Short) > 0 {
-		r.invalid("the clients' process was short of descriptors or ports: %v", c.Short)
+		r.addInvalid("the clients' process was short of descriptors or ports: %v", c.Short)
 	}
 }
 
-// figures are the gateway's own.
-func (r *run) figures() (map[string]uint64, error) {
-	text, err := lab.CallManagement("GET", r.manage, "/v1/metrics")
+// metrics returns the gateway's own metrics.
+func (r *run) metrics() (map[string]uint64, error) {
+	text, err := lab.CallManagement("GET", r.managementAddr, "/v1/metrics")
 	return stats.Parse(text), err
 }
 
-func (r *run) invalid(format string, args ...any) {
-	if r.r.Invalid != "" {
-		r.r.Invalid += "; "
+func (r *run) addInvalid(format string, args ...any) {
+	if r.report.Invalid != "" {
+		r.report.Invalid += "; "
 	}
-	r.r.Invalid += fmt.Sprintf(format, args...)
+	r.report.Invalid += fmt.Sprintf(format, args...)
 }
 
-func (r *run) fault(format string, args ...any) {
-	r.r.Faults = append(r.r.Faults, fmt.Sprintf(format, args...))
+func (r *run) addFault(format string, args ...any) {
+	r.report.Faults = append(r.report.Faults, fmt.Sprintf(format, args...))
 }
 
-// judge tells what the run is worth, and what went against a rule in it.
-func (r *run) judge() {
-	g, s, c := &r.r.Gateway, &r.r.StandIn, &r.r.ClientSide
+// evaluate decides whether the run is valid, and lists the rules that it violated as faults.
+func (r *run) evaluate() {
+	g, s, c := &r.report.Gateway, &r.report.StandIn, &r.report.ClientSide
 	stall := float64(r.Stall) / float64(time.Millisecond)
 	for _, x := range []struct {
 		who  string
 		late Quantiles
 	}{{"the clients' process was late", c.HeartbeatMS}, {"the clients' process sent statements late", c.LatenessMS}, {"the databases' process was late", s.HeartbeatMS}} {
 		if x.late.Max > stall {
-			r.invalid("%s by up to %.1f ms, over its bound of %v", x.who, x.late.Max, r.Stall)
+			r.addInvalid("%s by up to %.1f ms, over its bound of %v", x.who, x.late.Max, r.Stall)
 		} else if x.late.P99 > stall/5 {
-			r.invalid("%s by %.1f ms at the 99th percentile, over a fifth of its bound of %v", x.who, x.late.P99, r.Stall)
+			r.addInvalid("%s by %.1f ms at the 99th percentile, over a fifth of its bound of %v", x.who, x.late.P99, r.Stall)
 		}
 	}
-	r.r.Valid = r.r.Invalid == ""
-	var n databaseReport
-	if err := r.bases.ask("count", &n); err != nil {
-		r.fault("%v", err)
+	r.report.Valid = r.report.Invalid == ""
+	var databases databaseReport
+	if err := r.databaseProcess.call("count", &databases); err != nil {
+		r.addFault("%v", err)
 	}
-	s.Reads, s.Writes, s.Duplicates, s.Stale = n.Counts.Reads, n.Counts.Writes, n.Counts.Duplicates, n.Counts.Stale
-	s.Firsts, s.Repeats, s.Misses, s.Full = n.Counts.Firsts, n.Counts.Repeats, n.Counts.Misses, n.Counts.Full
-	if n.Counts.Duplicates > 0 {
-		r.fault("%d writes ran twice", n.Counts.Duplicates)
+	s.Reads, s.Writes, s.Duplicates, s.Stale = databases.Counts.Reads, databases.Counts.Writes, databases.Counts.Duplicates, databases.Counts.Stale
+	s.Firsts, s.Repeats, s.Misses, s.Full = databases.Counts.Firsts, databases.Counts.Repeats, databases.Counts.Misses, databases.Counts.Full
+	if databases.Counts.Duplicates > 0 {
+		r.addFault("%d writes ran twice", databases.Counts.Duplicates)
 	}
-	if n.Counts.Stale > 0 {
-		r.fault("%d reads were answered from data too old", n.Counts.Stale)
+	if databases.Counts.Stale > 0 {
+		r.addFault("%d reads were answered from data too old", databases.Counts.Stale)
 	}
-	if n.Counts.Foreign > 0 {
-		r.fault("%d statements that no client sends", n.Counts.Foreign)
+	if databases.Counts.Foreign > 0 {
+		r.addFault("%d statements that no client sends", databases.Counts.Foreign)
 	}
 	if w := c.Whole; w.Sent != w.Served+w.Refused+w.Failed {
-		r.fault("%d sent, but %d served, %d refused and %d failed", w.Sent, w.Served, w.Refused, w.Failed)
+		r.addFault("%d sent, but %d served, %d refused and %d failed", w.Sent, w.Served, w.Refused, w.Failed)
 	}
-	own := Counts{}
+	gatewayCounts := Counts{}
 	for _, k := range classes {
-		own.Served += int(g.Figures["passed."+k.Name])
-		own.Refused += int(g.Figures["dropped."+k.Name])
-		own.Failed += int(g.Figures["bad_gateway."+k.Name])
+		gatewayCounts.Served += int(g.Figures["passed."+k.Name])
+		gatewayCounts.Refused += int(g.Figures["dropped."+k.Name])
+		gatewayCounts.Failed += int(g.Figures["bad_gateway."+k.Name])
 	}
-	if w := c.Whole; own.Served != w.Served || own.Refused != w.Refused {
-		r.fault("the clients count %d served and %d refused, the gateway %d and %d", w.Served, w.Refused, own.Served, own.Refused)
+	if w := c.Whole; gatewayCounts.Served != w.Served || gatewayCounts.Refused != w.Refused {
+		r.addFault("the clients count %d served and %d refused, the gateway %d and %d", w.Served, w.Refused, gatewayCounts.Served, gatewayCounts.Refused)
 	}
 	if n := g.FailedBy["no answer"]; n > 0 {
-		r.fault("%d statements had no answer", n)
+		r.addFault("%d statements had no answer", n)
 	}
-	if n := g.FailedBy[errForm.Error()]; n > 0 {
-		r.fault("%d answers were not one row with one value", n)
+	if n := g.FailedBy[errNotOneValue.Error()]; n > 0 {
+		r.addFault("%d answers were not one row with one value", n)
 	}
 	if c.Unasked > 0 {
-		r.fault("%d messages that nobody had asked for", c.Unasked)
+		r.addFault("%d unsolicited messages", c.Unasked)
 	}
-	if g.BackSeconds < 0 && !r.r.Partial {
-		r.fault("the gateway has %d descriptors %v behind its last client, and had %d before the first", g.DescriptorsAfter, backTime, g.DescriptorsIdle)
+	if g.BackSeconds < 0 && !r.report.Partial {
+		r.addFault("the gateway has %d descriptors %v after its last client, and had %d before the first", g.DescriptorsAfter, descriptorReturnTimeout, g.DescriptorsIdle)
 	}
 	if !r.gateway.Alive() {
-		r.fault("the gateway ended by itself")
+		r.addFault("the gateway ended by itself")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g.Events = maps.Clone(r.events)
 }
 
-// close ends all that was started.
+// close stops all processes of the run.
 func (r *run) close() {
-	if r.people != nil {
-		r.people.close()
+	if r.clientProcess != nil {
+		r.clientProcess.close()
 	}
 	if r.gateway != nil && r.gateway.Alive() {
 		_ = r.gateway.Signal(syscall.SIGTERM)
@@ -579,12 +579,12 @@
 			r.gateway.Kill()
 		}
 	}
-	if r.bases != nil {
-		r.bases.close()
+	if r.databaseProcess != nil {
+		r.databaseProcess.close()
 	}
 }
 
-// Verdict is what a run's exit status says.
+// Verdict returns the error for the exit status of a run, nil if it is valid and without faults.
 func Verdict(r *Report) error {
 	switch {
 	case len(r.Faults) > 0:
@@ -595,46 +595,46 @@
 	return nil
 }
 
-// Text writes the report for a person.
+// Text writes the report for a reader.
 func (r *Report) Text(w io.Writer) error {
 	g, s, c := &r.Gateway, &r.StandIn, &r.ClientSide
-	say := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
-	say("%d clients, %v statements/s, %d databases in groups of %d, %.1f s measured", r.Clients, r.Statements, r.Databases, r.GroupsOf, r.Seconds)
-	say("gateway: rss %.1f MB idle, %.1f with clients idle (%.0f bytes a connection), %.1f under load, at most %.1f of %d",
+	printf := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
+	printf("%d clients, %v statements/s, %d databases in groups of %d, %.1f s measured", r.Clients, r.Statements, r.Databases, r.GroupsOf, r.Seconds)
+	printf("gateway: rss %.1f MB idle, %.1f with clients idle (%.0f bytes a connection), %.1f under load, at most %.1f of %d",
 		g.RSSIdle, g.RSSClientsIdle, g.BytesPerClient, g.RSS, g.RSSMax, g.MemoryMB)
-	say("  core %.1f%% idle, %.1f%% with clients idle, %.1f%% under load, %.1f us a statement; stood still for %d ms", g.CoreIdle, g.CoreClientsIdle, g.Core, g.PerStatement, g.LostMS)
-	say("  descriptors %d idle, %d of %d under load, %d after (%.1f s)", g.DescriptorsIdle, g.Descriptors, g.Sockets, g.DescriptorsAfter, g.BackSeconds)
-	say("  connections of clients %.0f idle, %.0f under load; of databases %.0f; new ones %.1f/s from clients, %.1f/s to databases",
+	printf("  core %.1f%% idle, %.1f%% with clients idle, %.1f%% under load, %.1f us a statement; paused for %d ms", g.CoreIdle, g.CoreClientsIdle, g.Core, g.PerStatement, g.LostMS)
+	printf("  descriptors %d idle, %d of %d under load, %d after (%.1f s)", g.DescriptorsIdle, g.Descriptors, g.Sockets, g.DescriptorsAfter, g.BackSeconds)
+	printf("  connections of clients %.0f idle, %.0f under load; of databases %.0f; new ones %.1f/s from clients, %.1f/s to databases",
 		g.ClientConnectionsIdle, g.ClientConnections, g.DatabaseConnections, g.ClientNew, g.NewConnections)
-	say("  sent %d, served %d (late %d), refused %d, failed %d; p50 %.2f ms, p99 %.2f ms", g.Sent, g.Served, g.Late, g.Refused, g.Failed, g.P50, g.P99)
+	printf("  sent %d, served %d (late %d), refused %d, failed %d; p50 %.2f ms, p99 %.2f ms", g.Sent, g.Served, g.Late, g.Refused, g.Failed, g.P50, g.P99)
 	for _, x := range []struct {
 		what string
 		by   map[string]int
 	}{{"refused", g.RefusedBy}, {"failed", g.FailedBy}, {"turned away", g.TurnedAway}, {"log", g.Events}} {
 		for _, k := range slices.Sorted(maps.Keys(x.by)) {
-			say("    %s: %d %s", x.what, x.by[k], k)
+			printf("    %s: %d %s", x.what, x.by[k], k)
 		}
 	}
 	for _, a := range g.Amiss {
-		say("    %s due at %.3f s, after %.1f ms: %s", a.Class, a.AtS, a.TookMS, a.How)
+		printf("    %s due at %.3f s, after %.1f ms: %s", a.Class, a.AtS, a.TookMS, a.How)
 	}
 	for _, role := range slices.Sorted(maps.Keys(s.Per)) {
 		p := s.Per[role]
-		say("a database (%s, %d): connections mean %.3f, p99 %.0f, max %d; one or more for %.1f%% of the time; %.2f statements/s",
+		printf("a database (%s, %d): connections mean %.3f, p99 %.0f, max %d; one or more for %.1f%% of the time; %.2f statements/s",
 			role, p.Databases, p.Mean, p.P99, p.Max, 100*p.ShareAny, p.PerSecond)
 	}
-	say("stand-in: %d statements came for the first time, %d again, %d writes at a replica, %d found a full queue", s.Firsts, s.Repeats, s.Misses, s.Full)
-	say("stand-in: core %.1f%%, late p99 %.2f ms, at most %.2f ms", s.Core, s.HeartbeatMS.P99, s.HeartbeatMS.Max)
-	say("clients: core %.1f%%, late p99 %.2f ms, at most %.2f ms; statements late p99 %.2f ms, at most %.2f ms",
+	printf("stand-in: %d statements came for the first time, %d again, %d writes at a replica, %d found a full queue", s.Firsts, s.Repeats, s.Misses, s.Full)
+	printf("stand-in: core %.1f%%, late p99 %.2f ms, at most %.2f ms", s.Core, s.HeartbeatMS.P99, s.HeartbeatMS.Max)
+	printf("clients: core %.1f%%, late p99 %.2f ms, at most %.2f ms; statements late p99 %.2f ms, at most %.2f ms",
 		c.Core, c.HeartbeatMS.P99, c.HeartbeatMS.Max, c.LatenessMS.P99, c.LatenessMS.Max)
 	if r.Partial {
-		say("PARTIAL: the run was ended early")
+		printf("PARTIAL: the run was ended early")
 	}
 	if !r.Valid {
-		say("INVALID: %s", r.Invalid)
+		printf("INVALID: %s", r.Invalid)
 	}
 	for _, f := range r.Faults {
-		say("FAULT: %s", f)
+		printf("FAULT: %s", f)
 	}
 	return nil
 }
--- a/internal/datapath/datapath_test.go
+++ b/internal/datapath/datapath_test.go
@@ -42,8 +42,8 @@
 	dir string
 }
 
-// small is a run of a few seconds before the real gateway.
-func small(t *testing.T) Options {
+// shortRun is a run of a few seconds before the real gateway.
+func shortRun(t *testing.T) Options {
 	built.Do(func() {
 		var err error
 		built.dir, err = os.MkdirTemp("", "datapath-test-")
@@ -59,8 +59,8 @@
 	}
 }
 
-// addsUp holds what is true of every whole run.
-func addsUp(t *testing.T, r *Report) {
+// checkTotals holds what is true of every whole run.
+func checkTotals(t *testing.T, r *Report) {
 	t.Helper()
 	g, w := &r.Gateway, r.ClientSide.Whole
 	assert.Empty(t, r.Faults)
@@ -95,7 +95,7 @@
 	assert.Zero(t, r.ClientSide.Unasked, "no statement has two answers")
 	assert.GreaterOrEqual(t, r.StandIn.Reads+r.StandIn.Writes, w.Served, "what was served has run")
 	assert.Zero(t, r.StandIn.Duplicates)
-	assert.LessOrEqual(t, g.DescriptorsAfter, g.DescriptorsIdle+backSlack, "all descriptors have come back")
+	assert.LessOrEqual(t, g.DescriptorsAfter, g.DescriptorsIdle+descriptorSlack, "all descriptors have come back")
 	assert.GreaterOrEqual(t, g.BackSeconds, 0.0)
 	assert.Zero(t, g.Figures["in_progress"])
 }
@@ -103,9 +103,9 @@
 // Before databases that have time to spare all is served, and every figure is there.
 func TestScaleDataPathServesAll(t *testing.T) {
 	t.Parallel()
-	r, err := Run(context.Background(), small(t))
+	r, err := Run(context.Background(), shortRun(t))
 	require.NoError(t, err)
-	addsUp(t, r)
+	checkTotals(t, r)
 	assert.NoError(t, Verdict(r))
 	g := &r.Gateway
 	assert.InDelta(t, 800, g.Sent, 160, "about as many as were asked for")
@@ -126,12 +126,12 @@
 // Twice what the databases can do: what is refused or fails is so for a cause that is told, and all of it adds up.
 func TestScaleDataPathRefuses(t *testing.T) {
 	t.Parallel()
-	o := small(t)
+	o := shortRun(t)
 	o.Databases, o.Service, o.Seed = 4, 50*time.Millisecond, 6 // 100 statements/s each
 	o.Statements = 800
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
-	addsUp(t, r)
+	checkTotals(t, r)
 	assert.Positive(t, r.Gateway.Refused)
 	assert.NotEmpty(t, r.Gateway.RefusedBy)
 	assert.Positive(t, r.Gateway.Served)
@@ -140,11 +140,11 @@
 // The last group is smaller than the others, and gets its statements.
 func TestScaleDataPathUnevenGroups(t *testing.T) {
 	t.Parallel()
-	o := small(t)
+	o := shortRun(t)
 	o.Databases, o.For, o.Seed = 10, time.Second, 7
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
-	addsUp(t, r)
+	checkTotals(t, r)
 	assert.Equal(t, 10, r.StandIn.Per["all"].Databases)
 	assert.Equal(t, 3, r.StandIn.Per["primary"].Databases)
 	assert.GreaterOrEqual(t, r.Gateway.Served, r.Gateway.Sent*95/100, "none is for a group that is not there")
@@ -156,7 +156,7 @@
 	for _, role := range []string{"clients", "databases"} {
 		t.Run(role, func(t *testing.T) {
 			t.Parallel()
-			o := small(t)
+			o := shortRun(t)
 			o.Stall, o.Seed = 1500*time.Millisecond, 8
 			o.For = 3 * time.Second
 			var stalls sync.WaitGroup
@@ -185,7 +185,7 @@
 // An interrupt ends the run soon, with a report that says so.
 func TestScaleDataPathInterrupted(t *testing.T) {
 	t.Parallel()
-	o := small(t)
+	o := shortRun(t)
 	o.For = time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -218,7 +218,7 @@
 
 // A gateway that does not start is said so, and nothing is left behind.
 func TestGatewayThatDoesNotStart(t *testing.T) {
-	o := small(t)
+	o := shortRun(t)
 	o.Gateway = []string{"false"}
 	_, err := Run(context.Background(), o)
 	assert.ErrorContains(t, err, "does not start")
@@ -233,16 +233,16 @@
 	close(end)
 	for range 20 {
 		h := histogram()
-		beat(h, time.Now().Add(-time.Second), end)
+		recordHeartbeats(h, time.Now().Add(-time.Second), end)
 		assert.Greater(t, quantiles(h).Max, 900.0)
 	}
 }
 
 func TestSpread(t *testing.T) {
 	var p PerDatabase
-	p.spread([]int{3, 0, 1, 1})
+	p.setDistribution([]int{3, 0, 1, 1})
 	assert.Equal(t, PerDatabase{Mean: 1.25, P99: 3, Max: 3, ShareAny: 0.75, ShareOne: 0.5}, p)
-	p.spread(nil)
+	p.setDistribution(nil)
 	assert.Equal(t, 1.25, p.Mean)
 }
 
@@ -255,7 +255,7 @@
 	used, percent := m.since()
 	assert.Positive(t, used)
 	assert.Positive(t, percent)
-	all, own := resident(os.Getpid())
+	all, own := residentMemory(os.Getpid())
 	assert.Greater(t, all, own)
 	assert.Positive(t, own)
 	before := descriptors(os.Getpid())
--- a/internal/datapath/fit.go
+++ b/internal/datapath/fit.go
@@ -8,49 +8,49 @@
 	"strings"
 )
 
-// Term is a part of a fit.
+// Term is one summand of a fit.
 type Term struct {
 	Name  string
 	Unit  string
-	Scale float64 // from the fit's unit for one to Unit
+	Scale float64 // converts the slope from the fit's unit to Unit
 	Of    func(r *Report) float64
 }
 
-// Line is a quantity as a sum of slopes times what reports say, by least squares.
+// Line fits a quantity as a constant plus a slope times each term, by least squares.
 type Line struct {
 	Name     string
 	Of       func(r *Report) float64
 	Terms    []Term
-	Values   []float64 // the constant first
-	Residual float64   // root of the mean square
-	Most     float64   // largest
+	Values   []float64 // the constant, then the slopes
+	Residual float64   // root mean square
+	Most     float64   // largest deviation
 	Reports  int
 }
 
-// Lines are what is fitted over the runs.
+// Lines returns the fits that are made over the runs.
 func Lines() []Line {
 	clients := func(r *Report) float64 { return r.Gateway.ClientConnections }
-	bases := func(r *Report) float64 { return r.Gateway.DatabaseConnections }
+	databases := func(r *Report) float64 { return r.Gateway.DatabaseConnections }
 	statements := func(r *Report) float64 { return float64(r.Gateway.Sent) / math.Max(0.001, r.Seconds) }
-	again := func(r *Report) float64 { return r.Gateway.ClientNew }
+	reconnects := func(r *Report) float64 { return r.Gateway.ClientNew }
 	listed := func(r *Report) float64 { return float64(r.Databases) }
 	return []Line{
 		{Name: "memory under load (rss, MB)", Of: func(r *Report) float64 { return r.Gateway.RSS }, Terms: []Term{
-			{"client connection", "bytes", megabyte, clients}, {"database connection", "bytes", megabyte, bases},
-			{"statement/s", "bytes", megabyte, statements}, {"connection/s from clients", "bytes", megabyte, again},
+			{"client connection", "bytes", megabyte, clients}, {"database connection", "bytes", megabyte, databases},
+			{"statement/s", "bytes", megabyte, statements}, {"connection/s from clients", "bytes", megabyte, reconnects},
 		}},
 		{Name: "memory with clients idle (rss, MB)", Of: func(r *Report) float64 { return r.Gateway.RSSClientsIdle }, Terms: []Term{
 			{"client connection", "bytes", megabyte, func(r *Report) float64 { return r.Gateway.ClientConnectionsIdle }},
 			{"database listed", "bytes", megabyte, listed},
 		}},
 		{Name: "processor time (percent of a core)", Of: func(r *Report) float64 { return r.Gateway.Core }, Terms: []Term{
-			{"statement", "us", 1e4, statements}, {"connection from a client", "us", 1e4, again},
+			{"statement", "us", 1e4, statements}, {"connection from a client", "us", 1e4, reconnects},
 			{"client connection held", "us/s", 1e4, clients}, {"database listed", "us/s", 1e4, listed},
 		}},
 	}
 }
 
-// Fit finds the slopes over runs that are valid and whole.
+// Fit finds the slopes over the reports that are valid and not partial.
 func (l *Line) Fit(reports []*Report) error {
 	var rows [][]float64
 	var values []float64
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Text writes it for a person.
+// Text writes the fit for a reader.
 func (l *Line) Text(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s over %d runs: %.2f\n", l.Name, l.Reports, l.Values[0])
@@ -98,9 +98,9 @@
 	return err
 }
 
-var errSingular = errors.New("the runs do not tell its slopes apart: vary what they have in common")
+var errSingular = errors.New("the runs do not determine the slopes: vary the settings they have in common")
 
-// leastSquares solves the normal equations, each column scaled by its largest.
+// leastSquares solves the normal equations, each column scaled by its largest value.
 func leastSquares(rows [][]float64, values []float64) ([]float64, error) {
 	n := len(rows[0])
 	scale := make([]float64, n)
@@ -109,42 +109,42 @@
 			scale[k] = math.Max(scale[k], math.Abs(x))
 		}
 	}
-	m := make([][]float64, n)
-	for i := range m {
+	matrix := make([][]float64, n)
+	for i := range matrix {
 		if scale[i] == 0 {
 			return nil, errSingular
 		}
-		m[i] = make([]float64, n+1)
+		matrix[i] = make([]float64, n+1)
 		for r, row := range rows {
 			for k, x := range row {
-				m[i][k] += row[i] / scale[i] * x / scale[k]
+				matrix[i][k] += row[i] / scale[i] * x / scale[k]
 			}
-			m[i][n] += row[i] / scale[i] * values[r]
+			matrix[i][n] += row[i] / scale[i] * values[r]
 		}
 	}
-	for i := range m {
+	for i := range matrix {
 		best := i
 		for k := i + 1; k < n; k++ {
-			if math.Abs(m[k][i]) > math.Abs(m[best][i]) {
+			if math.Abs(matrix[k][i]) > math.Abs(matrix[best][i]) {
 				best = k
 			}
 		}
-		if m[i], m[best] = m[best], m[i]; math.Abs(m[i][i]) < 1e-9 {
+		if matrix[i], matrix[best] = matrix[best], matrix[i]; math.Abs(matrix[i][i]) < 1e-9 {
 			return nil, errSingular
 		}
-		for k := range m {
+		for k := range matrix {
 			if k == i {
 				continue
 			}
-			f := m[k][i] / m[i][i]
+			f := matrix[k][i] / matrix[i][i]
 			for j := i; j <= n; j++ {
-				m[k][j] -= f * m[i][j]
+				matrix[k][j] -= f * matrix[i][j]
 			}
 		}
 	}
-	out := make([]float64, n)
-	for i := range out {
-		out[i] = m[i][n] / m[i][i] / scale[i]
+	solution := make([]float64, n)
+	for i := range solution {
+		solution[i] = matrix[i][n] / matrix[i][i] / scale[i]
 	}
-	return out, nil
+	return solution, nil
 }
--- a/internal/datapath/fit_test.go
+++ b/internal/datapath/fit_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// made is a report whose memory is 8 MB and so many bytes for each of what it has.
-func made(clients, bases, statements, again float64) *Report {
+// linearReport is a report whose memory is 8 MB and so many bytes for each of what it has.
+func linearReport(clients, bases, statements, again float64) *Report {
 	r := &Report{Valid: true, Seconds: 2, Databases: 10}
 	r.Gateway.ClientConnections, r.Gateway.DatabaseConnections, r.Gateway.Sent, r.Gateway.ClientNew = clients, bases, int(2*statements), again
 	r.Gateway.RSS = 8 + (4000*clients+9000*bases+100*statements+50*again)/megabyte
@@ -18,10 +18,10 @@
 
 func TestFit(t *testing.T) {
 	list := []*Report{
-		made(1000, 10, 200, 0), made(5000, 10, 100, 5), made(2000, 800, 700, 90), made(500, 100, 1500, 3), made(900, 400, 20, 700),
-		made(4000, 30, 90, 12),
+		linearReport(1000, 10, 200, 0), linearReport(5000, 10, 100, 5), linearReport(2000, 800, 700, 90), linearReport(500, 100, 1500, 3), linearReport(900, 400, 20, 700),
+		linearReport(4000, 30, 90, 12),
 	}
-	wrong, partial := made(1, 1, 1, 1), made(1, 1, 1, 1)
+	wrong, partial := linearReport(1, 1, 1, 1), linearReport(1, 1, 1, 1)
 	wrong.Valid, wrong.Gateway.RSS = false, 900
 	partial.Partial, partial.Gateway.RSS = true, 900
 	l := Lines()[0]
@@ -37,6 +37,6 @@
 	assert.Contains(t, b.String(), "+ 9000 bytes for each database connection")
 
 	assert.ErrorContains(t, l.Fit(list[:4]), "too few")
-	same := made(5, 5, 5, 5)
+	same := linearReport(5, 5, 5, 5)
 	assert.ErrorIs(t, l.Fit([]*Report{same, same, same, same, same, same}), errSingular)
 }
--- a/internal/datapath/process.go
+++ b/internal/datapath/process.go
@@ -16,20 +16,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// side is a process of this run besides the gateway, spoken to in lines of JSON.
-type side struct {
-	name string
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	said chan []byte
-	last bytes.Buffer // of its standard error
+// helperProcess is the process of the clients or databases. Messages are lines of JSON.
+type helperProcess struct {
+	name   string
+	cmd    *exec.Cmd
+	in     io.WriteCloser
+	lines  chan []byte
+	stderr bytes.Buffer
 }
 
-// startSide starts one and tells it its first line.
-func startSide(name string, command []string, first any) (*side, error) {
-	s := &side{name: name, cmd: exec.Command(command[0], command[1:]...), said: make(chan []byte, 4)}
-	s.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt is for the whole run, which ends the sides itself
-	s.cmd.Stderr = &s.last
+// startHelper starts a helper process and sends its first line.
+func startHelper(name string, command []string, first any) (*helperProcess, error) {
+	s := &helperProcess{name: name, cmd: exec.Command(command[0], command[1:]...), lines: make(chan []byte, 4)}
+	s.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt goes to the main process only, which then stops the helpers itself
+	s.cmd.Stderr = &s.stderr
 	in, err := s.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -43,20 +43,20 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	go func() {
-		defer close(s.said)
+		defer close(s.lines)
 		lines := bufio.NewReader(out)
 		for {
 			line, err := lines.ReadBytes('\n')
 			if err != nil {
 				return
 			}
-			s.said <- line
+			s.lines <- line
 		}
 	}()
-	return s, s.tell(first)
+	return s, s.send(first)
 }
 
-func (s *side) tell(v any) error {
+func (s *helperProcess) send(v any) error {
 	line, err := json.Marshal(v)
 	if err == nil {
 		_, err = s.in.Write(append(line, '\n'))
@@ -67,40 +67,40 @@
 	return nil
 }
 
-// hear waits for its next line.
-func (s *side) hear(into any, patience time.Duration) error {
+// receive waits for the next line of the process.
+func (s *helperProcess) receive(into any, timeout time.Duration) error {
 	select {
-	case line, on := <-s.said:
-		if !on {
+	case line, open := <-s.lines:
+		if !open {
 			_ = s.cmd.Wait()
-			return fmt.Errorf("%s has ended: %s", s.name, bytes.TrimSpace(s.last.Bytes()))
+			return fmt.Errorf("%s has ended: %s", s.name, bytes.TrimSpace(s.stderr.Bytes()))
 		}
 		return json.Unmarshal(line, into)
-	case <-time.After(patience):
-		return fmt.Errorf("%s says nothing for %v", s.name, patience)
+	case <-time.After(timeout):
+		return fmt.Errorf("%s sent nothing for %v", s.name, timeout)
 	}
 }
 
-func (s *side) ask(do string, into any) error {
-	if err := s.tell(map[string]string{"do": do}); err != nil {
+func (s *helperProcess) call(do string, into any) error {
+	if err := s.send(map[string]string{"do": do}); err != nil {
 		return err
 	}
-	return s.hear(into, sidePatience)
+	return s.receive(into, replyTimeout)
 }
 
-// close ends it, in order if it can.
-func (s *side) close() {
+// close stops the process, by closing its input or else with a kill.
+func (s *helperProcess) close() {
 	s.in.Close()
-	t := time.AfterFunc(sidePatience, func() { _ = s.cmd.Process.Kill() })
+	t := time.AfterFunc(replyTimeout, func() { _ = s.cmd.Process.Kill() })
 	defer t.Stop()
-	for range s.said {
+	for range s.lines {
 	}
 	_ = s.cmd.Wait()
 }
 
-func (s *side) pid() int { return s.cmd.Process.Pid }
+func (s *helperProcess) pid() int { return s.cmd.Process.Pid }
 
-// descriptors is how many a process has open; 0: it is gone.
+// descriptors returns how many descriptors a process has open, 0 if it has ended.
 func descriptors(pid int) int {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -114,9 +114,9 @@
 	return len(names)
 }
 
-const clockTicks = 100 // a second, of /proc/PID/stat
+const clockTicks = 100 // per second, in /proc/PID/stat
 
-// processorTime is utime and stime of a process.
+// processorTime returns the user and system time of a process.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -131,8 +131,8 @@
 	return time.Duration(user+system) * time.Second / clockTicks, errors.Join(err, err2)
 }
 
-// resident is the memory of a process in bytes: all, and what is neither of a file nor shared.
-func resident(pid int) (all, anonymous int) {
+// residentMemory returns the resident memory of a process in bytes: all, and the anonymous part.
+func residentMemory(pid int) (all, anonymous int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range bytes.Lines(text) {
 		f := bytes.Fields(line)
@@ -150,7 +150,7 @@
 	return all, anonymous
 }
 
-// hardLimit is how many descriptors a process may have at most, whatever it asks for.
+// hardLimit returns the hard limit on descriptors of a process.
 func hardLimit() int {
 	var r unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) != nil {
