--- a/internal/calibrate/calibrate.go
+++ b/internal/calibrate/calibrate.go
@@ -1,5 +1,5 @@
-// Package calibrate sets hollow gateways beside real ones under the same idle or loaded traffic. What the control side costs
-// is the difference that a fleet file makes, on both sides.
+// Package calibrate compares hollow gateways with real ones under the same idle or loaded traffic. For both kinds the cost of
+// the control side is the difference between gateways with and without a fleet file.
 package calibrate
 
 import (
@@ -23,27 +23,27 @@
 )
 
 const (
-	members   = 4               // of a group
-	warm      = 4 * time.Second // of load, before anything is measured
-	agreeTime = 30 * time.Second
-	within    = 0.15 // that hollow ones may differ by
+	groupSize    = 4               // databases per group
+	warmUp       = 4 * time.Second // under load, before anything is measured
+	agreeTimeout = 30 * time.Second
+	tolerance    = 0.15 // relative difference allowed between hollow and real gateways
 )
 
-// Options are one calibration.
+// Options are the settings of one calibration.
 type Options struct {
 	Gateways, Databases int
 	For                 time.Duration
-	Statements          float64       // a second, of each gateway; 0: idle
-	Program             []string      // a real gateway
-	Hollow              []string      // the process of hollow ones
-	Env                 []string      // more of the real ones' environment
-	HollowEnv           []string      // and of the process of hollow ones
-	Settle              time.Duration // after all have one view, before anything is measured
+	Statements          float64       // per second, of each gateway; 0: idle
+	Program             []string      // command of a real gateway
+	Hollow              []string      // command of the process with the hollow gateways
+	Env                 []string      // additional environment of the real gateways
+	HollowEnv           []string      // additional environment of the hollow gateways' process
+	Settle              time.Duration // after all gateways have the same view, before anything is measured
 	Seed                uint64
-	Budget              int // connections of all gateways to each database; 0: not divided
+	Budget              int // connections of all gateways to each database; 0: no budget
 	Logs                *os.File
 
-	line *line // before anything is measured
+	barrier *barrier // passed before anything is measured
 }
 
 // Spread is a figure over all gateways.
@@ -53,7 +53,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Rates are what one role does in a second, in the mean of the gateways.
+// Rates are one role's traffic, the mean over the gateways.
 type Rates struct {
 	BytesOut    float64 `json:"bytes_out_per_s"`
 	BytesIn     float64 `json:"bytes_in_per_s"`
@@ -62,48 +62,48 @@
 	BytesByEach float64 `json:"bytes_of_a_message"`
 }
 
-// Side is what one kind of gateways did.
+// Side is the result of one kind of gateways.
 type Side struct {
 	Gateways       int               `json:"gateways"`
 	Databases      int               `json:"databases"`
 	Seconds        float64           `json:"seconds"`
-	Statements     float64           `json:"statements_per_s"` // of a gateway
+	Statements     float64           `json:"statements_per_s"` // of one gateway
 	Control        map[string]Spread `json:"control"`
 	ByRole         map[string]Rates  `json:"by_role"`
 	CoreWith       float64           `json:"core_percent_with_fleet"`
 	CoreWithout    float64           `json:"core_percent_without_fleet"`
 	MemoryWith     float64           `json:"memory_mb_with_fleet"`
 	MemoryWithout  float64           `json:"memory_mb_without_fleet"`
-	Learned        float64           `json:"positions_learned_per_s"` // news from databases
-	Heard          float64           `json:"positions_heard_per_s"`   // news from other gateways
+	Learned        float64           `json:"positions_learned_per_s"` // updates from databases
+	Heard          float64           `json:"positions_heard_per_s"`   // updates from other gateways
 	Feed           float64           `json:"feed_core_percent,omitempty"`
-	Shared         float64           `json:"shared_core_percent_with_fleet,omitempty"` // of the process, for no gateway alone: the collector, the runtime
+	Shared         float64           `json:"shared_core_percent_with_fleet,omitempty"` // of the process, not of a single gateway: the garbage collector and the runtime
 	SharedWithout  float64           `json:"shared_core_percent_without_fleet,omitempty"`
-	Monitor        float64           `json:"monitor_core_percent_with_fleet"` // of the runtime's monitor, in none of the figures above
+	Monitor        float64           `json:"monitor_core_percent_with_fleet"` // of the runtime's monitor thread, not included in the figures above
 	MonitorWithout float64           `json:"monitor_core_percent_without_fleet"`
-	Live           float64           `json:"live_heap_mb_with_fleet,omitempty"` // what lives in memory, a gateway
+	Live           float64           `json:"live_heap_mb_with_fleet,omitempty"` // live heap per gateway
 	LiveWithout    float64           `json:"live_heap_mb_without_fleet,omitempty"`
 	Late           float64           `json:"late_ms_max,omitempty"`
-	Served         float64           `json:"served,omitempty"` // share of the requests in their aim
+	Served         float64           `json:"served,omitempty"` // share of the requests served within their aim
 }
 
-// Report is a calibration.
+// Report is the result of a calibration.
 type Report struct {
 	Command string             `json:"command"`
 	State   string             `json:"state"`
 	Hollow  Side               `json:"hollow"`
 	Real    Side               `json:"real"`
-	Ratio   map[string]float64 `json:"ratio"`   // hollow over real
-	Differ  []string           `json:"differ"`  // ratios that are off by over 15%
-	Explain map[string]string  `json:"explain"` // why
+	Ratio   map[string]float64 `json:"ratio"`   // hollow / real
+	Differ  []string           `json:"differ"`  // ratios that differ from 1 by more than 15%
+	Explain map[string]string  `json:"explain"` // reasons for differences
 	Seed    uint64             `json:"seed"`
 }
 
-// sample is the figures of one gateway at a moment, as sums.
+// sample holds the counters of one gateway at one time.
 type sample struct {
 	at             time.Time
-	cpu, feed      float64 // ms
-	monitor        float64 // ms, not in cpu; only of real ones
+	cpu, feed      float64 // ms; feed: the part of cpu for work that real gateways do not have
+	monitor        float64 // ms, not included in cpu; of real gateways only
 	memory         float64 // MB
 	roles          map[string]stats.Traffic
 	learned, heard uint64
@@ -123,43 +123,43 @@
 lab: {gateways: %d, members: %d, cores: 8, service: 2 ms, lag: 10 ms, fleet: %t%s}
 `
 
-// Run plays both kinds, with and without a fleet file.
+// Run measures both kinds of gateways, with and without a fleet file.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	if o.Gateways < 2 || o.Databases < members || o.Databases%members != 0 {
-		return nil, fmt.Errorf("2 gateways and %d databases at least, their number in whole groups of %d", members, members)
+	if o.Gateways < 2 || o.Databases < groupSize || o.Databases%groupSize != 0 {
+		return nil, fmt.Errorf("at least 2 gateways and %d databases are needed, in whole groups of %d", groupSize, groupSize)
 	}
 	r := &Report{State: "idle", Seed: o.Seed}
 	if o.Statements > 0 {
 		r.State = "loaded"
 	}
-	// All four at once: what differs between them is then not what else the machine did.
+	// All four run at once, so that other load on the machine affects them equally.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.line = newLine(4)
+	o.barrier = newBarrier(4)
 	var real, hollow Side
 	ended := make(chan error, 1)
 	go func() {
 		var err error
-		if real, hollow, err = o.both(ctx, false); err != nil {
+		if real, hollow, err = o.runBoth(ctx, false); err != nil {
 			cancel()
 		}
 		ended <- err
 	}()
 	var err error
-	if r.Real, r.Hollow, err = o.both(ctx, true); err != nil {
+	if r.Real, r.Hollow, err = o.runBoth(ctx, true); err != nil {
 		cancel()
 	}
-	if err = first(err, <-ended); err != nil {
+	if err = rootError(err, <-ended); err != nil {
 		return nil, err
 	}
-	r.Real.without(real)
-	r.Hollow.without(hollow)
-	r.compare()
+	r.Real.subtractBaseline(real)
+	r.Hollow.subtractBaseline(hollow)
+	r.setRatios()
 	return r, nil
 }
 
-// without takes off what the same gateways cost without a fleet file.
-func (s *Side) without(o Side) {
+// subtractBaseline subtracts what the same gateways cost without a fleet file.
+func (s *Side) subtractBaseline(o Side) {
 	s.CoreWithout, s.MemoryWithout, s.SharedWithout, s.LiveWithout, s.MonitorWithout = o.CoreWith, o.MemoryWith, o.Shared, o.Live, o.Monitor
 	without := o.CoreWith
 	if s.Shared > 0 { // the collector works for all gateways of the process, on threads of its own
@@ -170,7 +170,7 @@
 	s.Control["memory_mb"] = Spread{Mean: memory.Mean - s.MemoryWithout, P99: memory.P99 - s.MemoryWithout, Max: memory.Max - s.MemoryWithout}
 }
 
-func (r *Report) compare() {
+func (r *Report) setRatios() {
 	r.Ratio = map[string]float64{}
 	note := func(name string, hollow, real float64) {
 		if real == 0 && hollow == 0 {
@@ -181,7 +181,7 @@
 			x = -1
 		}
 		r.Ratio[name] = x
-		if x < 1-within || x > 1+within {
+		if x < 1-tolerance || x > 1+tolerance {
 			r.Differ = append(r.Differ, fmt.Sprintf("%s: hollow %.4g, real %.4g", name, hollow, real))
 		}
 	}
@@ -199,25 +199,25 @@
 	note("statements_per_s", r.Hollow.Statements, r.Real.Statements)
 	r.Explain = map[string]string{
 		"core_percent": fmt.Sprintf("without the runtime's monitor, a thread that each process has: %.3f%% of a core of a real gateway with a fleet file, "+
-			"%.3f%% without one; all hollow ones of a process share one. Add the difference to what hollow ones tell", r.Real.Monitor, r.Real.MonitorWithout),
-		"memory_mb": fmt.Sprintf("the collector lets the heap of a process grow to 16 MB, or to five times what lives, before it works: of a real gateway "+
-			"that is garbage of its own, all hollow ones of a process share it. What lives with a fleet file is %.2f MB a hollow gateway (0: nothing was "+
-			"collected yet); take a process's memory from real ones, and its slope from what lives", r.Hollow.Live),
+			"%.3f%% without one; all hollow ones of a process share one. Add the difference to the figures of hollow gateways", r.Real.Monitor, r.Real.MonitorWithout),
+		"memory_mb": fmt.Sprintf("the collector lets the heap of a process grow to 16 MB, or to five times the live heap, before it runs: in a real gateway "+
+			"that garbage is its own, all hollow ones of a process share it. The live heap with a fleet file is %.2f MB per hollow gateway (0: nothing was "+
+			"collected yet); take the memory of a process from real ones, and its slope from the live heap", r.Hollow.Live),
 	}
 }
 
-// both plays real and hollow gateways side by side, before the same databases and discovery and on the same machine.
-func (o Options) both(ctx context.Context, fleet bool) (real, hollow Side, err error) {
-	shares := ""
+// runBoth runs real and hollow gateways at the same time, with the same databases and discovery.
+func (o Options) runBoth(ctx context.Context, fleet bool) (real, hollow Side, err error) {
+	fleetSettings := ""
 	if fleet {
-		shares = ", positions: true, primaries: true"
+		fleetSettings = ", positions: true, primaries: true"
 		if o.Budget > 0 {
-			shares += fmt.Sprintf(", budget: %d", o.Budget)
+			fleetSettings += fmt.Sprintf(", budget: %d", o.Budget)
 		}
 	}
 	rate := max(1, o.Statements*float64(o.Gateways))
-	length := warm + o.For + 2*time.Second
-	text := fmt.Sprintf(planText, o.Seed, o.Databases/members, 64*o.Gateways, rate, length.Milliseconds(), o.Gateways, members, fleet, shares)
+	length := warmUp + o.For + 2*time.Second
+	text := fmt.Sprintf(planText, o.Seed, o.Databases/groupSize, 64*o.Gateways, rate, length.Milliseconds(), o.Gateways, groupSize, fleet, fleetSettings)
 	p, err := plan.Parse("calibrate", []byte(text))
 	if err != nil {
 		return real, hollow, err
@@ -239,53 +239,53 @@
 	ended := make(chan error, 1)
 	go func() {
 		var err error
-		if hollow, err = o.hollow(ctx, l, fleet); err != nil {
+		if hollow, err = o.runHollow(ctx, l, fleet); err != nil {
 			err = fmt.Errorf("hollow gateways: %w", err)
 			cancel()
 		}
 		ended <- err
 	}()
-	if real, err = o.real(ctx, l, fleet); err != nil {
+	if real, err = o.runReal(ctx, l, fleet); err != nil {
 		err = fmt.Errorf("real gateways: %w", err)
 		cancel()
 	}
-	return real, hollow, first(err, <-ended)
+	return real, hollow, rootError(err, <-ended)
 }
 
-// first is the error that ended both; the other one was told to end.
-func first(a, b error) error {
+// rootError returns the error that ended both sides, not the cancellation of the other side.
+func rootError(a, b error) error {
 	if a == nil || errors.Is(a, context.Canceled) && b != nil {
 		return b
 	}
 	return a
 }
 
-// line is where all wait until the last is there.
-type line struct {
-	left atomic.Int32
-	all  chan struct{}
+// barrier blocks until all participants have reached it.
+type barrier struct {
+	remaining atomic.Int32
+	reached   chan struct{}
 }
 
-func newLine(n int32) *line {
-	l := &line{all: make(chan struct{})}
-	l.left.Store(n)
-	return l
+func newBarrier(n int32) *barrier {
+	b := &barrier{reached: make(chan struct{})}
+	b.remaining.Store(n)
+	return b
 }
 
-func (l *line) wait(ctx context.Context) error {
-	if l.left.Add(-1) == 0 {
-		close(l.all)
+func (b *barrier) wait(ctx context.Context) error {
+	if b.remaining.Add(-1) == 0 {
+		close(b.reached)
 	}
 	select {
-	case <-l.all:
+	case <-b.reached:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// pause waits; an error: ctx ended first.
-func pause(ctx context.Context, d time.Duration) error {
+// wait waits for d; it returns an error if ctx ends first.
+func wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -294,9 +294,9 @@
 	}
 }
 
-func (o Options) real(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
+func (o Options) runReal(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
 	if fleet {
-		late := time.Now().Add(agreeTime)
+		deadline := time.Now().Add(agreeTimeout)
 		for agreed := 0; agreed < o.Gateways; {
 			agreed = 0
 			for i := range o.Gateways {
@@ -304,18 +304,18 @@
 					agreed++
 				}
 			}
-			if time.Now().After(late) {
-				return Side{}, fmt.Errorf("%d of %d see all in %v", agreed, o.Gateways, agreeTime)
+			if time.Now().After(deadline) {
+				return Side{}, fmt.Errorf("%d of %d gateways see all others after %v", agreed, o.Gateways, agreeTimeout)
 			}
-			if err := pause(ctx, 100*time.Millisecond); err != nil {
+			if err := wait(ctx, 100*time.Millisecond); err != nil {
 				return Side{}, err
 			}
 		}
 	}
-	if err := o.line.wait(ctx); err != nil {
+	if err := o.barrier.wait(ctx); err != nil {
 		return Side{}, err
 	}
-	if err := pause(ctx, o.Settle); err != nil {
+	if err := wait(ctx, o.Settle); err != nil {
 		return Side{}, err
 	}
 	var report *run.Report
@@ -326,11 +326,11 @@
 			report, err = l.Run(ctx)
 			played <- err
 		}()
-		if err := pause(ctx, warm); err != nil {
+		if err := wait(ctx, warmUp); err != nil {
 			return Side{}, err
 		}
 	}
-	take := func() (list []sample, err error) {
+	takeSamples := func() (list []sample, err error) {
 		for i := range o.Gateways {
 			s, err := realSample(l.Node(i))
 			if err != nil {
@@ -340,18 +340,18 @@
 		}
 		return list, nil
 	}
-	before, err := take()
+	before, err := takeSamples()
 	if err == nil {
-		err = pause(ctx, o.For)
+		err = wait(ctx, o.For)
 	}
 	var after []sample
 	if err == nil {
-		after, err = take()
+		after, err = takeSamples()
 	}
 	if err != nil {
 		return Side{}, err
 	}
-	s := o.side(before, after)
+	s := o.rates(before, after)
 	if o.Statements > 0 {
 		if err := <-played; err != nil {
 			return s, err
@@ -364,7 +364,7 @@
 	return s, nil
 }
 
-// realSample asks a process and reads what the kernel knows of it.
+// realSample reads the metrics of a gateway's process, and its processor time and memory from the kernel.
 func realSample(n *lab.Node) (s sample, err error) {
 	text, err := n.Call("GET", "/v1/metrics")
 	if err != nil {
@@ -387,8 +387,8 @@
 	return s, nil
 }
 
-// side makes rates of what has been counted between two moments.
-func (o Options) side(before, after []sample) Side {
+// rates computes the rates between two samples of each gateway.
+func (o Options) rates(before, after []sample) Side {
 	s := Side{Gateways: o.Gateways, Databases: o.Databases, Control: map[string]Spread{}, ByRole: map[string]Rates{}}
 	all := map[string][]float64{}
 	n := float64(len(before))
@@ -423,7 +423,7 @@
 		s.Statements += float64(a.statements-b.statements) / sec / n
 	}
 	for name, list := range all {
-		s.Control[name] = spread(list)
+		s.Control[name] = newSpread(list)
 	}
 	for role, t := range s.ByRole {
 		if t.Messages > 0 {
@@ -434,7 +434,7 @@
 	return s
 }
 
-func spread(list []float64) (s Spread) {
+func newSpread(list []float64) (s Spread) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, cmp.Compare[float64])
 	for _, v := range list {
--- a/internal/calibrate/hollow.go
+++ b/internal/calibrate/hollow.go
@@ -18,15 +18,15 @@
 	"lilaccove/internal/lab"
 )
 
-// process is one of hollow gateways.
-type process struct {
+// hollowProcess is a process with hollow gateways.
+type hollowProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	reports chan hollow.Report
 }
 
-func startProcess(command, env []string, first hollow.Start) (*process, error) {
-	p := &process{cmd: exec.Command(command[0], command[1:]...), reports: make(chan hollow.Report, 1)}
+func startHollow(command, env []string, start hollow.Start) (*hollowProcess, error) {
+	p := &hollowProcess{cmd: exec.Command(command[0], command[1:]...), reports: make(chan hollow.Report, 1)}
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), env...), os.Stderr
 	var err error
 	if p.in, err = p.cmd.StdinPipe(); err != nil {
@@ -48,27 +48,27 @@
 			if json.Unmarshal(lines.Bytes(), &r) != nil {
 				continue
 			}
-			select { // the newest alone counts
+			select { // only the latest report is kept
 			case <-p.reports:
 			default:
 			}
 			p.reports <- r
 		}
 	}()
-	return p, json.NewEncoder(p.in).Encode(first)
+	return p, json.NewEncoder(p.in).Encode(start)
 }
 
-// close has it end; it does so when nobody gives it orders any more.
-func (p *process) close() {
+// close stops the process, which ends when its input is closed.
+func (p *hollowProcess) close() {
 	_ = p.in.Close()
 	_ = p.cmd.Wait()
 }
 
-func (p *process) next(ctx context.Context) (hollow.Report, error) {
+func (p *hollowProcess) next(ctx context.Context) (hollow.Report, error) {
 	select {
 	case r, ok := <-p.reports:
 		if !ok {
-			return r, errors.New("the process has ended")
+			return r, errors.New("the process of the hollow gateways has ended")
 		}
 		return r, nil
 	case <-ctx.Done():
@@ -76,30 +76,30 @@
 	}
 }
 
-// ports are addresses that nobody has at the moment, for UDP and TCP.
-func ports(n int) (list []string, err error) {
+// freeAddrs returns addresses for UDP and TCP whose TCP ports are free at the moment.
+func freeAddrs(n int) (list []string, err error) {
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close() // all are held until all are known
+		defer ln.Close() // all are held until all are chosen
 		list = append(list, ln.Addr().String())
 	}
 	return list, nil
 }
 
-func (o Options) hollow(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
+func (o Options) runHollow(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
 	dir, err := os.MkdirTemp("", "lilacload-")
 	if err != nil {
 		return Side{}, err
 	}
 	defer os.RemoveAll(dir)
-	at, err := ports(o.Gateways)
+	addrs, err := freeAddrs(o.Gateways)
 	if err != nil {
 		return Side{}, err
 	}
-	first := hollow.Start{ReportMS: 500}
+	start := hollow.Start{ReportMS: 500}
 	for i := range o.Gateways {
 		cfg := l.Config(i)
 		spec := hollow.Spec{Name: cfg["name"].(string), Config: filepath.Join(dir, fmt.Sprintf("%d.json", i)), StatementsPerS: o.Statements}
@@ -109,19 +109,19 @@
 		}
 		if err == nil && fleet {
 			spec.Fleet = filepath.Join(dir, fmt.Sprintf("%d.yaml", i))
-			err = os.WriteFile(spec.Fleet, o.fleetFile(at, i), 0o600)
+			err = os.WriteFile(spec.Fleet, o.fleetFile(addrs, i), 0o600)
 		}
 		if err != nil {
 			return Side{}, err
 		}
-		first.Gateways = append(first.Gateways, spec)
+		start.Gateways = append(start.Gateways, spec)
 	}
-	p, err := startProcess(o.Hollow, o.HollowEnv, first)
+	p, err := startHollow(o.Hollow, o.HollowEnv, start)
 	if err != nil {
 		return Side{}, err
 	}
 	defer p.close()
-	late := time.Now().Add(agreeTime)
+	deadline := time.Now().Add(agreeTimeout)
 	for agreed := 0; agreed < o.Gateways; {
 		r, err := p.next(ctx)
 		if err != nil {
@@ -133,40 +133,40 @@
 				agreed++
 			}
 		}
-		if time.Now().After(late) {
-			return Side{}, fmt.Errorf("%d of %d see all in %v", agreed, o.Gateways, agreeTime)
+		if time.Now().After(deadline) {
+			return Side{}, fmt.Errorf("%d of %d gateways see all others after %v", agreed, o.Gateways, agreeTimeout)
 		}
 	}
-	if err := o.line.wait(ctx); err != nil {
+	if err := o.barrier.wait(ctx); err != nil {
 		return Side{}, err
 	}
-	wait := o.Settle
+	delay := o.Settle
 	if o.Statements > 0 {
-		wait += warm
+		delay += warmUp
 	}
-	if err := pause(ctx, wait); err != nil {
+	if err := wait(ctx, delay); err != nil {
 		return Side{}, err
 	}
-	take := func() (r hollow.Report, err error) {
-		for range 2 { // the first may have waited here
+	nextReport := func() (r hollow.Report, err error) {
+		for range 2 { // the first may be an older report still in the channel
 			if r, err = p.next(ctx); err != nil {
 				return r, err
 			}
 		}
 		return r, nil
 	}
-	before, err := take()
+	before, err := nextReport()
 	if err == nil {
-		err = pause(ctx, o.For)
+		err = wait(ctx, o.For)
 	}
 	var after hollow.Report
 	if err == nil {
-		after, err = take()
+		after, err = nextReport()
 	}
 	if err != nil {
 		return Side{}, err
 	}
-	s := o.side(samples(before), samples(after))
+	s := o.rates(hollowSamples(before), hollowSamples(after))
 	sec := float64(after.AtMS-before.AtMS) / 1000
 	s.Live = float64(after.Process.HeapLive) / (1 << 20) / float64(o.Gateways)
 	s.Late = after.Process.LateMSMax
@@ -179,7 +179,7 @@
 	return s, nil
 }
 
-func samples(r hollow.Report) (list []sample) {
+func hollowSamples(r hollow.Report) (list []sample) {
 	for _, g := range r.Gateways {
 		list = append(list, sample{
 			at: time.UnixMilli(r.AtMS), cpu: g.CPUMS, feed: g.FeedCPUMS, memory: float64(r.Process.RSSBytes) / (1 << 20) / float64(len(r.Gateways)),
@@ -189,14 +189,14 @@
 	return list
 }
 
-// fleetFile is that of the lab's gateways, without relays.
-func (o Options) fleetFile(at []string, i int) []byte {
-	b := fmt.Appendf(nil, "fleet: lab\nlisten: %s\nseeds: [%s]\npositions: true\nprimaries: true\n", at[i], strings.Join(at[:min(3, len(at))], ", "))
+// fleetFile returns the fleet file of the lab's gateways, without relays.
+func (o Options) fleetFile(addrs []string, i int) []byte {
+	text := fmt.Appendf(nil, "fleet: lab\nlisten: %s\nseeds: [%s]\npositions: true\nprimaries: true\n", addrs[i], strings.Join(addrs[:min(3, len(addrs))], ", "))
 	if o.Budget > 0 {
-		b = fmt.Appendf(b, "budgets:\n  connections: %d\n  lease: 1 s\n  holders:\n", o.Budget)
+		text = fmt.Appendf(text, "budgets:\n  connections: %d\n  lease: 1 s\n  holders:\n", o.Budget)
 		for j := range o.Gateways {
-			b = fmt.Appendf(b, "    - n%d\n", j)
+			text = fmt.Appendf(text, "    - n%d\n", j)
 		}
 	}
-	return b
+	return text
 }
