--- a/internal/calibrate/calibrate.go
+++ b/internal/calibrate/calibrate.go
@@ -136,11 +136,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o.barrier = newBarrier(4)
-	var real, hollow Side
+	var realBaseline, hollowBaseline Side
 	ended := make(chan error, 1)
 	go func() {
 		var err error
-		if real, hollow, err = o.runBoth(ctx, false); err != nil {
+		if realBaseline, hollowBaseline, err = o.runBoth(ctx, false); err != nil {
 			cancel()
 		}
 		ended <- err
@@ -152,8 +152,8 @@
 	if err = rootError(err, <-ended); err != nil {
 		return nil, err
 	}
-	r.Real.subtractBaseline(real)
-	r.Hollow.subtractBaseline(hollow)
+	r.Real.subtractBaseline(realBaseline)
+	r.Hollow.subtractBaseline(hollowBaseline)
 	r.setRatios()
 	return r, nil
 }
@@ -172,17 +172,17 @@
 
 func (r *Report) setRatios() {
 	r.Ratio = map[string]float64{}
-	note := func(name string, hollow, real float64) {
-		if real == 0 && hollow == 0 {
+	note := func(name string, hollowValue, realValue float64) {
+		if realValue == 0 && hollowValue == 0 {
 			return
 		}
-		x := math.Round(hollow/real*1000) / 1000
+		x := math.Round(hollowValue/realValue*1000) / 1000
 		if math.IsInf(x, 0) || math.IsNaN(x) {
 			x = -1
 		}
 		r.Ratio[name] = x
 		if x < 1-tolerance || x > 1+tolerance {
-			r.Differ = append(r.Differ, fmt.Sprintf("%s: hollow %.4g, real %.4g", name, hollow, real))
+			r.Differ = append(r.Differ, fmt.Sprintf("%s: hollow %.4g, real %.4g", name, hollowValue, realValue))
 		}
 	}
 	for _, name := range []string{"bytes_out_per_s", "bytes_in_per_s", "messages_per_s", "core_percent", "memory_mb"} {
@@ -206,8 +206,8 @@
 	}
 }
 
-// runBoth runs real and hollow gateways at the same time, with the same databases and discovery.
-func (o Options) runBoth(ctx context.Context, fleet bool) (real, hollow Side, err error) {
+// runBoth runs real and hollow gateways at the same time, with the same databases and discovery, on the same machine.
+func (o Options) runBoth(ctx context.Context, fleet bool) (realSide, hollowSide Side, err error) {
 	fleetSettings := ""
 	if fleet {
 		fleetSettings = ", positions: true, primaries: true"
@@ -220,18 +220,18 @@
 	text := fmt.Sprintf(planText, o.Seed, o.Databases/groupSize, 64*o.Gateways, rate, length.Milliseconds(), o.Gateways, groupSize, fleet, fleetSettings)
 	p, err := plan.Parse("calibrate", []byte(text))
 	if err != nil {
-		return real, hollow, err
+		return realSide, hollowSide, err
 	}
 	list, err := plan.Schedule(p)
 	if err != nil {
-		return real, hollow, err
+		return realSide, hollowSide, err
 	}
 	l := &lab.Lab{Plan: p, Arrivals: list, Gateway: o.Program, Env: o.Env}
 	if o.Logs != nil {
 		l.Log = o.Logs
 	}
 	if err := l.Open(); err != nil {
-		return real, hollow, err
+		return realSide, hollowSide, err
 	}
 	defer l.Close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -239,17 +239,17 @@
 	ended := make(chan error, 1)
 	go func() {
 		var err error
-		if hollow, err = o.runHollow(ctx, l, fleet); err != nil {
+		if hollowSide, err = o.hollowSide(ctx, l, fleet); err != nil {
 			err = fmt.Errorf("hollow gateways: %w", err)
 			cancel()
 		}
 		ended <- err
 	}()
-	if real, err = o.runReal(ctx, l, fleet); err != nil {
+	if realSide, err = o.realSide(ctx, l, fleet); err != nil {
 		err = fmt.Errorf("real gateways: %w", err)
 		cancel()
 	}
-	return real, hollow, rootError(err, <-ended)
+	return realSide, hollowSide, rootError(err, <-ended)
 }
 
 // rootError returns the error that ended both sides, not the cancellation of the other side.
@@ -284,8 +284,8 @@
 	}
 }
 
-// wait waits for d; it returns an error if ctx ends first.
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d; it returns an error if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -294,7 +294,7 @@
 	}
 }
 
-func (o Options) runReal(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
+func (o Options) realSide(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
 	if fleet {
 		deadline := time.Now().Add(agreeTimeout)
 		for agreed := 0; agreed < o.Gateways; {
@@ -307,7 +307,7 @@
 			if time.Now().After(deadline) {
 				return Side{}, fmt.Errorf("%d of %d gateways see all others after %v", agreed, o.Gateways, agreeTimeout)
 			}
-			if err := wait(ctx, 100*time.Millisecond); err != nil {
+			if err := sleep(ctx, 100*time.Millisecond); err != nil {
 				return Side{}, err
 			}
 		}
@@ -315,7 +315,7 @@
 	if err := o.barrier.wait(ctx); err != nil {
 		return Side{}, err
 	}
-	if err := wait(ctx, o.Settle); err != nil {
+	if err := sleep(ctx, o.Settle); err != nil {
 		return Side{}, err
 	}
 	var report *run.Report
@@ -326,7 +326,7 @@
 			report, err = l.Run(ctx)
 			played <- err
 		}()
-		if err := wait(ctx, warmUp); err != nil {
+		if err := sleep(ctx, warmUp); err != nil {
 			return Side{}, err
 		}
 	}
@@ -342,7 +342,7 @@
 	}
 	before, err := takeSamples()
 	if err == nil {
-		err = wait(ctx, o.For)
+		err = sleep(ctx, o.For)
 	}
 	var after []sample
 	if err == nil {
--- a/internal/calibrate/calibrate_test.go
+++ b/internal/calibrate/calibrate_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, 300.0, real.ByRole["membership"].BytesIn)
 	assert.Equal(t, 15.0, real.ByRole["membership"].Messages)
 	assert.Equal(t, 10.0, real.ByRole["membership"].BytesByEach)
-	assert.InDelta(t, 2, real.Control["core_percent"].Mean, 1e-9, "20 ms of work a second, the feed taken off")
+	assert.InDelta(t, 2, real.Control["core_percent"].Mean, 1e-9, "20 ms of work per second without the feed")
 	real.subtractBaseline(Side{CoreWith: 0.5, MemoryWith: 15})
 	assert.InDelta(t, 1.5, real.Control["core_percent"].Mean, 1e-9)
 	assert.InDelta(t, 5, real.Control["memory_mb"].Mean, 1e-9)
--- a/internal/calibrate/hollow.go
+++ b/internal/calibrate/hollow.go
@@ -89,7 +89,7 @@
 	return list, nil
 }
 
-func (o Options) runHollow(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
+func (o Options) hollowSide(ctx context.Context, l *lab.Lab, fleet bool) (Side, error) {
 	dir, err := os.MkdirTemp("", "lilacload-")
 	if err != nil {
 		return Side{}, err
@@ -144,7 +144,7 @@
 	if o.Statements > 0 {
 		delay += warmUp
 	}
-	if err := wait(ctx, delay); err != nil {
+	if err := sleep(ctx, delay); err != nil {
 		return Side{}, err
 	}
 	nextReport := func() (r hollow.Report, err error) {
@@ -157,7 +157,7 @@
 	}
 	before, err := nextReport()
 	if err == nil {
-		err = wait(ctx, o.For)
+		err = sleep(ctx, o.For)
 	}
 	var after hollow.Report
 	if err == nil {
--- a/internal/capacity/figures_test.go
+++ b/internal/capacity/figures_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// figure finds one by part and name.
+// figure returns the figure of a part with this name.
 func figure(t *testing.T, st *dataset, part, name string) Figure {
 	for _, p := range st.parts() {
 		if i := slices.IndexFunc(p.Figures, func(f Figure) bool { return f.Name == name }); p.Name == part && i >= 0 {
@@ -21,9 +21,9 @@
 	return Figure{}
 }
 
-// The made-up runs have known laws; each value says where it is from.
+// Computes figures from made-up runs that follow known formulas, and checks each value and its origin.
 func TestFiguresOfMadeUpRuns(t *testing.T) {
-	st := &dataset{runs: madeUp(t)}
+	st := &dataset{runs: madeUpRuns(t)}
 	big := Size{Name: "big", Gateways: 367, Databases: 405, Regions: 3}
 	for _, tt := range []struct {
 		part, name string
@@ -36,7 +36,7 @@
 		{"control", "membership: sent", Target, 900 + 2.5*490, Beyond},
 		{"control", "membership: sent", Worst, 900 + 2.5*245, Measured},
 		{"control", "membership: false deaths in a minute", Worst, 6, Measured},
-		{"control", "positions: sent", Target, 18900, Beyond}, // neither the invalid run nor the one with the mechanism counts
+		{"control", "positions: sent", Target, 18900, Beyond}, // without the invalid run and the one with the mechanism
 		{"control", "sum: memory, of hollow gateways, mean", big, 4 + 0.00001*367*405, Fitted},
 		{"control", "sum: processor time, of hollow gateways, mean", Today, 0.7, Measured},
 		{"control", "words: sent", Target, 0, NotRun},
@@ -44,9 +44,9 @@
 		{"control", "sum: processor time, as real gateways would take, mean", Today, 0.7 * 1.3, Measured},
 		{"control", "a change of primary: to the first write that all serve", big, 5.5, Fitted},
 		{"gateway", "clients: memory of the process", Target, 12 + 0.006*5102 + 0.01*810, Measured},
-		{"gateway", "clients: memory of the process", Worst, 12 + 0.006*7653 + 0.01*810, Beyond}, // the run of that size is invalid
+		{"gateway", "clients: memory of the process", Worst, 12 + 0.006*7653 + 0.01*810, Beyond}, // the run of this size is invalid
 		{"gateway", "clients: memory of the process", Size{Databases: 405, Connections: 2000, Statements: 800}, 12 + 0.006*2000 + 0.01*405, Fitted},
-		{"gateway", "clients: memory of the process", Size{Databases: 405, Connections: 2000, Statements: 400}, 0, NotKnown}, // another mix
+		{"gateway", "clients: memory of the process", Size{Databases: 405, Connections: 2000, Statements: 400}, 0, NotKnown}, // another ratio of clients to statements
 		{"database", "connections that gateways hold, a primary", Size{Gateways: 490, Databases: 405, Connections: 2000, Statements: 800}, 0, NotKnown},
 		{"gateway", "clients: memory of the process", Size{Databases: 810, Connections: 6000, Statements: 2400}, 888, Measured},
 		{"gateway", "clients: memory of the process", Today, 0, NotKnown},
@@ -83,7 +83,7 @@
 	assert.Equal(t, Value{X: 1200, Kind: Measured}, v)
 }
 
-// The formulas, at sizes where they can be told by hand.
+// Checks the formulas at sizes whose results are easy to compute by hand.
 func TestFormulas(t *testing.T) {
 	assert.InDelta(t, 100*(1-math.Exp(-2)), connectionsPerDatabase(Size{Gateways: 100, Databases: 10, Statements: 10}), 1e-9)
 	assert.InDelta(t, 10*math.Exp(-1), returningClients(Size{Connections: 50, Statements: 10}), 1e-9)
@@ -91,17 +91,17 @@
 	assert.Equal(t, 1235.0, math.Round(statementsPerDatabase(Target)))
 	assert.Equal(t, 4050.0, positionUpdates(Target))
 	assert.Equal(t, 300.0, maxPositionRate())
-	assert.Equal(t, 3.0*(240+21*300), positionBytesOut(Target), "no more than goes out")
+	assert.Equal(t, 3.0*(240+21*300), positionBytesOut(Target), "at most maxPositionRate")
 	assert.Equal(t, 3.0*(240+21*50), positionBytesOut(Size{Databases: 10}))
 	assert.Equal(t, 196.0, offeredCalls(Target))
-	assert.Equal(t, 10.0, offeredCalls(Size{Gateways: 20}), "paced while the span grows")
+	assert.Equal(t, 10.0, offeredCalls(Size{Gateways: 20}), "the delay grows with the number of gateways")
 	assert.Equal(t, 24.5, lastListTime(Target))
 	assert.InDelta(t, 490.0/410*86400, restartAllTime(Target), 1e-6)
-	assert.InDelta(t, restartAllTime(Target), restartAllTime(Today), 1e-6, "restarts are as frequent for each gateway")
+	assert.InDelta(t, restartAllTime(Target), restartAllTime(Today), 1e-6, "the same number of restarts per gateway")
 	assert.Equal(t, 490.0/16, versionsReceiveTime(Target))
 	for u, want := range map[float64]Size{0.5: {Gateways: 150, Databases: 60, Regions: 1}, 1: {Gateways: 300, Databases: 120, Regions: 1}, 1.5: {Gateways: 395, Databases: 465, Regions: 3}} {
 		s := sizeAtProgress(u)
-		assert.InDelta(t, statementsPerDatabase(Target), statementsPerDatabase(s), 1e-9, "a database is asked for the same all along")
+		assert.InDelta(t, statementsPerDatabase(Target), statementsPerDatabase(s), 1e-9, "the statement rate of a database stays the same")
 		assert.InDelta(t, Target.Connections/Target.Statements, s.Connections/s.Statements, 1e-9)
 		s.Connections, s.Statements = 0, 0
 		assert.Equal(t, want, s)
@@ -111,9 +111,9 @@
 	assert.Equal(t, end, sizeAtProgress(2))
 }
 
-// Growth meets what does not fit in the order of its sizes; what no run tells stands apart.
+// Breaks are sorted by the size at which growth reaches them; figures without a run are listed separately.
 func TestBreaks(t *testing.T) {
-	st := &dataset{runs: madeUp(t)}
+	st := &dataset{runs: madeUpRuns(t)}
 	list, open := st.breaks()
 	at := map[string]Break{}
 	for i, b := range list {
@@ -133,7 +133,7 @@
 		{"after an outage: until the last gateway has its list", 121, 49, false},
 		{"positions: news", 151, 61, false},
 		{"connections that gateways hold", 101, 41, false},
-		{"positions: sent", 300, 120, true}, // the least of these runs have 120 databases
+		{"positions: sent", 300, 120, true}, // the smallest of these runs have 120 databases
 	} {
 		b, ok := at[tt.name]
 		if assert.True(t, ok, tt.name) {
@@ -147,12 +147,12 @@
 	assert.Contains(t, open, "Control of one gateway: words: sent")
 	assert.NotContains(t, open, "Control of one gateway: membership: sent")
 
-	// Regions bring a break half way.
+	// The step to three regions, half way, makes this figure exceed its allowance.
 	f := Figure{Bounded: true, Allowance: 1, At: func(s Size) Value { return Value{X: float64(s.Regions), Kind: Arithmetic} }}
 	b, ok := f.firstExceeded()
 	assert.True(t, ok)
 	assert.Equal(t, 395.0, b.At.Gateways)
-	// What breaks at the target alone is met there.
+	// A figure that exceeds its allowance only at the target is reported there.
 	f.At = func(s Size) Value { return Value{X: s.Gateways * s.Databases / (490 * 810), Kind: Arithmetic} }
 	f.Allowance = 0.9999
 	b, ok = f.firstExceeded()
@@ -161,7 +161,7 @@
 }
 
 func TestInvalidRunsAreListed(t *testing.T) {
-	tables, err := madeUp(t).Tables()
+	tables, err := madeUpRuns(t).Tables()
 	require.NoError(t, err)
 	assert.Contains(t, tables["runs"], "INVALID: late by 400 ms; in no figure")
 	assert.Contains(t, tables["runs"], "INVALID: the generator was late; in no figure")
@@ -172,12 +172,12 @@
 	assert.Contains(t, tables["calibration"], "| 0.769 | over 15% |")
 	assert.Contains(t, tables["control"], "does not fit")
 	assert.Contains(t, tables["trials"], "18,900 B/s")
-	assert.NotContains(t, tables["trials"], "5,780 B/s", "of a fleet smaller than today's")
+	assert.NotContains(t, tables["trials"], "5,780 B/s", "from a fleet smaller than today's")
 }
 
-// Runs before and after the mechanism are set side by side only if they played the same.
+// Runs with and without the mechanism are compared only if they had the same plan, seed, load and size.
 func TestComparison(t *testing.T) {
-	runs := madeUp(t)
+	runs := madeUpRuns(t)
 	text, err := runs.comparisonTables()
 	require.NoError(t, err)
 	assert.Contains(t, text, "| positions: sent | 18,900 B/s | 1,200 B/s | 0.0635 |")
@@ -209,7 +209,7 @@
 }
 
 func TestFaultsTable(t *testing.T) {
-	text := madeUp(t).faultsTable()
+	text := madeUpRuns(t).faultsTable()
 	assert.Contains(t, text, "| a zone gone: loss of zone z1: 20 gateways, 30 databases | `scale-worst.json` | 245 by 400, 3 regions | 4.5 s | 3 | 30,000 B/s | 25/s | broke a rule, see the run |")
 	assert.Contains(t, text, "| a zone back: return of zone z1 | `scale-worst.json` | 245 by 400, 3 regions | not before the next thing or the end |")
 	assert.Contains(t, text, "| a rack at once | not run |")
@@ -217,9 +217,9 @@
 	assert.Contains(t, text, "| a change of primary: in force everywhere after 5.5 s at most | `scale-one-122.json` |")
 }
 
-// Something that befell a fleet keeps its run out of the slopes, whatever the plan is called.
-func TestOnlyCalmRunsAreFitted(t *testing.T) {
-	runs := madeUp(t)
+// A run with any event such as a kill is excluded from the slopes, whatever its plan is called.
+func TestRunsWithFaultsAreNotFitted(t *testing.T) {
+	runs := madeUpRuns(t)
 	n := len((&dataset{runs: runs}).fitRuns(1))
 	assert.Equal(t, 5, n)
 	for i := range runs.Scale {
@@ -231,14 +231,15 @@
 	none := 0.0
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-60.json" })].Statements = &none
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-245.json" })].Skew = 1
-	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 2, "of the target's load alone")
+	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 2, "only with the target's load")
 	runs.Scale[slices.IndexFunc(runs.Scale, func(s Scale) bool { return s.File == "scale-one-490.json" })].Command += " --without subsets"
-	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 1, "and of the plan's fleet file")
+	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 1, "and with the plan's fleet file")
 }
 
-// With too few sizes in three regions the line of one is moved by what regions made of it, and said to be an extrapolation.
-func TestRegionsAtOneSize(t *testing.T) {
-	runs := madeUp(t)
+// With too few sizes for a slope with three regions, the one-region slope is shifted by the difference measured between both, and
+// the value is marked as an extrapolation.
+func TestExtrapolationOverRegions(t *testing.T) {
+	runs := madeUpRuns(t)
 	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 3 && (s.Gateways != 122 || s.withMechanism()) })
 	v := figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
 	assert.Equal(t, Value{X: 630 + (900 + 2.5*122 - 630), Kind: Beyond, Note: "regions by the difference at 122 by 810"}, v)
@@ -253,7 +254,7 @@
 		}
 	}
 	v = figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
-	assert.Equal(t, NotRun, v.Kind, "of another round-trip time")
+	assert.Equal(t, NotRun, v.Kind, "they have another round-trip time")
 }
 
 func TestNumber(t *testing.T) {
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-var all = []Variable{Gateways, Databases, Product, Connections, Statements}
+var allVariables = []Variable{Gateways, Databases, Product, Connections, Statements}
 
-// points draws sizes that tell all variables apart: none moves in step with another.
+// points draws sizes at random, so that the variables are mostly uncorrelated.
 func points(t *rapid.T) []Point {
 	list := make([]Point, rapid.IntRange(8, 16).Draw(t, "runs"))
 	for i := range list {
-		draw := func(name string, most int) float64 { return float64(rapid.IntRange(1, most).Draw(t, name)) }
+		draw := func(name string, highest int) float64 { return float64(rapid.IntRange(1, highest).Draw(t, name)) }
 		list[i].Size = Size{
 			Gateways: draw("G", 500), Databases: draw("D", 800), Regions: 1, Connections: draw("connections", 8000), Statements: draw("statements", 3000),
 		}
@@ -22,9 +22,9 @@
 	return list
 }
 
-// apart tells whether no variable but v itself nearly draws v's line.
-func apart(list []Point, v Variable) bool {
-	for _, u := range all {
+// distinguishable reports whether v has enough values and no other variable is strongly correlated with it.
+func distinguishable(list []Point, v Variable) bool {
+	for _, u := range allVariables {
 		values := map[float64]bool{}
 		for i := range list {
 			values[u.Of(list[i].Size)] = true
@@ -48,37 +48,37 @@
 	return (n*suv - su*sv) / math.Sqrt((n*suu-su*su)*(n*svv-sv*sv))
 }
 
-// Whatever the slope, the right variable is picked and the slope found, with noise of a hundredth of what the variable moves.
+// Fit picks the right variable and finds the slope, with noise of 1% of the variation that the variable causes.
 func TestFitFindsSlopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := points(t)
-		v := rapid.SampledFrom(all).Draw(t, "variable")
-		if !apart(list, v) {
-			t.Skip("the sizes tell too little")
+		v := rapid.SampledFrom(allVariables).Draw(t, "variable")
+		if !distinguishable(list, v) {
+			t.Skip("the sizes do not distinguish the variables")
 		}
 		per := rapid.Float64Range(0.5, 100).Draw(t, "slope")
-		least, most := math.Inf(1), 0.0
+		lowest, highest := math.Inf(1), 0.0
 		for _, p := range list {
-			least, most = min(least, v.Of(p.Size)), max(most, v.Of(p.Size))
+			lowest, highest = min(lowest, v.Of(p.Size)), max(highest, v.Of(p.Size))
 		}
-		moved, mean := per*(most-least), 0.0
-		from := rapid.Float64Range(0, 3).Draw(t, "intercept") * moved
+		variation, mean := per*(highest-lowest), 0.0
+		intercept := rapid.Float64Range(0, 3).Draw(t, "intercept") * variation
 		for i := range list {
-			list[i].Y = from + per*v.Of(list[i].Size) + moved*0.01*rapid.Float64Range(-1, 1).Draw(t, "noise")
+			list[i].Y = intercept + per*v.Of(list[i].Size) + variation*0.01*rapid.Float64Range(-1, 1).Draw(t, "noise")
 			mean += list[i].Y / float64(len(list))
 		}
-		l, ok := Fit(list, all...)
-		if !ok || l.Of != v || len(l.Like) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*moved/mean+1e-9 || l.Sizes < minSizes {
-			t.Fatalf("%+v %v, want %v for each of %s behind %v", l, ok, per, v, from)
+		l, ok := Fit(list, allVariables...)
+		if !ok || l.Of != v || len(l.Like) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*variation/mean+1e-9 || l.Sizes < minSizes {
+			t.Fatalf("%+v %v, want %v for each of %s and intercept %v", l, ok, per, v, intercept)
 		}
 		y, beyond := l.At(list[0].Size)
-		if beyond || math.Abs(y-list[0].Y) > 0.1*moved {
+		if beyond || math.Abs(y-list[0].Y) > 0.1*variation {
 			t.Fatalf("%v %v at a size that was measured, want %v", y, beyond, list[0].Y)
 		}
 	})
 }
 
-// A figure that hardly moves depends on nothing, whatever line would go through it.
+// A figure that varies by less than flatSpread is constant, even if a line fits it better.
 func TestFitFlat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := points(t)
@@ -86,8 +86,8 @@
 		for i := range list {
 			list[i].Y = mean * (1 + 0.0475*rapid.Float64Range(-1, 1).Draw(t, "noise"))
 		}
-		l, ok := Fit(list, all...)
-		if len(distinct(list)) < minSizes {
+		l, ok := Fit(list, allVariables...)
+		if len(distinctSizes(list)) < minSizes {
 			if ok {
 				t.Fatalf("%+v from too few sizes", l)
 			}
@@ -99,7 +99,7 @@
 	})
 }
 
-func distinct(list []Point) map[Size]bool {
+func distinctSizes(list []Point) map[Size]bool {
 	m := map[Size]bool{}
 	for _, p := range list {
 		m[p.Size] = true
@@ -107,26 +107,26 @@
 	return m
 }
 
-func line(v Variable, per float64, sizes ...Size) (list []Point) {
+func pointsOnLine(v Variable, per float64, sizes ...Size) (list []Point) {
 	for _, s := range sizes {
 		list = append(list, Point{s, 1000 + per*v.Of(s)})
 	}
 	return list
 }
 
-func TestFitWantsFourSizes(t *testing.T) {
+func TestFitNeedsFourSizes(t *testing.T) {
 	three := []Size{{Gateways: 50, Databases: 100}, {Gateways: 100, Databases: 100}, {Gateways: 200, Databases: 100}}
-	_, ok := Fit(line(Gateways, 3, three...), Gateways)
+	_, ok := Fit(pointsOnLine(Gateways, 3, three...), Gateways)
 	assert.False(t, ok, "three sizes")
-	_, ok = Fit(line(Gateways, 3, append(three, three...)...), Gateways)
+	_, ok = Fit(pointsOnLine(Gateways, 3, append(three, three...)...), Gateways)
 	assert.False(t, ok, "three sizes, each measured twice")
 	two := append(three[:2:2], Size{Gateways: 50, Databases: 200}, Size{Gateways: 100, Databases: 200})
-	_, ok = Fit(line(Gateways, 30, two...), Gateways)
+	_, ok = Fit(pointsOnLine(Gateways, 30, two...), Gateways)
 	assert.False(t, ok, "four sizes with two numbers of gateways")
 }
 
-func TestFitSaysWhatItCannotTellApart(t *testing.T) {
-	list := line(Databases, 30, Size{Gateways: 50, Databases: 100}, Size{Gateways: 100, Databases: 200}, Size{Gateways: 200, Databases: 400}, Size{Gateways: 400, Databases: 800})
+func TestFitReportsCorrelatedVariables(t *testing.T) {
+	list := pointsOnLine(Databases, 30, Size{Gateways: 50, Databases: 100}, Size{Gateways: 100, Databases: 200}, Size{Gateways: 200, Databases: 400}, Size{Gateways: 400, Databases: 800})
 	l, ok := Fit(list, Gateways, Databases, Product)
 	assert.True(t, ok)
 	assert.Equal(t, Gateways, l.Of, "the first of equals")
@@ -144,12 +144,12 @@
 	}
 }
 
-func TestPoorFitIsSaid(t *testing.T) {
+func TestPoorFitIsNoted(t *testing.T) {
 	l := Slope{Of: Gateways, Per: 1, Residual: 0.16, minSize: Size{Gateways: 1}, maxSize: Size{Gateways: 9}}
 	assert.Equal(t, Value{X: 5, Kind: Fitted, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 5}))
 	assert.Equal(t, Value{X: 10, Kind: Beyond, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 10}))
 	l.Residual = 0.14
 	assert.Equal(t, Value{X: 5, Kind: Fitted}, l.value(Size{Gateways: 5}))
 	l.Intercept = -9
-	assert.Equal(t, NotKnown, l.value(Size{Gateways: 5}).Kind, "under 0")
+	assert.Equal(t, NotKnown, l.value(Size{Gateways: 5}).Kind, "a negative value")
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -24,24 +24,24 @@
 
 const docs = "../../docs"
 
-// The page says what its runs come to, line by line.
+// Every line of the page's tables is what its runs give.
 func TestCapacityPageMatchesItsRuns(t *testing.T) {
 	page, err := os.ReadFile(docs + "/CAPACITY.md")
 	require.NoError(t, err)
 	runs, err := Read(os.DirFS(docs + "/capacity"))
-	require.NoError(t, err, "docs/capacity; each file bears its command")
+	require.NoError(t, err, "docs/capacity")
 	tables, err := runs.Tables()
 	require.NoError(t, err)
 	line, err := Differs(string(page), tables)
 	require.NoError(t, err, "docs/CAPACITY.md")
 	if line != "" {
-		t.Fatalf("docs/CAPACITY.md, %s\nrun go run ./cmd/lilacload capacity --write, and read what changed", line)
+		t.Fatalf("docs/CAPACITY.md, %s\nrun go run ./cmd/lilacload capacity --write, and review the changes", line)
 	}
 }
 
-// A figure that is changed by hand is found, with its line.
-func TestCapacityPageDrift(t *testing.T) {
-	runs := madeUp(t)
+// A figure changed by hand on the page is found, with its line number.
+func TestCapacityPageChangeIsFound(t *testing.T) {
+	runs := madeUpRuns(t)
 	tables, err := runs.Tables()
 	require.NoError(t, err)
 	page, err := Fill(skeleton(tables), tables)
@@ -65,7 +65,7 @@
 		require.NoError(t, err)
 		assert.True(t, strings.HasPrefix(found, "line "+formatNumber(float64(i+1))+":"), "%d: %q", i+1, found)
 	}
-	// Other runs come to other figures.
+	// Other runs give other figures.
 	for i := range runs.Scale {
 		runs.Scale[i].ByRole["positions"] = RoleTraffic{BytesOut: 1}
 	}
@@ -91,7 +91,7 @@
 	return b
 }
 
-func TestFillRefuses(t *testing.T) {
+func TestFillRejectsBadMarkers(t *testing.T) {
 	tables := map[string]string{"a": "x\n"}
 	open, end := "<!-- capacity:a -->\n", "<!-- /capacity -->\n"
 	for _, tt := range []struct{ page, says string }{
@@ -110,14 +110,14 @@
 	assert.Equal(t, "before\n"+open+"x\n"+end+"behind", got)
 }
 
-func madeUp(t *testing.T) *Runs {
+func madeUpRuns(t *testing.T) *Runs {
 	runs, err := Read(os.DirFS("testdata"))
 	require.NoError(t, err)
 	return runs
 }
 
-// Each file bears the command that made it, and is of a kind that is read.
-func TestReadRefuses(t *testing.T) {
+// Each file must name its command and be of a known kind.
+func TestReadRejectsBadFiles(t *testing.T) {
 	for _, tt := range []struct{ name, text, says string }{
 		{"scale-a.json", `{"gateways":1,"databases":1,"regions":1}`, "scale-a.json: command: missing"},
 		{"scale-a.json", `{"command":" ","gateways":1,"databases":1,"regions":1}`, "command: missing"},
@@ -134,8 +134,8 @@
 	}
 }
 
-// Constants that the formulas take from the program stand there as they do here.
-func TestInputsStandInTheCode(t *testing.T) {
+// The constants that the formulas take from the program must have the same values in its source.
+func TestInputsMatchTheSource(t *testing.T) {
 	for _, tt := range []struct{ file, line string }{
 		{"policy/policy.go", `rareResultInterval\s+= 2 \* time\.Second`},
 		{"policy/policy.go", `listCallInterval\s+= 100 \* time\.Millisecond`},
@@ -159,12 +159,12 @@
 	} {
 		text, err := os.ReadFile("../../" + tt.file)
 		require.NoError(t, err)
-		assert.Regexp(t, regexp.MustCompile(tt.line), string(text), "%s; the formulas of internal/capacity/sizes.go are to follow", tt.file)
+		assert.Regexp(t, regexp.MustCompile(tt.line), string(text), "%s; adapt the formulas of internal/capacity/sizes.go", tt.file)
 	}
 }
 
-// What an entry takes is that of a typical one, within three hundredths.
-func TestBytesOfATypicalEntry(t *testing.T) {
+// The sizes of entries in the formulas are those of a typical entry, within 3%.
+func TestSizesOfTypicalEntries(t *testing.T) {
 	addr := netip.MustParseAddrPort("10.20.30.40:7400")
 	known := peer.ReportMember{Name: "g217", Addr: addr.String(), Session: "9f3c5a1b2d4e6f70", State: "alive", Incarnation: 1764649406123456}
 	viewed := peer.ReportMember{Name: known.Name, Addr: known.Addr, Session: known.Session}
--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -41,7 +41,7 @@
 	maxHoldersPerConnection    = 1.0 // holders of a budget for each connection that its home can grant
 )
 
-// Values that the program's source has too. TestInputsStandInTheCode checks that they are equal.
+// Values that the program's source has too. TestInputsMatchTheSource checks that they are equal.
 const (
 	rareResultInterval     = 2 * time.Second         // policy: also how long a rarely used connection to a database is kept
 	listCallInterval       = 100 * time.Millisecond  // policy
@@ -56,7 +56,7 @@
 	maxFrame               = 480 << 10               // B, peer
 	maxAnswer              = 8 << 20                 // B, lilacctl, mostAnswer
 	idleCloseDivisor       = 4                       // front closes idle clients once they use this fraction of the descriptors (ARCHITECTURE.md, Bounds)
-	memberBytes            = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestBytesOfATypicalEntry
+	memberBytes            = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestSizesOfTypicalEntries
 	versionBytes           = 226                     // B of JSON for a gateway in GET /v1/fleet/versions; the same test
 	positionBytes          = 21                      // B of CBOR for a position, name of eight letters; the same test
 	envelopeBytes          = 24                      // B of a datagram besides the positions
--- a/internal/datapath/datapath_test.go
+++ b/internal/datapath/datapath_test.go
@@ -17,7 +17,7 @@
 
 const roleArgument = "datapath-role"
 
-// The sides are processes of this binary.
+// This test binary is also the helper processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == roleArgument {
 		side := map[string]func() error{
@@ -42,7 +42,7 @@
 	dir string
 }
 
-// shortRun is a run of a few seconds before the real gateway.
+// shortRun returns the options of a run of a few seconds with the real gateway.
 func shortRun(t *testing.T) Options {
 	built.Do(func() {
 		var err error
@@ -59,12 +59,12 @@
 	}
 }
 
-// checkTotals holds what is true of every whole run.
+// checkTotals checks what must hold in every complete run.
 func checkTotals(t *testing.T, r *Report) {
 	t.Helper()
 	g, w := &r.Gateway, r.ClientSide.Whole
 	assert.Empty(t, r.Faults)
-	assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed, "each statement sent has one end")
+	assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed, "each statement sent has one result")
 	assert.Equal(t, g.Sent, g.Served+g.Refused+g.Failed)
 	sum := Counts{}
 	for _, k := range g.Classes {
@@ -80,27 +80,27 @@
 		passed += int(g.Figures["passed."+k.Name])
 		dropped += int(g.Figures["dropped."+k.Name])
 	}
-	assert.Equal(t, passed, w.Served, "the gateway counts as many")
+	assert.Equal(t, passed, w.Served, "the gateway's count is the same")
 	assert.Equal(t, dropped, w.Refused)
 	for _, n := range g.RefusedBy {
 		by += n
 	}
-	assert.Equal(t, w.Refused, by, "each refusal has its cause")
+	assert.Equal(t, w.Refused, by, "each refusal has a reason")
 	by = 0
 	for _, n := range g.FailedBy {
 		by += n
 	}
 	assert.Equal(t, w.Failed, by)
 	assert.Zero(t, g.FailedBy["no answer"])
-	assert.Zero(t, r.ClientSide.Unasked, "no statement has two answers")
-	assert.GreaterOrEqual(t, r.StandIn.Reads+r.StandIn.Writes, w.Served, "what was served has run")
+	assert.Zero(t, r.ClientSide.Unasked, "no statement has two responses")
+	assert.GreaterOrEqual(t, r.StandIn.Reads+r.StandIn.Writes, w.Served, "served statements ran at a database")
 	assert.Zero(t, r.StandIn.Duplicates)
-	assert.LessOrEqual(t, g.DescriptorsAfter, g.DescriptorsIdle+descriptorSlack, "all descriptors have come back")
+	assert.LessOrEqual(t, g.DescriptorsAfter, g.DescriptorsIdle+descriptorSlack, "all descriptors are closed again")
 	assert.GreaterOrEqual(t, g.BackSeconds, 0.0)
 	assert.Zero(t, g.Figures["in_progress"])
 }
 
-// Before databases that have time to spare all is served, and every figure is there.
+// Databases with spare capacity serve everything, and every figure is set.
 func TestScaleDataPathServesAll(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), shortRun(t))
@@ -108,7 +108,7 @@
 	checkTotals(t, r)
 	assert.NoError(t, Verdict(r))
 	g := &r.Gateway
-	assert.InDelta(t, 800, g.Sent, 160, "about as many as were asked for")
+	assert.InDelta(t, 800, g.Sent, 160, "about the requested number")
 	assert.GreaterOrEqual(t, g.Served, g.Sent*9/10)
 	assert.InDelta(t, 200, g.ClientConnections, 20)
 	assert.Greater(t, g.Descriptors, g.DescriptorsIdle+150)
@@ -123,7 +123,7 @@
 	assert.LessOrEqual(t, all.ShareOne, all.ShareAny)
 }
 
-// Twice what the databases can do: what is refused or fails is so for a cause that is told, and all of it adds up.
+// At twice the capacity of the databases each refusal or failure has a reason, and the totals agree.
 func TestScaleDataPathRefuses(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
@@ -137,7 +137,7 @@
 	assert.Positive(t, r.Gateway.Served)
 }
 
-// The last group is smaller than the others, and gets its statements.
+// The last group is smaller than the others and gets its share of statements.
 func TestScaleDataPathUnevenGroups(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
@@ -147,10 +147,10 @@
 	checkTotals(t, r)
 	assert.Equal(t, 10, r.StandIn.Per["all"].Databases)
 	assert.Equal(t, 3, r.StandIn.Per["primary"].Databases)
-	assert.GreaterOrEqual(t, r.Gateway.Served, r.Gateway.Sent*95/100, "none is for a group that is not there")
+	assert.GreaterOrEqual(t, r.Gateway.Served, r.Gateway.Sent*95/100, "no statement is for a missing group")
 }
 
-// A run in which the clients' or the databases' process stood still is told invalid, whatever else it shows.
+// A run is invalid if the clients' or the databases' process was stopped for a while, even if all else looks right.
 func TestScaleDataPathStarvedIsInvalid(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"clients", "databases"} {
@@ -182,7 +182,7 @@
 	}
 }
 
-// An interrupt ends the run soon, with a report that says so.
+// An interrupt ends the run soon, with a report that is marked as partial.
 func TestScaleDataPathInterrupted(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
@@ -205,8 +205,8 @@
 	assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed)
 }
 
-// What does not fit is told before anything starts, all at once.
-func TestOptionsThatDoNotFit(t *testing.T) {
+// All invalid options are reported at once, before anything starts.
+func TestInvalidOptions(t *testing.T) {
 	hard := hardLimit()
 	_, err := Run(context.Background(), Options{Clients: hard, Databases: 3, GroupsOf: 4, Sockets: hard + 1})
 	for _, part := range []string{"--statements 0", "--databases 3 in --groups-of 4", "--for 0s", "--sockets", "ulimit -Hn", "--clients"} {
@@ -216,7 +216,7 @@
 	assert.ErrorContains(t, err, "--clients 0")
 }
 
-// A gateway that does not start is said so, and nothing is left behind.
+// A gateway or helper process that does not start makes the run return an error.
 func TestGatewayThatDoesNotStart(t *testing.T) {
 	o := shortRun(t)
 	o.Gateway = []string{"false"}
@@ -227,8 +227,8 @@
 	assert.Error(t, err)
 }
 
-// A process that stood still until it is told to end has been late all the same.
-func TestBeatAtTheEnd(t *testing.T) {
+// A stall that lasts until the end of the heartbeats counts as lateness too.
+func TestHeartbeatsRecordStallAtTheEnd(t *testing.T) {
 	end := make(chan struct{})
 	close(end)
 	for range 20 {
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestSetDistribution(t *testing.T) {
 	var p PerDatabase
 	p.setDistribution([]int{3, 0, 1, 1})
 	assert.Equal(t, PerDatabase{Mean: 1.25, P99: 3, Max: 3, ShareAny: 0.75, ShareOne: 0.5}, p)
@@ -246,7 +246,7 @@
 	assert.Equal(t, 1.25, p.Mean)
 }
 
-// The figures of a process are those of the kernel: a process that works for a while has used processor time.
+// The figures of a process come from the kernel: a process that works for a while has used processor time.
 func TestProcessFigures(t *testing.T) {
 	m := newMeter(os.Getpid())
 	for begun := time.Now(); time.Since(begun) < 200*time.Millisecond; {
--- a/internal/datapath/fit_test.go
+++ b/internal/datapath/fit_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linearReport is a report whose memory is 8 MB and so many bytes for each of what it has.
+// linearReport returns a report whose memory is 8 MB and a fixed number of bytes for each connection, statement/s and reconnect/s.
 func linearReport(clients, bases, statements, again float64) *Report {
 	r := &Report{Valid: true, Seconds: 2, Databases: 10}
 	r.Gateway.ClientConnections, r.Gateway.DatabaseConnections, r.Gateway.Sent, r.Gateway.ClientNew = clients, bases, int(2*statements), again
@@ -26,7 +26,7 @@
 	partial.Partial, partial.Gateway.RSS = true, 900
 	l := Lines()[0]
 	require.NoError(t, l.Fit(append(list, wrong, partial)))
-	assert.Equal(t, 6, l.Reports, "what is invalid or partial does not count")
+	assert.Equal(t, 6, l.Reports, "invalid and partial reports are skipped")
 	assert.InDelta(t, 8, l.Values[0], 1e-6)
 	for i, want := range []float64{4000, 9000, 100, 50} {
 		assert.InDelta(t, want, l.Values[i+1]*l.Terms[i].Scale, 1e-3)
