--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -308,20 +308,20 @@
 		t.Skip("several processes and real time")
 	}
 	r, err := calibrate.Run(context.Background(), calibrate.Options{
-		Gateways: 4, Databases: 12, For: 5 * time.Second, Statements: 50, Settle: 2 * time.Second, Seed: 1,
-		Program: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"}, Hollow: []string{os.Args[0]}, HollowEnv: []string{"LILACCOVE_RUN=hollow"},
+		Gateways: 4, Databases: 12, MeasuredTime: 5 * time.Second, Statements: 50, Settle: 2 * time.Second, Seed: 1,
+		GatewayCommand: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"}, HollowCommand: []string{os.Args[0]}, HollowEnv: []string{"LILACCOVE_RUN=hollow"},
 	})
 	require.NoError(t, err)
 	for name, by := range map[string]float64{
 		"statements_per_s": 0.1, "positions_learned_per_s": 0.25, "membership.bytes_out_per_s": 0.25, "membership.messages_per_s": 0.25,
 		"positions.bytes_out_per_s": 0.25, "positions.messages_per_s": 0.25, "primaries.bytes_out_per_s": 0.4, // a few a second, by chance
 	} {
-		assert.InDelta(t, 1, r.Ratio[name], by, "%s: %v", name, r.Differ)
+		assert.InDelta(t, 1, r.Ratio[name], by, "%s: %v", name, r.Differences)
 	}
 	for _, role := range []string{"membership", "positions", "primaries", "versions", "words"} { // the last two are too rare for a rate
-		assert.InEpsilon(t, r.Real.ByRole[role].BytesByEach, r.Hollow.ByRole[role].BytesByEach, 0.25, role)
+		assert.InEpsilon(t, r.Real.ByRole[role].BytesPerMessage, r.Hollow.ByRole[role].BytesPerMessage, 0.25, role)
 		assert.Positive(t, r.Hollow.ByRole[role].MessagesIn, role)
 	}
-	assert.Greater(t, r.Real.Served, 0.95)
+	assert.Greater(t, r.Real.ServedShare, 0.95)
 	assert.Positive(t, r.Real.Control["core_percent"].Mean, "a fleet file costs something")
 }
--- a/cmd/lilacload/calibrate.go
+++ b/cmd/lilacload/calibrate.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			o.Program, o.Hollow = strings.Fields(program), []string{self, "hollow"}
+			o.GatewayCommand, o.HollowCommand = strings.Fields(program), []string{self, "hollow"}
 			if logs != "" {
 				if o.Logs, err = os.Create(logs); err != nil {
 					return err
@@ -44,7 +44,7 @@
 			for _, name := range slices.Sorted(maps.Keys(r.Ratio)) {
 				fmt.Fprintf(cmd.OutOrStdout(), "%-32s %.3f\n", name, r.Ratio[name])
 			}
-			for _, d := range r.Differ {
+			for _, d := range r.Differences {
 				fmt.Fprintln(cmd.OutOrStdout(), "differs: "+d)
 			}
 			text, err := json.MarshalIndent(r, "", " ")
@@ -57,7 +57,7 @@
 	f := c.Flags()
 	f.IntVar(&o.Gateways, "gateways", 16, "gateways of each kind")
 	f.IntVar(&o.Databases, "databases", 96, "in groups of four")
-	f.DurationVar(&o.For, "for", 20*time.Second, "how long is measured")
+	f.DurationVar(&o.MeasuredTime, "for", 20*time.Second, "how long is measured")
 	f.Float64Var(&o.Statements, "statements", 200, "a second, of each gateway; 0: idle")
 	f.IntVar(&o.Budget, "budget", 0, "connections of all gateways to each database; 0: not divided")
 	f.Uint64Var(&o.Seed, "seed", 1, "of the load")
--- a/cmd/lilacload/capacity.go
+++ b/cmd/lilacload/capacity.go
@@ -40,7 +40,7 @@
 				return err
 			}
 			if !write {
-				line, err := capacity.Differs(string(text), tables)
+				line, err := capacity.FirstDifference(string(text), tables)
 				switch {
 				case err != nil:
 					return fmt.Errorf("%s: %w", page, err)
--- a/cmd/lilacload/datapath.go
+++ b/cmd/lilacload/datapath.go
@@ -48,8 +48,8 @@
 			if err != nil {
 				return err
 			}
-			o.Sides = func(role string) []string { return []string{self, "datapath", role} }
-			o.Gateway, o.Even = strings.Fields(gateway), arrivals == "even"
+			o.HelperCommand = func(role string) []string { return []string{self, "datapath", role} }
+			o.Gateway, o.EvenArrivals = strings.Fields(gateway), arrivals == "even"
 			if logs != "" {
 				out, err := os.Create(logs)
 				if err != nil {
@@ -85,28 +85,28 @@
 	f.Float64Var(&o.Statements, "statements", 2041, "statements a second, of all clients")
 	f.IntVar(&o.Databases, "databases", 810, "databases, in one process")
 	f.IntVar(&o.GroupsOf, "groups-of", 4, "databases of a group; the last may be smaller")
-	f.DurationVar(&o.For, "for", 30*time.Second, "how long it is measured")
+	f.DurationVar(&o.MeasuredTime, "for", 30*time.Second, "how long it is measured")
 	f.DurationVar(&o.Idle, "idle", 4*time.Second, "how long all clients are connected and ask for nothing")
-	f.DurationVar(&o.Warm, "warm", 5*time.Second, "how long they ask before it is measured")
-	f.DurationVar(&o.Again, "again", 500*time.Millisecond, "mean pause before a client that was closed connects again; it does at the latest when it asks")
+	f.DurationVar(&o.WarmUp, "warm", 5*time.Second, "how long they ask before it is measured")
+	f.DurationVar(&o.ReconnectPause, "again", 500*time.Millisecond, "mean pause before a client that was closed connects again; it does at the latest when it asks")
 	f.StringVar(&arrivals, "arrivals", "poisson", "of each client: poisson or even")
 	f.Uint64Var(&o.Seed, "seed", 1, "of all that is drawn")
 	f.IntVar(&o.Sockets, "sockets", 0, "the gateway's limits.sockets; 0: so many that clients may have half of them, as far as a process may have them here")
 	f.IntVar(&o.MemoryMB, "memory", 256, "the gateway's limits.memory_mb")
-	f.IntVar(&o.Told, "told", 490, "how many gateways there are, as this one is told")
-	f.DurationVar(&o.Keep, "conn-idle", 0, "Allowed.ConnIdleUs; 0: as in the lab")
-	f.DurationVar(&o.Service, "service", 5*time.Millisecond, "mean time of a statement at a database")
-	f.DurationVar(&o.Stall, "stall", 100*time.Millisecond, "lateness of the clients' or databases' process over which the run is invalid")
+	f.IntVar(&o.AnnouncedGateways, "told", 490, "how many gateways there are, as this one is told")
+	f.DurationVar(&o.ConnIdle, "conn-idle", 0, "Allowed.ConnIdleUs; 0: as in the lab")
+	f.DurationVar(&o.ServiceTime, "service", 5*time.Millisecond, "mean time of a statement at a database")
+	f.DurationVar(&o.MaxLateness, "stall", 100*time.Millisecond, "lateness of the clients' or databases' process over which the run is invalid")
 	f.StringVar(&gateway, "gateway", "bin/lilaccove", "the gateway's program")
 	f.StringVar(&file, "json", "", "write the report to this file as well")
 	f.StringVar(&logs, "logs", "", "keep what the gateway says in this file")
 	c.AddCommand(
 		&cobra.Command{Use: "fit A.json B.json ...", Short: "Fit slopes of memory and processor time over reports", Args: cobra.MinimumNArgs(2), RunE: fit},
 		&cobra.Command{Use: "databases", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			return datapath.Databases(os.Stdin, os.Stdout)
+			return datapath.RunDatabases(os.Stdin, os.Stdout)
 		}},
 		&cobra.Command{Use: "clients", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			return datapath.Clients(os.Stdin, os.Stdout)
+			return datapath.RunClients(os.Stdin, os.Stdout)
 		}})
 	return c
 }
--- a/internal/calibrate/calibrate.go
+++ b/internal/calibrate/calibrate.go
@@ -32,10 +32,10 @@
 // Options are the settings of one calibration.
 type Options struct {
 	Gateways, Databases int
-	For                 time.Duration
+	MeasuredTime        time.Duration
 	Statements          float64       // per second, of each gateway; 0: idle
-	Program             []string      // command of a real gateway
-	Hollow              []string      // command of the process with the hollow gateways
+	GatewayCommand      []string      // command of a real gateway
+	HollowCommand       []string      // command of the process with the hollow gateways
 	Env                 []string      // additional environment of the real gateways
 	HollowEnv           []string      // additional environment of the hollow gateways' process
 	Settle              time.Duration // after all gateways have the same view, before anything is measured
@@ -55,48 +55,48 @@
 
 // Rates are one role's traffic, the mean over the gateways.
 type Rates struct {
-	BytesOut    float64 `json:"bytes_out_per_s"`
-	BytesIn     float64 `json:"bytes_in_per_s"`
-	Messages    float64 `json:"messages_per_s"`
-	MessagesIn  float64 `json:"messages_in_per_s"`
-	BytesByEach float64 `json:"bytes_of_a_message"`
+	BytesOut        float64 `json:"bytes_out_per_s"`
+	BytesIn         float64 `json:"bytes_in_per_s"`
+	Messages        float64 `json:"messages_per_s"`
+	MessagesIn      float64 `json:"messages_in_per_s"`
+	BytesPerMessage float64 `json:"bytes_of_a_message"`
 }
 
 // Side is the result of one kind of gateways.
 type Side struct {
-	Gateways       int               `json:"gateways"`
-	Databases      int               `json:"databases"`
-	Seconds        float64           `json:"seconds"`
-	Statements     float64           `json:"statements_per_s"` // of one gateway
-	Control        map[string]Spread `json:"control"`
-	ByRole         map[string]Rates  `json:"by_role"`
-	CoreWith       float64           `json:"core_percent_with_fleet"`
-	CoreWithout    float64           `json:"core_percent_without_fleet"`
-	MemoryWith     float64           `json:"memory_mb_with_fleet"`
-	MemoryWithout  float64           `json:"memory_mb_without_fleet"`
-	Learned        float64           `json:"positions_learned_per_s"` // updates from databases
-	Heard          float64           `json:"positions_heard_per_s"`   // updates from other gateways
-	Feed           float64           `json:"feed_core_percent,omitempty"`
-	Shared         float64           `json:"shared_core_percent_with_fleet,omitempty"` // of the process, not of a single gateway: the garbage collector and the runtime
-	SharedWithout  float64           `json:"shared_core_percent_without_fleet,omitempty"`
-	Monitor        float64           `json:"monitor_core_percent_with_fleet"` // of the runtime's monitor thread, not included in the figures above
-	MonitorWithout float64           `json:"monitor_core_percent_without_fleet"`
-	Live           float64           `json:"live_heap_mb_with_fleet,omitempty"` // live heap per gateway
-	LiveWithout    float64           `json:"live_heap_mb_without_fleet,omitempty"`
-	Late           float64           `json:"late_ms_max,omitempty"`
-	Served         float64           `json:"served,omitempty"` // share of the requests served within their aim
+	Gateways           int               `json:"gateways"`
+	Databases          int               `json:"databases"`
+	Seconds            float64           `json:"seconds"`
+	Statements         float64           `json:"statements_per_s"` // of one gateway
+	Control            map[string]Spread `json:"control"`
+	ByRole             map[string]Rates  `json:"by_role"`
+	CoreWith           float64           `json:"core_percent_with_fleet"`
+	CoreWithout        float64           `json:"core_percent_without_fleet"`
+	MemoryWith         float64           `json:"memory_mb_with_fleet"`
+	MemoryWithout      float64           `json:"memory_mb_without_fleet"`
+	PositionsLearned   float64           `json:"positions_learned_per_s"` // updates from databases
+	PositionsReceived  float64           `json:"positions_heard_per_s"`   // updates from other gateways
+	FeedCore           float64           `json:"feed_core_percent,omitempty"`
+	SharedCore         float64           `json:"shared_core_percent_with_fleet,omitempty"` // of the process, not of a single gateway: the garbage collector and the runtime
+	SharedCoreWithout  float64           `json:"shared_core_percent_without_fleet,omitempty"`
+	MonitorCore        float64           `json:"monitor_core_percent_with_fleet"` // of the runtime's monitor thread, not included in the figures above
+	MonitorCoreWithout float64           `json:"monitor_core_percent_without_fleet"`
+	LiveHeap           float64           `json:"live_heap_mb_with_fleet,omitempty"` // live heap per gateway
+	LiveHeapWithout    float64           `json:"live_heap_mb_without_fleet,omitempty"`
+	LateMSMax          float64           `json:"late_ms_max,omitempty"`
+	ServedShare        float64           `json:"served,omitempty"` // share of the requests served within their aim
 }
 
 // Report is the result of a calibration.
 type Report struct {
-	Command string             `json:"command"`
-	State   string             `json:"state"`
-	Hollow  Side               `json:"hollow"`
-	Real    Side               `json:"real"`
-	Ratio   map[string]float64 `json:"ratio"`   // hollow / real
-	Differ  []string           `json:"differ"`  // ratios that differ from 1 by more than 15%
-	Explain map[string]string  `json:"explain"` // reasons for differences
-	Seed    uint64             `json:"seed"`
+	Command      string             `json:"command"`
+	State        string             `json:"state"`
+	Hollow       Side               `json:"hollow"`
+	Real         Side               `json:"real"`
+	Ratio        map[string]float64 `json:"ratio"`   // hollow / real
+	Differences  []string           `json:"differ"`  // ratios that differ from 1 by more than 15%
+	Explanations map[string]string  `json:"explain"` // reasons for differences
+	Seed         uint64             `json:"seed"`
 }
 
 // sample holds the counters of one gateway at one time.
@@ -160,10 +160,10 @@
 
 // subtractBaseline subtracts what the same gateways cost without a fleet file.
 func (s *Side) subtractBaseline(o Side) {
-	s.CoreWithout, s.MemoryWithout, s.SharedWithout, s.LiveWithout, s.MonitorWithout = o.CoreWith, o.MemoryWith, o.Shared, o.Live, o.Monitor
+	s.CoreWithout, s.MemoryWithout, s.SharedCoreWithout, s.LiveHeapWithout, s.MonitorCoreWithout = o.CoreWith, o.MemoryWith, o.SharedCore, o.LiveHeap, o.MonitorCore
 	without := o.CoreWith
-	if s.Shared > 0 { // the collector works for all gateways of the process, on threads of its own
-		without += o.Shared - s.Shared
+	if s.SharedCore > 0 { // the collector works for all gateways of the process, on threads of its own
+		without += o.SharedCore - s.SharedCore
 	}
 	core, memory := s.Control["core_percent"], s.Control["memory_mb"]
 	s.Control["core_percent"] = Spread{Mean: core.Mean - without, P99: core.P99 - without, Max: core.Max - without}
@@ -182,7 +182,7 @@
 		}
 		r.Ratio[name] = x
 		if x < 1-tolerance || x > 1+tolerance {
-			r.Differ = append(r.Differ, fmt.Sprintf("%s: hollow %.4g, real %.4g", name, hollowValue, realValue))
+			r.Differences = append(r.Differences, fmt.Sprintf("%s: hollow %.4g, real %.4g", name, hollowValue, realValue))
 		}
 	}
 	for _, name := range []string{"bytes_out_per_s", "bytes_in_per_s", "messages_per_s", "core_percent", "memory_mb"} {
@@ -194,15 +194,15 @@
 		note(role+".bytes_in_per_s", h.BytesIn, x.BytesIn)
 		note(role+".messages_per_s", h.Messages, x.Messages)
 	}
-	note("positions_learned_per_s", r.Hollow.Learned, r.Real.Learned)
-	note("positions_heard_per_s", r.Hollow.Heard, r.Real.Heard)
+	note("positions_learned_per_s", r.Hollow.PositionsLearned, r.Real.PositionsLearned)
+	note("positions_heard_per_s", r.Hollow.PositionsReceived, r.Real.PositionsReceived)
 	note("statements_per_s", r.Hollow.Statements, r.Real.Statements)
-	r.Explain = map[string]string{
+	r.Explanations = map[string]string{
 		"core_percent": fmt.Sprintf("without the runtime's monitor, a thread that each process has: %.3f%% of a core of a real gateway with a fleet file, "+
-			"%.3f%% without one; all hollow ones of a process share one. Add the difference to the figures of hollow gateways", r.Real.Monitor, r.Real.MonitorWithout),
+			"%.3f%% without one; all hollow ones of a process share one. Add the difference to the figures of hollow gateways", r.Real.MonitorCore, r.Real.MonitorCoreWithout),
 		"memory_mb": fmt.Sprintf("the collector lets the heap of a process grow to 16 MB, or to five times the live heap, before it runs: in a real gateway "+
 			"that garbage is its own, all hollow ones of a process share it. The live heap with a fleet file is %.2f MB per hollow gateway (0: nothing was "+
-			"collected yet); take the memory of a process from real ones, and its slope from the live heap", r.Hollow.Live),
+			"collected yet); take the memory of a process from real ones, and its slope from the live heap", r.Hollow.LiveHeap),
 	}
 }
 
@@ -216,7 +216,7 @@
 		}
 	}
 	rate := max(1, o.Statements*float64(o.Gateways))
-	length := warmUp + o.For + 2*time.Second
+	length := warmUp + o.MeasuredTime + 2*time.Second
 	text := fmt.Sprintf(planText, o.Seed, o.Databases/groupSize, 64*o.Gateways, rate, length.Milliseconds(), o.Gateways, groupSize, fleet, fleetSettings)
 	p, err := plan.Parse("calibrate", []byte(text))
 	if err != nil {
@@ -226,7 +226,7 @@
 	if err != nil {
 		return realSide, hollowSide, err
 	}
-	l := &lab.Lab{Plan: p, Arrivals: list, Gateway: o.Program, Env: o.Env}
+	l := &lab.Lab{Plan: p, Arrivals: list, Gateway: o.GatewayCommand, Env: o.Env}
 	if o.Logs != nil {
 		l.Log = o.Logs
 	}
@@ -342,7 +342,7 @@
 	}
 	before, err := takeSamples()
 	if err == nil {
-		err = sleep(ctx, o.For)
+		err = sleep(ctx, o.MeasuredTime)
 	}
 	var after []sample
 	if err == nil {
@@ -359,7 +359,7 @@
 		if len(report.Faults) > 0 {
 			return s, errors.New(strings.Join(report.Faults, "; "))
 		}
-		s.Served = float64(report.Total.Counts[run.InAim]) / float64(max(1, report.Total.Count))
+		s.ServedShare = float64(report.Total.Counts[run.InAim]) / float64(max(1, report.Total.Count))
 	}
 	return s, nil
 }
@@ -414,12 +414,12 @@
 		} {
 			all[name] = append(all[name], v)
 		}
-		s.Monitor += (a.monitor - b.monitor) / 10 / sec / n
-		s.Feed += (a.feed - b.feed) / 10 / sec / n
+		s.MonitorCore += (a.monitor - b.monitor) / 10 / sec / n
+		s.FeedCore += (a.feed - b.feed) / 10 / sec / n
 		s.CoreWith += core / n
 		s.MemoryWith += a.memory / n
-		s.Learned += float64(a.learned-b.learned) / sec / n
-		s.Heard += float64(a.heard-b.heard) / sec / n
+		s.PositionsLearned += float64(a.learned-b.learned) / sec / n
+		s.PositionsReceived += float64(a.heard-b.heard) / sec / n
 		s.Statements += float64(a.statements-b.statements) / sec / n
 	}
 	for name, list := range all {
@@ -427,7 +427,7 @@
 	}
 	for role, t := range s.ByRole {
 		if t.Messages > 0 {
-			t.BytesByEach = t.BytesOut / t.Messages
+			t.BytesPerMessage = t.BytesOut / t.Messages
 			s.ByRole[role] = t
 		}
 	}
--- a/internal/calibrate/calibrate_test.go
+++ b/internal/calibrate/calibrate_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, Spread{Mean: 150, P99: 200, Max: 200}, real.Control["bytes_out_per_s"])
 	assert.Equal(t, 300.0, real.ByRole["membership"].BytesIn)
 	assert.Equal(t, 15.0, real.ByRole["membership"].Messages)
-	assert.Equal(t, 10.0, real.ByRole["membership"].BytesByEach)
+	assert.Equal(t, 10.0, real.ByRole["membership"].BytesPerMessage)
 	assert.InDelta(t, 2, real.Control["core_percent"].Mean, 1e-9, "20 ms of work per second without the feed")
 	real.subtractBaseline(Side{CoreWith: 0.5, MemoryWith: 15})
 	assert.InDelta(t, 1.5, real.Control["core_percent"].Mean, 1e-9)
@@ -41,8 +41,8 @@
 	r.setRatios()
 	assert.Equal(t, 2.0, r.Ratio["membership.bytes_out_per_s"])
 	assert.InDelta(t, 1.067, r.Ratio["core_percent"], 1e-9)
-	assert.Contains(t, r.Differ, "membership.bytes_out_per_s: hollow 300, real 150")
-	for _, d := range r.Differ {
+	assert.Contains(t, r.Differences, "membership.bytes_out_per_s: hollow 300, real 150")
+	for _, d := range r.Differences {
 		assert.NotContains(t, d, "core_percent", "that is within 15%%")
 	}
 }
--- a/internal/calibrate/hollow.go
+++ b/internal/calibrate/hollow.go
@@ -116,7 +116,7 @@
 		}
 		start.Gateways = append(start.Gateways, spec)
 	}
-	p, err := startHollow(o.Hollow, o.HollowEnv, start)
+	p, err := startHollow(o.HollowCommand, o.HollowEnv, start)
 	if err != nil {
 		return Side{}, err
 	}
@@ -157,7 +157,7 @@
 	}
 	before, err := nextReport()
 	if err == nil {
-		err = sleep(ctx, o.For)
+		err = sleep(ctx, o.MeasuredTime)
 	}
 	var after hollow.Report
 	if err == nil {
@@ -168,13 +168,13 @@
 	}
 	s := o.rates(hollowSamples(before), hollowSamples(after))
 	sec := float64(after.AtMS-before.AtMS) / 1000
-	s.Live = float64(after.Process.HeapLive) / (1 << 20) / float64(o.Gateways)
-	s.Late = after.Process.LateMSMax
-	s.Shared = (after.Process.CPUMS - before.Process.CPUMS) / 10 / sec / float64(o.Gateways)
-	s.Monitor = (after.Process.Monitor - before.Process.Monitor) / 10 / sec / float64(o.Gateways)
-	s.Shared -= s.Monitor
+	s.LiveHeap = float64(after.Process.HeapLive) / (1 << 20) / float64(o.Gateways)
+	s.LateMSMax = after.Process.LateMSMax
+	s.SharedCore = (after.Process.CPUMS - before.Process.CPUMS) / 10 / sec / float64(o.Gateways)
+	s.MonitorCore = (after.Process.Monitor - before.Process.Monitor) / 10 / sec / float64(o.Gateways)
+	s.SharedCore -= s.MonitorCore
 	for i, a := range after.Gateways {
-		s.Shared -= (a.CPUMS - before.Gateways[i].CPUMS) / 10 / sec / float64(o.Gateways)
+		s.SharedCore -= (a.CPUMS - before.Gateways[i].CPUMS) / 10 / sec / float64(o.Gateways)
 	}
 	return s, nil
 }
--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -12,38 +12,38 @@
 
 // The kinds of values.
 const (
-	NotKnown   Kind = iota
-	NotRun          // there is no run that has the figure
-	Given           // from the requirements
-	Arithmetic      // from the figure's formula
-	Measured        // in a run of the same size
-	Fitted          // by a slope, within the sizes of its runs
-	Beyond          // by a slope, outside them
+	NotKnown     Kind = iota
+	NotRun            // there is no run that has the figure
+	Given             // from the requirements
+	Arithmetic        // from the figure's formula
+	Measured          // in a run of the same size
+	Fitted            // by a slope, within the sizes of its runs
+	Extrapolated      // by a slope, outside them
 )
 
 var kindNames = [...]string{"not known", "not run", "given", "arithmetic", "measured", "from the slope", "from the slope, beyond the sizes measured"}
 
 // Value is a figure at one size.
 type Value struct {
-	X     float64
-	Kind  Kind
-	Note  string
-	Under bool // of a size smaller than all measured ones
-	Else  bool // of a run of another size
+	X             float64
+	Kind          Kind
+	Note          string
+	BelowMeasured bool // of a size smaller than all measured ones
+	OtherSize     bool // of a run of another size
 }
 
 func (v Value) known() bool { return v.Kind > NotRun }
 
 // Figure is one row of a table.
 type Figure struct {
-	Name, Unit string
-	At         func(Size) Value
-	Slope      func(regions int) (Slope, bool) // nil: no slope is fitted
-	Formula    string
-	Bounded    bool // Allowance applies
-	Allowance  float64
-	Allowed    string // shown instead of Allowance
-	Mechanism  string
+	Name, Unit    string
+	At            func(Size) Value
+	Slope         func(regions int) (Slope, bool) // nil: no slope is fitted
+	Formula       string
+	Bounded       bool // Allowance applies
+	Allowance     float64
+	AllowanceText string // shown instead of Allowance
+	Mechanism     string
 }
 
 // Part is the figures of one table.
@@ -198,7 +198,7 @@
 	if v.Note != "" {
 		note += "; " + v.Note
 	}
-	v.X, v.Kind, v.Note = v.X+sum/n, Beyond, note
+	v.X, v.Kind, v.Note = v.X+sum/n, Extrapolated, note
 	if v.X < 0 {
 		return none
 	}
@@ -216,7 +216,7 @@
 	case y < 0:
 		return Value{Kind: NotKnown, Note: "the slope leads under 0"}
 	case beyond:
-		v.Kind, v.Under = Beyond, s.Gateways < l.minSize.Gateways || s.Databases < l.minSize.Databases
+		v.Kind, v.BelowMeasured = Extrapolated, s.Gateways < l.minSize.Gateways || s.Databases < l.minSize.Databases
 	}
 	return v
 }
@@ -231,7 +231,7 @@
 		if y, ok := get(&s); ok && (v.Kind == NotRun || y > v.X) {
 			v = Value{X: y, Kind: Measured}
 			if float64(s.Gateways) != Worst.Gateways || float64(s.Databases) != Worst.Databases || s.Regions != Worst.Regions {
-				v.Else, v.Note = true, fmt.Sprintf("at %d by %d, %s", s.Gateways, s.Databases, regions(s.Regions))
+				v.OtherSize, v.Note = true, fmt.Sprintf("at %d by %d, %s", s.Gateways, s.Databases, regions(s.Regions))
 			}
 		}
 	}
@@ -280,7 +280,7 @@
 	return Figure{Name: name, Unit: unit, Formula: formula, Mechanism: mechanism, At: func(s Size) Value {
 		if s.Name != Worst.Name {
 			for _, v := range needs {
-				if v.Of(s) == 0 {
+				if v.Value(s) == 0 {
 					return Value{Kind: NotKnown, Note: "clients not told"}
 				}
 			}
@@ -447,8 +447,8 @@
 	if d := s.Databases - f.loadSize.Databases; d != 0 && v.known() {
 		w := f.listSlope.value(listPart)
 		v.X += f.listSlope.Per * d
-		if w.Kind == Beyond {
-			v.Kind, v.Under = Beyond, v.Under || w.Under
+		if w.Kind == Extrapolated {
+			v.Kind, v.BelowMeasured = Extrapolated, v.BelowMeasured || w.BelowMeasured
 		}
 	}
 	return v
@@ -482,7 +482,7 @@
 	var points []Point
 	for _, t := range st.runs.Tool {
 		for _, r := range t.Rows {
-			if r.What == what {
+			if r.Command == what {
 				points = append(points, Point{Size{Gateways: r.Gateways}, get(r)})
 			}
 		}
--- a/internal/capacity/figures_test.go
+++ b/internal/capacity/figures_test.go
@@ -33,10 +33,10 @@
 	}{
 		{"control", "membership: sent", Today, 630, Measured},
 		{"control", "membership: sent", big, 900 + 2.5*367, Fitted},
-		{"control", "membership: sent", Target, 900 + 2.5*490, Beyond},
+		{"control", "membership: sent", Target, 900 + 2.5*490, Extrapolated},
 		{"control", "membership: sent", Worst, 900 + 2.5*245, Measured},
 		{"control", "membership: false deaths in a minute", Worst, 6, Measured},
-		{"control", "positions: sent", Target, 18900, Beyond}, // without the invalid run and the one with the mechanism
+		{"control", "positions: sent", Target, 18900, Extrapolated}, // without the invalid run and the one with the mechanism
 		{"control", "sum: memory, of hollow gateways, mean", big, 4 + 0.00001*367*405, Fitted},
 		{"control", "sum: processor time, of hollow gateways, mean", Today, 0.7, Measured},
 		{"control", "words: sent", Target, 0, NotRun},
@@ -44,7 +44,7 @@
 		{"control", "sum: processor time, as real gateways would take, mean", Today, 0.7 * 1.3, Measured},
 		{"control", "a change of primary: to the first write that all serve", big, 5.5, Fitted},
 		{"gateway", "clients: memory of the process", Target, 12 + 0.006*5102 + 0.01*810, Measured},
-		{"gateway", "clients: memory of the process", Worst, 12 + 0.006*7653 + 0.01*810, Beyond}, // the run of this size is invalid
+		{"gateway", "clients: memory of the process", Worst, 12 + 0.006*7653 + 0.01*810, Extrapolated}, // the run of this size is invalid
 		{"gateway", "clients: memory of the process", Size{Databases: 405, Connections: 2000, Statements: 800}, 12 + 0.006*2000 + 0.01*405, Fitted},
 		{"gateway", "clients: memory of the process", Size{Databases: 405, Connections: 2000, Statements: 400}, 0, NotKnown}, // another ratio of clients to statements
 		{"database", "connections that gateways hold, a primary", Size{Gateways: 490, Databases: 405, Connections: 2000, Statements: 800}, 0, NotKnown},
@@ -53,10 +53,10 @@
 		{"gateway", "clients: connections", Worst, 7653, Given},
 		{"database", "connections that gateways hold, the mean database", Target, 729.0 * 490 / 810, Measured},
 		{"database", "connections that gateways hold, a primary", Target, 0.8 * 490, Measured},
-		{"gateway", "clients: memory of the process", Size{Databases: 1000, Connections: 5102, Statements: 2041}, 12 + 0.006*5102 + 10, Beyond},
-		{"discovery", "bytes sent to all gateways", Target, 0.5 * 490 * 810, Beyond},
+		{"gateway", "clients: memory of the process", Size{Databases: 1000, Connections: 5102, Statements: 2041}, 12 + 0.006*5102 + 10, Extrapolated},
+		{"discovery", "bytes sent to all gateways", Target, 0.5 * 490 * 810, Extrapolated},
 		{"tool", "`lilacctl members`: memory", Today, 10 + 0.001*300*300, Measured},
-		{"tool", "`lilacctl members`: memory", Target, 10 + 0.001*490*490, Beyond},
+		{"tool", "`lilacctl members`: memory", Target, 10 + 0.001*490*490, Extrapolated},
 		{"tool", "`lilacctl members`: memory", Size{Gateways: 200}, 10 + 0.001*200*200, Fitted},
 		{"tool", "`lilacctl versions`: memory", Target, 0, NotRun},
 	} {
@@ -67,13 +67,13 @@
 	assert.Equal(t, "with --again 1h", figure(t, st, "gateway", "clients: memory of the process").At(Size{Databases: 810, Connections: 6000, Statements: 2400}).Note)
 	l, ok := figure(t, st, "control", "membership: sent").Slope(3)
 	require.True(t, ok)
-	assert.Equal(t, Gateways, l.Of)
+	assert.Equal(t, Gateways, l.Variable)
 	l, ok = figure(t, st, "control", "sum: memory, of hollow gateways, mean").Slope(1)
 	require.True(t, ok)
-	assert.Equal(t, Product, l.Of)
+	assert.Equal(t, Product, l.Variable)
 	l, ok = figure(t, st, "gateway", "decisions: memory, by databases listed").Slope(0)
 	require.True(t, ok)
-	assert.Equal(t, Databases, l.Of)
+	assert.Equal(t, Databases, l.Variable)
 	assert.InDelta(t, 0.01, l.Per, 1e-4)
 
 	after := st.controlWithMechanism()
@@ -139,10 +139,10 @@
 		if assert.True(t, ok, tt.name) {
 			assert.Equal(t, tt.gateways, math.Ceil(b.At.Gateways), tt.name)
 			assert.Equal(t, tt.databases, math.Ceil(b.At.Databases), tt.name)
-			assert.Equal(t, tt.first, b.First && !b.Any, tt.name)
+			assert.Equal(t, tt.first, b.FirstKnown && !b.AtAnySize, tt.name)
 		}
 	}
-	assert.True(t, at["a change of configuration that waits for the restart of each gateway"].Any)
+	assert.True(t, at["a change of configuration that waits for the restart of each gateway"].AtAnySize)
 	assert.NotContains(t, at, "membership: sent")
 	assert.Contains(t, open, "Control of one gateway: words: sent")
 	assert.NotContains(t, open, "Control of one gateway: membership: sent")
@@ -224,7 +224,7 @@
 	assert.Equal(t, 5, n)
 	for i := range runs.Scale {
 		if runs.Scale[i].File == "scale-one-122.json" {
-			runs.Scale[i].ViewsEqual = []Settled{{After: "kill of 2 gateways"}}
+			runs.Scale[i].ViewsEqual = []Convergence{{After: "kill of 2 gateways"}}
 		}
 	}
 	assert.Len(t, (&dataset{runs: runs}).fitRuns(1), 4)
@@ -242,7 +242,7 @@
 	runs := madeUpRuns(t)
 	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 3 && (s.Gateways != 122 || s.withMechanism()) })
 	v := figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Target)
-	assert.Equal(t, Value{X: 630 + (900 + 2.5*122 - 630), Kind: Beyond, Note: "regions by the difference at 122 by 810"}, v)
+	assert.Equal(t, Value{X: 630 + (900 + 2.5*122 - 630), Kind: Extrapolated, Note: "regions by the difference at 122 by 810"}, v)
 	v = figure(t, &dataset{runs: runs}, "control", "membership: sent").At(Size{Gateways: 122, Databases: 810, Regions: 3})
 	assert.Equal(t, Measured, v.Kind)
 	runs.Scale = slices.DeleteFunc(runs.Scale, func(s Scale) bool { return s.Regions == 1 && s.Gateways == 122 })
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -35,8 +35,8 @@
 	Statements  Variable = "statements/s"
 )
 
-// Of returns the value of the variable at a size.
-func (v Variable) Of(s Size) float64 {
+// Value returns the value of the variable at a size.
+func (v Variable) Value(s Size) float64 {
 	switch v {
 	case Gateways:
 		return s.Gateways
@@ -62,13 +62,13 @@
 
 // Slope is a line fitted to a figure over several sizes.
 type Slope struct {
-	Of               Variable
+	Variable         Variable
 	Per              float64 // increase of the figure for one more of the variable
 	Intercept        float64
 	Residual         float64 // root mean square of the deviations from the line, as a share of the mean figure
 	Sizes            int     // distinct sizes
 	Runs             int
-	Like             []Variable // variables perfectly correlated with Of in these runs, which can't be distinguished from it
+	Correlated       []Variable // variables perfectly correlated with Variable in these runs, which can't be distinguished from it
 	minSize, maxSize Size
 }
 
@@ -95,7 +95,7 @@
 	if len(sizes) < minSizes {
 		return Slope{}, false
 	}
-	best := Slope{Of: None, Sizes: len(sizes), Runs: len(points), minSize: minSize, maxSize: maxSize}
+	best := Slope{Variable: None, Sizes: len(sizes), Runs: len(points), minSize: minSize, maxSize: maxSize}
 	mean := stat.Mean(ys, nil)
 	lowest, highest := ys[0], ys[0]
 	for _, y := range ys {
@@ -111,7 +111,7 @@
 		values := map[float64]bool{}
 		x := make([]float64, len(points))
 		for i, p := range points {
-			x[i] = v.Of(p.Size)
+			x[i] = v.Value(p.Size)
 			values[x[i]] = true
 		}
 		if len(values) < minSizes {
@@ -120,16 +120,16 @@
 		xs[v] = x
 		a, b := stat.LinearRegression(x, ys, nil, false)
 		residual := relativeRMS(ys, mean, func(i int) float64 { return a + b*x[i] })
-		if best.Of == None || residual < best.Residual*residualTieFactor-1e-12 {
-			best.Of, best.Intercept, best.Per, best.Residual = v, a, b, residual
+		if best.Variable == None || residual < best.Residual*residualTieFactor-1e-12 {
+			best.Variable, best.Intercept, best.Per, best.Residual = v, a, b, residual
 		}
 	}
-	if best.Of == None {
+	if best.Variable == None {
 		return Slope{}, false
 	}
 	for _, v := range candidates {
-		if v != best.Of && xs[v] != nil && math.Abs(stat.Correlation(xs[v], xs[best.Of], nil)) > 0.9999 {
-			best.Like = append(best.Like, v)
+		if v != best.Variable && xs[v] != nil && math.Abs(stat.Correlation(xs[v], xs[best.Variable], nil)) > 0.9999 {
+			best.Correlated = append(best.Correlated, v)
 		}
 	}
 	return best, true
@@ -154,5 +154,5 @@
 	beyond = outside(s.Gateways, l.minSize.Gateways, l.maxSize.Gateways) || outside(s.Databases, l.minSize.Databases, l.maxSize.Databases) ||
 		l.maxSize.Connections > 0 && outside(s.Connections, l.minSize.Connections, l.maxSize.Connections) ||
 		l.maxSize.Statements > 0 && outside(s.Statements, l.minSize.Statements, l.maxSize.Statements)
-	return l.Intercept + l.Per*l.Of.Of(s), beyond
+	return l.Intercept + l.Per*l.Variable.Value(s), beyond
 }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -27,7 +27,7 @@
 	for _, u := range allVariables {
 		values := map[float64]bool{}
 		for i := range list {
-			values[u.Of(list[i].Size)] = true
+			values[u.Value(list[i].Size)] = true
 		}
 		if len(values) < minSizes {
 			return false
@@ -42,7 +42,7 @@
 func correlation(list []Point, u, v Variable) float64 {
 	var su, sv, suu, svv, suv, n float64
 	for _, p := range list {
-		x, y := u.Of(p.Size), v.Of(p.Size)
+		x, y := u.Value(p.Size), v.Value(p.Size)
 		su, sv, suu, svv, suv, n = su+x, sv+y, suu+x*x, svv+y*y, suv+x*y, n+1
 	}
 	return (n*suv - su*sv) / math.Sqrt((n*suu-su*su)*(n*svv-sv*sv))
@@ -59,16 +59,16 @@
 		per := rapid.Float64Range(0.5, 100).Draw(t, "slope")
 		lowest, highest := math.Inf(1), 0.0
 		for _, p := range list {
-			lowest, highest = min(lowest, v.Of(p.Size)), max(highest, v.Of(p.Size))
+			lowest, highest = min(lowest, v.Value(p.Size)), max(highest, v.Value(p.Size))
 		}
 		variation, mean := per*(highest-lowest), 0.0
 		intercept := rapid.Float64Range(0, 3).Draw(t, "intercept") * variation
 		for i := range list {
-			list[i].Y = intercept + per*v.Of(list[i].Size) + variation*0.01*rapid.Float64Range(-1, 1).Draw(t, "noise")
+			list[i].Y = intercept + per*v.Value(list[i].Size) + variation*0.01*rapid.Float64Range(-1, 1).Draw(t, "noise")
 			mean += list[i].Y / float64(len(list))
 		}
 		l, ok := Fit(list, allVariables...)
-		if !ok || l.Of != v || len(l.Like) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*variation/mean+1e-9 || l.Sizes < minSizes {
+		if !ok || l.Variable != v || len(l.Correlated) > 0 || math.Abs(l.Per-per) > 0.1*per || l.Residual > 0.01*variation/mean+1e-9 || l.Sizes < minSizes {
 			t.Fatalf("%+v %v, want %v for each of %s and intercept %v", l, ok, per, v, intercept)
 		}
 		y, beyond := l.At(list[0].Size)
@@ -93,7 +93,7 @@
 			}
 			return
 		}
-		if !ok || l.Of != None || l.Per != 0 || math.Abs(l.Intercept-mean) > 0.05*mean {
+		if !ok || l.Variable != None || l.Per != 0 || math.Abs(l.Intercept-mean) > 0.05*mean {
 			t.Fatalf("%+v %v, want flat at %v", l, ok, mean)
 		}
 	})
@@ -109,7 +109,7 @@
 
 func pointsOnLine(v Variable, per float64, sizes ...Size) (list []Point) {
 	for _, s := range sizes {
-		list = append(list, Point{s, 1000 + per*v.Of(s)})
+		list = append(list, Point{s, 1000 + per*v.Value(s)})
 	}
 	return list
 }
@@ -129,8 +129,8 @@
 	list := pointsOnLine(Databases, 30, Size{Gateways: 50, Databases: 100}, Size{Gateways: 100, Databases: 200}, Size{Gateways: 200, Databases: 400}, Size{Gateways: 400, Databases: 800})
 	l, ok := Fit(list, Gateways, Databases, Product)
 	assert.True(t, ok)
-	assert.Equal(t, Gateways, l.Of, "the first of equals")
-	assert.Equal(t, []Variable{Databases}, l.Like)
+	assert.Equal(t, Gateways, l.Variable, "the first of equals")
+	assert.Equal(t, []Variable{Databases}, l.Correlated)
 	assert.InDelta(t, 60, l.Per, 1e-6)
 	for _, tt := range []struct {
 		s      Size
@@ -145,9 +145,9 @@
 }
 
 func TestPoorFitIsNoted(t *testing.T) {
-	l := Slope{Of: Gateways, Per: 1, Residual: 0.16, minSize: Size{Gateways: 1}, maxSize: Size{Gateways: 9}}
+	l := Slope{Variable: Gateways, Per: 1, Residual: 0.16, minSize: Size{Gateways: 1}, maxSize: Size{Gateways: 9}}
 	assert.Equal(t, Value{X: 5, Kind: Fitted, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 5}))
-	assert.Equal(t, Value{X: 10, Kind: Beyond, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 10}))
+	assert.Equal(t, Value{X: 10, Kind: Extrapolated, Note: "a poor fit: residual 16%"}, l.value(Size{Gateways: 10}))
 	l.Residual = 0.14
 	assert.Equal(t, Value{X: 5, Kind: Fitted}, l.value(Size{Gateways: 5}))
 	l.Intercept = -9
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -56,8 +56,8 @@
 	return out.String(), nil
 }
 
-// Differs returns the first line in which a page differs from what its runs give, or "".
-func Differs(page string, tables map[string]string) (string, error) {
+// FirstDifference returns the first line in which a page differs from what its runs give, or "".
+func FirstDifference(page string, tables map[string]string) (string, error) {
 	want, err := Fill(page, tables)
 	if err != nil {
 		return "", err
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err, "docs/capacity")
 	tables, err := runs.Tables()
 	require.NoError(t, err)
-	line, err := Differs(string(page), tables)
+	line, err := FirstDifference(string(page), tables)
 	require.NoError(t, err, "docs/CAPACITY.md")
 	if line != "" {
 		t.Fatalf("docs/CAPACITY.md, %s\nrun go run ./cmd/lilacload capacity --write, and review the changes", line)
@@ -46,7 +46,7 @@
 	require.NoError(t, err)
 	page, err := Fill(skeleton(tables), tables)
 	require.NoError(t, err)
-	line, err := Differs(page, tables)
+	line, err := FirstDifference(page, tables)
 	require.NoError(t, err)
 	assert.Empty(t, line)
 	again, err := Fill(page, tables)
@@ -61,7 +61,7 @@
 		}
 		changed := append([]string{}, lines...)
 		changed[i] = l[:at] + "0" + l[at+1:]
-		found, err := Differs(strings.Join(changed, "\n"), tables)
+		found, err := FirstDifference(strings.Join(changed, "\n"), tables)
 		require.NoError(t, err)
 		assert.True(t, strings.HasPrefix(found, "line "+formatNumber(float64(i+1))+":"), "%d: %q", i+1, found)
 	}
@@ -74,7 +74,7 @@
 	for name, table := range other {
 		one, err := Fill(skeleton(map[string]string{name: ""}), map[string]string{name: tables[name]})
 		require.NoError(t, err)
-		line, err = Differs(one, map[string]string{name: table})
+		line, err = FirstDifference(one, map[string]string{name: table})
 		require.NoError(t, err)
 		assert.Equal(t, table != tables[name], line != "", name)
 		if name == "control" {
--- a/internal/capacity/parts.go
+++ b/internal/capacity/parts.go
@@ -51,12 +51,12 @@
 	stat("sum: received", "B/s", allowedBytes, func(s *Scale) *Stat { return s.Control.BytesIn })
 	add(st.scaleFigure("sum: sent, the most of any gateway in 10 s", "B/s", sum, optional(func(s *Scale) *Window { return s.Window }, func(w *Window) float64 { return w.BytesOut })).within(allowedBytes))
 	add(st.scaleFigure("sum: messages sent, mean", "/s", sum, optional(func(s *Scale) *Stat { return s.Control.Messages }, func(x *Stat) float64 { return x.Mean })))
-	stat("sum: processor time, of hollow gateways", "% of a core", allowedCore, func(s *Scale) *Stat { return s.Control.Core })
-	core := st.scaleFigure("sum: processor time, as real gateways would take, mean", "% of a core", sum, optional(func(s *Scale) *Stat { return s.Control.Core }, func(x *Stat) float64 { return x.Mean })).within(allowedCore)
-	if f, ok := st.calibratedFigure(core, func(c *Control) *Stat { return c.Core }); ok {
+	stat("sum: processor time, of hollow gateways", "% of a core", allowedCore, func(s *Scale) *Stat { return s.Control.CorePercent })
+	core := st.scaleFigure("sum: processor time, as real gateways would take, mean", "% of a core", sum, optional(func(s *Scale) *Stat { return s.Control.CorePercent }, func(x *Stat) float64 { return x.Mean })).within(allowedCore)
+	if f, ok := st.calibratedFigure(core, func(c *Control) *Stat { return c.CorePercent }); ok {
 		add(f)
 	}
-	stat("sum: memory, of hollow gateways", "MB", allowedMemory, func(s *Scale) *Stat { return s.Control.Memory })
+	stat("sum: memory, of hollow gateways", "MB", allowedMemory, func(s *Scale) *Stat { return s.Control.MemoryMB })
 	for _, n := range st.roleNames() {
 		if f, ok := keptState(n); ok {
 			add(f)
@@ -71,22 +71,22 @@
 		case "positions":
 			add(computed("positions: news", "/s", "D / 0.2 s", mechanismOf(n), positionUpdates).within(maxPositionRate()),
 				computed("positions: sent, from the code", "B/s", "3 x (24 B / 0.1 s + 21 B x min(D / 0.2 s, 300/s))", mechanismOf(n), positionBytesOut).within(allowedBytes),
-				st.scaleFigure("positions: age of what is known, p99", "s", mechanismOf(n), positionAge(func(p *Stale) *float64 { return p.P99 })))
+				st.scaleFigure("positions: age of what is known, p99", "s", mechanismOf(n), positionAge(func(p *PositionAges) *float64 { return p.P99 })))
 		case "versions":
 			add(computed("versions: time to hear of all, at the least", "s", "G / (8 x 2 / s)", mechanismOf(n), versionsReceiveTime))
 		case "budgets":
 			add(computed("budgets: holders for each of 100 connections", "", "G / 100", mechanismOf(n), func(s Size) float64 { return s.Gateways / allowedDatabaseConnections }).within(maxHoldersPerConnection))
 		}
 	}
-	maxOf := func(p *Spread) float64 { return p.Max }
-	add(st.scaleFigure("a change of primary: to the first write that all serve", "s", mechanismOf("primaries"), optional(func(s *Scale) *Spread { return s.PrimaryChange }, maxOf)).within(allowedPrimary),
-		st.scaleFigure("a change of the list at discovery: in force everywhere", "s", mechanismOf("discovery"), optional(func(s *Scale) *Spread { return s.ListInForce }, maxOf)).within(allowedInForce),
-		st.scaleFigure("a change of configuration: in force everywhere", "s", "none", optional(func(s *Scale) *Spread { return s.InForce }, maxOf)).within(allowedInForce),
+	maxOf := func(p *DurationStats) float64 { return p.Max }
+	add(st.scaleFigure("a change of primary: to the first write that all serve", "s", mechanismOf("primaries"), optional(func(s *Scale) *DurationStats { return s.PrimaryChange }, maxOf)).within(allowedPrimary),
+		st.scaleFigure("a change of the list at discovery: in force everywhere", "s", mechanismOf("discovery"), optional(func(s *Scale) *DurationStats { return s.ListInForce }, maxOf)).within(allowedInForce),
+		st.scaleFigure("a change of configuration: in force everywhere", "s", "none", optional(func(s *Scale) *DurationStats { return s.InForce }, maxOf)).within(allowedInForce),
 		computed("a change of configuration that waits for the restart of each gateway", "s", "day x G / (410 x G / 490)", "SIGHUP, else none", restartAllTime).within(allowedInForce))
 	return p
 }
 
-func positionAge(get func(*Stale) *float64) func(*Scale) (float64, bool) {
+func positionAge(get func(*PositionAges) *float64) func(*Scale) (float64, bool) {
 	return func(s *Scale) (float64, bool) {
 		if s.Positions == nil || get(s.Positions) == nil {
 			return 0, false
@@ -154,8 +154,8 @@
 		computed("calls by restarts", "/s", "410 x G / 490 / day", mechanism, func(s Size) float64 { return restartsPerDay * s.Gateways / Target.Gateways / secondsPerDay }).within(maxDiscoveryRate),
 		computed("calls after an outage, before a crowd is noticed", "/s", "G / min(0.1 s x G, 2.5 s)", mechanism, offeredCalls).within(maxDiscoveryRate),
 		computed("after an outage: until the last gateway has its list", "s", "G / (20 / s)", mechanism, lastListTime).within(allowedInForce),
-		st.scaleFigure("calls, the most in a second", "/s", mechanism, optional(func(s *Scale) *Asked { return s.Discovery }, func(a *Asked) float64 { return a.Calls })).within(maxDiscoveryRate),
-		st.scaleFigure("calls, the most in a second while all start", "/s", mechanism, optional(func(s *Scale) *Asked { return s.Discovery }, func(a *Asked) float64 { return a.Early })).within(maxDiscoveryRate),
+		st.scaleFigure("calls, the most in a second", "/s", mechanism, optional(func(s *Scale) *DiscoveryCalls { return s.Discovery }, func(a *DiscoveryCalls) float64 { return a.MaxPerSecond })).within(maxDiscoveryRate),
+		st.scaleFigure("calls, the most in a second while all start", "/s", mechanism, optional(func(s *Scale) *DiscoveryCalls { return s.Discovery }, func(a *DiscoveryCalls) float64 { return a.MaxPerSecondSettling })).within(maxDiscoveryRate),
 		st.scaleFigure("bytes sent to all gateways", "B/s", mechanism, all(func(r RoleTraffic) float64 { return r.BytesIn })),
 		unknown("processor time", "not of this program", NotKnown),
 		unknown("memory", "not of this program", NotKnown),
@@ -183,10 +183,10 @@
 		computed("one gateway's answer to `lilacctl versions`", "B", "226 B x G", mechanism, func(s Size) float64 { return versionBytes * s.Gateways }).within(maxAnswer))
 	for _, what := range []string{"members", "versions"} {
 		p.Figures = append(p.Figures,
-			st.toolFigure(what, "answers of all", "MB", mechanism, func(r ToolRow) float64 { return r.Read / 1e6 }),
+			st.toolFigure(what, "answers of all", "MB", mechanism, func(r ToolRow) float64 { return r.BytesRead / 1e6 }),
 			st.toolFigure(what, "time, where each gateway answers at once", "s", mechanism, func(r ToolRow) float64 { return r.Seconds }),
-			st.toolFigure(what, "processor time", "ms", mechanism, func(r ToolRow) float64 { return r.Processor }),
-			st.toolFigure(what, "memory", "MB", mechanism, func(r ToolRow) float64 { return r.Memory }))
+			st.toolFigure(what, "processor time", "ms", mechanism, func(r ToolRow) float64 { return r.CPUMS }),
+			st.toolFigure(what, "memory", "MB", mechanism, func(r ToolRow) float64 { return r.RSSMB }))
 	}
 	silent := computed("`lilacctl versions` and `state`: added while the gateways of a zone are silent", "s", "45 x 2 s: one after the other", mechanism, silentZoneWait)
 	p.Figures = append(p.Figures, silent, unknown("a gateway's processor time for its answer", "`internal/peer`, `internal/management`", NotRun))
@@ -213,13 +213,13 @@
 
 // Break is a figure that exceeds its allowance as the fleet grows.
 type Break struct {
-	Part     string
-	Figure   Figure
-	At       Size // the first size during growth at which it does
-	First    bool // At is the smallest size for which the figure is known: it may break earlier
-	Any      bool // exceeded at every size
-	Value    Value
-	progress float64
+	Part       string
+	Figure     Figure
+	At         Size // the first size during growth at which it does
+	FirstKnown bool // At is the smallest size for which the figure is known: it may break earlier
+	AtAnySize  bool // exceeded at every size
+	Value      Value
+	progress   float64
 }
 
 // growthSteps is the number of sizes tested in each of the two phases of growth.
@@ -257,11 +257,11 @@
 			s = Target
 		}
 		v := f.At(s)
-		if !v.known() || v.Under {
+		if !v.known() || v.BelowMeasured {
 			continue
 		}
 		if v.X > f.Allowance {
-			b.At, b.Value, b.progress, b.Any, b.First = s, v, progress, i == 1, firstKnown
+			b.At, b.Value, b.progress, b.AtAnySize, b.FirstKnown = s, v, progress, i == 1, firstKnown
 			return b, true
 		}
 		firstKnown = false
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -18,8 +18,8 @@
 	Max  float64 `json:"max"`
 }
 
-// Spread is the distribution of a duration.
-type Spread struct {
+// DurationStats is the distribution of a duration.
+type DurationStats struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
@@ -27,11 +27,11 @@
 
 // Control is the control traffic of a gateway and its cost, all roles together.
 type Control struct {
-	BytesOut *Stat `json:"bytes_out_per_s"`
-	BytesIn  *Stat `json:"bytes_in_per_s"`
-	Messages *Stat `json:"messages_per_s"`
-	Core     *Stat `json:"core_percent"`
-	Memory   *Stat `json:"memory_mb"`
+	BytesOut    *Stat `json:"bytes_out_per_s"`
+	BytesIn     *Stat `json:"bytes_in_per_s"`
+	Messages    *Stat `json:"messages_per_s"`
+	CorePercent *Stat `json:"core_percent"`
+	MemoryMB    *Stat `json:"memory_mb"`
 }
 
 // RoleTraffic is the control traffic of one role, the mean over the gateways.
@@ -41,15 +41,15 @@
 	Messages float64 `json:"messages_per_s"`
 }
 
-// Stale is how old the positions were that gateways knew.
-type Stale struct {
+// PositionAges is how old the positions were that gateways knew.
+type PositionAges struct {
 	Known float64  `json:"known_mean"`
 	P50   *float64 `json:"stale_p50_s"`
 	P99   *float64 `json:"stale_p99_s"`
 }
 
-// Settled is how long it took after an event until all views were equal again; a nil Took: not within the time allowed.
-type Settled struct {
+// Convergence is how long it took after an event until all views were equal again; a nil Took: not within the time allowed.
+type Convergence struct {
 	After string   `json:"after"`
 	At    float64  `json:"at_s"`
 	Took  *float64 `json:"took_s"`
@@ -57,15 +57,15 @@
 
 // Window is the highest sending rate of any gateway over 10 s.
 type Window struct {
-	BytesOut float64 `json:"bytes_out_per_s"`
-	Role     string  `json:"most_by"`
-	Over     int     `json:"gateways_over"`
+	BytesOut     float64 `json:"bytes_out_per_s"`
+	Role         string  `json:"most_by"`
+	GatewaysOver int     `json:"gateways_over"`
 }
 
-// Asked is the highest rate of calls to discovery in any second, after and before the fleet had settled.
-type Asked struct {
-	Calls float64 `json:"calls_per_s_max"`
-	Early float64 `json:"calls_per_s_max_settling"`
+// DiscoveryCalls is the highest rate of calls to discovery in any second, after and before the fleet had settled.
+type DiscoveryCalls struct {
+	MaxPerSecond         float64 `json:"calls_per_s_max"`
+	MaxPerSecondSettling float64 `json:"calls_per_s_max_settling"`
 }
 
 // Scale is a report of lilacload scale.
@@ -74,32 +74,32 @@
 	Command string `json:"command"`
 	Seed    uint64 `json:"seed"`
 
-	Gateways  int     `json:"gateways"`
-	Databases int     `json:"databases"`
-	Regions   int     `json:"regions"`
-	RTT       float64 `json:"rtt_ms"`
-	Seconds   float64 `json:"seconds"`
-	Real      int     `json:"real"`
+	Gateways     int     `json:"gateways"`
+	Databases    int     `json:"databases"`
+	Regions      int     `json:"regions"`
+	RTT          float64 `json:"rtt_ms"`
+	Seconds      float64 `json:"seconds"`
+	RealGateways int     `json:"real"`
 
 	Statements *float64 `json:"statements_per_s"` // at each hollow gateway; nil: the plan's
 	Skew       float64  `json:"skew"`
 
-	Valid   bool   `json:"valid"`
-	Why     string `json:"invalid_because"`
-	Partial bool   `json:"partial"`
-
-	Control       Control                `json:"control"`
-	ByRole        map[string]RoleTraffic `json:"by_role"`
-	Window        *Window                `json:"window"`
-	InForce       *Spread                `json:"in_force_s"`
-	ListInForce   *Spread                `json:"list_in_force_s"`
-	PrimaryChange *Spread                `json:"primary_change_s"`
-	ViewsEqual    []Settled              `json:"views_equal"`
-	FalseDeaths   float64                `json:"false_deaths"`
-	EarlyDeaths   float64                `json:"false_deaths_settling"`
-	Faults        []string               `json:"faults"`
-	Positions     *Stale                 `json:"positions"`
-	Discovery     *Asked                 `json:"discovery"`
+	Valid          bool   `json:"valid"`
+	InvalidBecause string `json:"invalid_because"`
+	Partial        bool   `json:"partial"`
+
+	Control             Control                `json:"control"`
+	ByRole              map[string]RoleTraffic `json:"by_role"`
+	Window              *Window                `json:"window"`
+	InForce             *DurationStats         `json:"in_force_s"`
+	ListInForce         *DurationStats         `json:"list_in_force_s"`
+	PrimaryChange       *DurationStats         `json:"primary_change_s"`
+	ViewsEqual          []Convergence          `json:"views_equal"`
+	FalseDeaths         float64                `json:"false_deaths"`
+	FalseDeathsSettling float64                `json:"false_deaths_settling"`
+	Faults              []string               `json:"faults"`
+	Positions           *PositionAges          `json:"positions"`
+	Discovery           *DiscoveryCalls        `json:"discovery"`
 }
 
 // Datapath is a report of lilacload datapath: one gateway with its clients and simulated databases.
@@ -112,10 +112,10 @@
 	Databases  float64 `json:"databases"`
 	Seconds    float64 `json:"seconds"`
 
-	Valid   bool     `json:"valid"`
-	Why     string   `json:"invalid_because"`
-	Partial bool     `json:"partial"`
-	Faults  []string `json:"faults"`
+	Valid          bool     `json:"valid"`
+	InvalidBecause string   `json:"invalid_because"`
+	Partial        bool     `json:"partial"`
+	Faults         []string `json:"faults"`
 
 	StandIn struct {
 		Per map[string]PerDatabase `json:"connections_per_database"`
@@ -146,13 +146,13 @@
 
 // Calibration compares hollow gateways with real ones.
 type Calibration struct {
-	File    string `json:"-"`
-	Command string `json:"command"`
-	State   string `json:"state"` // idle or loaded
-	Valid   *bool  `json:"valid"` // nil: valid
-	Why     string `json:"invalid_because"`
-	Hollow  Side   `json:"hollow"`
-	Real    Side   `json:"real"`
+	File           string `json:"-"`
+	Command        string `json:"command"`
+	State          string `json:"state"` // idle or loaded
+	Valid          *bool  `json:"valid"` // nil: valid
+	InvalidBecause string `json:"invalid_because"`
+	Hollow         Side   `json:"hollow"`
+	Real           Side   `json:"real"`
 }
 
 // Side is one kind of gateways of a calibration: the cost that a fleet file adds to them.
@@ -173,7 +173,7 @@
 	OneWay      float64  `json:"one_way_ms"`
 	Loss        float64  `json:"loss"`
 	BytesOut    *float64 `json:"bytes_out_per_s"`
-	BytesMost   *float64 `json:"bytes_out_per_s_max"`
+	MaxBytesOut *float64 `json:"bytes_out_per_s_max"`
 	Messages    *float64 `json:"messages_per_s"`
 	FalseDeaths *float64 `json:"false_deaths"`
 	AgeP99      *float64 `json:"age_p99_ms"`
@@ -189,11 +189,11 @@
 
 // ToolRow is one call of the operators' tool that queried all gateways.
 type ToolRow struct {
-	What      string  `json:"what"`
+	Command   string  `json:"what"`
 	Gateways  float64 `json:"gateways"`
-	Read      float64 `json:"bytes_read"`
-	Processor float64 `json:"cpu_ms"`
-	Memory    float64 `json:"rss_mb"`
+	BytesRead float64 `json:"bytes_read"`
+	CPUMS     float64 `json:"cpu_ms"`
+	RSSMB     float64 `json:"rss_mb"`
 	Seconds   float64 `json:"seconds"`
 }
 
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -69,14 +69,14 @@
 
 // slopeText formats a slope with its unit and variable.
 func slopeText(l Slope, unit string) string {
-	if l.Of == None {
+	if l.Variable == None {
 		return "flat: " + formatWithUnit(l.Intercept, unit)
 	}
 	collinear := ""
-	for _, v := range l.Like {
+	for _, v := range l.Correlated {
 		collinear += " or " + string(v)
 	}
-	return fmt.Sprintf("%s for each %s%s, from %s", formatWithUnit(l.Per, unit), l.Of, collinear, formatWithUnit(l.Intercept, unit))
+	return fmt.Sprintf("%s for each %s%s, from %s", formatWithUnit(l.Per, unit), l.Variable, collinear, formatWithUnit(l.Intercept, unit))
 }
 
 // slopeCell formats the slope at the target's regions, or else today's; or the formula.
@@ -97,8 +97,8 @@
 
 func (f Figure) allowanceCell() string {
 	switch {
-	case f.Allowed != "":
-		return f.Allowed
+	case f.AllowanceText != "":
+		return f.AllowanceText
 	case !f.Bounded:
 		return "none told"
 	}
@@ -127,7 +127,7 @@
 		return "-"
 	}
 	at, worst := f.fitText(f.At(Target)), f.fitText(f.At(Worst))
-	if f.At(Worst).Else {
+	if f.At(Worst).OtherSize {
 		worst = "not run at its size"
 	}
 	if at == worst {
@@ -177,12 +177,12 @@
 	writeHeader(&b, "figure", "runs", "slope", "variable", "intercept", "residual", "sizes, runs")
 	fitted := 0
 	add := func(name, unit, set string, l Slope) {
-		of := string(l.Of)
-		for _, v := range l.Like {
+		of := string(l.Variable)
+		for _, v := range l.Correlated {
 			of += " (" + string(v) + " moved in step)"
 		}
 		unitPer := "-"
-		if l.Of != None {
+		if l.Variable != None {
 			unitPer = formatWithUnit(l.Per, unit) + " for each"
 		}
 		writeRow(&b, name, set, unitPer, of, formatWithUnit(l.Intercept, unit), fmt.Sprintf("%.1f%%", 100*l.Residual), fmt.Sprintf("%d, %d", l.Sizes, l.Runs))
@@ -224,11 +224,11 @@
 		rank := 0
 		for _, x := range list {
 			place, at := "-", "missing at any size" // growth doesn't reach it
-			if !x.Any {
+			if !x.AtAnySize {
 				rank++
 				place = strconv.Itoa(rank)
 				at = fmt.Sprintf("%s gateways, %s databases, %s", formatNumber(math.Ceil(x.At.Gateways)), formatNumber(math.Ceil(x.At.Databases)), regions(x.At.Regions))
-				if x.First {
+				if x.FirstKnown {
 					at = "at or before " + at + ", the first size known"
 				}
 				if x.progress < 1 {
@@ -267,18 +267,18 @@
 		n++
 	}
 	for _, s := range r.Scale {
-		x := result(s.Valid, s.Partial, s.Why)
+		x := result(s.Valid, s.Partial, s.InvalidBecause)
 		if s.usable() && !s.hasTargetLoad() {
 			x += ", of another load or fleet file; in no slope"
 		}
 		if len(s.Faults) > 0 {
 			x += "; " + strings.Join(s.Faults, "; ")
 		}
-		add(s.File, s.Command, fmt.Sprintf("%d by %d, %s, %s ms, %s s, %d real", s.Gateways, s.Databases, regions(s.Regions), formatNumber(s.RTT), formatNumber(s.Seconds), s.Real), x)
+		add(s.File, s.Command, fmt.Sprintf("%d by %d, %s, %s ms, %s s, %d real", s.Gateways, s.Databases, regions(s.Regions), formatNumber(s.RTT), formatNumber(s.Seconds), s.RealGateways), x)
 	}
 	setting := r.usualSettings()
 	for _, d := range r.Datapath {
-		x := result(d.Valid, d.Partial, d.Why)
+		x := result(d.Valid, d.Partial, d.InvalidBecause)
 		if d.usable() && d.settings() != setting {
 			x += ", made with other settings: in no line over load or list, and at its size only where no other run is"
 		}
@@ -288,7 +288,7 @@
 		add(d.File, d.Command, fmt.Sprintf("%s clients, %s statements/s, %s databases", formatNumber(d.Clients), formatNumber(d.Statements), formatNumber(d.Databases)), x)
 	}
 	for _, c := range r.Calibration {
-		add(c.File, c.Command, fmt.Sprintf("%d by %d, %s", c.Hollow.Gateways, c.Hollow.Databases, c.State), result(c.usable(), false, c.Why))
+		add(c.File, c.Command, fmt.Sprintf("%d by %d, %s", c.Hollow.Gateways, c.Hollow.Databases, c.State), result(c.usable(), false, c.InvalidBecause))
 	}
 	for _, t := range r.Tool {
 		add(t.File, t.Command, fmt.Sprintf("%d rows", len(t.Rows)), "valid")
@@ -343,7 +343,7 @@
 			parts = append(parts, formatNumber(s.ByRole[n].BytesOut))
 		}
 		writeRow(&b, strconv.Itoa(s.Gateways), strconv.Itoa(s.Databases), regions(s.Regions)+", "+formatWithUnit(s.RTT, "ms"), load, two(s.Control.BytesOut, "B/s"), two(s.Control.BytesIn, "B/s"),
-			strings.Join(parts, ", ")+" B/s", one(s.Control.Core, "% of a core"), one(s.Control.Memory, "MB"), formatNumber(s.FalseDeaths), "`"+s.File+"`")
+			strings.Join(parts, ", ")+" B/s", one(s.Control.CorePercent, "% of a core"), one(s.Control.MemoryMB, "MB"), formatNumber(s.FalseDeaths), "`"+s.File+"`")
 	}
 	return b.String()
 }
@@ -368,7 +368,7 @@
 			sent = formatWithUnit(s.Window.BytesOut, "B/s")
 		}
 		if s.Discovery != nil {
-			calls = formatWithUnit(s.Discovery.Calls, "/s")
+			calls = formatWithUnit(s.Discovery.MaxPerSecond, "/s")
 		}
 		switch {
 		case !s.Valid:
@@ -404,11 +404,11 @@
 	}
 	for _, f := range []struct {
 		name string
-		get  func(*Scale) *Spread
+		get  func(*Scale) *DurationStats
 	}{
-		{"a change of primary", func(s *Scale) *Spread { return s.PrimaryChange }},
-		{"a change of the list", func(s *Scale) *Spread { return s.ListInForce }},
-		{"a change of configuration while a gateway starts", func(s *Scale) *Spread { return s.InForce }},
+		{"a change of primary", func(s *Scale) *DurationStats { return s.PrimaryChange }},
+		{"a change of the list", func(s *Scale) *DurationStats { return s.ListInForce }},
+		{"a change of configuration while a gateway starts", func(s *Scale) *DurationStats { return s.InForce }},
 	} {
 		found := false
 		for i := range r.Scale {
@@ -478,8 +478,8 @@
 	{"sent", "B/s", func(s *Scale) *Stat { return s.Control.BytesOut }},
 	{"received", "B/s", func(s *Scale) *Stat { return s.Control.BytesIn }},
 	{"messages sent", "/s", func(s *Scale) *Stat { return s.Control.Messages }},
-	{"processor time", "% of a core", func(s *Scale) *Stat { return s.Control.Core }},
-	{"memory", "MB", func(s *Scale) *Stat { return s.Control.Memory }},
+	{"processor time", "% of a core", func(s *Scale) *Stat { return s.Control.CorePercent }},
+	{"memory", "MB", func(s *Scale) *Stat { return s.Control.MemoryMB }},
 }
 
 func unionRoles(x, y *Scale) (names []string) {
@@ -528,7 +528,7 @@
 			if t.Regions > 0 {
 				regions = strconv.Itoa(t.Regions)
 			}
-			writeRow(&b, part, formatNumber(t.Gateways), formatNumber(t.Databases), regions, formatWithUnit(t.OneWay, "ms"), formatNumber(100*t.Loss)+"%", opt(t.BytesOut, "B/s"), opt(t.BytesMost, "B/s"), opt(t.Messages, "/s"), opt(t.FalseDeaths, ""), opt(t.AgeP99, "ms"), "`"+s.File+"`")
+			writeRow(&b, part, formatNumber(t.Gateways), formatNumber(t.Databases), regions, formatWithUnit(t.OneWay, "ms"), formatNumber(100*t.Loss)+"%", opt(t.BytesOut, "B/s"), opt(t.MaxBytesOut, "B/s"), opt(t.Messages, "/s"), opt(t.FalseDeaths, ""), opt(t.AgeP99, "ms"), "`"+s.File+"`")
 			n++
 		}
 	}
@@ -618,14 +618,14 @@
 			q, had := get(after)
 			line(name, unit, p, q, has, had)
 		}
-		maxOf := func(p *Spread) float64 { return p.Max }
+		maxOf := func(p *DurationStats) float64 { return p.Max }
 		pair("sent, the most of any gateway in 10 s", "B/s", optional(func(s *Scale) *Window { return s.Window }, func(w *Window) float64 { return w.BytesOut }))
-		pair("positions: known", "", optional(func(s *Scale) *Stale { return s.Positions }, func(p *Stale) float64 { return p.Known }))
-		pair("positions: age of what is known, p50", "s", positionAge(func(p *Stale) *float64 { return p.P50 }))
-		pair("positions: age of what is known, p99", "s", positionAge(func(p *Stale) *float64 { return p.P99 }))
-		pair("a change of configuration in force, most", "s", optional(func(s *Scale) *Spread { return s.InForce }, maxOf))
-		pair("a change of the list in force, most", "s", optional(func(s *Scale) *Spread { return s.ListInForce }, maxOf))
-		pair("a change of primary, most", "s", optional(func(s *Scale) *Spread { return s.PrimaryChange }, maxOf))
+		pair("positions: known", "", optional(func(s *Scale) *PositionAges { return s.Positions }, func(p *PositionAges) float64 { return p.Known }))
+		pair("positions: age of what is known, p50", "s", positionAge(func(p *PositionAges) *float64 { return p.P50 }))
+		pair("positions: age of what is known, p99", "s", positionAge(func(p *PositionAges) *float64 { return p.P99 }))
+		pair("a change of configuration in force, most", "s", optional(func(s *Scale) *DurationStats { return s.InForce }, maxOf))
+		pair("a change of the list in force, most", "s", optional(func(s *Scale) *DurationStats { return s.ListInForce }, maxOf))
+		pair("a change of primary, most", "s", optional(func(s *Scale) *DurationStats { return s.PrimaryChange }, maxOf))
 		line("false deaths", "", before.FalseDeaths, after.FalseDeaths, true, true)
 	}
 	if b.Len() == 0 {
--- a/internal/datapath/clients.go
+++ b/internal/datapath/clients.go
@@ -32,23 +32,23 @@
 	sourceAddresses     = 16                     // loopback addresses of the clients; each has its own range of ports
 	sampleInterval      = 100 * time.Millisecond
 	heartbeatInterval   = 5 * time.Millisecond // of the timer that measures a helper process's own lateness
-	maxTexts            = 20                   // distinct texts of a kind, and statements in Amiss
+	maxTexts            = 20                   // distinct texts of a kind, and statements in Unserved
 )
 
 // clientSettings is the first line that the clients' process receives.
 type clientSettings struct {
-	Target     string        `json:"target"`
-	Clients    int           `json:"clients"`
-	Statements float64       `json:"statements_per_s"` // of all clients
-	Databases  int           `json:"databases"`
-	GroupsOf   int           `json:"groups_of"`
-	Classes    []plan.Class  `json:"classes"`
-	Idle       time.Duration `json:"idle_ns"`  // all clients are connected and send nothing
-	Warm       time.Duration `json:"warm_ns"`  // under load, not measured
-	For        time.Duration `json:"for_ns"`   // measured time
-	Again      time.Duration `json:"again_ns"` // mean pause before a client reconnects after its connection was closed
-	Even       bool          `json:"even"`     // a client's statements are evenly spaced
-	Seed       uint64        `json:"seed"`
+	Target         string        `json:"target"`
+	Clients        int           `json:"clients"`
+	Statements     float64       `json:"statements_per_s"` // of all clients
+	Databases      int           `json:"databases"`
+	GroupsOf       int           `json:"groups_of"`
+	Classes        []plan.Class  `json:"classes"`
+	Idle           time.Duration `json:"idle_ns"`  // all clients are connected and send nothing
+	WarmUp         time.Duration `json:"warm_ns"`  // under load, not measured
+	MeasuredTime   time.Duration `json:"for_ns"`   // measured time
+	ReconnectPause time.Duration `json:"again_ns"` // mean pause before a client reconnects after its connection was closed
+	EvenArrivals   bool          `json:"even"`     // a client's statements are evenly spaced
+	Seed           uint64        `json:"seed"`
 }
 
 // schedule is when the phases begin, in ms of the Unix epoch.
@@ -98,37 +98,37 @@
 	LatencyMS Quantiles `json:"latency_ms"` // of served statements, from their scheduled time
 }
 
-// Amiss is a statement that was not served.
-type Amiss struct {
+// UnservedStatement is a statement that was not served.
+type UnservedStatement struct {
 	Class  string  `json:"class"`
 	AtS    float64 `json:"at_s"` // when it was due, since the beginning of the load
 	TookMS float64 `json:"took_ms"`
-	How    string  `json:"how"`
+	Reason string  `json:"how"`
 }
 
 // clientReport is the last line that the clients' process sends.
 type clientReport struct {
-	Seconds     float64                 `json:"seconds"`   // measured time
-	Connected   int                     `json:"connected"` // when the load began
-	OpenIdle    float64                 `json:"open_idle"`
-	Open        float64                 `json:"open"`
-	OpenMax     int                     `json:"open_max"`
-	AgainIdle   float64                 `json:"again_idle_per_s"` // connections/s while no client sent statements
-	Again       float64                 `json:"again_per_s"`
-	Closed      int                     `json:"closed"` // by the gateway while idle, in the measured time
-	TurnedAway  map[string]int          `json:"turned_away"`
-	Whole       Counts                  `json:"whole"` // from the first statement on, including the warm-up
-	Measured    Counts                  `json:"measured"`
-	Latency     Quantiles               `json:"latency_ms"`
-	Classes     map[string]*ClassReport `json:"classes"`
-	RefusedBy   map[string]int          `json:"refused_by"`
-	FailedBy    map[string]int          `json:"failed_by"`
-	Amiss       []Amiss                 `json:"amiss"`
-	Extra       int                     `json:"extra"` // unsolicited messages
-	Lateness    Quantiles               `json:"lateness_ms"`
-	Heartbeat   Quantiles               `json:"heartbeat_ms"`
-	Descriptors int                     `json:"descriptors"`
-	Short       map[string]int          `json:"short"` // errors for lack of descriptors or ports in this process
+	Seconds        float64                 `json:"seconds"`   // measured time
+	Connected      int                     `json:"connected"` // when the load began
+	OpenIdle       float64                 `json:"open_idle"`
+	Open           float64                 `json:"open"`
+	OpenMax        int                     `json:"open_max"`
+	ReconnectsIdle float64                 `json:"again_idle_per_s"` // connections/s while no client sent statements
+	Reconnects     float64                 `json:"again_per_s"`
+	Closed         int                     `json:"closed"` // by the gateway while idle, in the measured time
+	TurnedAway     map[string]int          `json:"turned_away"`
+	WholeRun       Counts                  `json:"whole"` // from the first statement on, including the warm-up
+	Measured       Counts                  `json:"measured"`
+	Latency        Quantiles               `json:"latency_ms"`
+	Classes        map[string]*ClassReport `json:"classes"`
+	RefusedBy      map[string]int          `json:"refused_by"`
+	FailedBy       map[string]int          `json:"failed_by"`
+	Unserved       []UnservedStatement     `json:"amiss"`
+	Unsolicited    int                     `json:"extra"` // unsolicited messages
+	Lateness       Quantiles               `json:"lateness_ms"`
+	Heartbeat      Quantiles               `json:"heartbeat_ms"`
+	Descriptors    int                     `json:"descriptors"`
+	ResourceErrors map[string]int          `json:"short"` // errors for lack of descriptors or ports in this process
 }
 
 // clientPool is all clients of a process.
@@ -171,9 +171,9 @@
 	return math.Round(x*f) / f
 }
 
-// Clients runs the clients' process. It reads its settings as a line of JSON and writes its schedule, then its report when the
+// RunClients runs the clients' process. It reads its settings as a line of JSON and writes its schedule, then its report when the
 // load has ended: at the scheduled time, or earlier on a further line or the end of its input.
-func Clients(in io.Reader, out io.Writer) error {
+func RunClients(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
@@ -183,7 +183,7 @@
 		stopped: make(chan struct{}), latency: histogram(), lateness: histogram(), byClass: map[string]*hdrhistogram.Histogram{},
 		report: clientReport{
 			TurnedAway: map[string]int{}, Classes: map[string]*ClassReport{}, RefusedBy: map[string]int{}, FailedBy: map[string]int{},
-			Short: map[string]int{},
+			ResourceErrors: map[string]int{},
 		},
 	}
 	if err := json.Unmarshal(first, &pool.clientSettings); err != nil {
@@ -195,8 +195,8 @@
 	pool.started = time.Now()
 	connected := time.Duration(float64(pool.Clients)/firstConnectionRate*float64(time.Second)) + settleTime
 	pool.loadStart = pool.started.Add(connected + pool.Idle)
-	pool.measureStart = pool.loadStart.Add(pool.Warm)
-	end := pool.measureStart.Add(pool.For)
+	pool.measureStart = pool.loadStart.Add(pool.WarmUp)
+	end := pool.measureStart.Add(pool.MeasuredTime)
 	pool.loadEndNanos.Store(int64(end.Sub(pool.started)))
 	pool.nonce.Store(uint64(pool.started.UnixNano()) << 24) // makes statement ids differ between runs
 	encoder := json.NewEncoder(out)
@@ -308,8 +308,8 @@
 	r := p.report
 	r.Seconds = round(max(0, p.loadEnd().Sub(p.measureStart).Seconds()), 3)
 	r.OpenIdle, r.Open = round(p.openSum[0]/max(1, p.openSamples[0]), 1), round(p.openSum[1]/max(1, p.openSamples[1]), 1)
-	r.AgainIdle = round(float64(p.reconnectsIdle)/max(0.001, p.Idle.Seconds()), 1)
-	r.Again = round(float64(p.reconnects)/max(0.001, r.Seconds), 1)
+	r.ReconnectsIdle = round(float64(p.reconnectsIdle)/max(0.001, p.Idle.Seconds()), 1)
+	r.Reconnects = round(float64(p.reconnects)/max(0.001, r.Seconds), 1)
 	r.Latency, r.Lateness, r.Heartbeat = quantiles(p.latency), quantiles(p.lateness), quantiles(heartbeats)
 	for name, c := range r.Classes {
 		c.LatencyMS = quantiles(p.byClass[name])
@@ -375,7 +375,7 @@
 func (c *client) nextPause(first bool) time.Duration {
 	mean := float64(c.Clients) / max(1e-9, c.Statements) * float64(time.Second)
 	switch {
-	case !c.Even:
+	case !c.EvenArrivals:
 		mean *= c.random.ExpFloat64()
 	case first:
 		mean *= c.random.Float64()
@@ -385,7 +385,7 @@
 
 // reconnectTime returns when a client connects again after a close: at the latest when its next statement is due.
 func (c *client) reconnectTime(until time.Time) time.Time {
-	at := time.Now().Add(time.Duration(2 * c.random.Float64() * float64(c.Again)))
+	at := time.Now().Add(time.Duration(2 * c.random.Float64() * float64(c.ReconnectPause)))
 	if at.After(until) {
 		return until
 	}
@@ -437,7 +437,7 @@
 		return false
 	}
 	if err == nil {
-		c.updateReport(func(r *clientReport) { r.Extra++ })
+		c.updateReport(func(r *clientReport) { r.Unsolicited++ })
 	}
 	if now := time.Now(); now.After(c.measureStart) && now.Before(c.loadEnd()) {
 		c.updateReport(func(r *clientReport) { r.Closed++ })
@@ -477,7 +477,7 @@
 	conn, err := d.Dial("tcp", c.Target)
 	if err != nil {
 		if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.EADDRNOTAVAIL) || errors.Is(err, unix.EADDRINUSE) || errors.Is(err, unix.ENFILE) {
-			c.updateReport(func(r *clientReport) { countText(r.Short, rootText(err)) })
+			c.updateReport(func(r *clientReport) { countText(r.ResourceErrors, rootText(err)) })
 		} else {
 			c.updateReport(func(r *clientReport) { countText(r.TurnedAway, rootText(err)) })
 		}
@@ -665,14 +665,14 @@
 	c.clientPool.mu.Lock()
 	defer c.clientPool.mu.Unlock()
 	r := &c.report
-	r.Whole.add(o)
+	r.WholeRun.add(o)
 	if o.refused != "" {
 		countText(r.RefusedBy, o.refused)
 	} else if o.failed != "" {
 		countText(r.FailedBy, o.failed)
 	}
-	if how := o.refused + o.failed; how != "" && len(r.Amiss) < maxTexts {
-		r.Amiss = append(r.Amiss, Amiss{c.Classes[o.class].Name, round(due.Sub(c.loadStart).Seconds(), 3), round(o.latency.Seconds()*1000, 1), how})
+	if how := o.refused + o.failed; how != "" && len(r.Unserved) < maxTexts {
+		r.Unserved = append(r.Unserved, UnservedStatement{c.Classes[o.class].Name, round(due.Sub(c.loadStart).Seconds(), 3), round(o.latency.Seconds()*1000, 1), how})
 	}
 	if due.Before(c.measureStart) {
 		return
--- a/internal/datapath/databases.go
+++ b/internal/datapath/databases.go
@@ -47,7 +47,7 @@
 	New         int                    `json:"new"` // connections accepted
 	Mean        float64                `json:"mean"`
 	Max         int                    `json:"max"` // of all databases together
-	Per         map[string]PerDatabase `json:"per"`
+	PerDatabase map[string]PerDatabase `json:"per"`
 	Heartbeat   Quantiles              `json:"heartbeat_ms"`
 }
 
@@ -62,9 +62,9 @@
 	total               []int
 }
 
-// Databases runs the process of all databases and their discovery. It reads its settings as a line of JSON, writes the address
+// RunDatabases runs the process of all databases and their discovery. It reads its settings as a line of JSON, writes the address
 // of discovery, and answers {"do":"begin"}, {"do":"count"} and {"do":"report"} until its input ends.
-func Databases(in io.Reader, out io.Writer) error {
+func RunDatabases(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
@@ -162,7 +162,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.world.DatabaseLoads()
-	r := databaseReport{Counts: s.world.Counts(), Per: map[string]PerDatabase{}}
+	r := databaseReport{Counts: s.world.Counts(), PerDatabase: map[string]PerDatabase{}}
 	if s.baseline == nil {
 		return r
 	}
@@ -198,7 +198,7 @@
 		}
 		p.PerSecond = round(p.PerSecond/float64(max(1, p.Databases)), 3)
 		p.setDistribution(all)
-		r.Per[role] = p
+		r.PerDatabase[role] = p
 	}
 	return r
 }
--- a/internal/datapath/datapath.go
+++ b/internal/datapath/datapath.go
@@ -36,28 +36,28 @@
 
 // Options are the settings of one run.
 type Options struct {
-	Clients    int
-	Statements float64 // per second, of all clients
-	Databases  int
-	GroupsOf   int
-	For        time.Duration // measured time
-	Idle       time.Duration // all clients are connected and send nothing
-	Warm       time.Duration // under load, before the measured time
-	Again      time.Duration // mean pause before a client reconnects after its connection was closed
-	Even       bool
-	Seed       uint64
-	Sockets    int // the gateway's limits.sockets; 0: see Sockets
-	MemoryMB   int
-	Told       int           // number of gateways that the configuration announces
-	Keep       time.Duration // Allowed.ConnIdleUs; 0: as in the lab
-	Service    time.Duration // mean time of a statement at a database
-	Stall      time.Duration // lateness of a helper process that makes the run invalid
-	Gateway    []string      // command of the gateway
-	Sides      func(role string) []string
-	Log        io.Writer                   // receives the gateway's log; may be nil
-	Started    func(role string, pid int)  // for tests: a process has started
-	Loaded     func()                      // for tests: the measured time has begun
-	Fault      func(config map[string]any) // for tests: changes the gateway's configuration
+	Clients           int
+	Statements        float64 // per second, of all clients
+	Databases         int
+	GroupsOf          int
+	MeasuredTime      time.Duration // measured time
+	Idle              time.Duration // all clients are connected and send nothing
+	WarmUp            time.Duration // under load, before the measured time
+	ReconnectPause    time.Duration // mean pause before a client reconnects after its connection was closed
+	EvenArrivals      bool
+	Seed              uint64
+	Sockets           int // the gateway's limits.sockets; 0: see Sockets
+	MemoryMB          int
+	AnnouncedGateways int           // number of gateways that the configuration announces
+	ConnIdle          time.Duration // Allowed.ConnIdleUs; 0: as in the lab
+	ServiceTime       time.Duration // mean time of a statement at a database
+	MaxLateness       time.Duration // lateness of a helper process that makes the run invalid
+	Gateway           []string      // command of the gateway
+	HelperCommand     func(role string) []string
+	Log               io.Writer                   // receives the gateway's log; may be nil
+	Started           func(role string, pid int)  // for tests: a process has started
+	LoadStarted       func()                      // for tests: the measured time has begun
+	ChangeConfig      func(config map[string]any) // for tests: changes the gateway's configuration
 }
 
 // classes are those of deploy/load/day.yaml.
@@ -81,12 +81,12 @@
 	CoreIdle        float64 `json:"core_percent_idle"`
 	CoreClientsIdle float64 `json:"core_percent_clients_idle"`
 	Core            float64 `json:"core_percent"`
-	PerStatement    float64 `json:"cpu_us_per_statement"` // processor time of the whole process per statement sent
+	CPUPerStatement float64 `json:"cpu_us_per_statement"` // processor time of the whole process per statement sent
 
-	DescriptorsIdle  int     `json:"descriptors_idle"`
-	Descriptors      int     `json:"descriptors"`
-	DescriptorsAfter int     `json:"descriptors_after"`
-	BackSeconds      float64 `json:"descriptors_back_s"` // after the last client; negative: they did not return
+	DescriptorsIdle         int     `json:"descriptors_idle"`
+	Descriptors             int     `json:"descriptors"`
+	DescriptorsAfter        int     `json:"descriptors_after"`
+	DescriptorReturnSeconds float64 `json:"descriptors_back_s"` // after the last client; negative: they did not return
 
 	ClientConnectionsIdle float64 `json:"client_connections_idle"`
 	ClientConnections     float64 `json:"client_connections"`
@@ -99,53 +99,53 @@
 	P50                   float64 `json:"p50_ms"`
 	P99                   float64 `json:"p99_ms"`
 
-	NewConnections float64 `json:"new_connections_per_s"` // to databases
-	ClientNewIdle  float64 `json:"client_connections_idle_per_s"`
-	ClientNew      float64 `json:"client_connections_per_s"` // clients that reconnected
-	ClosedIdle     float64 `json:"clients_closed_idle_per_s"`
-	LostMS         int     `json:"lost_ms"` // process pauses by its own metric, in the measured time
-	Sockets        int     `json:"sockets"`
-	MemoryMB       int     `json:"memory_mb"`
-	ToldGateways   int     `json:"told_gateways"`
-	KeepSeconds    float64 `json:"conn_idle_s"`
+	NewDatabaseConnections float64 `json:"new_connections_per_s"` // to databases
+	ReconnectsIdle         float64 `json:"client_connections_idle_per_s"`
+	Reconnects             float64 `json:"client_connections_per_s"` // clients that reconnected
+	ClosedIdle             float64 `json:"clients_closed_idle_per_s"`
+	LostMS                 int     `json:"lost_ms"` // process pauses by its own metric, in the measured time
+	Sockets                int     `json:"sockets"`
+	MemoryMB               int     `json:"memory_mb"`
+	AnnouncedGateways      int     `json:"told_gateways"`
+	ConnIdleSeconds        float64 `json:"conn_idle_s"`
 
 	Classes    map[string]*ClassReport `json:"classes"`
 	RefusedBy  map[string]int          `json:"refused_by"` // whole run
 	FailedBy   map[string]int          `json:"failed_by"`
-	Amiss      []Amiss                 `json:"amiss"`       // the first statements that were refused or failed
+	Unserved   []UnservedStatement     `json:"amiss"`       // the first statements that were refused or failed
 	TurnedAway map[string]int          `json:"turned_away"` // connections
-	Figures    map[string]uint64       `json:"figures"`     // its metrics at the end of the load
+	Metrics    map[string]uint64       `json:"figures"`     // its metrics at the end of the load
 	Events     map[string]int          `json:"events"`      // log lines by event and reason
 }
 
 // StandIn is the report of the databases' process.
 type StandIn struct {
-	Core        float64                `json:"core_percent"`
-	Descriptors int                    `json:"descriptors"`
-	HeartbeatMS Quantiles              `json:"lateness_ms"`
-	Most        int                    `json:"connections_max"` // of all databases together
-	Per         map[string]PerDatabase `json:"connections_per_database"`
-	Reads       int                    `json:"reads"`
-	Writes      int                    `json:"writes"`
-	Duplicates  int                    `json:"duplicates"`
-	Stale       int                    `json:"stale"`
-	Firsts      int                    `json:"firsts"`  // first attempts of statements
-	Repeats     int                    `json:"repeats"` // repeated attempts
-	Misses      int                    `json:"misses"`  // writes at a replica
-	Full        int                    `json:"full"`    // refused because the queue was full
-	ServiceMS   float64                `json:"service_ms"`
+	Core           float64                `json:"core_percent"`
+	Descriptors    int                    `json:"descriptors"`
+	HeartbeatMS    Quantiles              `json:"lateness_ms"`
+	MaxConnections int                    `json:"connections_max"` // of all databases together
+	PerDatabase    map[string]PerDatabase `json:"connections_per_database"`
+	Reads          int                    `json:"reads"`
+	Writes         int                    `json:"writes"`
+	Duplicates     int                    `json:"duplicates"`
+	Stale          int                    `json:"stale"`
+	Firsts         int                    `json:"firsts"`  // first attempts of statements
+	Repeats        int                    `json:"repeats"` // repeated attempts
+	Misses         int                    `json:"misses"`  // writes at a replica
+	QueueFull      int                    `json:"full"`    // refused because the queue was full
+	ServiceMS      float64                `json:"service_ms"`
 }
 
 // ClientSide is the report of the clients' process.
 type ClientSide struct {
-	Core        float64   `json:"core_percent"`
-	Descriptors int       `json:"descriptors"`
-	LatenessMS  Quantiles `json:"lateness_ms"`
-	HeartbeatMS Quantiles `json:"heartbeat_ms"`
-	AgainMS     float64   `json:"comes_again_ms"`
-	Arrivals    string    `json:"arrivals"`
-	Whole       Counts    `json:"whole"` // including the warm-up
-	Unasked     int       `json:"unasked_messages"`
+	Core             float64   `json:"core_percent"`
+	Descriptors      int       `json:"descriptors"`
+	LatenessMS       Quantiles `json:"lateness_ms"`
+	HeartbeatMS      Quantiles `json:"heartbeat_ms"`
+	ReconnectPauseMS float64   `json:"comes_again_ms"`
+	Arrivals         string    `json:"arrivals"`
+	WholeRun         Counts    `json:"whole"` // including the warm-up
+	Unsolicited      int       `json:"unasked_messages"`
 }
 
 // Report is the result of one run.
@@ -183,8 +183,8 @@
 	if o.GroupsOf < 1 || o.Databases < o.GroupsOf {
 		addError("--databases %d in --groups-of %d: must be at least one whole group", o.Databases, o.GroupsOf)
 	}
-	if o.For <= 0 {
-		addError("--for %v: must be positive", o.For)
+	if o.MeasuredTime <= 0 {
+		addError("--for %v: must be positive", o.MeasuredTime)
 	}
 	hard := hardLimit()
 	if o.Sockets == 0 {
@@ -258,9 +258,9 @@
 // start starts the databases, the gateway and, after measuring the gateway without clients, the clients.
 func (r *run) start() (err error) {
 	databaseConfig := databaseSettings{
-		Databases: r.Databases, GroupsOf: r.GroupsOf, Cores: 5, Queue: 60, Service: r.Service, Lag: 10 * time.Millisecond, Seed: r.Seed,
+		Databases: r.Databases, GroupsOf: r.GroupsOf, Cores: 5, Queue: 60, Service: r.ServiceTime, Lag: 10 * time.Millisecond, Seed: r.Seed,
 	}
-	if r.databaseProcess, err = startHelper("the databases' process", r.Sides("databases"), databaseConfig); err != nil {
+	if r.databaseProcess, err = startHelper("the databases' process", r.HelperCommand("databases"), databaseConfig); err != nil {
 		return err
 	}
 	var databases databaseAddrs
@@ -273,18 +273,18 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	p := &plan.Plan{Seed: r.Seed, Classes: classes, Lab: plan.Lab{Gateways: 1, AnnouncedGateways: r.Told}}
+	p := &plan.Plan{Seed: r.Seed, Classes: classes, Lab: plan.Lab{Gateways: 1, AnnouncedGateways: r.AnnouncedGateways}}
 	config := lab.Config(p, "g1", databases.Discovery, r.Seed, databases.List)
 	config["limits"] = map[string]any{"cores": 1, "memory_mb": r.MemoryMB, "sockets": r.Sockets}
 	allowed := config["settings"].(map[string]any)["Allowed"].(map[string]any)
-	if r.Keep > 0 {
-		allowed["ConnIdleUs"] = r.Keep.Microseconds()
+	if r.ConnIdle > 0 {
+		allowed["ConnIdleUs"] = r.ConnIdle.Microseconds()
 	}
 	if us, err := strconv.ParseInt(fmt.Sprint(allowed["ConnIdleUs"]), 10, 64); err == nil {
-		r.report.Gateway.KeepSeconds = float64(us) / 1e6
+		r.report.Gateway.ConnIdleSeconds = float64(us) / 1e6
 	}
-	if r.Fault != nil {
-		r.Fault(config)
+	if r.ChangeConfig != nil {
+		r.ChangeConfig(config)
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -311,10 +311,10 @@
 	if got := lab.LogField(event, "sockets"); got != strconv.Itoa(r.Sockets) {
 		return fmt.Errorf("the gateway has %s descriptors, not %d", got, r.Sockets)
 	}
-	r.report.Gateway.Sockets, r.report.Gateway.MemoryMB, r.report.Gateway.ToldGateways = r.Sockets, r.MemoryMB, r.Told
+	r.report.Gateway.Sockets, r.report.Gateway.MemoryMB, r.report.Gateway.AnnouncedGateways = r.Sockets, r.MemoryMB, r.AnnouncedGateways
 	clientConfig := clientSettings{
 		Target: lab.LogField(event, "listen"), Clients: r.Clients, Statements: r.Statements, Databases: r.Databases, GroupsOf: r.GroupsOf,
-		Classes: classes, Idle: r.Idle, Warm: r.Warm, For: r.For, Again: r.Again, Even: r.Even, Seed: r.Seed,
+		Classes: classes, Idle: r.Idle, WarmUp: r.WarmUp, MeasuredTime: r.MeasuredTime, ReconnectPause: r.ReconnectPause, EvenArrivals: r.EvenArrivals, Seed: r.Seed,
 	}
 	// Measure the gateway without clients.
 	time.Sleep(idleInterval)
@@ -324,7 +324,7 @@
 	_, g.CoreIdle = idle.since()
 	g.RSSIdle, g.AnonIdle = r.memory()
 	g.DescriptorsIdle = descriptors(r.gateway.Pid())
-	r.clientProcess, err = startHelper("the clients' process", r.Sides("clients"), clientConfig)
+	r.clientProcess, err = startHelper("the clients' process", r.HelperCommand("clients"), clientConfig)
 	return err
 }
 
@@ -404,14 +404,14 @@
 	r.clientProcess.close()
 	r.takeClientReport(clients)
 	var err error
-	if g.Figures, err = r.metrics(); err != nil {
+	if g.Metrics, err = r.metrics(); err != nil {
 		return fmt.Errorf("the gateway's figures: %w", err)
 	}
 	// The gateway keeps idle connections to databases for a while.
-	g.BackSeconds = -1
+	g.DescriptorReturnSeconds = -1
 	for time.Since(clientsEnded) < descriptorReturnTimeout && ctx.Err() == nil {
 		if g.DescriptorsAfter = descriptors(pid); g.DescriptorsAfter <= g.DescriptorsIdle+descriptorSlack {
-			g.BackSeconds = round(time.Since(clientsEnded).Seconds(), 1)
+			g.DescriptorReturnSeconds = round(time.Since(clientsEnded).Seconds(), 1)
 			break
 		}
 		time.Sleep(pollInterval)
@@ -429,8 +429,8 @@
 	if err != nil {
 		return err
 	}
-	if r.Loaded != nil {
-		r.Loaded()
+	if r.LoadStarted != nil {
+		r.LoadStarted()
 	}
 	meters := []meter{newMeter(pid), newMeter(r.databaseProcess.pid()), newMeter(r.clientProcess.pid())}
 	n := 0.0
@@ -445,7 +445,7 @@
 	used, share := meters[0].since()
 	took := time.Since(meters[0].start).Seconds()
 	g.Core = share
-	g.PerStatement = used.Seconds() * 1e6 / max(1, took) // per second; takeClientReport divides by the rate
+	g.CPUPerStatement = used.Seconds() * 1e6 / max(1, took) // per second; takeClientReport divides by the rate
 	_, r.report.StandIn.Core = meters[1].since()
 	_, r.report.ClientSide.Core = meters[2].since()
 	g.RSS, g.Anon = round(g.RSS/max(1, n), 2), round(g.Anon/max(1, n), 2)
@@ -459,9 +459,9 @@
 	}
 	g.LostMS = int(after["lost_ms"] - before["lost_ms"])
 	s := &r.report.StandIn
-	s.HeartbeatMS, s.Per, s.Most, s.ServiceMS = databases.Heartbeat, databases.Per, databases.Max, float64(r.Service)/float64(time.Millisecond)
+	s.HeartbeatMS, s.PerDatabase, s.MaxConnections, s.ServiceMS = databases.Heartbeat, databases.PerDatabase, databases.Max, float64(r.ServiceTime)/float64(time.Millisecond)
 	g.DatabaseConnections = databases.Mean
-	g.NewConnections = round(float64(databases.New)/max(0.001, took), 1)
+	g.NewDatabaseConnections = round(float64(databases.New)/max(0.001, took), 1)
 	return nil
 }
 
@@ -472,20 +472,20 @@
 	g.ClientConnectionsIdle, g.ClientConnections = c.OpenIdle, c.Open
 	g.Sent, g.Served, g.Refused, g.Failed, g.Late = c.Measured.Sent, c.Measured.Served, c.Measured.Refused, c.Measured.Failed, c.Measured.Late
 	g.P50, g.P99 = c.Latency.P50, c.Latency.P99
-	g.ClientNewIdle, g.ClientNew = c.AgainIdle, c.Again
+	g.ReconnectsIdle, g.Reconnects = c.ReconnectsIdle, c.Reconnects
 	g.ClosedIdle = round(float64(c.Closed)/max(0.001, c.Seconds), 1)
-	g.Classes, g.RefusedBy, g.FailedBy, g.TurnedAway, g.Amiss = c.Classes, c.RefusedBy, c.FailedBy, c.TurnedAway, c.Amiss
+	g.Classes, g.RefusedBy, g.FailedBy, g.TurnedAway, g.Unserved = c.Classes, c.RefusedBy, c.FailedBy, c.TurnedAway, c.Unserved
 	if c.OpenIdle > 0 {
 		g.BytesPerClient = round((g.RSSClientsIdle-g.RSSIdle)*megabyte/c.OpenIdle, 0)
 	}
-	g.PerStatement = round(g.PerStatement*max(0.001, c.Seconds)/float64(max(1, c.Measured.Sent)), 1)
-	s.Descriptors, s.LatenessMS, s.HeartbeatMS, s.Whole, s.Unasked = c.Descriptors, c.Lateness, c.Heartbeat, c.Whole, c.Extra
-	s.AgainMS, s.Arrivals = float64(r.Again)/float64(time.Millisecond), "poisson"
-	if r.Even {
+	g.CPUPerStatement = round(g.CPUPerStatement*max(0.001, c.Seconds)/float64(max(1, c.Measured.Sent)), 1)
+	s.Descriptors, s.LatenessMS, s.HeartbeatMS, s.WholeRun, s.Unsolicited = c.Descriptors, c.Lateness, c.Heartbeat, c.WholeRun, c.Unsolicited
+	s.ReconnectPauseMS, s.Arrivals = float64(r.ReconnectPause)/float64(time.Millisecond), "poisson"
+	if r.EvenArrivals {
 		s.Arrivals = "even"
 	}
-	if len(c.Short) > 0 {
-		r.addInvalid("the clients' process was short of descriptors or ports: %v", c.Short)
+	if len(c.ResourceErrors) > 0 {
+		r.addInvalid("the clients' process was short of descriptors or ports: %v", c.ResourceErrors)
 	}
 }
 
@@ -509,15 +509,15 @@
 // evaluate decides whether the run is valid, and lists the rules that it violated as faults.
 func (r *run) evaluate() {
 	g, s, c := &r.report.Gateway, &r.report.StandIn, &r.report.ClientSide
-	stall := float64(r.Stall) / float64(time.Millisecond)
+	stall := float64(r.MaxLateness) / float64(time.Millisecond)
 	for _, x := range []struct {
 		who  string
 		late Quantiles
 	}{{"the clients' process was late", c.HeartbeatMS}, {"the clients' process sent statements late", c.LatenessMS}, {"the databases' process was late", s.HeartbeatMS}} {
 		if x.late.Max > stall {
-			r.addInvalid("%s by up to %.1f ms, over its bound of %v", x.who, x.late.Max, r.Stall)
+			r.addInvalid("%s by up to %.1f ms, over its bound of %v", x.who, x.late.Max, r.MaxLateness)
 		} else if x.late.P99 > stall/5 {
-			r.addInvalid("%s by %.1f ms at the 99th percentile, over a fifth of its bound of %v", x.who, x.late.P99, r.Stall)
+			r.addInvalid("%s by %.1f ms at the 99th percentile, over a fifth of its bound of %v", x.who, x.late.P99, r.MaxLateness)
 		}
 	}
 	r.report.Valid = r.report.Invalid == ""
@@ -526,7 +526,7 @@
 		r.addFault("%v", err)
 	}
 	s.Reads, s.Writes, s.Duplicates, s.Stale = databases.Counts.Reads, databases.Counts.Writes, databases.Counts.Duplicates, databases.Counts.Stale
-	s.Firsts, s.Repeats, s.Misses, s.Full = databases.Counts.Firsts, databases.Counts.Repeats, databases.Counts.Misses, databases.Counts.Full
+	s.Firsts, s.Repeats, s.Misses, s.QueueFull = databases.Counts.Firsts, databases.Counts.Repeats, databases.Counts.Misses, databases.Counts.Full
 	if databases.Counts.Duplicates > 0 {
 		r.addFault("%d writes ran twice", databases.Counts.Duplicates)
 	}
@@ -536,16 +536,16 @@
 	if databases.Counts.Foreign > 0 {
 		r.addFault("%d statements that no client sends", databases.Counts.Foreign)
 	}
-	if w := c.Whole; w.Sent != w.Served+w.Refused+w.Failed {
+	if w := c.WholeRun; w.Sent != w.Served+w.Refused+w.Failed {
 		r.addFault("%d sent, but %d served, %d refused and %d failed", w.Sent, w.Served, w.Refused, w.Failed)
 	}
 	gatewayCounts := Counts{}
 	for _, k := range classes {
-		gatewayCounts.Served += int(g.Figures["passed."+k.Name])
-		gatewayCounts.Refused += int(g.Figures["dropped."+k.Name])
-		gatewayCounts.Failed += int(g.Figures["bad_gateway."+k.Name])
+		gatewayCounts.Served += int(g.Metrics["passed."+k.Name])
+		gatewayCounts.Refused += int(g.Metrics["dropped."+k.Name])
+		gatewayCounts.Failed += int(g.Metrics["bad_gateway."+k.Name])
 	}
-	if w := c.Whole; gatewayCounts.Served != w.Served || gatewayCounts.Refused != w.Refused {
+	if w := c.WholeRun; gatewayCounts.Served != w.Served || gatewayCounts.Refused != w.Refused {
 		r.addFault("the clients count %d served and %d refused, the gateway %d and %d", w.Served, w.Refused, gatewayCounts.Served, gatewayCounts.Refused)
 	}
 	if n := g.FailedBy["no answer"]; n > 0 {
@@ -554,10 +554,10 @@
 	if n := g.FailedBy[errNotOneValue.Error()]; n > 0 {
 		r.addFault("%d answers were not one row with one value", n)
 	}
-	if c.Unasked > 0 {
-		r.addFault("%d unsolicited messages", c.Unasked)
+	if c.Unsolicited > 0 {
+		r.addFault("%d unsolicited messages", c.Unsolicited)
 	}
-	if g.BackSeconds < 0 && !r.report.Partial {
+	if g.DescriptorReturnSeconds < 0 && !r.report.Partial {
 		r.addFault("the gateway has %d descriptors %v after its last client, and had %d before the first", g.DescriptorsAfter, descriptorReturnTimeout, g.DescriptorsIdle)
 	}
 	if !r.gateway.Alive() {
@@ -602,10 +602,10 @@
 	printf("%d clients, %v statements/s, %d databases in groups of %d, %.1f s measured", r.Clients, r.Statements, r.Databases, r.GroupsOf, r.Seconds)
 	printf("gateway: rss %.1f MB idle, %.1f with clients idle (%.0f bytes a connection), %.1f under load, at most %.1f of %d",
 		g.RSSIdle, g.RSSClientsIdle, g.BytesPerClient, g.RSS, g.RSSMax, g.MemoryMB)
-	printf("  core %.1f%% idle, %.1f%% with clients idle, %.1f%% under load, %.1f us a statement; paused for %d ms", g.CoreIdle, g.CoreClientsIdle, g.Core, g.PerStatement, g.LostMS)
-	printf("  descriptors %d idle, %d of %d under load, %d after (%.1f s)", g.DescriptorsIdle, g.Descriptors, g.Sockets, g.DescriptorsAfter, g.BackSeconds)
+	printf("  core %.1f%% idle, %.1f%% with clients idle, %.1f%% under load, %.1f us a statement; paused for %d ms", g.CoreIdle, g.CoreClientsIdle, g.Core, g.CPUPerStatement, g.LostMS)
+	printf("  descriptors %d idle, %d of %d under load, %d after (%.1f s)", g.DescriptorsIdle, g.Descriptors, g.Sockets, g.DescriptorsAfter, g.DescriptorReturnSeconds)
 	printf("  connections of clients %.0f idle, %.0f under load; of databases %.0f; new ones %.1f/s from clients, %.1f/s to databases",
-		g.ClientConnectionsIdle, g.ClientConnections, g.DatabaseConnections, g.ClientNew, g.NewConnections)
+		g.ClientConnectionsIdle, g.ClientConnections, g.DatabaseConnections, g.Reconnects, g.NewDatabaseConnections)
 	printf("  sent %d, served %d (late %d), refused %d, failed %d; p50 %.2f ms, p99 %.2f ms", g.Sent, g.Served, g.Late, g.Refused, g.Failed, g.P50, g.P99)
 	for _, x := range []struct {
 		what string
@@ -615,15 +615,15 @@
 			printf("    %s: %d %s", x.what, x.by[k], k)
 		}
 	}
-	for _, a := range g.Amiss {
-		printf("    %s due at %.3f s, after %.1f ms: %s", a.Class, a.AtS, a.TookMS, a.How)
+	for _, a := range g.Unserved {
+		printf("    %s due at %.3f s, after %.1f ms: %s", a.Class, a.AtS, a.TookMS, a.Reason)
 	}
-	for _, role := range slices.Sorted(maps.Keys(s.Per)) {
-		p := s.Per[role]
+	for _, role := range slices.Sorted(maps.Keys(s.PerDatabase)) {
+		p := s.PerDatabase[role]
 		printf("a database (%s, %d): connections mean %.3f, p99 %.0f, max %d; one or more for %.1f%% of the time; %.2f statements/s",
 			role, p.Databases, p.Mean, p.P99, p.Max, 100*p.ShareAny, p.PerSecond)
 	}
-	printf("stand-in: %d statements came for the first time, %d again, %d writes at a replica, %d found a full queue", s.Firsts, s.Repeats, s.Misses, s.Full)
+	printf("stand-in: %d statements came for the first time, %d again, %d writes at a replica, %d found a full queue", s.Firsts, s.Repeats, s.Misses, s.QueueFull)
 	printf("stand-in: core %.1f%%, late p99 %.2f ms, at most %.2f ms", s.Core, s.HeartbeatMS.P99, s.HeartbeatMS.Max)
 	printf("clients: core %.1f%%, late p99 %.2f ms, at most %.2f ms; statements late p99 %.2f ms, at most %.2f ms",
 		c.Core, c.HeartbeatMS.P99, c.HeartbeatMS.Max, c.LatenessMS.P99, c.LatenessMS.Max)
--- a/internal/datapath/datapath_test.go
+++ b/internal/datapath/datapath_test.go
@@ -21,8 +21,8 @@
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == roleArgument {
 		side := map[string]func() error{
-			"databases": func() error { return Databases(os.Stdin, os.Stdout) },
-			"clients":   func() error { return Clients(os.Stdin, os.Stdout) },
+			"databases": func() error { return RunDatabases(os.Stdin, os.Stdout) },
+			"clients":   func() error { return RunClients(os.Stdin, os.Stdout) },
 		}[os.Args[2]]
 		if err := side(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -52,17 +52,17 @@
 		require.NoError(t, err, "%s", out)
 	})
 	return Options{
-		Clients: 200, Statements: 400, Databases: 40, GroupsOf: 4, For: 2 * time.Second, Idle: 300 * time.Millisecond, Warm: 300 * time.Millisecond,
-		Again: 100 * time.Millisecond, Seed: 5, Sockets: 2000, MemoryMB: 64, Told: 1, Keep: time.Second, Service: 5 * time.Millisecond,
-		Stall: 30 * time.Second, Gateway: []string{filepath.Join(built.dir, "lilaccove")},
-		Sides: func(role string) []string { return []string{os.Args[0], roleArgument, role} },
+		Clients: 200, Statements: 400, Databases: 40, GroupsOf: 4, MeasuredTime: 2 * time.Second, Idle: 300 * time.Millisecond, WarmUp: 300 * time.Millisecond,
+		ReconnectPause: 100 * time.Millisecond, Seed: 5, Sockets: 2000, MemoryMB: 64, AnnouncedGateways: 1, ConnIdle: time.Second, ServiceTime: 5 * time.Millisecond,
+		MaxLateness: 30 * time.Second, Gateway: []string{filepath.Join(built.dir, "lilaccove")},
+		HelperCommand: func(role string) []string { return []string{os.Args[0], roleArgument, role} },
 	}
 }
 
 // checkTotals checks what must hold in every complete run.
 func checkTotals(t *testing.T, r *Report) {
 	t.Helper()
-	g, w := &r.Gateway, r.ClientSide.Whole
+	g, w := &r.Gateway, r.ClientSide.WholeRun
 	assert.Empty(t, r.Faults)
 	assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed, "each statement sent has one result")
 	assert.Equal(t, g.Sent, g.Served+g.Refused+g.Failed)
@@ -77,8 +77,8 @@
 	assert.Equal(t, Counts{Sent: g.Sent, Served: g.Served, Late: g.Late, Refused: g.Refused, Failed: g.Failed}, sum)
 	passed, dropped, by := 0, 0, 0
 	for _, k := range classes {
-		passed += int(g.Figures["passed."+k.Name])
-		dropped += int(g.Figures["dropped."+k.Name])
+		passed += int(g.Metrics["passed."+k.Name])
+		dropped += int(g.Metrics["dropped."+k.Name])
 	}
 	assert.Equal(t, passed, w.Served, "the gateway's count is the same")
 	assert.Equal(t, dropped, w.Refused)
@@ -92,12 +92,12 @@
 	}
 	assert.Equal(t, w.Failed, by)
 	assert.Zero(t, g.FailedBy["no answer"])
-	assert.Zero(t, r.ClientSide.Unasked, "no statement has two responses")
+	assert.Zero(t, r.ClientSide.Unsolicited, "no statement has two responses")
 	assert.GreaterOrEqual(t, r.StandIn.Reads+r.StandIn.Writes, w.Served, "served statements ran at a database")
 	assert.Zero(t, r.StandIn.Duplicates)
 	assert.LessOrEqual(t, g.DescriptorsAfter, g.DescriptorsIdle+descriptorSlack, "all descriptors are closed again")
-	assert.GreaterOrEqual(t, g.BackSeconds, 0.0)
-	assert.Zero(t, g.Figures["in_progress"])
+	assert.GreaterOrEqual(t, g.DescriptorReturnSeconds, 0.0)
+	assert.Zero(t, g.Metrics["in_progress"])
 }
 
 // Databases with spare capacity serve everything, and every figure is set.
@@ -114,12 +114,12 @@
 	assert.Greater(t, g.Descriptors, g.DescriptorsIdle+150)
 	assert.Positive(t, g.RSSIdle)
 	assert.Greater(t, g.RSS, g.RSSIdle)
-	assert.Positive(t, g.PerStatement)
+	assert.Positive(t, g.CPUPerStatement)
 	assert.Positive(t, g.DatabaseConnections)
-	all := r.StandIn.Per["all"]
+	all := r.StandIn.PerDatabase["all"]
 	assert.Equal(t, 40, all.Databases)
 	assert.InDelta(t, g.DatabaseConnections, all.Mean*40, 1)
-	assert.Equal(t, 10, r.StandIn.Per["primary"].Databases)
+	assert.Equal(t, 10, r.StandIn.PerDatabase["primary"].Databases)
 	assert.LessOrEqual(t, all.ShareOne, all.ShareAny)
 }
 
@@ -127,7 +127,7 @@
 func TestScaleDataPathRefuses(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
-	o.Databases, o.Service, o.Seed = 4, 50*time.Millisecond, 6 // 100 statements/s each
+	o.Databases, o.ServiceTime, o.Seed = 4, 50*time.Millisecond, 6 // 100 statements/s each
 	o.Statements = 800
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
@@ -141,12 +141,12 @@
 func TestScaleDataPathUnevenGroups(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
-	o.Databases, o.For, o.Seed = 10, time.Second, 7
+	o.Databases, o.MeasuredTime, o.Seed = 10, time.Second, 7
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err)
 	checkTotals(t, r)
-	assert.Equal(t, 10, r.StandIn.Per["all"].Databases)
-	assert.Equal(t, 3, r.StandIn.Per["primary"].Databases)
+	assert.Equal(t, 10, r.StandIn.PerDatabase["all"].Databases)
+	assert.Equal(t, 3, r.StandIn.PerDatabase["primary"].Databases)
 	assert.GreaterOrEqual(t, r.Gateway.Served, r.Gateway.Sent*95/100, "no statement is for a missing group")
 }
 
@@ -157,12 +157,12 @@
 		t.Run(role, func(t *testing.T) {
 			t.Parallel()
 			o := shortRun(t)
-			o.Stall, o.Seed = 1500*time.Millisecond, 8
-			o.For = 3 * time.Second
+			o.MaxLateness, o.Seed = 1500*time.Millisecond, 8
+			o.MeasuredTime = 3 * time.Second
 			var stalls sync.WaitGroup
 			pids := map[string]int{}
 			o.Started = func(which string, pid int) { pids[which] = pid }
-			o.Loaded = func() {
+			o.LoadStarted = func() {
 				assert.NoError(t, syscall.Kill(pids[role], syscall.SIGSTOP))
 				stalls.Go(func() {
 					time.Sleep(2 * time.Second)
@@ -176,7 +176,7 @@
 			assert.Contains(t, r.Invalid, "the "+role+"' process was late")
 			assert.Error(t, Verdict(r))
 			assert.ErrorContains(t, Verdict(&Report{Invalid: r.Invalid}), "INVALID")
-			w := r.ClientSide.Whole
+			w := r.ClientSide.WholeRun
 			assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed)
 		})
 	}
@@ -186,7 +186,7 @@
 func TestScaleDataPathInterrupted(t *testing.T) {
 	t.Parallel()
 	o := shortRun(t)
-	o.For = time.Minute
+	o.MeasuredTime = time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	o.Started = func(role string, _ int) {
@@ -200,7 +200,7 @@
 	assert.Less(t, time.Since(begun), 30*time.Second)
 	assert.True(t, r.Partial)
 	assert.Less(t, r.Seconds, 30.0)
-	w := r.ClientSide.Whole
+	w := r.ClientSide.WholeRun
 	assert.Positive(t, w.Sent)
 	assert.Equal(t, w.Sent, w.Served+w.Refused+w.Failed)
 }
@@ -212,7 +212,7 @@
 	for _, part := range []string{"--statements 0", "--databases 3 in --groups-of 4", "--for 0s", "--sockets", "ulimit -Hn", "--clients"} {
 		assert.ErrorContains(t, err, part)
 	}
-	_, err = Run(context.Background(), Options{Clients: 0, Statements: 1, Databases: 4, GroupsOf: 4, For: time.Second})
+	_, err = Run(context.Background(), Options{Clients: 0, Statements: 1, Databases: 4, GroupsOf: 4, MeasuredTime: time.Second})
 	assert.ErrorContains(t, err, "--clients 0")
 }
 
@@ -222,7 +222,7 @@
 	o.Gateway = []string{"false"}
 	_, err := Run(context.Background(), o)
 	assert.ErrorContains(t, err, "does not start")
-	o.Sides = func(string) []string { return []string{"false"} }
+	o.HelperCommand = func(string) []string { return []string{"false"} }
 	_, err = Run(context.Background(), o)
 	assert.Error(t, err)
 }
--- a/internal/datapath/fit.go
+++ b/internal/datapath/fit.go
@@ -13,18 +13,18 @@
 	Name  string
 	Unit  string
 	Scale float64 // converts the slope from the fit's unit to Unit
-	Of    func(r *Report) float64
+	Value func(r *Report) float64
 }
 
 // Line fits a quantity as a constant plus a slope times each term, by least squares.
 type Line struct {
-	Name     string
-	Of       func(r *Report) float64
-	Terms    []Term
-	Values   []float64 // the constant, then the slopes
-	Residual float64   // root mean square
-	Most     float64   // largest deviation
-	Reports  int
+	Name         string
+	Value        func(r *Report) float64
+	Terms        []Term
+	Coefficients []float64 // the constant, then the slopes
+	Residual     float64   // root mean square
+	MaxResidual  float64   // largest deviation
+	Reports      int
 }
 
 // Lines returns the fits that are made over the runs.
@@ -32,18 +32,18 @@
 	clients := func(r *Report) float64 { return r.Gateway.ClientConnections }
 	databases := func(r *Report) float64 { return r.Gateway.DatabaseConnections }
 	statements := func(r *Report) float64 { return float64(r.Gateway.Sent) / math.Max(0.001, r.Seconds) }
-	reconnects := func(r *Report) float64 { return r.Gateway.ClientNew }
+	reconnects := func(r *Report) float64 { return r.Gateway.Reconnects }
 	listed := func(r *Report) float64 { return float64(r.Databases) }
 	return []Line{
-		{Name: "memory under load (rss, MB)", Of: func(r *Report) float64 { return r.Gateway.RSS }, Terms: []Term{
+		{Name: "memory under load (rss, MB)", Value: func(r *Report) float64 { return r.Gateway.RSS }, Terms: []Term{
 			{"client connection", "bytes", megabyte, clients}, {"database connection", "bytes", megabyte, databases},
 			{"statement/s", "bytes", megabyte, statements}, {"connection/s from clients", "bytes", megabyte, reconnects},
 		}},
-		{Name: "memory with clients idle (rss, MB)", Of: func(r *Report) float64 { return r.Gateway.RSSClientsIdle }, Terms: []Term{
+		{Name: "memory with clients idle (rss, MB)", Value: func(r *Report) float64 { return r.Gateway.RSSClientsIdle }, Terms: []Term{
 			{"client connection", "bytes", megabyte, func(r *Report) float64 { return r.Gateway.ClientConnectionsIdle }},
 			{"database listed", "bytes", megabyte, listed},
 		}},
-		{Name: "processor time (percent of a core)", Of: func(r *Report) float64 { return r.Gateway.Core }, Terms: []Term{
+		{Name: "processor time (percent of a core)", Value: func(r *Report) float64 { return r.Gateway.Core }, Terms: []Term{
 			{"statement", "us", 1e4, statements}, {"connection from a client", "us", 1e4, reconnects},
 			{"client connection held", "us/s", 1e4, clients}, {"database listed", "us/s", 1e4, listed},
 		}},
@@ -60,27 +60,27 @@
 		}
 		row := []float64{1}
 		for _, t := range l.Terms {
-			row = append(row, t.Of(r))
+			row = append(row, t.Value(r))
 		}
-		rows, values = append(rows, row), append(values, l.Of(r))
+		rows, values = append(rows, row), append(values, l.Value(r))
 	}
 	l.Reports = len(rows)
 	if l.Reports <= len(l.Terms) {
 		return fmt.Errorf("%s: %d valid reports are too few for %d slopes", l.Name, l.Reports, len(l.Terms))
 	}
 	var err error
-	if l.Values, err = leastSquares(rows, values); err != nil {
+	if l.Coefficients, err = leastSquares(rows, values); err != nil {
 		return fmt.Errorf("%s: %w", l.Name, err)
 	}
 	sum := 0.0
-	l.Most = 0
+	l.MaxResidual = 0
 	for i, row := range rows {
 		d := values[i]
 		for k, x := range row {
-			d -= l.Values[k] * x
+			d -= l.Coefficients[k] * x
 		}
 		sum += d * d
-		l.Most = math.Max(l.Most, math.Abs(d))
+		l.MaxResidual = math.Max(l.MaxResidual, math.Abs(d))
 	}
 	l.Residual = math.Sqrt(sum / float64(len(rows)))
 	return nil
@@ -89,11 +89,11 @@
 // Text writes the fit for a reader.
 func (l *Line) Text(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s over %d runs: %.2f\n", l.Name, l.Reports, l.Values[0])
+	fmt.Fprintf(&b, "%s over %d runs: %.2f\n", l.Name, l.Reports, l.Coefficients[0])
 	for i, t := range l.Terms {
-		fmt.Fprintf(&b, "  + %.4g %s for each %s\n", l.Values[i+1]*t.Scale, t.Unit, t.Name)
+		fmt.Fprintf(&b, "  + %.4g %s for each %s\n", l.Coefficients[i+1]*t.Scale, t.Unit, t.Name)
 	}
-	fmt.Fprintf(&b, "  residual %.2f, at most %.2f\n", l.Residual, l.Most)
+	fmt.Fprintf(&b, "  residual %.2f, at most %.2f\n", l.Residual, l.MaxResidual)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/internal/datapath/fit_test.go
+++ b/internal/datapath/fit_test.go
@@ -11,7 +11,7 @@
 // linearReport returns a report whose memory is 8 MB and a fixed number of bytes for each connection, statement/s and reconnect/s.
 func linearReport(clients, bases, statements, again float64) *Report {
 	r := &Report{Valid: true, Seconds: 2, Databases: 10}
-	r.Gateway.ClientConnections, r.Gateway.DatabaseConnections, r.Gateway.Sent, r.Gateway.ClientNew = clients, bases, int(2*statements), again
+	r.Gateway.ClientConnections, r.Gateway.DatabaseConnections, r.Gateway.Sent, r.Gateway.Reconnects = clients, bases, int(2*statements), again
 	r.Gateway.RSS = 8 + (4000*clients+9000*bases+100*statements+50*again)/megabyte
 	return r
 }
@@ -27,9 +27,9 @@
 	l := Lines()[0]
 	require.NoError(t, l.Fit(append(list, wrong, partial)))
 	assert.Equal(t, 6, l.Reports, "invalid and partial reports are skipped")
-	assert.InDelta(t, 8, l.Values[0], 1e-6)
+	assert.InDelta(t, 8, l.Coefficients[0], 1e-6)
 	for i, want := range []float64{4000, 9000, 100, 50} {
-		assert.InDelta(t, want, l.Values[i+1]*l.Terms[i].Scale, 1e-3)
+		assert.InDelta(t, want, l.Coefficients[i+1]*l.Terms[i].Scale, 1e-3)
 	}
 	assert.InDelta(t, 0, l.Residual, 1e-6)
 	var b strings.Builder
