--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -478,17 +478,17 @@
 }
 
 // toolFigure makes a figure of calls of the operators' tool, which depend on the number of gateways only.
-func (st *dataset) toolFigure(what, name, unit, mechanism string, get func(ToolRow) float64) Figure {
+func (st *dataset) toolFigure(command, name, unit, mechanism string, get func(ToolRow) float64) Figure {
 	var points []Point
 	for _, t := range st.runs.Tool {
 		for _, r := range t.Rows {
-			if r.Command == what {
+			if r.Command == command {
 				points = append(points, Point{Size{Gateways: r.Gateways}, get(r)})
 			}
 		}
 	}
-	l, ok := Fit(points, Gateways, Square)
-	return Figure{Name: "`lilacctl " + what + "`: " + name, Unit: unit, Mechanism: mechanism, Slope: func(int) (Slope, bool) { return l, ok }, At: func(s Size) Value {
+	slope, ok := Fit(points, Gateways, Square)
+	return Figure{Name: "`lilacctl " + command + "`: " + name, Unit: unit, Mechanism: mechanism, Slope: func(int) (Slope, bool) { return slope, ok }, At: func(s Size) Value {
 		sum, n := 0.0, 0.0
 		for _, p := range points {
 			if p.Gateways == s.Gateways {
@@ -503,7 +503,7 @@
 		case !ok:
 			return Value{Kind: NotKnown, Note: "too few sizes"}
 		}
-		return l.value(Size{Gateways: s.Gateways})
+		return slope.value(Size{Gateways: s.Gateways})
 	}}
 }
 
--- a/internal/capacity/parts.go
+++ b/internal/capacity/parts.go
@@ -15,14 +15,14 @@
 		st.clientsFigure("clients: connections held at once, the mean", "", front, func(d *Datapath) float64 { return d.Gateway.ClientConnections }),
 		st.clientsFigure("clients: descriptors open", "", front, func(d *Datapath) float64 { return d.Gateway.Descriptors }),
 		computed("clients: come again after 5 s without a statement, each when it asks", "/s", "S x e^(-5 s x S / C)", front, returningClients, Connections, Statements),
-		st.datapathFigure("clients: connections accepted, each client coming again soon after its close", "/s", front, func(d *Datapath) float64 { return d.Gateway.NewClient }),
+		st.datapathFigure("clients: connections accepted, each client coming again soon after its close", "/s", front, func(d *Datapath) float64 { return d.Gateway.NewClientConnections }),
 		st.clientsFigure("clients: memory of the process", "MB", front, func(d *Datapath) float64 { return d.Gateway.RSS }),
-		st.datapathFigure("clients: memory for each, none asking", "B", front, func(d *Datapath) float64 { return d.Gateway.PerClient }),
+		st.datapathFigure("clients: memory for each, none asking", "B", front, func(d *Datapath) float64 { return d.Gateway.BytesPerClient }),
 		given("statements: a second", "/s", pool, func(s Size) float64 { return s.Statements }),
 		st.datapathFigure("statements: processor time", "% of a core", pool, func(d *Datapath) float64 { return d.Gateway.Core }),
-		st.datapathFigure("statements: processor time for each, all of the process", "µs", pool, func(d *Datapath) float64 { return d.Gateway.PerStatement }),
+		st.datapathFigure("statements: processor time for each, all of the process", "µs", pool, func(d *Datapath) float64 { return d.Gateway.CPUPerStatement }),
 		st.datapathFigure("statements: connections held to databases", "", pool, func(d *Datapath) float64 { return d.Gateway.DatabaseConnections }),
-		st.datapathFigure("statements: connections opened to databases", "/s", pool, func(d *Datapath) float64 { return d.Gateway.NewDatabase }),
+		st.datapathFigure("statements: connections opened to databases", "/s", pool, func(d *Datapath) float64 { return d.Gateway.NewDatabaseConnections }),
 		st.datapathFigure("statements: refused", "% of all", "`policy`", refused),
 		computed("decisions: databases known", "", "D", "`policy`", func(s Size) float64 { return s.Databases }),
 		st.listFigure("decisions: processor time, by databases listed", "% of a core", "`policy`", func(d *Datapath) float64 { return d.Gateway.Core }),
@@ -117,7 +117,7 @@
 	}
 	// heldToRole is how many connections all gateways together hold to one database of a role.
 	heldToRole := func(name string) Figure {
-		one := st.fitDatapath(func(d *Datapath) float64 { return d.StandIn.Per[name].Mean })
+		one := st.fitDatapath(func(d *Datapath) float64 { return d.StandIn.PerDatabase[name].Mean })
 		return Figure{Name: "connections that gateways hold, a " + name, Formula: "held by one gateway x G", Mechanism: pool, At: func(s Size) Value {
 			v := one.measuredAt(s)
 			v.X *= s.Gateways
@@ -130,7 +130,7 @@
 		heldToRole("primary").within(allowedDatabaseConnections),
 		heldToRole("replica").within(allowedDatabaseConnections),
 		computed("statements", "/s", "S x G / D", "`policy`", statementsPerDatabase, Statements),
-		perDatabase("connections opened", "/s", "opened by one gateway x G / D", func(d *Datapath) float64 { return d.Gateway.NewDatabase }),
+		perDatabase("connections opened", "/s", "opened by one gateway x G / D", func(d *Datapath) float64 { return d.Gateway.NewDatabaseConnections }),
 		computed("connections opened by restarts of gateways", "/s", "410 x G / 490 / day", "`internal/backend`", func(s Size) float64 { return restartsPerDay * s.Gateways / Target.Gateways / secondsPerDay }),
 		unknown("processor time", "the database", NotKnown),
 		unknown("memory", "the database", NotKnown),
@@ -140,7 +140,7 @@
 // discovery has the service that provides the list of databases.
 func (st *dataset) discovery() Part {
 	mechanism := mechanismOf("discovery")
-	all := func(get func(RoleTraffic) float64) func(*Scale) (float64, bool) {
+	ofAllGateways := func(get func(RoleTraffic) float64) func(*Scale) (float64, bool) {
 		oneGateway := ofRole("discovery", get)
 		return func(s *Scale) (float64, bool) {
 			y, ok := oneGateway(s)
@@ -156,7 +156,7 @@
 		computed("after an outage: until the last gateway has its list", "s", "G / (20 / s)", mechanism, lastListTime).within(allowedInForce),
 		st.scaleFigure("calls, the most in a second", "/s", mechanism, optional(func(s *Scale) *DiscoveryCalls { return s.Discovery }, func(a *DiscoveryCalls) float64 { return a.MaxPerSecond })).within(maxDiscoveryRate),
 		st.scaleFigure("calls, the most in a second while all start", "/s", mechanism, optional(func(s *Scale) *DiscoveryCalls { return s.Discovery }, func(a *DiscoveryCalls) float64 { return a.MaxPerSecondSettling })).within(maxDiscoveryRate),
-		st.scaleFigure("bytes sent to all gateways", "B/s", mechanism, all(func(r RoleTraffic) float64 { return r.BytesIn })),
+		st.scaleFigure("bytes sent to all gateways", "B/s", mechanism, ofAllGateways(func(r RoleTraffic) float64 { return r.BytesIn })),
 		unknown("processor time", "not of this program", NotKnown),
 		unknown("memory", "not of this program", NotKnown),
 	}}
@@ -181,12 +181,12 @@
 		computed("calls of `lilacctl members`, all at once", "", "G", mechanism, func(s Size) float64 { return s.Gateways }),
 		computed("one gateway's answer to `lilacctl members`", "B", "95 B x 2 G: its view and whom it knows", mechanism, func(s Size) float64 { return memberBytes * 2 * s.Gateways }).within(maxAnswer),
 		computed("one gateway's answer to `lilacctl versions`", "B", "226 B x G", mechanism, func(s Size) float64 { return versionBytes * s.Gateways }).within(maxAnswer))
-	for _, what := range []string{"members", "versions"} {
+	for _, command := range []string{"members", "versions"} {
 		p.Figures = append(p.Figures,
-			st.toolFigure(what, "answers of all", "MB", mechanism, func(r ToolRow) float64 { return r.BytesRead / 1e6 }),
-			st.toolFigure(what, "time, where each gateway answers at once", "s", mechanism, func(r ToolRow) float64 { return r.Seconds }),
-			st.toolFigure(what, "processor time", "ms", mechanism, func(r ToolRow) float64 { return r.CPUMS }),
-			st.toolFigure(what, "memory", "MB", mechanism, func(r ToolRow) float64 { return r.RSSMB }))
+			st.toolFigure(command, "answers of all", "MB", mechanism, func(r ToolRow) float64 { return r.BytesRead / 1e6 }),
+			st.toolFigure(command, "time, where each gateway answers at once", "s", mechanism, func(r ToolRow) float64 { return r.Seconds }),
+			st.toolFigure(command, "processor time", "ms", mechanism, func(r ToolRow) float64 { return r.CPUMS }),
+			st.toolFigure(command, "memory", "MB", mechanism, func(r ToolRow) float64 { return r.RSSMB }))
 	}
 	silent := computed("`lilacctl versions` and `state`: added while the gateways of a zone are silent", "s", "45 x 2 s: one after the other", mechanism, silentZoneWait)
 	p.Figures = append(p.Figures, silent, unknown("a gateway's processor time for its answer", "`internal/peer`, `internal/management`", NotRun))
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -118,23 +118,23 @@
 	Faults         []string `json:"faults"`
 
 	StandIn struct {
-		Per map[string]PerDatabase `json:"connections_per_database"`
+		PerDatabase map[string]PerDatabase `json:"connections_per_database"`
 	} `json:"standin"`
 	Gateway struct {
-		RSSIdle             float64 `json:"rss_mb_idle"`
-		RSS                 float64 `json:"rss_mb"`
-		Core                float64 `json:"core_percent"`
-		PerClient           float64 `json:"bytes_per_client_idle"`
-		PerStatement        float64 `json:"cpu_us_per_statement"`
-		Descriptors         float64 `json:"descriptors"`
-		ClientConnections   float64 `json:"client_connections"`
-		DatabaseConnections float64 `json:"database_connections"`
-		Served              float64 `json:"served"`
-		Refused             float64 `json:"refused"`
-		Failed              float64 `json:"failed"`
-		Late                float64 `json:"late"`
-		NewDatabase         float64 `json:"new_connections_per_s"`
-		NewClient           float64 `json:"client_connections_per_s"`
+		RSSIdle                float64 `json:"rss_mb_idle"`
+		RSS                    float64 `json:"rss_mb"`
+		Core                   float64 `json:"core_percent"`
+		BytesPerClient         float64 `json:"bytes_per_client_idle"`
+		CPUPerStatement        float64 `json:"cpu_us_per_statement"`
+		Descriptors            float64 `json:"descriptors"`
+		ClientConnections      float64 `json:"client_connections"`
+		DatabaseConnections    float64 `json:"database_connections"`
+		Served                 float64 `json:"served"`
+		Refused                float64 `json:"refused"`
+		Failed                 float64 `json:"failed"`
+		Late                   float64 `json:"late"`
+		NewDatabaseConnections float64 `json:"new_connections_per_s"`
+		NewClientConnections   float64 `json:"client_connections_per_s"`
 	} `json:"gateway"`
 }
 
--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -55,7 +55,7 @@
 	maxMembers             = 4096                    // fleet, MaxMembers
 	maxFrame               = 480 << 10               // B, peer
 	maxAnswer              = 8 << 20                 // B, lilacctl, mostAnswer
-	idleCloseDivisor       = 4                       // front closes idle clients once they use this fraction of the descriptors (ARCHITECTURE.md, Bounds)
+	idleCloseDivisor       = 4                       // front starts closing idle clients when they use 1/4 of the descriptors (ARCHITECTURE.md, Bounds)
 	memberBytes            = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestSizesOfTypicalEntries
 	versionBytes           = 226                     // B of JSON for a gateway in GET /v1/fleet/versions; the same test
 	positionBytes          = 21                      // B of CBOR for a position, name of eight letters; the same test
@@ -98,8 +98,8 @@
 	return s.Gateways * (1 - math.Exp(-seconds(rareResultInterval)*s.Statements/s.Databases))
 }
 
-// returningClients returns how many clients of one gateway reconnect per second after an idle close: the pause after a
-// statement is exponential, and is longer than clientIdleTimeout with the probability used here.
+// returningClients returns how many clients of one gateway reconnect per second after an idle close. Pauses between a client's
+// statements are exponential with the mean Connections/Statements; those longer than clientIdleTimeout lead to a close.
 func returningClients(s Size) float64 {
 	if s.Connections == 0 {
 		return 0
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -215,7 +215,7 @@
 
 // breaksTable lists the exceeded figures in the order in which growth reaches them.
 func (st *dataset) breaksTable() string {
-	list, open := st.breaks()
+	list, undetermined := st.breaks()
 	var b strings.Builder
 	if len(list) == 0 {
 		b.WriteString("Nothing that was measured or computed does not fit.\n")
@@ -239,9 +239,9 @@
 				x.Figure.cell(Target), x.Figure.Mechanism)
 		}
 	}
-	if len(open) > 0 {
+	if len(undetermined) > 0 {
 		b.WriteString("\nNot known or not run, so that they may stand anywhere in this order:\n\n")
-		for _, o := range open {
+		for _, o := range undetermined {
 			b.WriteString("- " + o + "\n")
 		}
 	}
--- a/internal/datapath/clients.go
+++ b/internal/datapath/clients.go
@@ -43,9 +43,9 @@
 	Databases      int           `json:"databases"`
 	GroupsOf       int           `json:"groups_of"`
 	Classes        []plan.Class  `json:"classes"`
-	Idle           time.Duration `json:"idle_ns"`  // all clients are connected and send nothing
-	WarmUp         time.Duration `json:"warm_ns"`  // under load, not measured
-	MeasuredTime   time.Duration `json:"for_ns"`   // measured time
+	Idle           time.Duration `json:"idle_ns"` // all clients are connected and send nothing
+	WarmUp         time.Duration `json:"warm_ns"` // under load, not measured
+	MeasuredTime   time.Duration `json:"for_ns"`
 	ReconnectPause time.Duration `json:"again_ns"` // mean pause before a client reconnects after its connection was closed
 	EvenArrivals   bool          `json:"even"`     // a client's statements are evenly spaced
 	Seed           uint64        `json:"seed"`
@@ -571,12 +571,12 @@
 	}
 	value, err := c.query(c.statement(k, left), deadline.Add(answerSlack))
 	o.latency = time.Since(due)
-	var no *serverRefusal
+	var refusal *serverRefusal
 	switch {
-	case errors.As(err, &no) && (no.code == pgwire.CodeTooManyConnections || no.code == pgwire.CodeCannotConnectNow):
-		o.refused = no.Error()
-	case errors.As(err, &no):
-		o.failed = no.Error()
+	case errors.As(err, &refusal) && (refusal.code == pgwire.CodeTooManyConnections || refusal.code == pgwire.CodeCannotConnectNow):
+		o.refused = refusal.Error()
+	case errors.As(err, &refusal):
+		o.failed = refusal.Error()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		o.failed = "no answer"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, unix.ECONNRESET), errors.Is(err, unix.EPIPE):
@@ -601,20 +601,20 @@
 var errNotOneValue = errors.New("not one row with one value")
 
 // query sends a statement and reads its whole response.
-func (c *client) query(text string, limit time.Time) (value string, err error) {
-	_ = c.conn.SetDeadline(limit)
+func (c *client) query(text string, deadline time.Time) (value string, err error) {
+	_ = c.conn.SetDeadline(deadline)
 	if _, err := c.conn.Write(pgwire.AppendQuery(nil, text)); err != nil {
 		c.closeConn()
 		return "", err
 	}
-	var no *serverRefusal
+	var refusal *serverRefusal
 	rows := 0
 	for {
 		kind, body, err := readMessage(c.in)
 		if err != nil {
 			c.closeConn()
-			if no != nil {
-				return "", no // the server closed the connection after its error
+			if refusal != nil {
+				return "", refusal // the server closed the connection after its error
 			}
 			return "", err
 		}
@@ -626,13 +626,13 @@
 			}
 			value = string(b)
 		case pgwire.ErrorResponse:
-			no = &serverRefusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))}
+			refusal = &serverRefusal{string(pgwire.ErrorCode(body)), string(pgwire.ErrorMessage(body))}
 		case pgwire.Ready:
 			_ = c.conn.SetDeadline(time.Time{})
 			switch {
-			case no != nil && rows == 0:
-				return "", no
-			case no != nil || rows != 1:
+			case refusal != nil && rows == 0:
+				return "", refusal
+			case refusal != nil || rows != 1:
 				return "", errNotOneValue
 			}
 			return value, nil
@@ -671,8 +671,8 @@
 	} else if o.failed != "" {
 		countText(r.FailedBy, o.failed)
 	}
-	if how := o.refused + o.failed; how != "" && len(r.Unserved) < maxTexts {
-		r.Unserved = append(r.Unserved, UnservedStatement{c.Classes[o.class].Name, round(due.Sub(c.loadStart).Seconds(), 3), round(o.latency.Seconds()*1000, 1), how})
+	if reason := o.refused + o.failed; reason != "" && len(r.Unserved) < maxTexts {
+		r.Unserved = append(r.Unserved, UnservedStatement{c.Classes[o.class].Name, round(due.Sub(c.loadStart).Seconds(), 3), round(o.latency.Seconds()*1000, 1), reason})
 	}
 	if due.Before(c.measureStart) {
 		return
--- a/internal/datapath/datapath.go
+++ b/internal/datapath/datapath.go
@@ -40,7 +40,7 @@
 	Statements        float64 // per second, of all clients
 	Databases         int
 	GroupsOf          int
-	MeasuredTime      time.Duration // measured time
+	MeasuredTime      time.Duration
 	Idle              time.Duration // all clients are connected and send nothing
 	WarmUp            time.Duration // under load, before the measured time
 	ReconnectPause    time.Duration // mean pause before a client reconnects after its connection was closed
@@ -56,7 +56,7 @@
 	HelperCommand     func(role string) []string
 	Log               io.Writer                   // receives the gateway's log; may be nil
 	Started           func(role string, pid int)  // for tests: a process has started
-	LoadStarted       func()                      // for tests: the measured time has begun
+	MeasureStarted    func()                      // for tests: the measured time has begun
 	ChangeConfig      func(config map[string]any) // for tests: changes the gateway's configuration
 }
 
@@ -186,18 +186,18 @@
 	if o.MeasuredTime <= 0 {
 		addError("--for %v: must be positive", o.MeasuredTime)
 	}
-	hard := hardLimit()
+	hardMax := hardLimit()
 	if o.Sockets == 0 {
-		o.Sockets = min(hard, Sockets(o.Clients, o.Databases))
+		o.Sockets = min(hardMax, Sockets(o.Clients, o.Databases))
 	}
-	if o.Sockets > hard {
-		addError("--sockets %d: a process may have %d descriptors here (ulimit -Hn); set at most that", o.Sockets, hard)
+	if o.Sockets > hardMax {
+		addError("--sockets %d: a process may have %d descriptors here (ulimit -Hn); set at most that", o.Sockets, hardMax)
 	}
-	if need := o.Clients + spareDescriptors; need > hard {
-		addError("--clients %d: their process needs %d descriptors and may have %d here (ulimit -Hn); ask for %d clients at most", o.Clients, need, hard, hard-spareDescriptors)
+	if need := o.Clients + spareDescriptors; need > hardMax {
+		addError("--clients %d: their process needs %d descriptors and may have %d here (ulimit -Hn); ask for %d clients at most", o.Clients, need, hardMax, hardMax-spareDescriptors)
 	}
-	if need := 4*o.Databases + spareDescriptors; need > hard {
-		addError("--databases %d: their process needs %d descriptors and may have %d here (ulimit -Hn)", o.Databases, need, hard)
+	if need := 4*o.Databases + spareDescriptors; need > hardMax {
+		addError("--databases %d: their process needs %d descriptors and may have %d here (ulimit -Hn)", o.Databases, need, hardMax)
 	}
 	return errors.Join(problems...)
 }
@@ -429,8 +429,8 @@
 	if err != nil {
 		return err
 	}
-	if r.LoadStarted != nil {
-		r.LoadStarted()
+	if r.MeasureStarted != nil {
+		r.MeasureStarted()
 	}
 	meters := []meter{newMeter(pid), newMeter(r.databaseProcess.pid()), newMeter(r.clientProcess.pid())}
 	n := 0.0
--- a/internal/datapath/datapath_test.go
+++ b/internal/datapath/datapath_test.go
@@ -162,7 +162,7 @@
 			var stalls sync.WaitGroup
 			pids := map[string]int{}
 			o.Started = func(which string, pid int) { pids[which] = pid }
-			o.LoadStarted = func() {
+			o.MeasureStarted = func() {
 				assert.NoError(t, syscall.Kill(pids[role], syscall.SIGSTOP))
 				stalls.Go(func() {
 					time.Sleep(2 * time.Second)
