--- a/internal/hollow/backends.go
+++ b/internal/hollow/backends.go
@@ -6,18 +6,18 @@
 	"lilaccove/policy"
 )
 
-// backends are the program's own pool, with its books of databases and budgets, that never finds a connection.
+// backends is the gateway's own connection pool, with its accounting of databases and budgets, in which every connect fails.
 type backends struct {
 	*backend.Pool
 	core *gateway.Gateway
 }
 
-// Send ends an attempt that nobody has asked for: a hollow gateway takes no requests.
+// Send fails the attempt at once: a hollow gateway has no requests.
 func (b *backends) Send(a *gateway.Attempt) {
 	b.core.Resolved(a, policy.ConnectFailed, gateway.Reply{})
 }
 
-// Probe finds no connection, and tells so.
+// Probe reports a failed connect.
 func (b *backends) Probe(host policy.HostID) {
 	b.core.Probed(host, policy.ConnectFailed, gateway.Reply{})
 }
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -24,34 +24,34 @@
 )
 
 const (
-	sockets    = 128                    // of one gateway: it has its links and one watch
-	latePeriod = 20 * time.Millisecond  // of the timer that tells how late timers fire
-	goesOn     = 700 * time.Millisecond // a gateway that ends goes on for so long, as the program does
-	startTime  = 5 * time.Second        // for the end of a run before the next begins
+	maxSockets     = 128                    // per gateway: peer links and one watch at discovery
+	tickInterval   = 20 * time.Millisecond  // of the timer that measures event loop lag
+	shutdownDelay  = 700 * time.Millisecond // between leaving the fleet and stopping, as in cmd/lilaccove
+	restartTimeout = 5 * time.Second        // for the previous run to end before the next one starts
 )
 
-// Spec is one gateway, as it stands in the first line.
+// Spec describes one gateway in the first line of input.
 type Spec struct {
 	Name           string  `json:"name"`
 	Config         string  `json:"config"`
-	Fleet          string  `json:"fleet"` // empty: in no fleet
-	Zone           string  `json:"zone"`  // before that of the configuration
+	Fleet          string  `json:"fleet"` // path of the fleet file; empty: in no fleet
+	Zone           string  `json:"zone"`  // overrides the zone of the configuration
 	StatementsPerS float64 `json:"statements_per_s"`
 	Skew           float64 `json:"skew"`
-	Writes         float64 `json:"writes"` // share of the statements; 0: a tenth
+	Writes         float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
 }
 
-// State is one gateway in a report. Figures are sums since its start, but for late_ms_max and dead_names, which are since the
-// last report, and what holds at the moment.
+// State is one gateway in a report. Counters are totals since its start; late_ms_max and dead_names cover the time since the last
+// report; the rest are current values.
 type State struct {
 	Name             string                   `json:"name"`
 	Up               bool                     `json:"up"`
-	Error            string                   `json:"error,omitempty"` // why it is not
+	Error            string                   `json:"error,omitempty"` // why it is not up
 	Member           bool                     `json:"member"`
 	Addr             string                   `json:"addr,omitempty"`
 	Session          string                   `json:"session,omitempty"`
 	CPUMS            float64                  `json:"cpu_ms"`
-	FeedCPUMS        float64                  `json:"feed_cpu_ms"` // of cpu_ms, for what no real gateway does
+	FeedCPUMS        float64                  `json:"feed_cpu_ms"` // part of cpu_ms spent on generating statements and on reports, which no real gateway does
 	LateMSMax        float64                  `json:"late_ms_max"`
 	ViewMembers      int                      `json:"view_members"`
 	ViewDigest       string                   `json:"view_digest"`
@@ -60,134 +60,134 @@
 	ListSeq          int64                    `json:"list_seq"`
 	ListDatabases    int                      `json:"list_databases"`
 	KnownPositions   int                      `json:"known_positions"`
-	AgeP50           float64                  `json:"position_age_ms_p50"` // how old they are
+	AgeP50           float64                  `json:"position_age_ms_p50"` // age of the known positions
 	AgeP99           float64                  `json:"position_age_ms_p99"`
-	PositionsLearned uint64                   `json:"positions_learned"` // of what databases told: what was news
-	PositionsHeard   uint64                   `json:"positions_heard"`   // of what other gateways told
-	Learned          uint64                   `json:"learned"`           // statements whose answers were fed in
+	PositionsLearned uint64                   `json:"positions_learned"` // from databases' answers, newer than what was known
+	PositionsHeard   uint64                   `json:"positions_heard"`   // from other gateways
+	Learned          uint64                   `json:"learned"`           // statements whose answers were generated
 	LearnedPrimary   uint64                   `json:"learned_primary"`
-	Short            uint64                   `json:"budget_short"` // that found no connection in the budget
+	Short            uint64                   `json:"budget_short"` // statements that got no connection from the budget in time
 	Roles            map[string]stats.Traffic `json:"roles"`
-	Totals           stats.Traffic            `json:"totals"` // of all links, discovery not among them
+	Totals           stats.Traffic            `json:"totals"` // of all peer links, without discovery
 }
 
-// hollow is one gateway: it may be started again and again, each time as a new process would be.
-type hollow struct {
-	spec  Spec
-	names *threads
-	addr  netip.AddrPort // where the last run was found by others
+// hollowGateway is one gateway. It may be started repeatedly, each time like a new process of a gateway.
+type hollowGateway struct {
+	spec      Spec
+	logWriter *threadPrefixer
+	lastAddr  netip.AddrPort // address that the last run advertised to its peers
 
-	mu   sync.Mutex
-	cur  *run          // nil: none runs
-	over chan struct{} // closed when all of the last run is over
-	last State         // as last reported
-	err  error         // why it did not start, or ended by itself
+	mu        sync.Mutex
+	current   *run          // nil: not running
+	finished  chan struct{} // closed when the last run has released everything
+	lastState State         // as last reported
+	err       error         // why it did not start or ended unexpectedly
 }
 
-// run is a gateway from its start to its end, on the loop's goroutine.
+// run is a gateway from its start to its end. It belongs to the loop's goroutine.
 type run struct {
-	h       *hollow
-	loop    *netloop.Loop
-	side    *control.Side
-	feed    *feed
-	asked   chan func()   // see hollow.ask
-	gone    chan struct{} // closed when its sockets are
-	late    time.Duration
-	dead    []string
-	begun   time.Duration // threadTime then
-	meter   time.Duration // spent for what no real gateway does
-	ending  bool
-	stopped bool
-	odd     bool
+	h         *hollowGateway
+	loop      *netloop.Loop
+	side      *control.Side
+	feed      *feed
+	queue     chan func()   // functions to call on the loop's goroutine, see hollowGateway.post
+	closed    chan struct{} // closed once its sockets are closed
+	maxLag    time.Duration
+	deadNames []string
+	startCPU  time.Duration // threadCPU at the start
+	feedCPU   time.Duration // CPU time of State.FeedCPUMS
+	ending    bool
+	stopped   bool
+	feedTurn  bool // the current tick generates answers; every second one does
 }
 
-// start runs it until told otherwise, on a thread that nobody else uses meanwhile.
-func (h *hollow) start() error {
-	if h.runs() && !h.ends() {
-		return errors.New("it runs already")
+// start runs the gateway until it is stopped, on a thread of its own.
+func (h *hollowGateway) start() error {
+	if h.running() && !h.shuttingDown() {
+		return errors.New("it is already running")
 	}
-	if h.over != nil {
+	if h.finished != nil {
 		select {
-		case <-h.over:
-		case <-time.After(startTime):
-			return errors.New("its last run has not ended")
+		case <-h.finished:
+		case <-time.After(restartTimeout):
+			return errors.New("its previous run has not ended")
 		}
 	}
-	over, begun := make(chan struct{}), make(chan error, 1)
-	h.over = over
+	finished, started := make(chan struct{}), make(chan error, 1)
+	h.finished = finished
 	go func() {
-		defer close(over)
+		defer close(finished)
 		runtime.LockOSThread()
-		defer runtime.UnlockOSThread() // a thread that ended would take the processes along that were started on it
-		h.names.begin(h.spec.Name)
-		defer h.names.end()
-		before := threadTime()
+		defer runtime.UnlockOSThread() // ending the thread would kill child processes that were started on it with Pdeathsig
+		h.logWriter.assign(h.spec.Name)
+		defer h.logWriter.unassign()
+		startCPU := threadCPU()
 		r, err := h.open()
 		if r != nil {
-			r.begun = before
+			r.startCPU = startCPU
 		}
-		h.set(r, err)
-		begun <- err
+		h.setCurrent(r, err)
+		started <- err
 		if err != nil {
 			return
 		}
 		err = r.loop.Run(r.side.Step)
 		if err == nil && !r.stopped {
-			err = errors.New("ended by itself")
+			err = errors.New("ended unexpectedly")
 		}
-		h.set(nil, err)
+		h.setCurrent(nil, err)
 		r.loop.Close()
-		close(r.gone)
+		close(r.closed)
 		r.side.Close()
 	}()
-	return <-begun
+	return <-started
 }
 
-func (h *hollow) set(r *run, err error) {
+func (h *hollowGateway) setCurrent(r *run, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cur, h.err = r, err
+	h.current, h.err = r, err
 }
 
-// open builds the gateway as the program does, without clients, operators and connections to databases.
-func (h *hollow) open() (*run, error) {
-	text, err := os.ReadFile(h.spec.Config)
+// open builds the gateway as cmd/lilaccove does, without clients, operators and connections to databases.
+func (h *hollowGateway) open() (*run, error) {
+	configJSON, err := os.ReadFile(h.spec.Config)
 	if err != nil {
 		return nil, err
 	}
-	var cfg control.Config
-	if err := json.Unmarshal(text, &cfg); err != nil {
+	var config control.Config
+	if err := json.Unmarshal(configJSON, &config); err != nil {
 		return nil, fmt.Errorf("%s: %w", h.spec.Config, err)
 	}
-	cfg.Name = h.spec.Name
-	set, err := settings.FromJSON(cfg.Settings)
+	config.Name = h.spec.Name
+	set, err := settings.FromJSON(config.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", h.spec.Config, err)
 	}
-	if z := h.spec.Zone; z != "" {
-		if set.Policy.Zone = slices.Index(set.Zones, z); set.Policy.Zone < 0 {
-			return nil, fmt.Errorf("%s: settings: Localities are %v; gateway %s is to be in %q: name it there", h.spec.Config, set.Zones, h.spec.Name, z)
+	if zone := h.spec.Zone; zone != "" {
+		if set.Policy.Zone = slices.Index(set.Zones, zone); set.Policy.Zone < 0 {
+			return nil, fmt.Errorf("%s: settings: Localities are %v; the zone of gateway %s, %q, is not among them", h.spec.Config, set.Zones, h.spec.Name, zone)
 		}
 	}
-	party, err := control.LoadFleet(h.spec.Fleet, func(string) string { return "" }, set)
+	fleetFile, err := control.LoadFleet(h.spec.Fleet, func(string) string { return "" }, set)
 	if err != nil {
 		return nil, err
 	}
-	if party != nil && party.Listen.Port() == 0 && h.addr.IsValid() {
-		party.Listen = h.addr // where its last run was
+	if fleetFile != nil && fleetFile.Listen.Port() == 0 && h.lastAddr.IsValid() {
+		fleetFile.Listen = h.lastAddr // keeps the address of the previous run
 	}
-	memory := int(max(cfg.Limits.MemoryMB, 64)) << 20
-	loop, err := netloop.New(sockets, 0, memory/4)
+	memoryBytes := int(max(config.Limits.MemoryMB, 64)) << 20
+	loop, err := netloop.New(maxSockets, 0, memoryBytes/4)
 	if err != nil {
 		return nil, err
 	}
-	side, err := control.New(loop, cfg, set, party)
+	side, err := control.New(loop, config, set, fleetFile)
 	if err != nil {
 		loop.Close()
 		return nil, err
 	}
-	r := &run{h: h, loop: loop, side: side, asked: make(chan func(), 64), gone: make(chan struct{}), dead: []string{}}
-	options := backend.Options{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: sockets / 16}
+	r := &run{h: h, loop: loop, side: side, queue: make(chan func(), 64), closed: make(chan struct{}), deadNames: []string{}}
+	options := backend.Options{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: maxSockets / 16}
 	budgets := side.Budgets()
 	if budgets != nil {
 		options.Budget = budgets
@@ -199,42 +199,42 @@
 	side.Connect(&backends{Pool: pool, core: side.Core})
 	side.Join(r.drain)
 	if side.Links != nil {
-		side.Links.OnDeath(func(name string) { r.dead = append(r.dead, name) })
+		side.Links.OnDeath(func(name string) { r.deadNames = append(r.deadNames, name) })
 		own, _ := side.Links.Self()
-		h.addr = own.Addr
+		h.lastAddr = own.Addr
 	}
 	seed := fnv.New64()
 	_, _ = seed.Write([]byte(h.spec.Name))
 	r.feed = newFeed(side, set.Policy.Classes, h.spec, seed.Sum64())
-	r.tick(loop.Now() + latePeriod)
+	r.scheduleTick(loop.Now() + tickInterval)
 	loop.OnWake(func() {
-		for len(r.asked) > 0 {
-			(<-r.asked)()
+		for len(r.queue) > 0 {
+			(<-r.queue)()
 		}
 	})
 	return r, nil
 }
 
-// tick tells how late timers fire, and feeds in every other time what answers would have told.
-func (r *run) tick(due time.Duration) {
+// scheduleTick measures event loop lag, and on every second call generates the answers of databases.
+func (r *run) scheduleTick(due time.Duration) {
 	r.loop.At(due, func() {
 		now := r.loop.Clock()
-		r.late = max(r.late, now-due)
-		if r.odd = !r.odd; r.odd && r.feed.rate > 0 {
-			begun := threadTime()
-			r.feed.draw(r.loop.Now())
-			r.meter += threadTime() - begun
-			r.feed.learn(r.loop.Now())
+		r.maxLag = max(r.maxLag, now-due)
+		if r.feedTurn = !r.feedTurn; r.feedTurn && r.feed.rate > 0 {
+			startCPU := threadCPU()
+			r.feed.drawBatch(r.loop.Now())
+			r.feedCPU += threadCPU() - startCPU
+			r.feed.deliverBatch(r.loop.Now())
 		}
-		next := due + latePeriod
+		next := due + tickInterval
 		if next <= now {
-			next = now + latePeriod
+			next = now + tickInterval
 		}
-		r.tick(next)
+		r.scheduleTick(next)
 	})
 }
 
-// drain is what a word of the fleet on this gateway comes to.
+// drain applies an operator override that drains or activates this gateway.
 func (r *run) drain(on bool) {
 	switch {
 	case on:
@@ -244,68 +244,68 @@
 	}
 }
 
-// ask has something done on the loop's goroutine; nil: no run is there to do it.
-func (h *hollow) ask(do func(*run)) *run {
+// post queues do for the loop's goroutine. It returns nil where the gateway is not running or its queue is full.
+func (h *hollowGateway) post(do func(*run)) *run {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.cur
+	r := h.current
 	if r == nil {
 		return nil
 	}
 	select {
-	case r.asked <- func() { do(r) }:
-	default: // it has been starved for long
+	case r.queue <- func() { do(r) }:
+	default: // the queue is full: the loop has been starved for long
 		return nil
 	}
-	r.loop.Wake() // its descriptor is open as long as h.cur is set
+	r.loop.Wake() // safe: its descriptor stays open as long as h.current is set
 	return r
 }
 
-// stop ends a run.
+// stop stops the loop.
 func (r *run) stop() {
 	r.stopped = true
 	r.loop.Stop()
 }
 
-// kill closes all that it has, without a word to anybody.
-func (h *hollow) kill() {
+// kill closes the gateway's sockets without notifying its peers.
+func (h *hollowGateway) kill() {
 	for {
-		r := h.ask((*run).stop)
-		if r == nil && !h.runs() {
+		r := h.post((*run).stop)
+		if r == nil && !h.running() {
 			return
 		}
 		if r != nil {
-			<-r.gone
+			<-r.closed
 			return
 		}
-		time.Sleep(latePeriod) // starved: it has not done what it was asked before
+		time.Sleep(tickInterval) // its queue is full because the loop is starved
 	}
 }
 
-// ends tells whether the run that is on was told to end.
-func (h *hollow) ends() bool {
+// shuttingDown reports whether the current run is shutting down.
+func (h *hollowGateway) shuttingDown() bool {
 	answer := make(chan bool, 1)
-	r := h.ask(func(r *run) { answer <- r.ending })
+	r := h.post(func(r *run) { answer <- r.ending })
 	if r == nil {
 		return false
 	}
 	select {
-	case on := <-answer:
-		return on
-	case <-r.gone:
+	case ending := <-answer:
+		return ending
+	case <-r.closed:
 		return true
 	}
 }
 
-func (h *hollow) runs() bool {
+func (h *hollowGateway) running() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cur != nil
+	return h.current != nil
 }
 
-// end is what SIGTERM leads to.
-func (h *hollow) end() {
-	h.ask(func(r *run) {
+// end starts a graceful shutdown, as SIGTERM does in cmd/lilaccove.
+func (h *hollowGateway) end() {
+	h.post(func(r *run) {
 		if r.ending {
 			return
 		}
@@ -313,24 +313,24 @@
 		if r.side.Links != nil {
 			r.side.Links.Leave()
 		}
-		r.loop.At(r.loop.Now()+goesOn, r.stop)
+		r.loop.At(r.loop.Now()+shutdownDelay, r.stop)
 	})
 }
 
-// state is what a report tells, on the loop's goroutine.
+// state returns the figures for a report. It is called on the loop's goroutine.
 func (r *run) state() State {
-	begun := threadTime()
+	startCPU := threadCPU()
 	s := State{
-		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.late), DeadNames: r.dead, ListSeq: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
-		Learned: r.feed.learned, LearnedPrimary: r.feed.learnedPrimary, Short: r.feed.short, Roles: r.side.Traffic(),
+		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListSeq: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
+		Learned: r.feed.learned, LearnedPrimary: r.feed.learnedPrimary, Short: r.feed.budgetTimeouts, Roles: r.side.Traffic(),
 	}
-	r.late, r.dead = 0, []string{}
-	if l := r.side.Links; l != nil {
-		own, member := l.Self()
-		v, c := l.View(), l.Totals()
+	r.maxLag, r.deadNames = 0, []string{}
+	if links := r.side.Links; links != nil {
+		own, member := links.Self()
+		view, totals := links.View(), links.Totals()
 		s.Member, s.Addr, s.Session = member, own.Addr.String(), strconv.FormatUint(own.Session, 16)
-		s.ViewMembers, s.ViewDigest, s.Deaths = len(v.Members), strconv.FormatUint(v.Digest, 16), l.Deaths()
-		s.Totals = stats.Traffic{OutBytes: c.SentBytes, OutMessages: c.Sent, InBytes: c.ReceivedBytes, InMessages: c.Received}
+		s.ViewMembers, s.ViewDigest, s.Deaths = len(view.Members), strconv.FormatUint(view.Digest, 16), links.Deaths()
+		s.Totals = stats.Traffic{OutBytes: totals.SentBytes, OutMessages: totals.Sent, InBytes: totals.ReceivedBytes, InMessages: totals.Received}
 	}
 	s.PositionsLearned, s.PositionsHeard = r.side.PositionUpdates()
 	if ages := r.side.PositionAges(); len(ages) > 0 {
@@ -338,16 +338,16 @@
 		s.KnownPositions = len(ages)
 		s.AgeP50, s.AgeP99 = millis(ages[len(ages)/2]), millis(ages[len(ages)*99/100])
 	}
-	now := threadTime()
-	r.meter += now - begun
-	s.CPUMS, s.FeedCPUMS = millis(now-r.begun), millis(r.meter)
+	endCPU := threadCPU()
+	r.feedCPU += endCPU - startCPU
+	s.CPUMS, s.FeedCPUMS = millis(endCPU-r.startCPU), millis(r.feedCPU)
 	return s
 }
 
 func millis(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Microsecond)) / 1000 }
 
-// threadTime is how long the processor has worked for this thread.
-func threadTime() time.Duration {
+// threadCPU returns the CPU time of the calling thread.
+func threadCPU() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
 		return 0
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,5 +1,6 @@
-// Package hollow runs the control sides of many gateways in one process, each with a loop and a thread of its own: the program's
-// own code on real sockets, without clients, operators and connections to databases. What answers of databases would tell is fed in.
+// Package hollow runs the control sides of many gateways in one process, each with an event loop and a thread of its own: the
+// gateway's own code on real sockets, without clients, operators and connections to databases. The information that a gateway
+// takes from the databases' answers is generated instead.
 package hollow
 
 import (
@@ -21,143 +22,143 @@
 )
 
 const (
-	answerTime = 2 * time.Second // of one gateway, for a report
-	mostLine   = 16 << 20        // bytes of a command
+	reportTimeout = 2 * time.Second // for one gateway to contribute to a report
+	maxLineBytes  = 16 << 20
 )
 
-// Start is the first line that the process reads.
+// Start is the first line of standard input: the gateways to run.
 type Start struct {
 	Gateways []Spec `json:"gateways"`
-	ReportMS int    `json:"report_ms"` // 0: each second
+	ReportMS int    `json:"report_ms"` // interval of the reports; 0: 1000
 }
 
-// Order is each further line.
+// Order is each further line of standard input: a command to some gateways.
 type Order struct {
 	Do    string   `json:"do"` // kill, end, start, quit
 	Names []string `json:"names"`
 }
 
-// Report is one line that the process writes.
+// Report is one line of standard output.
 type Report struct {
 	AtMS     int64   `json:"at_ms"`
 	Process  Process `json:"process"`
 	Gateways []State `json:"gateways"`
 }
 
-// Process is what all gateways cost together, the collector's work included.
+// Process is the resource use of the whole process, garbage collection included.
 type Process struct {
 	CPUMS     float64 `json:"cpu_ms"`
 	RSSBytes  int64   `json:"rss_bytes"`
-	HeapLive  uint64  `json:"heap_live_bytes"` // what the last collection found in use
+	HeapLive  uint64  `json:"heap_live_bytes"` // bytes live at the last garbage collection
 	LateMSMax float64 `json:"late_ms_max"`
-	Monitor   float64 `json:"monitor_cpu_ms"` // of cpu_ms, for the runtime's monitor, see Threads
+	Monitor   float64 `json:"monitor_cpu_ms"` // part of cpu_ms used by the runtime's monitor thread, see Threads
 }
 
-// Run plays gateways as the lines of in say, until quit or the end of in, and writes reports to out. What gateways log goes to
-// logs, each line behind its gateway's name; nil: nowhere.
+// Run reads the gateways and then orders from in, until quit or the end of input, and writes reports to out. The gateways' log
+// lines go to logs, each prefixed with its gateway's name; a nil logs discards them.
 func Run(in io.Reader, out, logs io.Writer) error {
-	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
-	if !lines.Scan() {
-		return errors.Join(errors.New("stdin: a line that tells the gateways is wanted first"), lines.Err())
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(nil, maxLineBytes)
+	if !scanner.Scan() {
+		return errors.Join(errors.New("stdin: the first line must list the gateways"), scanner.Err())
 	}
 	var first Start
-	if err := json.Unmarshal(lines.Bytes(), &first); err != nil {
+	if err := json.Unmarshal(scanner.Bytes(), &first); err != nil {
 		return fmt.Errorf("stdin:1: %w", err)
 	}
-	f := &fleet{byName: map[string]*hollow{}, out: json.NewEncoder(out), names: &threads{out: logs}}
+	set := &gatewaySet{byName: map[string]*hollowGateway{}, out: json.NewEncoder(out), logWriter: &threadPrefixer{out: logs}}
 	for i, spec := range first.Gateways {
 		switch {
 		case spec.Name == "" || spec.Config == "":
-			return fmt.Errorf("stdin:1: gateway %d: name and config are wanted", i+1)
-		case f.byName[spec.Name] != nil:
-			return fmt.Errorf("stdin:1: gateway %s stands twice", spec.Name)
+			return fmt.Errorf("stdin:1: gateway %d: name and config are required", i+1)
+		case set.byName[spec.Name] != nil:
+			return fmt.Errorf("stdin:1: gateway %s is listed twice", spec.Name)
 		case spec.StatementsPerS < 0 || spec.Skew < 0 || spec.Writes < 0 || spec.Writes > 1:
-			return fmt.Errorf("stdin:1: gateway %s: statements_per_s and skew from 0 on, writes from 0 to 1 would do", spec.Name)
+			return fmt.Errorf("stdin:1: gateway %s: statements_per_s and skew must be at least 0, writes from 0 to 1", spec.Name)
 		}
-		h := &hollow{spec: spec, names: f.names}
-		f.byName[spec.Name] = h
-		f.all = append(f.all, h)
+		gateway := &hollowGateway{spec: spec, logWriter: set.logWriter}
+		set.byName[spec.Name] = gateway
+		set.gateways = append(set.gateways, gateway)
 	}
 	log.SetOutput(io.Discard)
 	if logs != nil {
-		log.SetOutput(f.names)
+		log.SetOutput(set.logWriter)
 	}
-	debug.SetGCPercent(400) // as the program has it; it goes by what lives, however many gateways that is
-	defer kill(f.all)
-	if err := start(f.all); err != nil {
+	debug.SetGCPercent(400) // as in cmd/lilaccove; relative to the live heap, so independent of the number of gateways
+	defer killAll(set.gateways)
+	if err := startAll(set.gateways); err != nil {
 		return err
 	}
-	every := time.Duration(first.ReportMS) * time.Millisecond
-	if every <= 0 {
-		every = time.Second
+	interval := time.Duration(first.ReportMS) * time.Millisecond
+	if interval <= 0 {
+		interval = time.Second
 	}
 	stop, stopped := make(chan struct{}), make(chan error, 1)
-	go func() { stopped <- f.report(every, stop) }()
-	err := f.obey(lines)
+	go func() { stopped <- set.report(interval, stop) }()
+	err := set.executeOrders(scanner)
 	close(stop)
 	return errors.Join(err, <-stopped)
 }
 
-// fleet is all gateways of the process.
-type fleet struct {
-	all    []*hollow
-	byName map[string]*hollow
-	out    *json.Encoder
-	names  *threads
+// gatewaySet holds all gateways of the process.
+type gatewaySet struct {
+	gateways  []*hollowGateway
+	byName    map[string]*hollowGateway
+	out       *json.Encoder
+	logWriter *threadPrefixer
 }
 
-// obey does what the lines say, one after the other.
-func (f *fleet) obey(lines *bufio.Scanner) error {
-	for n := 2; lines.Scan(); n++ {
-		var o Order
-		if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
-			return fmt.Errorf("stdin:%d: %w", n, err)
+// executeOrders executes the orders one after the other.
+func (set *gatewaySet) executeOrders(scanner *bufio.Scanner) error {
+	for lineNumber := 2; scanner.Scan(); lineNumber++ {
+		var order Order
+		if err := json.Unmarshal(scanner.Bytes(), &order); err != nil {
+			return fmt.Errorf("stdin:%d: %w", lineNumber, err)
 		}
-		var list []*hollow
-		for _, name := range o.Names {
-			h := f.byName[name]
-			if h == nil {
-				return fmt.Errorf("stdin:%d: no gateway is named %q", n, name)
+		var list []*hollowGateway
+		for _, name := range order.Names {
+			gateway := set.byName[name]
+			if gateway == nil {
+				return fmt.Errorf("stdin:%d: no gateway is named %q", lineNumber, name)
 			}
-			list = append(list, h)
+			list = append(list, gateway)
 		}
-		switch o.Do {
+		switch order.Do {
 		case "kill":
-			kill(list)
+			killAll(list)
 		case "end":
-			each(list, func(_ int, h *hollow) { h.end() })
+			forEach(list, func(_ int, h *hollowGateway) { h.end() })
 		case "start":
-			if err := start(list); err != nil {
-				fmt.Fprintln(os.Stderr, err) // the reports tell it, too
+			if err := startAll(list); err != nil {
+				fmt.Fprintln(os.Stderr, err) // also in the reports, as State.Error
 			}
 		case "quit":
 			return nil
 		default:
-			return fmt.Errorf("stdin:%d: %q is none of kill, end, start, quit", n, o.Do)
+			return fmt.Errorf("stdin:%d: do: %q is not one of kill, end, start, quit", lineNumber, order.Do)
 		}
 	}
-	return lines.Err()
+	return scanner.Err()
 }
 
-// each does something to some gateways at once.
-func each(list []*hollow, do func(i int, h *hollow)) {
-	var all sync.WaitGroup
+// forEach calls do for all listed gateways concurrently and waits for all calls.
+func forEach(list []*hollowGateway, do func(i int, gateway *hollowGateway)) {
+	var wg sync.WaitGroup
 	for i, h := range list {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			do(i, h)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func kill(list []*hollow) { each(list, func(_ int, h *hollow) { h.kill() }) }
+func killAll(list []*hollowGateway) { forEach(list, func(_ int, h *hollowGateway) { h.kill() }) }
 
-func start(list []*hollow) error {
+func startAll(list []*hollowGateway) error {
 	errs := make([]error, len(list))
-	each(list, func(i int, h *hollow) {
+	forEach(list, func(i int, h *hollowGateway) {
 		if err := h.start(); err != nil {
 			errs[i] = fmt.Errorf("gateway %s: %w", h.spec.Name, err)
 		}
@@ -165,55 +166,55 @@
 	return errors.Join(errs...)
 }
 
-// report writes a line again and again, and one at the end.
-func (f *fleet) report(every time.Duration, stop <-chan struct{}) error {
-	tick := time.NewTicker(every)
+// report writes a report at each interval, and a last one when stop is closed.
+func (set *gatewaySet) report(interval time.Duration, stop <-chan struct{}) error {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
-		ends := false
+		last := false
 		select {
 		case <-tick.C:
 		case <-stop:
-			ends = true
+			last = true
 		}
-		if err := f.out.Encode(f.now()); err != nil || ends {
+		if err := set.out.Encode(set.snapshot()); err != nil || last {
 			return err
 		}
 	}
 }
 
-// now asks all gateways at once.
-func (f *fleet) now() Report {
-	states := make([]State, len(f.all))
-	each(f.all, func(i int, h *hollow) { states[i] = h.report() })
-	r := Report{AtMS: time.Now().UnixMilli(), Gateways: states}
+// snapshot collects the state of all gateways and the resource use of the process.
+func (set *gatewaySet) snapshot() Report {
+	states := make([]State, len(set.gateways))
+	forEach(set.gateways, func(i int, h *hollowGateway) { states[i] = h.report() })
+	report := Report{AtMS: time.Now().UnixMilli(), Gateways: states}
 	for _, s := range states {
-		r.Process.LateMSMax = max(r.Process.LateMSMax, s.LateMSMax)
+		report.Process.LateMSMax = max(report.Process.LateMSMax, s.LateMSMax)
 	}
-	var use unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_SELF, &use) == nil {
-		r.Process.CPUMS = millis(time.Duration(use.Utime.Nano() + use.Stime.Nano()))
+	var usage unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_SELF, &usage) == nil {
+		report.Process.CPUMS = millis(time.Duration(usage.Utime.Nano() + usage.Stime.Nano()))
 	}
-	r.Process.RSSBytes = resident()
-	_, r.Process.Monitor, _ = Threads(os.Getpid()) // 0 where the kernel does not tell
-	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
-	if metrics.Read(live); live[0].Value.Kind() == metrics.KindUint64 {
-		r.Process.HeapLive = live[0].Value.Uint64()
+	report.Process.RSSBytes = residentBytes()
+	_, report.Process.Monitor, _ = Threads(os.Getpid()) // 0 where the kernel provides no schedstat
+	heapLive := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
+	if metrics.Read(heapLive); heapLive[0].Value.Kind() == metrics.KindUint64 {
+		report.Process.HeapLive = heapLive[0].Value.Uint64()
 	}
-	return r
+	return report
 }
 
-// report is the gateway's state now, or as it was last told where it does not answer in time.
-func (h *hollow) report() State {
+// report returns the gateway's current state, or the last one reported where its loop does not answer within reportTimeout.
+func (h *hollowGateway) report() State {
 	answer := make(chan State, 1)
-	if r := h.ask(func(r *run) { answer <- r.state() }); r != nil {
+	if r := h.post(func(r *run) { answer <- r.state() }); r != nil {
 		select {
-		case h.last = <-answer:
-			return h.last
-		case <-r.gone:
-		case <-time.After(answerTime):
-			s := h.last
-			s.LateMSMax, s.DeadNames = millis(answerTime), nil
+		case h.lastState = <-answer:
+			return h.lastState
+		case <-r.closed:
+		case <-time.After(reportTimeout):
+			s := h.lastState
+			s.LateMSMax, s.DeadNames = millis(reportTimeout), nil
 			return s
 		}
 	}
@@ -226,47 +227,47 @@
 	return s
 }
 
-// resident is how much memory the process has.
-func resident() int64 {
+// residentBytes returns the resident set size of this process.
+func residentBytes() int64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(text))
-	if len(f) < 2 {
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
 		return 0
 	}
-	pages, _ := strconv.ParseInt(f[1], 10, 64)
+	pages, _ := strconv.ParseInt(fields[1], 10, 64)
 	return pages * int64(os.Getpagesize())
 }
 
-// threads tells by the thread which gateway writes a line of the log.
-type threads struct {
-	mu   sync.Mutex
-	out  io.Writer // nil: nowhere
-	name map[int]string
+// threadPrefixer prefixes log lines with the gateway that wrote them, identified by its thread.
+type threadPrefixer struct {
+	mu    sync.Mutex
+	out   io.Writer // nil only where log lines are discarded
+	names map[int]string
 }
 
-// begin notes that this thread is a gateway's from now on, end that it is not.
-func (t *threads) begin(name string) {
+// assign sets the name that prefixes the lines of the calling thread; unassign removes it.
+func (t *threadPrefixer) assign(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.name == nil {
-		t.name = map[int]string{}
+	if t.names == nil {
+		t.names = map[int]string{}
 	}
-	t.name[unix.Gettid()] = name
+	t.names[unix.Gettid()] = name
 }
 
-func (t *threads) end() {
+func (t *threadPrefixer) unassign() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.name, unix.Gettid())
+	delete(t.names, unix.Gettid())
 }
 
-func (t *threads) Write(b []byte) (int, error) {
+func (t *threadPrefixer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	name := t.name[unix.Gettid()]
+	name := t.names[unix.Gettid()]
 	if name == "" {
 		name = "-"
 	}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -28,8 +28,8 @@
 "Repeat":"fragile","Worth":4}],"Localities":["a","b"],"ResolutionUs":5000,"Rules":{"AnswerSlackUs":20000,"ColdUs":18000000,
 "DrainGraceUs":2000000,"FallMultiple":2,"FallUs":1000000,"MustAskInUs":10000000,"StartCapacity":0.27},"Zone":0}`
 
-// known is a list of so many groups of a primary and three replicas, one of which drains.
-func known(groups int) json.RawMessage {
+// testList returns a list with the given number of groups, each with a primary and three replicas, one of which drains.
+func testList(groups int) json.RawMessage {
 	var hosts []string
 	for g := range groups {
 		for m := range 4 {
@@ -46,10 +46,10 @@
 	return json.RawMessage(`{"seq":7,"whole":true,"hosts":[` + strings.Join(hosts, ",") + `]}`)
 }
 
-// config writes a gateway's file.
-func config(t *testing.T, name string) string {
+// writeConfig writes a gateway's configuration file and returns its path.
+func writeConfig(t *testing.T, name string) string {
 	text, err := json.Marshal(map[string]any{
-		"name": name, "discovery": "127.0.0.1:1", "seed": "1", "known": known(3), "settings": json.RawMessage(testSettings),
+		"name": name, "discovery": "127.0.0.1:1", "seed": "1", "known": testList(3), "settings": json.RawMessage(testSettings),
 	})
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), name+".json")
@@ -57,29 +57,29 @@
 	return path
 }
 
-func TestBadLinesAreTold(t *testing.T) {
-	good := config(t, "g1")
+func TestInvalidInputIsReported(t *testing.T) {
+	good := writeConfig(t, "g1")
 	line := func(gateway string) string { return `{"gateways":[` + gateway + `]}` }
 	one := fmt.Sprintf(`{"name":"g1","config":%q}`, good)
 	for want, in := range map[string]string{
-		"a line that tells the gateways":                  "",
-		"stdin:1: invalid character":                      "x\n",
-		"stdin:1: gateway 1: name and config":             line(`{"name":"g1"}`),
-		"stdin:1: gateway g1 stands twice":                line(one + "," + one),
-		"statements_per_s and skew from 0 on":             line(`{"name":"g1","config":"x","statements_per_s":-1}`),
-		"gateway g1: open /none: no such file":            line(`{"name":"g1","config":"/none"}`),
-		`gateway g1 is to be in "c": name it there`:       line(fmt.Sprintf(`{"name":"g1","config":%q,"zone":"c"}`, good)),
-		"fleet file: open /none: no such file":            line(fmt.Sprintf(`{"name":"g1","config":%q,"fleet":"/none"}`, good)),
-		`stdin:2: no gateway is named "g2"`:               line(one) + "\n" + `{"do":"kill","names":["g2"]}`,
-		`stdin:2: "stop" is none of kill, end, start, qu`: line(one) + "\n" + `{"do":"stop"}`,
+		"the first line must list the gateways":            "",
+		"stdin:1: invalid character":                       "x\n",
+		"stdin:1: gateway 1: name and config":              line(`{"name":"g1"}`),
+		"stdin:1: gateway g1 is listed twice":              line(one + "," + one),
+		"statements_per_s and skew must be at least 0":     line(`{"name":"g1","config":"x","statements_per_s":-1}`),
+		"gateway g1: open /none: no such file":             line(`{"name":"g1","config":"/none"}`),
+		`the zone of gateway g1, "c", is not among them`:   line(fmt.Sprintf(`{"name":"g1","config":%q,"zone":"c"}`, good)),
+		"fleet file: open /none: no such file":             line(fmt.Sprintf(`{"name":"g1","config":%q,"fleet":"/none"}`, good)),
+		`stdin:2: no gateway is named "g2"`:                line(one) + "\n" + `{"do":"kill","names":["g2"]}`,
+		`stdin:2: do: "stop" is not one of kill, end, sta`: line(one) + "\n" + `{"do":"stop"}`,
 	} {
 		assert.ErrorContains(t, Run(strings.NewReader(in), io.Discard, nil), want)
 	}
 }
 
-// One that cannot start again says why in its reports; the lines of logs tell whose they are.
-func TestReportsTellWhoIsDownAndLogsWhoSpeaks(t *testing.T) {
-	path := config(t, "g1")
+// A gateway that fails to start again gives the reason in its reports; log lines are prefixed with the gateway's name.
+func TestReportsExplainDownGatewaysAndLogsNameThem(t *testing.T) {
+	path := writeConfig(t, "g1")
 	in, orders := io.Pipe()
 	reports, out := io.Pipe()
 	var logs bytes.Buffer
@@ -100,7 +100,7 @@
 	}
 	_, err := fmt.Fprintf(orders, `{"gateways":[{"name":"g1","config":%q,"zone":"b"}],"report_ms":10}`+"\n", path)
 	require.NoError(t, err)
-	next("it is up, in no fleet", func(s State) bool { return s.Up && s.ListDatabases == 12 && s.ListSeq == 7 && s.CPUMS > 0 })
+	next("the gateway is up, without a fleet", func(s State) bool { return s.Up && s.ListDatabases == 12 && s.ListSeq == 7 && s.CPUMS > 0 })
 	order := func(text string) {
 		sent := make(chan error, 1)
 		go func() { _, err := io.WriteString(orders, text+"\n"); sent <- err }()
@@ -115,10 +115,10 @@
 		})
 	}
 	order(`{"do":"kill","names":["g1"]}`)
-	next("it is down", func(s State) bool { return !s.Up && s.Error == "" })
+	next("the gateway is down", func(s State) bool { return !s.Up && s.Error == "" })
 	require.NoError(t, os.Remove(path))
 	order(`{"do":"start","names":["g1"]}`)
-	next("it tells why it does not start", func(s State) bool { return !s.Up && strings.Contains(s.Error, "no such file") })
+	next("the report says why it does not start", func(s State) bool { return !s.Up && strings.Contains(s.Error, "no such file") })
 	require.NoError(t, orders.Close())
 	go func() { _, _ = io.Copy(io.Discard, reports) }()
 	require.NoError(t, <-done)
@@ -126,45 +126,45 @@
 	assert.Contains(t, logs.String(), "event=discovery_failed")
 }
 
-// Reads go to healthy replicas, those used first before others, writes to primaries; with a skew the first get most.
-func TestFeedSpreadsAsTheModuleWould(t *testing.T) {
-	f := feedOf(t, 0)
+// Reads go to healthy replicas, evenly without a subset, and writes to primaries. With a skew the first databases get the most.
+func TestFeedSpreadsStatementsByRoleAndHealth(t *testing.T) {
+	tested := newTestFeed(t, 0)
 	count := func() map[policy.HostID]int {
-		n := map[policy.HostID]int{}
+		counts := map[policy.HostID]int{}
 		for range 50 {
-			f.begun, f.done, f.last = 0, 0, 0
-			f.draw(time.Second)
-			for _, s := range f.batch {
-				n[s.host]++
-				assert.Equal(t, s.write, s.host[4] == '0', "only primaries take writes, and nothing else")
-				assert.LessOrEqual(t, s.at, time.Second)
+			tested.startedAt, tested.drawn, tested.lastDrawAt = 0, 0, 0
+			tested.drawBatch(time.Second)
+			for _, s := range tested.batch {
+				counts[s.host]++
+				assert.Equal(t, s.write, s.host[4] == '0', "primaries get all writes and nothing else")
+				assert.LessOrEqual(t, s.position, time.Second)
 			}
 		}
-		return n
+		return counts
 	}
 	n := count()
-	assert.Len(t, n, 9, "none that drains")
-	for host, k := range n {
+	assert.Len(t, n, 9, "no draining database")
+	for host, got := range n {
 		want := 50 * 1000 * 0.9 / 6
 		if host[4] == '0' {
 			want = 50 * 1000 * 0.1 / 3
 		}
-		assert.InEpsilon(t, want, k, 0.1, host)
+		assert.InEpsilon(t, want, got, 0.1, host)
 	}
-	f.skew, f.seq = 1, 0
+	tested.skew, tested.listVersion = 1, 0
 	n = count()
 	assert.Greater(t, n["g00-0"], 3*n["g02-0"])
 	assert.Greater(t, n["g00-1"], 3*n["g02-1"])
 }
 
-func feedOf(t *testing.T, skew float64) *feed {
-	loop, err := netloop.New(sockets, 0, 1<<20)
+func newTestFeed(t *testing.T, skew float64) *feed {
+	loop, err := netloop.New(maxSockets, 0, 1<<20)
 	require.NoError(t, err)
 	t.Cleanup(loop.Close)
 	set, err := settings.FromJSON([]byte(testSettings))
 	require.NoError(t, err)
 	side, err := control.New(loop, control.Config{
-		Name: "g1", Discovery: netip.MustParseAddrPort("127.0.0.1:1").String(), CachedList: known(3), Settings: []byte(testSettings),
+		Name: "g1", Discovery: netip.MustParseAddrPort("127.0.0.1:1").String(), CachedList: testList(3), Settings: []byte(testSettings),
 	}, set, nil)
 	require.NoError(t, err)
 	side.Connect(&backends{Pool: backend.New(loop, side.Core, backend.Options{}), core: side.Core})
--- a/internal/hollow/monitor.go
+++ b/internal/hollow/monitor.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// Threads tells in milliseconds how long the processor has worked for the threads of a Go process, and for which of that the
-// runtime's monitor has: a thread that looks after all others, works at its own pace and runs nothing of the program. It is the first that
-// the runtime starts.
+// Threads returns the CPU time of all threads of a Go process and that of the runtime's monitor thread (sysmon), in milliseconds.
+// The monitor supervises the scheduler, runs at its own pace and executes no code of the program. It is the first thread that the
+// runtime starts, so it has the second lowest thread id.
 func Threads(pid int) (all, monitor float64, err error) {
-	dirs, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
+	taskDirs, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
 		return 0, 0, err
 	}
-	var ids []int
-	for _, d := range dirs {
-		if id, err := strconv.Atoi(filepath.Base(d)); err == nil {
-			ids = append(ids, id)
+	var threadIDs []int
+	for _, taskDir := range taskDirs {
+		if id, err := strconv.Atoi(filepath.Base(taskDir)); err == nil {
+			threadIDs = append(threadIDs, id)
 		}
 	}
-	slices.Sort(ids)
-	for i, id := range ids {
+	slices.Sort(threadIDs)
+	for i, id := range threadIDs {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/schedstat", pid, id))
 		if err != nil {
 			continue // the thread has ended
