--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -193,12 +193,12 @@
 
 // clientLoad is the load on the real gateways, spread over them by a balancer as in the lab.
 type clientLoad struct {
-	cancel   context.CancelFunc
-	done     chan struct{}
-	recorder *run.Recorder
-	sent     int
-	arrivals int
-	err      error
+	cancel       context.CancelFunc
+	done         chan struct{}
+	recorder     *run.Recorder
+	sent         int
+	arrivalCount int
+	err          error
 }
 
 func startClientLoad(p *Plan, gateways []*realGateway, balancer *lab.Balancer) (*clientLoad, error) {
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	clients := &clientLoad{cancel: cancel, done: make(chan struct{}), recorder: run.NewRecorder(load), arrivals: len(arrivals)}
+	clients := &clientLoad{cancel: cancel, done: make(chan struct{}), recorder: run.NewRecorder(load), arrivalCount: len(arrivals)}
 	runner := &run.Runner{Plan: load, Arrivals: arrivals, OnSample: clients.recorder.Add, SelectTarget: balancer.Pick}
 	go func() {
 		defer close(clients.done)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -178,7 +178,7 @@
 	r.reportRunItself(out)
 	if r.clients != nil {
 		r.clients.close()
-		clients := r.clients.recorder.Report(r.clients.arrivals, r.clients.sent)
+		clients := r.clients.recorder.Report(r.clients.arrivalCount, r.clients.sent)
 		world := r.world.Counts()
 		clients.World, clients.Partial = world, false // the run itself ends the load
 		out.Clients = clients
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -270,10 +270,10 @@
 	for g := p.Real; g < p.Gateways; g += p.Hollow {
 		first := hollow.Start{ReportMS: int(reportInterval.Milliseconds())}
 		list := r.gateways[g:min(g+p.Hollow, p.Gateways)]
-		for _, state := range list {
-			dir := r.gatewayDir(state.name)
+		for _, gateway := range list {
+			dir := r.gatewayDir(gateway.name)
 			first.Gateways = append(first.Gateways, hollow.Spec{
-				Name: state.name, Config: filepath.Join(dir, "config.json"), Fleet: filepath.Join(dir, "fleet.yaml"), Zone: zones[state.zone],
+				Name: gateway.name, Config: filepath.Join(dir, "config.json"), Fleet: filepath.Join(dir, "fleet.yaml"), Zone: zones[gateway.zone],
 				StatementsPerS: p.Load.Statements, Skew: p.Load.Skew,
 			})
 		}
@@ -283,18 +283,18 @@
 			return err
 		}
 		r.hollowProcesses = append(r.hollowProcesses, process)
-		for _, state := range list {
-			r.processOf[state.name] = process
+		for _, gateway := range list {
+			r.processOf[gateway.name] = process
 		}
 		if !waitFor(ctx, p.Pace) {
 			return ctx.Err()
 		}
 	}
-	for _, state := range r.gateways[:p.Real] {
-		gateway := &realGateway{run: r, state: state}
-		r.realGateways = append(r.realGateways, gateway)
-		r.markStarted([]*gatewayState{state})
-		if err := gateway.start(); err != nil {
+	for _, gateway := range r.gateways[:p.Real] {
+		process := &realGateway{run: r, state: gateway}
+		r.realGateways = append(r.realGateways, process)
+		r.markStarted([]*gatewayState{gateway})
+		if err := process.start(); err != nil {
 			return err
 		}
 	}
