--- a/cmd/lilacload/calibrate.go
+++ b/cmd/lilacload/calibrate.go
@@ -14,55 +14,55 @@
 	"lilaccove/internal/calibrate"
 )
 
-// calibration is the command that tells how far hollow gateways can be trusted.
+// calibrateCommand measures how closely hollow gateways match real ones.
 func calibrateCommand() *cobra.Command {
-	o := calibrate.Options{Settle: 8 * time.Second}
-	var program, file, logs string
-	c := &cobra.Command{
-		Use: "calibrate --json FILE", Short: "Set hollow gateways beside real ones under the same traffic", Args: cobra.NoArgs,
-		Long: "Starts real gateways with databases' stand-ins, measures what their control side sends and costs, then has as many hollow\n" +
-			"gateways before the same databases do the same. Ratios off by more than 15% are told.",
+	options := calibrate.Options{Settle: 8 * time.Second}
+	var program, jsonFile, logFile string
+	command := &cobra.Command{
+		Use: "calibrate --json FILE", Short: "Compare hollow gateways with real ones under the same traffic", Args: cobra.NoArgs,
+		Long: "Starts real gateways with stand-in databases and measures the traffic and the cost of their control side, then does the same\n" +
+			"with as many hollow gateways. Reports ratios that are off by more than 15%.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			o.Program, o.Hollow = strings.Fields(program), []string{self, "hollow"}
-			if logs != "" {
-				if o.Logs, err = os.Create(logs); err != nil {
+			options.Program, options.Hollow = strings.Fields(program), []string{self, "hollow"}
+			if logFile != "" {
+				if options.Logs, err = os.Create(logFile); err != nil {
 					return err
 				}
-				defer o.Logs.Close()
+				defer options.Logs.Close()
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
-			r, err := calibrate.Run(ctx, o)
+			report, err := calibrate.Run(ctx, options)
 			if err != nil {
 				return err
 			}
-			r.Command = "lilacload " + strings.Join(os.Args[1:], " ")
-			for _, name := range slices.Sorted(maps.Keys(r.Ratio)) {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-32s %.3f\n", name, r.Ratio[name])
+			report.Command = "lilacload " + strings.Join(os.Args[1:], " ")
+			for _, name := range slices.Sorted(maps.Keys(report.Ratio)) {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-32s %.3f\n", name, report.Ratio[name])
 			}
-			for _, d := range r.Differ {
-				fmt.Fprintln(cmd.OutOrStdout(), "differs: "+d)
+			for _, difference := range report.Differ {
+				fmt.Fprintln(cmd.OutOrStdout(), "differs: "+difference)
 			}
-			text, err := json.MarshalIndent(r, "", " ")
-			if err != nil || file == "" {
+			text, err := json.MarshalIndent(report, "", " ")
+			if err != nil || jsonFile == "" {
 				return err
 			}
-			return os.WriteFile(file, append(text, '\n'), 0o644)
+			return os.WriteFile(jsonFile, append(text, '\n'), 0o644)
 		},
 	}
-	f := c.Flags()
-	f.IntVar(&o.Gateways, "gateways", 16, "gateways of each kind")
-	f.IntVar(&o.Databases, "databases", 96, "in groups of four")
-	f.DurationVar(&o.For, "for", 20*time.Second, "how long is measured")
-	f.Float64Var(&o.Statements, "statements", 200, "a second, of each gateway; 0: idle")
-	f.IntVar(&o.Budget, "budget", 0, "connections of all gateways to each database; 0: not divided")
-	f.Uint64Var(&o.Seed, "seed", 1, "of the load")
-	f.StringVar(&program, "gateway", "bin/lilaccove", "the gateway's program")
-	f.StringVar(&file, "json", "", "write the report to this file")
-	f.StringVar(&logs, "logs", "", "keep what the real gateways say in this file")
-	return c
+	flagSet := command.Flags()
+	flagSet.IntVar(&options.Gateways, "gateways", 16, "gateways of each kind")
+	flagSet.IntVar(&options.Databases, "databases", 96, "databases, in groups of four")
+	flagSet.DurationVar(&options.For, "for", 20*time.Second, "length of the measured time")
+	flagSet.Float64Var(&options.Statements, "statements", 200, "statements per second of each gateway; 0: idle")
+	flagSet.IntVar(&options.Budget, "budget", 0, "shared budget of connections to each database; 0: no budget")
+	flagSet.Uint64Var(&options.Seed, "seed", 1, "seed of the load")
+	flagSet.StringVar(&program, "gateway", "bin/lilaccove", "the gateway's program")
+	flagSet.StringVar(&jsonFile, "json", "", "write the report to this file")
+	flagSet.StringVar(&logFile, "logs", "", "write the log of the real gateways to this file")
+	return command
 }
--- a/cmd/lilacload/capacity.go
+++ b/cmd/lilacload/capacity.go
@@ -14,10 +14,10 @@
 func capacityCommand() *cobra.Command {
 	var page string
 	var write bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "capacity [DIR]", Short: "Compute the capacity page's tables from the runs in a directory, and check or write the page",
-		Long: "Reads the runs in DIR (docs/capacity, if absent), fits slopes and computes the tables of docs/CAPACITY.md. Tells the first line in\n" +
-			"which the page differs; with --write puts the tables between the page's markers. All else on the page stays as it is.",
+		Long: "Reads the runs in DIR (docs/capacity, if absent), fits slopes and computes the tables of docs/CAPACITY.md. Prints the first line in\n" +
+			"which the page differs; with --write puts the tables between the page's markers. The rest of the page stays as it is.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			dir := "docs/capacity"
@@ -45,9 +45,9 @@
 				case err != nil:
 					return fmt.Errorf("%s: %w", page, err)
 				case line != "":
-					return errors.New(page + ", " + line + "\nlilacload capacity --write puts in what the runs come to")
+					return errors.New(page + ", " + line + "\nlilacload capacity --write brings the page up to date")
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s has what its runs come to\n", page)
+				fmt.Fprintf(c.OutOrStdout(), "%s matches its runs\n", page)
 				return nil
 			}
 			filled, err := capacity.Fill(string(text), tables)
@@ -57,7 +57,7 @@
 			return os.WriteFile(page, []byte(filled), 0o644)
 		},
 	}
-	c.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page")
-	c.Flags().BoolVar(&write, "write", false, "write the tables into the page")
-	return c
+	command.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "file of the page")
+	command.Flags().BoolVar(&write, "write", false, "write the tables into the page")
+	return command
 }
--- a/cmd/lilacload/capacity_test.go
+++ b/cmd/lilacload/capacity_test.go
@@ -11,30 +11,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The command finds a page that has drifted from its runs, and mends it with --write alone.
+// The command detects a page that differs from its runs, and changes it with --write only.
 func TestCapacityCommand(t *testing.T) {
 	text, err := os.ReadFile("../../docs/CAPACITY.md")
 	require.NoError(t, err)
 	page := filepath.Join(t.TempDir(), "page.md")
 	require.NoError(t, os.WriteFile(page, text, 0o644))
 	run := func(args ...string) (string, error) {
-		c := command()
+		command := rootCommand()
 		var out bytes.Buffer
-		c.SetOut(&out)
-		c.SetArgs(append([]string{"capacity", "--page", page}, args...))
-		err := c.Execute()
+		command.SetOut(&out)
+		command.SetArgs(append([]string{"capacity", "--page", page}, args...))
+		err := command.Execute()
 		return out.String(), err
 	}
 	runs := "../../docs/capacity"
 	out, err := run(runs)
 	require.NoError(t, err)
-	assert.Contains(t, out, "has what its runs come to")
+	assert.Contains(t, out, "matches its runs")
 
 	_, err = run("../../internal/capacity/testdata")
 	assert.ErrorContains(t, err, "the page has\n")
-	now, err := os.ReadFile(page)
+	current, err := os.ReadFile(page)
 	require.NoError(t, err)
-	assert.Equal(t, string(text), string(now), "looking changes nothing")
+	assert.Equal(t, string(text), string(current), "checking changes nothing")
 
 	_, err = run("../../internal/capacity/testdata", "--write")
 	require.NoError(t, err)
@@ -42,9 +42,9 @@
 	assert.NoError(t, err)
 	_, err = run(runs, "--write")
 	require.NoError(t, err)
-	now, err = os.ReadFile(page)
+	current, err = os.ReadFile(page)
 	require.NoError(t, err)
-	assert.Equal(t, string(text), string(now))
+	assert.Equal(t, string(text), string(current))
 
 	require.NoError(t, os.WriteFile(page, []byte(strings.Replace(string(text), "<!-- capacity:sizes -->", "", 1)), 0o644))
 	_, err = run(runs, "--write")
--- a/cmd/lilacload/datapath.go
+++ b/cmd/lilacload/datapath.go
@@ -12,101 +12,101 @@
 	"lilaccove/internal/datapath"
 )
 
-// fit fits slopes over reports.
-func fit(c *cobra.Command, args []string) error {
-	var list []*datapath.Report
+// fitReports fits the slopes of costs over several reports and prints them.
+func fitReports(command *cobra.Command, args []string) error {
+	var reports []*datapath.Report
 	for _, path := range args {
 		text, err := os.ReadFile(path)
-		r := &datapath.Report{}
+		report := &datapath.Report{}
 		if err == nil {
-			err = json.Unmarshal(text, r)
+			err = json.Unmarshal(text, report)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		list = append(list, r)
+		reports = append(reports, report)
 	}
-	for _, l := range datapath.Lines() {
-		if err := l.Fit(list); err != nil {
+	for _, line := range datapath.Lines() {
+		if err := line.Fit(reports); err != nil {
 			return err
 		}
-		if err := l.Text(c.OutOrStdout()); err != nil {
+		if err := line.Text(command.OutOrStdout()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// datapathCommand measures one gateway's share of the data path.
+// datapathCommand measures what the data path of one gateway costs.
 func datapathCommand() *cobra.Command {
-	o := datapath.Options{}
-	var gateway, file, logs, arrivals string
-	c := &cobra.Command{
+	options := datapath.Options{}
+	var gateway, jsonFile, logFile, arrivals string
+	command := &cobra.Command{
 		Use: "datapath", Short: "Measure what one gateway spends on clients, statements and databases", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			o.Sides = func(role string) []string { return []string{self, "datapath", role} }
-			o.Gateway, o.Even = strings.Fields(gateway), arrivals == "even"
-			if logs != "" {
-				out, err := os.Create(logs)
+			options.Sides = func(role string) []string { return []string{self, "datapath", role} }
+			options.Gateway, options.Even = strings.Fields(gateway), arrivals == "even"
+			if logFile != "" {
+				out, err := os.Create(logFile)
 				if err != nil {
 					return err
 				}
 				defer out.Close()
-				o.Log = out
+				options.Log = out
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
-			r, err := datapath.Run(ctx, o)
+			report, err := datapath.Run(ctx, options)
 			if err != nil {
 				return err
 			}
-			r.Command = "lilacload " + strings.Join(os.Args[1:], " ")
-			if err := r.Text(c.OutOrStdout()); err != nil {
+			report.Command = "lilacload " + strings.Join(os.Args[1:], " ")
+			if err := report.Text(c.OutOrStdout()); err != nil {
 				return err
 			}
-			if file != "" {
-				text, err := json.MarshalIndent(r, "", " ")
+			if jsonFile != "" {
+				text, err := json.MarshalIndent(report, "", " ")
 				if err == nil {
-					err = os.WriteFile(file, append(text, '\n'), 0o644)
+					err = os.WriteFile(jsonFile, append(text, '\n'), 0o644)
 				}
 				if err != nil {
 					return err
 				}
 			}
-			return datapath.Verdict(r)
+			return datapath.Verdict(report)
 		},
 	}
-	f := c.Flags()
-	f.IntVar(&o.Clients, "clients", 5102, "client connections that are held open")
-	f.Float64Var(&o.Statements, "statements", 2041, "statements a second, of all clients")
-	f.IntVar(&o.Databases, "databases", 810, "databases, in one process")
-	f.IntVar(&o.GroupsOf, "groups-of", 4, "databases of a group; the last may be smaller")
-	f.DurationVar(&o.For, "for", 30*time.Second, "how long it is measured")
-	f.DurationVar(&o.Idle, "idle", 4*time.Second, "how long all clients are connected and ask for nothing")
-	f.DurationVar(&o.Warm, "warm", 5*time.Second, "how long they ask before it is measured")
-	f.DurationVar(&o.Again, "again", 500*time.Millisecond, "mean pause before a client that was closed connects again; it does at the latest when it asks")
-	f.StringVar(&arrivals, "arrivals", "poisson", "of each client: poisson or even")
-	f.Uint64Var(&o.Seed, "seed", 1, "of all that is drawn")
-	f.IntVar(&o.Sockets, "sockets", 0, "the gateway's limits.sockets; 0: so many that clients may have half of them, as far as a process may have them here")
-	f.IntVar(&o.MemoryMB, "memory", 256, "the gateway's limits.memory_mb")
-	f.IntVar(&o.Told, "told", 490, "how many gateways there are, as this one is told")
-	f.DurationVar(&o.Keep, "conn-idle", 0, "Allowed.ConnIdleUs; 0: as in the lab")
-	f.DurationVar(&o.Service, "service", 5*time.Millisecond, "mean time of a statement at a database")
-	f.DurationVar(&o.Stall, "stall", 100*time.Millisecond, "lateness of the clients' or databases' process over which the run is invalid")
-	f.StringVar(&gateway, "gateway", "bin/lilaccove", "the gateway's program")
-	f.StringVar(&file, "json", "", "write the report to this file as well")
-	f.StringVar(&logs, "logs", "", "keep what the gateway says in this file")
-	c.AddCommand(
-		&cobra.Command{Use: "fit A.json B.json ...", Short: "Fit slopes of memory and processor time over reports", Args: cobra.MinimumNArgs(2), RunE: fit},
+	flagSet := command.Flags()
+	flagSet.IntVar(&options.Clients, "clients", 5102, "open client connections")
+	flagSet.Float64Var(&options.Statements, "statements", 2041, "statements per second of all clients")
+	flagSet.IntVar(&options.Databases, "databases", 810, "databases, in one process")
+	flagSet.IntVar(&options.GroupsOf, "groups-of", 4, "databases per group; the last group may be smaller")
+	flagSet.DurationVar(&options.For, "for", 30*time.Second, "length of the measured time")
+	flagSet.DurationVar(&options.Idle, "idle", 4*time.Second, "time in which all clients are connected and send nothing")
+	flagSet.DurationVar(&options.Warm, "warm", 5*time.Second, "time under load before the measured time")
+	flagSet.DurationVar(&options.Again, "again", 500*time.Millisecond, "mean pause before a closed client connects again; it connects at once when it has a statement to send")
+	flagSet.StringVar(&arrivals, "arrivals", "poisson", "arrivals of each client's statements: poisson or even")
+	flagSet.Uint64Var(&options.Seed, "seed", 1, "seed of everything that is drawn")
+	flagSet.IntVar(&options.Sockets, "sockets", 0, "the gateway's limits.sockets; 0: so many that clients may have half of them, within this machine's limit for a process")
+	flagSet.IntVar(&options.MemoryMB, "memory", 256, "the gateway's limits.memory_mb")
+	flagSet.IntVar(&options.Told, "told", 490, "number of gateways in the fleet according to the settings")
+	flagSet.DurationVar(&options.Keep, "conn-idle", 0, "Allowed.ConnIdleUs; 0: as in the lab")
+	flagSet.DurationVar(&options.Service, "service", 5*time.Millisecond, "mean service time of a statement at a database")
+	flagSet.DurationVar(&options.Stall, "stall", 100*time.Millisecond, "timer lag of the clients' or databases' process above which the run is invalid")
+	flagSet.StringVar(&gateway, "gateway", "bin/lilaccove", "the gateway's program")
+	flagSet.StringVar(&jsonFile, "json", "", "write the report to this file as well")
+	flagSet.StringVar(&logFile, "logs", "", "write the gateway's log to this file")
+	command.AddCommand(
+		&cobra.Command{Use: "fit A.json B.json ...", Short: "Fit slopes of memory and processor time over reports", Args: cobra.MinimumNArgs(2), RunE: fitReports},
 		&cobra.Command{Use: "databases", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			return datapath.Databases(os.Stdin, os.Stdout)
 		}},
 		&cobra.Command{Use: "clients", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			return datapath.Clients(os.Stdin, os.Stdout)
 		}})
-	return c
+	return command
 }
--- a/cmd/lilacload/hollow.go
+++ b/cmd/lilacload/hollow.go
@@ -11,25 +11,25 @@
 	"lilaccove/internal/hollow"
 )
 
-// hollows is the command that other tools start to have many gateways.
+// hollowCommand runs many hollow gateways. Other commands start it as a process of theirs.
 func hollowCommand() *cobra.Command {
-	var logs, profile string
-	c := &cobra.Command{
-		Use: "hollow", Short: "Run the control sides of many gateways, as the lines of stdin say", Args: cobra.NoArgs,
-		Long: "Runs gateways without clients and connections to databases in one process; what answers would tell is fed in. The first line\n" +
-			"of stdin names them, each further one has them do something; reports go to stdout, a line each. docs/hollow.md has the form.",
+	var logFile, profileFile string
+	command := &cobra.Command{
+		Use: "hollow", Short: "Run the control sides of many gateways, controlled through stdin", Args: cobra.NoArgs,
+		Long: "Runs gateways without clients and connections to databases in one process and generates the databases' answers. The first line\n" +
+			"of stdin lists the gateways, each further line is an order; reports go to stdout, one per line. docs/hollow.md has the format.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			var out io.Writer
-			if logs != "" {
-				f, err := os.Create(logs)
+			var logWriter io.Writer
+			if logFile != "" {
+				f, err := os.Create(logFile)
 				if err != nil {
 					return err
 				}
 				defer f.Close()
-				out = f
+				logWriter = f
 			}
-			if profile != "" {
-				f, err := os.Create(profile)
+			if profileFile != "" {
+				f, err := os.Create(profileFile)
 				if err == nil {
 					defer f.Close()
 					err = pprof.StartCPUProfile(f)
@@ -39,10 +39,10 @@
 				}
 				defer pprof.StopCPUProfile()
 			}
-			return hollow.Run(c.InOrStdin(), c.OutOrStdout(), out)
+			return hollow.Run(c.InOrStdin(), c.OutOrStdout(), logWriter)
 		},
 	}
-	c.Flags().StringVar(&logs, "log", "", "write what the gateways say to this `FILE`, each line behind its gateway's name")
-	c.Flags().StringVar(&profile, "profile", "", "write a profile of the processor's use, from start to end, to this `FILE` (go tool pprof reads it)")
-	return c
+	command.Flags().StringVar(&logFile, "log", "", "write the gateways' log to this `FILE`, each line prefixed with the gateway's name")
+	command.Flags().StringVar(&profileFile, "profile", "", "write a CPU profile of the whole run to this `FILE` (for go tool pprof)")
+	return command
 }
--- a/cmd/lilacload/main.go
+++ b/cmd/lilacload/main.go
@@ -1,4 +1,4 @@
-// Command lilacload plays load plans against gateways and reports what their clients saw.
+// Command lilacload runs load plans against gateways and reports the results that clients got.
 package main
 
 import (
@@ -19,100 +19,100 @@
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lilacload: "+err.Error())
 		os.Exit(1)
 	}
 }
 
-// flags are those that several commands share.
-type flags struct {
-	trace       string
-	speed, rate float64
-	json, plots string
+// planFlags holds the planFlags that several commands share.
+type planFlags struct {
+	trace                string
+	speed, rate          float64
+	jsonFile, plotPrefix string
 }
 
-func (f *flags) add(c *cobra.Command, out bool) {
-	c.Flags().StringVar(&f.trace, "trace", "", "play this trace (CSV or JSON lines) instead of the plan's stages")
-	c.Flags().Float64Var(&f.speed, "speed", 1, "play the trace so many times as fast")
-	c.Flags().Float64Var(&f.rate, "rate", 1, "play each row of the trace so often; below 1: a share of them")
-	if out {
-		c.Flags().StringVar(&f.json, "json", "", "write the report to this file as well, for compare and other tools")
-		c.Flags().StringVar(&f.plots, "plots", "", "draw PREFIX-latency.png and PREFIX-service.png")
+func (f *planFlags) register(command *cobra.Command, withReport bool) {
+	command.Flags().StringVar(&f.trace, "trace", "", "play this trace (CSV or JSON lines) instead of the plan's stages")
+	command.Flags().Float64Var(&f.speed, "speed", 1, "factor by which the trace is played faster")
+	command.Flags().Float64Var(&f.rate, "rate", 1, "how often each row of the trace is played; below 1: the share of rows that are played")
+	if withReport {
+		command.Flags().StringVar(&f.jsonFile, "json", "", "also write the report to this file, for compare and other tools")
+		command.Flags().StringVar(&f.plotPrefix, "plots", "", "draw PREFIX-latency.png and PREFIX-service.png")
 	}
 }
 
-// load reads a plan and the arrivals that it or a trace holds.
-func (f *flags) load(path string) (*plan.Plan, []plan.Arrival, error) {
+// load reads a plan and returns it with its arrivals, or with those of the trace if there is one.
+func (f *planFlags) load(path string) (*plan.Plan, []plan.Arrival, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	p, err := plan.Parse(path, text)
+	loadPlan, err := plan.Parse(path, text)
 	if err != nil {
 		return nil, nil, err
 	}
 	if f.trace == "" {
-		list, err := plan.Schedule(p)
-		return p, list, err
+		arrivals, err := plan.Schedule(loadPlan)
+		return loadPlan, arrivals, err
 	}
 	if text, err = os.ReadFile(f.trace); err != nil {
 		return nil, nil, err
 	}
-	list, err := plan.ParseTrace(p, f.trace, text, f.speed, f.rate)
-	return p, list, err
+	list, err := plan.ParseTrace(loadPlan, f.trace, text, f.speed, f.rate)
+	return loadPlan, list, err
 }
 
-// finish writes a report out and tells by its error what the exit status says.
-func (f *flags) finish(r *run.Report) error {
-	if err := r.WriteText(os.Stdout); err != nil {
+// writeReport writes the report. Its error decides the exit status.
+func (f *planFlags) writeReport(report *run.Report) error {
+	if err := report.WriteText(os.Stdout); err != nil {
 		return err
 	}
-	if f.json != "" {
-		text, err := json.MarshalIndent(r, "", " ")
+	if f.jsonFile != "" {
+		text, err := json.MarshalIndent(report, "", " ")
 		if err == nil {
-			err = os.WriteFile(f.json, append(text, '\n'), 0o644)
+			err = os.WriteFile(f.jsonFile, append(text, '\n'), 0o644)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if f.plots != "" {
-		if err := r.WritePlots(f.plots); err != nil {
+	if f.plotPrefix != "" {
+		if err := report.WritePlots(f.plotPrefix); err != nil {
 			return err
 		}
 	}
-	return lab.Verdict(r)
+	return lab.Verdict(report)
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use: "lilacload", Short: "Load for gateways, with honest latencies", SilenceUsage: true, SilenceErrors: true,
-		Long: "Plays plans of open-loop load against gateways on this machine. A latency counts from the moment at which its request\n" +
-			"was due, so that slow answers do not hide those that waited behind them. docs/load.md has the form of a plan.",
+		Use: "lilacload", Short: "Open-loop load for gateways", SilenceUsage: true, SilenceErrors: true,
+		Long: "Plays plans of open-loop load against gateways on this machine. A request's latency counts from the time at which it was\n" +
+			"due, so that it includes the wait for slower requests before it. docs/load.md has the format of a plan.",
 	}
 	check := &cobra.Command{
-		Use: "check PLAN", Short: "Read a plan and tell what it comes to", Args: cobra.ExactArgs(1),
+		Use: "check PLAN", Short: "Read a plan and print a summary of it", Args: cobra.ExactArgs(1),
 	}
-	var f flags
-	f.add(check, false)
+	var checkFlags planFlags
+	checkFlags.register(check, false)
 	check.RunE = func(c *cobra.Command, args []string) error {
-		p, list, err := f.load(args[0])
+		p, list, err := checkFlags.load(args[0])
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%d arrivals in %v, %d classes, %d stages, %d events\n", len(list), p.Duration(), len(p.Classes), len(p.Stages), len(p.Events))
 		return nil
 	}
-	var rec flags
+	var recordFlags planFlags
 	record := &cobra.Command{
 		Use: "record PLAN FILE", Short: "Write a plan's arrivals as a trace that can be played again", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := rec.load(args[0])
+			p, list, err := recordFlags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -124,52 +124,52 @@
 			return plan.WriteTrace(out, p, list)
 		},
 	}
-	rec.add(record, false)
-	var rf flags
+	recordFlags.register(record, false)
+	var runFlags planFlags
 	var targets []string
 	play := &cobra.Command{
-		Use: "run PLAN --target 127.0.0.1:5432", Short: "Play a plan against gateways that run already", Args: cobra.ExactArgs(1),
+		Use: "run PLAN --target 127.0.0.1:5432", Short: "Play a plan against running gateways", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := rf.load(args[0])
+			p, list, err := runFlags.load(args[0])
 			if err != nil {
 				return err
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
 			recorder := run.NewRecorder(p)
-			r := &run.Runner{Plan: p, Arrivals: list, Targets: targets, OnSample: recorder.Add}
-			sent, err := r.Play(ctx)
+			runner := &run.Runner{Plan: p, Arrivals: list, Targets: targets, OnSample: recorder.Add}
+			sent, err := runner.Play(ctx)
 			if err != nil {
 				return err
 			}
-			return rf.finish(recorder.Report(len(list), sent))
+			return runFlags.writeReport(recorder.Report(len(list), sent))
 		},
 	}
-	rf.add(play, true)
-	play.Flags().StringArrayVar(&targets, "target", nil, "a gateway's address, on loopback; may be given several times")
+	runFlags.register(play, true)
+	play.Flags().StringArrayVar(&targets, "target", nil, "address of a gateway, on loopback; may be given several times")
 	_ = play.MarkFlagRequired("target")
-	var lf flags
-	var gateway, logs, history string
-	world := &cobra.Command{
-		Use: "lab PLAN", Short: "Start stand-in databases and gateways, play a plan, and check the rules", Args: cobra.ExactArgs(1),
+	var labFlags planFlags
+	var gateway, logFile, historyFile string
+	labCommand := &cobra.Command{
+		Use: "lab PLAN", Short: "Start stand-in databases and gateways, play a plan, and check the invariants", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := lf.load(args[0])
+			p, list, err := labFlags.load(args[0])
 			if err != nil {
 				return err
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
 			l := &lab.Lab{Plan: p, Arrivals: list, Gateway: strings.Fields(gateway)}
-			if logs != "" {
-				out, err := os.Create(logs)
+			if logFile != "" {
+				out, err := os.Create(logFile)
 				if err != nil {
 					return err
 				}
 				defer out.Close()
 				l.Log = out
 			}
-			if history != "" {
-				out, err := os.Create(history)
+			if historyFile != "" {
+				out, err := os.Create(historyFile)
 				if err != nil {
 					return err
 				}
@@ -182,15 +182,15 @@
 			if err != nil {
 				return err
 			}
-			return lf.finish(r)
+			return labFlags.writeReport(r)
 		},
 	}
-	lf.add(world, true)
-	world.Flags().StringVar(&gateway, "gateway", "bin/lilaccove", "the gateway's program")
-	world.Flags().StringVar(&logs, "logs", "", "keep what the gateways say in this file")
-	world.Flags().StringVar(&history, "history", "", "write what happens, faults and requests, to this file as JSON lines")
+	labFlags.register(labCommand, true)
+	labCommand.Flags().StringVar(&gateway, "gateway", "bin/lilaccove", "command of the gateway")
+	labCommand.Flags().StringVar(&logFile, "logs", "", "write the gateways' log to this file")
+	labCommand.Flags().StringVar(&historyFile, "history", "", "write all faults and requests to this file as JSON lines")
 	compare := &cobra.Command{
-		Use: "compare A.json B.json", Short: "Set two reports of one plan side by side", Args: cobra.ExactArgs(2),
+		Use: "compare A.json B.json", Short: "Compare two reports of the same plan", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			var r [2]run.Report
 			for i, path := range args {
@@ -205,6 +205,6 @@
 			return run.Compare(c.OutOrStdout(), &r[0], &r[1])
 		},
 	}
-	root.AddCommand(check, record, play, world, compare, hollowCommand(), scaleCommand(), calibrateCommand(), datapathCommand(), capacityCommand(), soakCommand())
+	root.AddCommand(check, record, play, labCommand, compare, hollowCommand(), scaleCommand(), calibrateCommand(), datapathCommand(), capacityCommand(), soakCommand())
 	return root
 }
--- a/cmd/lilacload/soak.go
+++ b/cmd/lilacload/soak.go
@@ -13,61 +13,61 @@
 	"lilaccove/internal/soak"
 )
 
-// soakCommand plays troubles that overlap on many real gateways.
+// soakCommand runs many real gateways under overlapping faults.
 func soakCommand() *cobra.Command {
-	var opt soak.Options
-	var faults, report, logs string
-	c := &cobra.Command{
-		Use: "soak", Short: "Run many gateways under troubles that overlap in time, drawn from a seed, and judge them", Args: cobra.NoArgs,
-		Long: "Starts stand-in databases and gateways, sends load, and draws troubles from the seed that overlap by two or three. Each\n" +
-			"request is judged by the gateway that had it. The exit status is not 0 where an invariant was violated, or the machine\n" +
-			"starved the run (INVALID). --faults names a YAML file with the troubles that may be drawn: troubles: [kill, partition].",
+	var options soak.Options
+	var faultsFile, reportFile, logFile string
+	command := &cobra.Command{
+		Use: "soak", Short: "Run many gateways under overlapping faults drawn from a seed, and check the invariants", Args: cobra.NoArgs,
+		Long: "Starts stand-in databases and gateways, sends load, and draws faults from the seed, of which two or three overlap. Each\n" +
+			"request is checked against the gateway that had it. The exit status is not 0 if an invariant was violated or the machine\n" +
+			"starved the run (INVALID). --faults names a YAML file with the faults that may be drawn: troubles: [kill, partition].",
 	}
-	f := c.Flags()
-	f.IntVar(&opt.Gateways, "gateways", 24, "gateways")
-	f.IntVar(&opt.Databases, "databases", 36, "databases, in groups of four")
-	f.DurationVar(&opt.Duration, "for", 60*time.Second, "how long load is sent")
-	f.Uint64Var(&opt.Seed, "seed", 1, "what all is drawn from; a multiple of three has lists pushed")
-	f.IntSliceVar(&opt.OnlyFaults, "only", nil, "play only these of the troubles drawn, to shrink a schedule that fails")
-	f.StringVar(&opt.Program, "gateway", "bin/lilaccove", "the gateway's program")
-	f.StringVar(&opt.FaultyProgram, "faulty", "", "the gateway's program built with -tags faults; without it no system calls fail")
-	f.StringVar(&faults, "faults", "", "the file that names the troubles which may be drawn")
-	f.StringVar(&report, "json", "", "write the report to this file as well")
-	f.StringVar(&logs, "logs", "", "keep what the gateways say in this file")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := readTroubles(faults, &opt); err != nil {
+	flagSet := command.Flags()
+	flagSet.IntVar(&options.Gateways, "gateways", 24, "gateways")
+	flagSet.IntVar(&options.Databases, "databases", 36, "databases, in groups of four")
+	flagSet.DurationVar(&options.Duration, "for", 60*time.Second, "how long load is sent")
+	flagSet.Uint64Var(&options.Seed, "seed", 1, "seed of everything that is drawn; with a multiple of three discovery pushes its lists")
+	flagSet.IntSliceVar(&options.OnlyFaults, "only", nil, "play only these of the drawn faults, by number, to shrink a failing schedule")
+	flagSet.StringVar(&options.Program, "gateway", "bin/lilaccove", "program of the gateway")
+	flagSet.StringVar(&options.FaultyProgram, "faulty", "", "program of a gateway built with -tags faults; without it no system calls fail")
+	flagSet.StringVar(&faultsFile, "faults", "", "YAML file with the names of the faults that may be drawn")
+	flagSet.StringVar(&reportFile, "json", "", "also write the report to this file")
+	flagSet.StringVar(&logFile, "logs", "", "write the gateways' log to this file")
+	command.RunE = func(c *cobra.Command, _ []string) error {
+		if err := readFaultNames(faultsFile, &options); err != nil {
 			return err
 		}
-		if logs != "" {
-			out, err := os.Create(logs)
+		if logFile != "" {
+			out, err := os.Create(logFile)
 			if err != nil {
 				return err
 			}
 			defer out.Close()
-			opt.Log = out
+			options.Log = out
 		}
-		ctx, cancel := interruptible()
+		ctx, cancel := interruptContext()
 		defer cancel()
-		r, err := soak.Run(ctx, opt)
+		report, err := soak.Run(ctx, options)
 		if err != nil {
 			return err
 		}
-		text, err := json.MarshalIndent(r, "", " ")
+		text, err := json.MarshalIndent(report, "", " ")
 		if err != nil {
 			return err
 		}
-		if report != "" {
-			if err := os.WriteFile(report, append(text, '\n'), 0o644); err != nil {
+		if reportFile != "" {
+			if err := os.WriteFile(reportFile, append(text, '\n'), 0o644); err != nil {
 				return err
 			}
 		}
-		return tellSoak(c.OutOrStdout(), r, opt)
+		return printSoakResult(c.OutOrStdout(), report, options)
 	}
-	return c
+	return command
 }
 
-// readTroubles takes the names of troubles out of a file.
-func readTroubles(path string, opt *soak.Options) error {
+// readFaultNames reads the names of the faults that may be drawn from a file.
+func readFaultNames(path string, options *soak.Options) error {
 	if path == "" {
 		return nil
 	}
@@ -79,30 +79,30 @@
 	if err := yaml.Unmarshal(text, &file); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	opt.FaultNames = file.Troubles
+	options.FaultNames = file.Troubles
 	return nil
 }
 
-// tellSoak prints what a run came to, and how it is played again if something was violated.
-func tellSoak(out io.Writer, r *soak.Report, opt soak.Options) error {
-	q := r.Requests
-	fmt.Fprintf(out, "seed %d: %d gateways, %d troubles, %d overlaps, %d restarts, ready in %.2f s (p90), %d processes, %d MB\n",
-		r.Seed, r.Gateways, len(r.Faults), r.Overlaps, r.Restarts, r.ReadySeconds.P90, r.ProcessesMax, r.MemoryMBMax)
+// printSoakResult prints the result of a run, and after a violation the command that repeats it.
+func printSoakResult(out io.Writer, report *soak.Report, options soak.Options) error {
+	requests := report.Requests
+	fmt.Fprintf(out, "seed %d: %d gateways, %d faults, %d overlaps, %d restarts, ready in %.2f s (p90), %d processes, %d MB\n",
+		report.Seed, report.Gateways, len(report.Faults), report.Overlaps, report.Restarts, report.ReadySeconds.P90, report.ProcessesMax, report.MemoryMBMax)
 	fmt.Fprintf(out, "requests: %d sent, %d served, %d refused, %d failed, %d unanswered, %d lost, %d crossed a close, %d not sent\n",
-		q.Sent, q.Served, q.Refused, q.Failed, q.Unanswered, q.Lost, q.CrossedClose, q.Unsent)
-	for name, n := range r.Violations {
+		requests.Sent, requests.Served, requests.Refused, requests.Failed, requests.Unanswered, requests.Lost, requests.CrossedClose, requests.Unsent)
+	for name, n := range report.Violations {
 		fmt.Fprintf(out, "VIOLATED %s: %d from outside, %d from inside\n", name, n.Outside, n.Inside)
 	}
-	for _, text := range r.Examples {
+	for _, text := range report.Examples {
 		fmt.Fprintln(out, "  "+text)
 	}
-	err := r.Err()
+	err := report.Err()
 	if err != nil {
-		for _, t := range r.Faults {
-			fmt.Fprintf(out, "  %3d %6.2f s %5.2f s %s %v\n", t.Number, t.At.Seconds(), t.Duration.Seconds(), t.Name, t.Gateways)
+		for _, fault := range report.Faults {
+			fmt.Fprintf(out, "  %3d %6.2f s %5.2f s %s %v\n", fault.Number, fault.At.Seconds(), fault.Duration.Seconds(), fault.Name, fault.Gateways)
 		}
-		fmt.Fprintf(out, "again: lilacload soak --gateways %d --databases %d --for %v --seed %d\nless: add --only with some of the numbers above\n",
-			opt.Gateways, opt.Databases, opt.Duration, opt.Seed)
+		fmt.Fprintf(out, "repeat: lilacload soak --gateways %d --databases %d --for %v --seed %d\nshrink: add --only with some of the numbers above\n",
+			options.Gateways, options.Databases, options.Duration, options.Seed)
 	}
 	return err
 }
