--- a/cmd/lilacload/calibrate.go
+++ b/cmd/lilacload/calibrate.go
@@ -61,7 +61,7 @@
 	flagSet.Float64Var(&options.Statements, "statements", 200, "statements per second of each gateway; 0: idle")
 	flagSet.IntVar(&options.Budget, "budget", 0, "shared budget of connections to each database; 0: no budget")
 	flagSet.Uint64Var(&options.Seed, "seed", 1, "seed of the load")
-	flagSet.StringVar(&program, "gateway", "bin/lilaccove", "the gateway's program")
+	flagSet.StringVar(&program, "gateway", "bin/lilaccove", "command of the gateway")
 	flagSet.StringVar(&jsonFile, "json", "", "write the report to this file")
 	flagSet.StringVar(&logFile, "logs", "", "write the log of the real gateways to this file")
 	return command
--- a/cmd/lilacload/datapath.go
+++ b/cmd/lilacload/datapath.go
@@ -97,7 +97,7 @@
 	flagSet.DurationVar(&options.Keep, "conn-idle", 0, "Allowed.ConnIdleUs; 0: as in the lab")
 	flagSet.DurationVar(&options.Service, "service", 5*time.Millisecond, "mean service time of a statement at a database")
 	flagSet.DurationVar(&options.Stall, "stall", 100*time.Millisecond, "timer lag of the clients' or databases' process above which the run is invalid")
-	flagSet.StringVar(&gateway, "gateway", "bin/lilaccove", "the gateway's program")
+	flagSet.StringVar(&gateway, "gateway", "bin/lilaccove", "command of the gateway")
 	flagSet.StringVar(&jsonFile, "json", "", "write the report to this file as well")
 	flagSet.StringVar(&logFile, "logs", "", "write the gateway's log to this file")
 	command.AddCommand(
--- a/cmd/lilacload/main.go
+++ b/cmd/lilacload/main.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// planFlags holds the planFlags that several commands share.
+// planFlags holds the flags that several commands share.
 type planFlags struct {
 	trace                string
 	speed, rate          float64
@@ -59,8 +59,8 @@
 	if text, err = os.ReadFile(f.trace); err != nil {
 		return nil, nil, err
 	}
-	list, err := plan.ParseTrace(loadPlan, f.trace, text, f.speed, f.rate)
-	return loadPlan, list, err
+	traceArrivals, err := plan.ParseTrace(loadPlan, f.trace, text, f.speed, f.rate)
+	return loadPlan, traceArrivals, err
 }
 
 // writeReport writes the report. Its error decides the exit status.
@@ -101,18 +101,18 @@
 	var checkFlags planFlags
 	checkFlags.register(check, false)
 	check.RunE = func(c *cobra.Command, args []string) error {
-		p, list, err := checkFlags.load(args[0])
+		loadPlan, arrivals, err := checkFlags.load(args[0])
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d arrivals in %v, %d classes, %d stages, %d events\n", len(list), p.Duration(), len(p.Classes), len(p.Stages), len(p.Events))
+		fmt.Fprintf(c.OutOrStdout(), "%d arrivals in %v, %d classes, %d stages, %d events\n", len(arrivals), loadPlan.Duration(), len(loadPlan.Classes), len(loadPlan.Stages), len(loadPlan.Events))
 		return nil
 	}
 	var recordFlags planFlags
 	record := &cobra.Command{
 		Use: "record PLAN FILE", Short: "Write a plan's arrivals as a trace that can be played again", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := recordFlags.load(args[0])
+			loadPlan, arrivals, err := recordFlags.load(args[0])
 			if err != nil {
 				return err
 			}
@@ -121,7 +121,7 @@
 				return err
 			}
 			defer out.Close()
-			return plan.WriteTrace(out, p, list)
+			return plan.WriteTrace(out, loadPlan, arrivals)
 		},
 	}
 	recordFlags.register(record, false)
@@ -130,19 +130,19 @@
 	play := &cobra.Command{
 		Use: "run PLAN --target 127.0.0.1:5432", Short: "Play a plan against running gateways", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := runFlags.load(args[0])
+			loadPlan, arrivals, err := runFlags.load(args[0])
 			if err != nil {
 				return err
 			}
 			ctx, cancel := interruptContext()
 			defer cancel()
-			recorder := run.NewRecorder(p)
-			runner := &run.Runner{Plan: p, Arrivals: list, Targets: targets, OnSample: recorder.Add}
+			recorder := run.NewRecorder(loadPlan)
+			runner := &run.Runner{Plan: loadPlan, Arrivals: arrivals, Targets: targets, OnSample: recorder.Add}
 			sent, err := runner.Play(ctx)
 			if err != nil {
 				return err
 			}
-			return runFlags.writeReport(recorder.Report(len(list), sent))
+			return runFlags.writeReport(recorder.Report(len(arrivals), sent))
 		},
 	}
 	runFlags.register(play, true)
@@ -153,13 +153,13 @@
 	labCommand := &cobra.Command{
 		Use: "lab PLAN", Short: "Start stand-in databases and gateways, play a plan, and check the invariants", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, list, err := labFlags.load(args[0])
+			loadPlan, arrivals, err := labFlags.load(args[0])
 			if err != nil {
 				return err
 			}
 			ctx, cancel := interruptContext()
 			defer cancel()
-			l := &lab.Lab{Plan: p, Arrivals: list, Gateway: strings.Fields(gateway)}
+			l := &lab.Lab{Plan: loadPlan, Arrivals: arrivals, Gateway: strings.Fields(gateway)}
 			if logFile != "" {
 				out, err := os.Create(logFile)
 				if err != nil {
@@ -178,11 +178,11 @@
 				defer lines.Flush()
 				l.History = lab.NewHistory(lines)
 			}
-			r, err := l.Play(ctx)
+			report, err := l.Play(ctx)
 			if err != nil {
 				return err
 			}
-			return labFlags.writeReport(r)
+			return labFlags.writeReport(report)
 		},
 	}
 	labFlags.register(labCommand, true)
@@ -192,17 +192,17 @@
 	compare := &cobra.Command{
 		Use: "compare A.json B.json", Short: "Compare two reports of the same plan", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			var r [2]run.Report
+			var reports [2]run.Report
 			for i, path := range args {
 				text, err := os.ReadFile(path)
 				if err == nil {
-					err = json.Unmarshal(text, &r[i])
+					err = json.Unmarshal(text, &reports[i])
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
 				}
 			}
-			return run.Compare(c.OutOrStdout(), &r[0], &r[1])
+			return run.Compare(c.OutOrStdout(), &reports[0], &reports[1])
 		},
 	}
 	root.AddCommand(check, record, play, labCommand, compare, hollowCommand(), scaleCommand(), calibrateCommand(), datapathCommand(), capacityCommand(), soakCommand())
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -93,10 +93,10 @@
 	}
 }
 
-func (r *Run) drawIndexes(of, n int) []int {
+func (r *Run) drawIndexes(total, count int) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rnd.Perm(of)[:n]
+	return r.rnd.Perm(total)[:count]
 }
 
 // changeList announces a drawn database as terminating, and as in service again after the event's duration. Gateways of the event
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -43,58 +43,58 @@
 	stopRequested  bool // the run itself has asked the process to end
 }
 
-func (n *realGateway) start() error {
-	dir := n.run.gatewayDir(n.state.name)
-	process := lab.NewProcess(exec.Command(n.run.Gateway[0], n.run.Gateway[1:]...))
+func (g *realGateway) start() error {
+	dir := g.run.gatewayDir(g.state.name)
+	process := lab.NewProcess(exec.Command(g.run.Gateway[0], g.run.Gateway[1:]...))
 	process.Setenv("GW_CONFIG="+filepath.Join(dir, "config.json"), "GW_FLEET="+filepath.Join(dir, "fleet.yaml"), "GW_MANAGEMENT=127.0.0.1:0", "TMPDIR="+dir)
-	n.mu.Lock()
-	n.process, n.clientAddr, n.managementAddr, n.viewDigest, n.stopRequested = process, "", "", "", false
-	n.mu.Unlock()
-	if err := process.Launch(n.readLogLine, func() { n.exited(process) }); err != nil {
+	g.mu.Lock()
+	g.process, g.clientAddr, g.managementAddr, g.viewDigest, g.stopRequested = process, "", "", "", false
+	g.mu.Unlock()
+	if err := process.Launch(g.readLogLine, func() { g.exited(process) }); err != nil {
 		return err
 	}
 	if _, err := process.WaitStarted(readyTimeout); err != nil {
-		return fmt.Errorf("gateway %s %w", n.state.name, err)
+		return fmt.Errorf("gateway %s %w", g.state.name, err)
 	}
 	return nil
 }
 
 // exited records a failure if the process ended without being asked to.
-func (n *realGateway) exited(process *lab.Process) {
-	n.mu.Lock()
-	unexpected := n.process == process && !n.stopRequested
-	n.mu.Unlock()
+func (g *realGateway) exited(process *lab.Process) {
+	g.mu.Lock()
+	unexpected := g.process == process && !g.stopRequested
+	g.mu.Unlock()
 	if unexpected {
-		n.run.recordFailure("gateway %s ended unexpectedly", n.state.name)
+		g.run.recordFailure("gateway %s ended unexpectedly", g.state.name)
 	}
 }
 
 // readLogLine reads a line of the process's log.
-func (n *realGateway) readLogLine(line string) {
-	n.run.writeLog(n.state.name + " " + line)
+func (g *realGateway) readLogLine(line string) {
+	g.run.writeLog(g.state.name + " " + line)
 	_, event, _ := strings.Cut(line, " event=")
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch kind, _, _ := strings.Cut(event, " "); kind {
 	case "started":
-		n.clientAddr, n.managementAddr = lab.LogField(event, "listen"), lab.LogField(event, "management")
-		n.run.balancer.SetAddr(n.state.index, n.clientAddr)
+		g.clientAddr, g.managementAddr = lab.LogField(event, "listen"), lab.LogField(event, "management")
+		g.run.balancer.SetAddr(g.state.index, g.clientAddr)
 	case "fleet_view":
-		n.viewDigest = lab.LogField(event, "digest")
+		g.viewDigest = lab.LogField(event, "digest")
 	case "fleet_member":
 		if lab.LogField(event, "state") == "dead" {
-			n.deadNames = append(n.deadNames, lab.LogField(event, "name"))
+			g.deadNames = append(g.deadNames, lab.LogField(event, "name"))
 		}
 	}
 }
 
 // addSample adds a sample from the process's metrics.
-func (n *realGateway) addSample(at time.Time) {
-	n.mu.Lock()
-	process, managementAddr, state := n.process, n.managementAddr, hollow.State{Name: n.state.name, Up: true, ViewDigest: n.viewDigest, DeadNames: n.deadNames, Roles: map[string]traffic{}}
-	n.deadNames = nil
-	n.mu.Unlock()
-	run := n.run
+func (g *realGateway) addSample(at time.Time) {
+	g.mu.Lock()
+	process, managementAddr, state := g.process, g.managementAddr, hollow.State{Name: g.state.name, Up: true, ViewDigest: g.viewDigest, DeadNames: g.deadNames, Roles: map[string]traffic{}}
+	g.deadNames = nil
+	g.mu.Unlock()
+	run := g.run
 	var usage processUse
 	responding := false
 	if process != nil && process.Alive() && managementAddr != "" {
@@ -108,28 +108,28 @@
 	}
 	run.mu.Lock()
 	changePending := len(run.listChanges) > 0 && !run.listChanges[len(run.listChanges)-1].complete
-	last := n.state.lastSample()
+	last := g.state.lastSample()
 	run.mu.Unlock()
 	if last != nil {
 		state.ListSeq = last.listVersion
 	}
 	if responding && (changePending || state.ListSeq == 0) {
-		state.ListSeq = n.listVersion(managementAddr)
+		state.ListSeq = g.listVersion(managementAddr)
 	}
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.countFalseDeaths(n.state, at, state.DeadNames)
-	if responding && n.state.live && run.measuredTo.IsZero() {
+	run.countFalseDeaths(g.state, at, state.DeadNames)
+	if responding && g.state.live && run.measuredTo.IsZero() {
 		state.CPUMS = usage.cpuMS
-		n.state.addReport(at, &state, usage.rss, 0)
-		if at.After(n.state.startedAt) {
-			n.state.reported = true
+		g.state.addReport(at, &state, usage.rss, 0)
+		if at.After(g.state.startedAt) {
+			g.state.reported = true
 		}
 	}
 }
 
 // listVersion returns the list version that the gateway uses; 0 where it doesn't answer.
-func (n *realGateway) listVersion(managementAddr string) int64 {
+func (g *realGateway) listVersion(managementAddr string) int64 {
 	var report peer.VersionsReport
 	if text, err := get(managementAddr, "/v1/fleet/versions"); err != nil || json.Unmarshal([]byte(text), &report) != nil {
 		return 0
@@ -156,37 +156,37 @@
 	return string(text), err
 }
 
-func (n *realGateway) processToStop() *lab.Process {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.stopRequested = true
-	return n.process
+func (g *realGateway) processToStop() *lab.Process {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.stopRequested = true
+	return g.process
 }
 
-func (n *realGateway) pid() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process == nil || n.clientAddr == "" || !n.process.Alive() {
+func (g *realGateway) pid() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.process == nil || g.clientAddr == "" || !g.process.Alive() {
 		return 0
 	}
-	return n.process.Pid()
+	return g.process.Pid()
 }
 
-func (n *realGateway) kill() {
-	if p := n.processToStop(); p != nil && n.pid() > 0 {
+func (g *realGateway) kill() {
+	if p := g.processToStop(); p != nil && g.pid() > 0 {
 		p.Kill()
 	}
 }
 
 // shutDown shuts the process down gracefully, and kills it if it doesn't end in time.
-func (n *realGateway) shutDown() error {
-	process := n.processToStop()
+func (g *realGateway) shutDown() error {
+	process := g.processToStop()
 	if err := process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	if err := process.Wait(shutdownTimeout); err != nil && process.Alive() {
 		process.Kill()
-		return fmt.Errorf("gateway %s did not end within %v", n.state.name, shutdownTimeout)
+		return fmt.Errorf("gateway %s did not end within %v", g.state.name, shutdownTimeout)
 	}
 	return nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -53,7 +53,7 @@
 	cuts                []zoneCut
 	convergences        []*convergence
 	listChanges         []*listChange
-	falseDeaths         []death
+	falseDeaths         []falseDeath
 	settlingFalseDeaths int // false deaths before the measured time
 	runSamples          []runSample
 	lagSamples          []float64 // ms, per second: each gateway's maximum, and the run's own
@@ -63,8 +63,8 @@
 	logMu               sync.Mutex
 }
 
-// death is a false death.
-type death struct {
+// falseDeath is a report of a live gateway as dead.
+type falseDeath struct {
 	reportedAt time.Time
 	by, of     string
 }
@@ -390,7 +390,7 @@
 		if r.measuredFrom.IsZero() {
 			r.settlingFalseDeaths++
 		} else {
-			r.falseDeaths = append(r.falseDeaths, death{at, by.name, name})
+			r.falseDeaths = append(r.falseDeaths, falseDeath{at, by.name, name})
 		}
 	}
 }
