--- a/cmd/lilaccove/hollow_test.go
+++ b/cmd/lilaccove/hollow_test.go
@@ -53,7 +53,7 @@
 		name := fmt.Sprintf("h%d", i)
 		addr := freePort(t)
 		config, fleet := m.writeConfig(name, addr)
-		start.Gateways = append(start.Gateways, hollow.Spec{Name: name, Config: config, Fleet: fleet, StatementsPerS: statementRate})
+		start.Gateways = append(start.Gateways, hollow.GatewaySpec{Name: name, Config: config, Fleet: fleet, StatementsPerS: statementRate})
 		m.seeds = append(m.seeds, addr)
 	}
 	for i, spec := range start.Gateways { // again, now that all seeds are known
@@ -191,7 +191,7 @@
 	m := newMixedFleet(t, 4, 2)
 	m.waitView(6, 4)
 	m.eventually("all have the list from discovery", func(r hollow.Report) bool {
-		return !slices.ContainsFunc(r.Gateways, func(s hollow.State) bool {
+		return !slices.ContainsFunc(r.Gateways, func(s hollow.GatewayState) bool {
 			return s.ListDatabases != 9 || s.Roles["discovery"].InMessages == 0 || s.KnownPositions != 9
 		})
 	})
@@ -234,7 +234,7 @@
 	m := newMixedFleet(t, 3, 1)
 	m.waitView(4, 3)
 	m.eventually("every active role has sent and received", func(r hollow.Report) bool {
-		return !slices.ContainsFunc(r.Gateways, func(s hollow.State) bool {
+		return !slices.ContainsFunc(r.Gateways, func(s hollow.GatewayState) bool {
 			for _, role := range []string{"membership", "positions", "primaries", "versions", "words", "discovery"} {
 				if traffic := s.Roles[role]; traffic.OutMessages == 0 || traffic.OutBytes == 0 || traffic.InMessages == 0 || traffic.InBytes == 0 {
 					return true
@@ -295,10 +295,10 @@
 	for i, s := range last.Gateways {
 		before := first.Gateways[i]
 		want := statementRate * float64(last.AtMS-first.AtMS) / 1000
-		assert.InEpsilon(t, want, s.Learned-before.Learned, 0.02, s.Name)
-		assert.InEpsilon(t, want/10, s.LearnedPrimary-before.LearnedPrimary, 0.35, s.Name)
+		assert.InEpsilon(t, want, s.AnswersLearned-before.AnswersLearned, 0.02, s.Name)
+		assert.InEpsilon(t, want/10, s.PrimaryAnswersLearned-before.PrimaryAnswersLearned, 0.35, s.Name)
 		assert.Equal(t, 9, s.KnownPositions)
-		assert.Less(t, s.AgeP50, 500.0, "positions are recent")
+		assert.Less(t, s.PositionAgeP50MS, 500.0, "positions are recent")
 	}
 }
 
--- a/cmd/lilacload/scale.go
+++ b/cmd/lilacload/scale.go
@@ -14,7 +14,7 @@
 
 // scaleCommand runs a fleet of many gateways and measures their cost.
 func scaleCommand() *cobra.Command {
-	flags := scale.NoOverride()
+	flags := scale.NoFlagValues()
 	var jsonFile, plotPrefix, logFile, gateway string
 	var check bool
 	command := &cobra.Command{
@@ -27,7 +27,7 @@
 				return err
 			}
 			for name, negative := range map[string]bool{
-				"gateways": flags.Gateways < 0, "databases": flags.Databases < 0, "regions": flags.Regions < 0, "rtt": flags.RTT < 0, "for": flags.For < 0, "settle": flags.Settle < 0,
+				"gateways": flags.Gateways < 0, "databases": flags.Databases < 0, "regions": flags.Regions < 0, "rtt": flags.RTT < 0, "for": flags.Duration < 0, "settle": flags.Settle < 0,
 			} {
 				if negative {
 					return fmt.Errorf("--%s: must not be negative", name)
@@ -39,14 +39,14 @@
 			}
 			if check {
 				fmt.Fprintf(c.OutOrStdout(), "%d gateways (%d real) in %d regions and %d zones, %d databases, %d processes, %v after %v to settle, %d events\n",
-					plan.Gateways, plan.Real, len(plan.Regions), len(plan.Zones()), plan.Databases, plan.Processes(), plan.For, plan.Settle, len(plan.Events))
+					plan.Gateways, plan.RealGateways, len(plan.Regions), len(plan.Zones()), plan.Databases, plan.Processes(), plan.Duration, plan.Settle, len(plan.Events))
 				return nil
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			run := &scale.Run{Plan: plan, Command: filepath.Base(os.Args[0]) + " " + strings.Join(os.Args[1:], " "), Hollow: []string{self, "hollow"}, Gateway: strings.Fields(gateway)}
+			run := &scale.Run{Plan: plan, CommandLine: filepath.Base(os.Args[0]) + " " + strings.Join(os.Args[1:], " "), HollowCommand: []string{self, "hollow"}, GatewayCommand: strings.Fields(gateway)}
 			if logFile != "" {
 				out, err := os.Create(logFile)
 				if err != nil {
@@ -61,16 +61,16 @@
 			if err != nil {
 				return err
 			}
-			if err := report.Text(c.OutOrStdout()); err != nil {
+			if err := report.WriteText(c.OutOrStdout()); err != nil {
 				return err
 			}
 			if jsonFile != "" {
-				if err := report.JSON(jsonFile); err != nil {
+				if err := report.WriteJSON(jsonFile); err != nil {
 					return err
 				}
 			}
 			if plotPrefix != "" {
-				if err := report.Plots(plotPrefix); err != nil {
+				if err := report.WritePlots(plotPrefix); err != nil {
 					return err
 				}
 			}
@@ -83,11 +83,11 @@
 	flagSet.IntVar(&flags.Regions, "regions", 0, "number of regions over which the plan's zones are divided")
 	flagSet.DurationVar(&flags.RTT, "rtt", 0, "round trip between regions instead of the plan's, like 120ms")
 	flagSet.Int64Var(&flags.Seed, "seed", -1, "seed instead of the plan's")
-	flagSet.DurationVar(&flags.For, "for", time.Duration(0), "length of the measured time instead of the plan's, like 30s")
+	flagSet.DurationVar(&flags.Duration, "for", time.Duration(0), "length of the measured time instead of the plan's, like 30s")
 	flagSet.DurationVar(&flags.Settle, "settle", time.Duration(0), "time from the last start to the measured time, instead of the plan's")
-	flagSet.IntVar(&flags.Real, "real", -1, "number of gateways that run as real processes, with clients")
-	flagSet.Float64Var(&flags.Statements, "statements", -1, "statements per second in each hollow gateway")
-	flagSet.StringSliceVar(&flags.Without, "without", nil, "keys to leave out of the plan's fleet mapping, like subsets")
+	flagSet.IntVar(&flags.RealGateways, "real", -1, "number of gateways that run as real processes, with clients")
+	flagSet.Float64Var(&flags.StatementsPerS, "statements", -1, "statements per second in each hollow gateway")
+	flagSet.StringSliceVar(&flags.OmittedFleetKeys, "without", nil, "keys to leave out of the plan's fleet mapping, like subsets")
 	flagSet.BoolVar(&check, "check", false, "read the plan, print a summary of it and exit")
 	flagSet.StringVar(&jsonFile, "json", "", "also write the report to this file")
 	flagSet.StringVar(&plotPrefix, "plots", "", "draw PREFIX-bytes.png and PREFIX-lateness.png")
--- a/internal/calibrate/calibrate.go
+++ b/internal/calibrate/calibrate.go
@@ -378,7 +378,7 @@
 			s.statements += n
 		}
 	}
-	all, monitor, err := hollow.Threads(n.Pid())
+	all, monitor, err := hollow.ThreadTimes(n.Pid())
 	if err != nil {
 		return s, err
 	}
--- a/internal/calibrate/hollow.go
+++ b/internal/calibrate/hollow.go
@@ -102,7 +102,7 @@
 	start := hollow.Start{ReportMS: 500}
 	for i := range o.Gateways {
 		cfg := l.Config(i)
-		spec := hollow.Spec{Name: cfg["name"].(string), Config: filepath.Join(dir, fmt.Sprintf("%d.json", i)), StatementsPerS: o.Statements}
+		spec := hollow.GatewaySpec{Name: cfg["name"].(string), Config: filepath.Join(dir, fmt.Sprintf("%d.json", i)), StatementsPerS: o.Statements}
 		text, err := json.Marshal(cfg)
 		if err == nil {
 			err = os.WriteFile(spec.Config, text, 0o600)
@@ -168,10 +168,10 @@
 	}
 	s := o.rates(hollowSamples(before), hollowSamples(after))
 	sec := float64(after.AtMS-before.AtMS) / 1000
-	s.LiveHeap = float64(after.Process.HeapLive) / (1 << 20) / float64(o.Gateways)
+	s.LiveHeap = float64(after.Process.LiveHeapBytes) / (1 << 20) / float64(o.Gateways)
 	s.LateMSMax = after.Process.LateMSMax
 	s.SharedCore = (after.Process.CPUMS - before.Process.CPUMS) / 10 / sec / float64(o.Gateways)
-	s.MonitorCore = (after.Process.Monitor - before.Process.Monitor) / 10 / sec / float64(o.Gateways)
+	s.MonitorCore = (after.Process.MonitorCPUMS - before.Process.MonitorCPUMS) / 10 / sec / float64(o.Gateways)
 	s.SharedCore -= s.MonitorCore
 	for i, a := range after.Gateways {
 		s.SharedCore -= (a.CPUMS - before.Gateways[i].CPUMS) / 10 / sec / float64(o.Gateways)
@@ -183,7 +183,7 @@
 	for _, g := range r.Gateways {
 		list = append(list, sample{
 			at: time.UnixMilli(r.AtMS), cpu: g.CPUMS, feed: g.FeedCPUMS, memory: float64(r.Process.RSSBytes) / (1 << 20) / float64(len(r.Gateways)),
-			roles: g.Roles, learned: g.PositionsLearned, heard: g.PositionsHeard, statements: g.Learned,
+			roles: g.Roles, learned: g.PositionsLearned, heard: g.PositionsReceived, statements: g.AnswersLearned,
 		})
 	}
 	return list
--- a/internal/hollow/feed.go
+++ b/internal/hollow/feed.go
@@ -70,11 +70,11 @@
 	return s.hosts[min(i, count-1)]
 }
 
-func newFeed(side *control.Side, classes []policy.Class, spec Spec, seed uint64) *feed {
+func newFeed(side *control.Side, classes []policy.Class, spec GatewaySpec, seed uint64) *feed {
 	isWrite := func(c policy.Class) bool { return c.Level == policy.Write }
 	return &feed{
 		readClass: slices.IndexFunc(classes, func(c policy.Class) bool { return !isWrite(c) }), writeClass: slices.IndexFunc(classes, isWrite),
-		side: side, rnd: rand.New(rand.NewPCG(seed, 0x66656564)), rate: spec.StatementsPerS, skew: spec.Skew, writeShare: cmp.Or(spec.Writes, defaultWriteShare),
+		side: side, rnd: rand.New(rand.NewPCG(seed, 0x66656564)), rate: spec.StatementsPerS, skew: spec.Skew, writeShare: cmp.Or(spec.WriteShare, defaultWriteShare),
 		startedAt: side.Loop.Now(), lastDrawAt: side.Loop.Now(), waitUntil: map[policy.HostID]time.Duration{}, inUse: map[policy.HostID]time.Duration{},
 	}
 }
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -30,57 +30,57 @@
 	restartTimeout = 5 * time.Second        // for the previous run to end before the next one starts
 )
 
-// Spec describes one gateway in the first line of input.
-type Spec struct {
+// GatewaySpec describes one gateway in the first line of input.
+type GatewaySpec struct {
 	Name           string  `json:"name"`
 	Config         string  `json:"config"`
 	Fleet          string  `json:"fleet"` // path of the fleet file; empty: in no fleet
 	Zone           string  `json:"zone"`  // overrides the zone of the configuration
 	StatementsPerS float64 `json:"statements_per_s"`
 	Skew           float64 `json:"skew"`
-	Writes         float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
+	WriteShare     float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
 }
 
-// State is one gateway in a report. Counters are totals since its start; late_ms_max and dead_names cover the time since the last
+// GatewayState is one gateway in a report. Counters are totals since its start; late_ms_max and dead_names cover the time since the last
 // report; the rest are current values.
-type State struct {
-	Name             string                   `json:"name"`
-	Up               bool                     `json:"up"`
-	Error            string                   `json:"error,omitempty"` // why it is not up
-	Member           bool                     `json:"member"`
-	Addr             string                   `json:"addr,omitempty"`
-	Session          string                   `json:"session,omitempty"`
-	CPUMS            float64                  `json:"cpu_ms"`
-	FeedCPUMS        float64                  `json:"feed_cpu_ms"` // part of cpu_ms spent on generating statements and on reports, which no real gateway does
-	LateMSMax        float64                  `json:"late_ms_max"`
-	ViewMembers      int                      `json:"view_members"`
-	ViewDigest       string                   `json:"view_digest"`
-	Deaths           uint64                   `json:"deaths"`
-	DeadNames        []string                 `json:"dead_names"`
-	ListSeq          int64                    `json:"list_seq"`
-	ListDatabases    int                      `json:"list_databases"`
-	KnownPositions   int                      `json:"known_positions"`
-	AgeP50           float64                  `json:"position_age_ms_p50"` // age of the known positions
-	AgeP99           float64                  `json:"position_age_ms_p99"`
-	PositionsLearned uint64                   `json:"positions_learned"` // from databases' answers, newer than what was known
-	PositionsHeard   uint64                   `json:"positions_heard"`   // from other gateways
-	Learned          uint64                   `json:"learned"`           // statements whose answers were generated
-	LearnedPrimary   uint64                   `json:"learned_primary"`
-	Short            uint64                   `json:"budget_short"` // statements that got no connection from the budget in time
-	Roles            map[string]stats.Traffic `json:"roles"`
-	Totals           stats.Traffic            `json:"totals"` // of all peer links, without discovery
+type GatewayState struct {
+	Name                  string                   `json:"name"`
+	Up                    bool                     `json:"up"`
+	Error                 string                   `json:"error,omitempty"` // why it is not up
+	Member                bool                     `json:"member"`
+	Addr                  string                   `json:"addr,omitempty"`
+	Session               string                   `json:"session,omitempty"`
+	CPUMS                 float64                  `json:"cpu_ms"`
+	FeedCPUMS             float64                  `json:"feed_cpu_ms"` // part of cpu_ms spent on generating statements and on reports, which no real gateway does
+	LateMSMax             float64                  `json:"late_ms_max"`
+	ViewMembers           int                      `json:"view_members"`
+	ViewDigest            string                   `json:"view_digest"`
+	Deaths                uint64                   `json:"deaths"`
+	DeadNames             []string                 `json:"dead_names"`
+	ListVersion           int64                    `json:"list_seq"`
+	ListDatabases         int                      `json:"list_databases"`
+	KnownPositions        int                      `json:"known_positions"`
+	PositionAgeP50MS      float64                  `json:"position_age_ms_p50"` // age of the known positions
+	PositionAgeP99MS      float64                  `json:"position_age_ms_p99"`
+	PositionsLearned      uint64                   `json:"positions_learned"` // from databases' answers, newer than what was known
+	PositionsReceived     uint64                   `json:"positions_heard"`   // from other gateways
+	AnswersLearned        uint64                   `json:"learned"`           // statements whose answers were generated
+	PrimaryAnswersLearned uint64                   `json:"learned_primary"`
+	BudgetTimeouts        uint64                   `json:"budget_short"` // statements that got no connection from the budget in time
+	Roles                 map[string]stats.Traffic `json:"roles"`
+	Totals                stats.Traffic            `json:"totals"` // of all peer links, without discovery
 }
 
 // hollowGateway is one gateway. It may be started repeatedly, each time like a new process of a gateway.
 type hollowGateway struct {
-	spec      Spec
+	spec      GatewaySpec
 	logWriter *threadPrefixer
 	lastAddr  netip.AddrPort // address that the last run advertised to its peers
 
 	mu        sync.Mutex
 	current   *run          // nil: not running
 	finished  chan struct{} // closed when the last run has released everything
-	lastState State         // as last reported
+	lastState GatewayState  // as last reported
 	err       error         // why it did not start or ended unexpectedly
 }
 
@@ -318,11 +318,11 @@
 }
 
 // state returns the figures for a report. It is called on the loop's goroutine.
-func (r *run) state() State {
+func (r *run) state() GatewayState {
 	startCPU := threadCPU()
-	s := State{
-		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListSeq: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
-		Learned: r.feed.learned, LearnedPrimary: r.feed.learnedPrimary, Short: r.feed.budgetTimeouts, Roles: r.side.Traffic(),
+	s := GatewayState{
+		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListVersion: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
+		AnswersLearned: r.feed.learned, PrimaryAnswersLearned: r.feed.learnedPrimary, BudgetTimeouts: r.feed.budgetTimeouts, Roles: r.side.Traffic(),
 	}
 	r.maxLag, r.deadNames = 0, []string{}
 	if links := r.side.Links; links != nil {
@@ -332,11 +332,11 @@
 		s.ViewMembers, s.ViewDigest, s.Deaths = len(view.Members), strconv.FormatUint(view.Digest, 16), links.Deaths()
 		s.Totals = stats.Traffic{OutBytes: totals.SentBytes, OutMessages: totals.Sent, InBytes: totals.ReceivedBytes, InMessages: totals.Received}
 	}
-	s.PositionsLearned, s.PositionsHeard = r.side.PositionUpdates()
+	s.PositionsLearned, s.PositionsReceived = r.side.PositionUpdates()
 	if ages := r.side.PositionAges(); len(ages) > 0 {
 		slices.Sort(ages)
 		s.KnownPositions = len(ages)
-		s.AgeP50, s.AgeP99 = millis(ages[len(ages)/2]), millis(ages[len(ages)*99/100])
+		s.PositionAgeP50MS, s.PositionAgeP99MS = millis(ages[len(ages)/2]), millis(ages[len(ages)*99/100])
 	}
 	endCPU := threadCPU()
 	r.feedCPU += endCPU - startCPU
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -28,8 +28,8 @@
 
 // Start is the first line of standard input: the gateways to run.
 type Start struct {
-	Gateways []Spec `json:"gateways"`
-	ReportMS int    `json:"report_ms"` // interval of the reports; 0: 1000
+	Gateways []GatewaySpec `json:"gateways"`
+	ReportMS int           `json:"report_ms"` // interval of the reports; 0: 1000
 }
 
 // Order is each further line of standard input: a command to some gateways.
@@ -40,18 +40,18 @@
 
 // Report is one line of standard output.
 type Report struct {
-	AtMS     int64   `json:"at_ms"`
-	Process  Process `json:"process"`
-	Gateways []State `json:"gateways"`
+	AtMS     int64          `json:"at_ms"`
+	Process  ProcessUsage   `json:"process"`
+	Gateways []GatewayState `json:"gateways"`
 }
 
-// Process is the resource use of the whole process, garbage collection included.
-type Process struct {
-	CPUMS     float64 `json:"cpu_ms"`
-	RSSBytes  int64   `json:"rss_bytes"`
-	HeapLive  uint64  `json:"heap_live_bytes"` // bytes live at the last garbage collection
-	LateMSMax float64 `json:"late_ms_max"`
-	Monitor   float64 `json:"monitor_cpu_ms"` // part of cpu_ms used by the runtime's monitor thread, see Threads
+// ProcessUsage is the resource use of the whole process, garbage collection included.
+type ProcessUsage struct {
+	CPUMS         float64 `json:"cpu_ms"`
+	RSSBytes      int64   `json:"rss_bytes"`
+	LiveHeapBytes uint64  `json:"heap_live_bytes"` // bytes live at the last garbage collection
+	LateMSMax     float64 `json:"late_ms_max"`
+	MonitorCPUMS  float64 `json:"monitor_cpu_ms"` // part of cpu_ms used by the runtime's monitor thread, see Threads
 }
 
 // Run reads the gateways and then orders from in, until quit or the end of input, and writes reports to out. The gateways' log
@@ -73,7 +73,7 @@
 			return fmt.Errorf("stdin:1: gateway %d: name and config are required", i+1)
 		case set.byName[spec.Name] != nil:
 			return fmt.Errorf("stdin:1: gateway %s is listed twice", spec.Name)
-		case spec.StatementsPerS < 0 || spec.Skew < 0 || spec.Writes < 0 || spec.Writes > 1:
+		case spec.StatementsPerS < 0 || spec.Skew < 0 || spec.WriteShare < 0 || spec.WriteShare > 1:
 			return fmt.Errorf("stdin:1: gateway %s: statements_per_s and skew must be at least 0, writes from 0 to 1", spec.Name)
 		}
 		gateway := &hollowGateway{spec: spec, logWriter: set.logWriter}
@@ -185,7 +185,7 @@
 
 // snapshot collects the state of all gateways and the resource use of the process.
 func (set *gatewaySet) snapshot() Report {
-	states := make([]State, len(set.gateways))
+	states := make([]GatewayState, len(set.gateways))
 	forEach(set.gateways, func(i int, h *hollowGateway) { states[i] = h.report() })
 	report := Report{AtMS: time.Now().UnixMilli(), Gateways: states}
 	for _, s := range states {
@@ -196,17 +196,17 @@
 		report.Process.CPUMS = millis(time.Duration(usage.Utime.Nano() + usage.Stime.Nano()))
 	}
 	report.Process.RSSBytes = residentBytes()
-	_, report.Process.Monitor, _ = Threads(os.Getpid()) // 0 where the kernel provides no schedstat
+	_, report.Process.MonitorCPUMS, _ = ThreadTimes(os.Getpid()) // 0 where the kernel provides no schedstat
 	heapLive := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	if metrics.Read(heapLive); heapLive[0].Value.Kind() == metrics.KindUint64 {
-		report.Process.HeapLive = heapLive[0].Value.Uint64()
+		report.Process.LiveHeapBytes = heapLive[0].Value.Uint64()
 	}
 	return report
 }
 
 // report returns the gateway's current state, or the last one reported where its loop does not answer within reportTimeout.
-func (h *hollowGateway) report() State {
-	answer := make(chan State, 1)
+func (h *hollowGateway) report() GatewayState {
+	answer := make(chan GatewayState, 1)
 	if r := h.post(func(r *run) { answer <- r.state() }); r != nil {
 		select {
 		case h.lastState = <-answer:
@@ -220,7 +220,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := State{Name: h.spec.Name}
+	s := GatewayState{Name: h.spec.Name}
 	if h.err != nil {
 		s.Error = h.err.Error()
 	}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -86,7 +86,7 @@
 	done := make(chan error, 1)
 	go func() { done <- Run(in, out, &logs); out.Close() }()
 	lines := json.NewDecoder(reports)
-	next := func(what string, ok func(State) bool) {
+	next := func(what string, ok func(GatewayState) bool) {
 		t.Helper()
 		for late := time.Now().Add(10 * time.Second); ; {
 			require.True(t, time.Now().Before(late), what)
@@ -100,11 +100,11 @@
 	}
 	_, err := fmt.Fprintf(orders, `{"gateways":[{"name":"g1","config":%q,"zone":"b"}],"report_ms":10}`+"\n", path)
 	require.NoError(t, err)
-	next("the gateway is up, without a fleet", func(s State) bool { return s.Up && s.ListDatabases == 12 && s.ListSeq == 7 && s.CPUMS > 0 })
+	next("the gateway is up, without a fleet", func(s GatewayState) bool { return s.Up && s.ListDatabases == 12 && s.ListVersion == 7 && s.CPUMS > 0 })
 	order := func(text string) {
 		sent := make(chan error, 1)
 		go func() { _, err := io.WriteString(orders, text+"\n"); sent <- err }()
-		next("the order is read", func(State) bool {
+		next("the order is read", func(GatewayState) bool {
 			select {
 			case err := <-sent:
 				require.NoError(t, err)
@@ -115,10 +115,10 @@
 		})
 	}
 	order(`{"do":"kill","names":["g1"]}`)
-	next("the gateway is down", func(s State) bool { return !s.Up && s.Error == "" })
+	next("the gateway is down", func(s GatewayState) bool { return !s.Up && s.Error == "" })
 	require.NoError(t, os.Remove(path))
 	order(`{"do":"start","names":["g1"]}`)
-	next("the report says why it does not start", func(s State) bool { return !s.Up && strings.Contains(s.Error, "no such file") })
+	next("the report says why it does not start", func(s GatewayState) bool { return !s.Up && strings.Contains(s.Error, "no such file") })
 	require.NoError(t, orders.Close())
 	go func() { _, _ = io.Copy(io.Discard, reports) }()
 	require.NoError(t, <-done)
@@ -168,5 +168,5 @@
 	}, set, nil)
 	require.NoError(t, err)
 	side.Connect(&backends{Pool: backend.New(loop, side.Core, backend.Options{}), core: side.Core})
-	return newFeed(side, set.Policy.Classes, Spec{StatementsPerS: 1000, Skew: skew}, 1)
+	return newFeed(side, set.Policy.Classes, GatewaySpec{StatementsPerS: 1000, Skew: skew}, 1)
 }
--- a/internal/hollow/monitor.go
+++ b/internal/hollow/monitor.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// Threads returns the CPU time of all threads of a Go process and that of the runtime's monitor thread (sysmon), in milliseconds.
+// ThreadTimes returns the CPU time of all threads of a Go process and that of the runtime's monitor thread (sysmon), in milliseconds.
 // The monitor supervises the scheduler, runs at its own pace and executes no code of the program. It is the first thread that the
 // runtime starts, so it has the second lowest thread id.
-func Threads(pid int) (all, monitor float64, err error) {
+func ThreadTimes(pid int) (all, monitor float64, err error) {
 	taskDirs, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
 		return 0, 0, err
--- a/internal/scale/budget_test.go
+++ b/internal/scale/budget_test.go
@@ -17,12 +17,12 @@
 	t.Parallel()
 	tool, gateway := buildPrograms(t)
 	text := strings.Replace(fmt.Sprintf(faultyPlan, "40 kB/s"), "positions: true, primaries: true", "positions: {bytes: 800/s}, primaries: {bytes: 400/s}", 1)
-	p := parsePlan(t, text, NoOverride())
-	r := &Run{Plan: p, Command: "test", Hollow: []string{tool, "hollow"}, Gateway: []string{gateway}}
+	p := parsePlan(t, text, NoFlagValues())
+	r := &Run{Plan: p, CommandLine: "test", HollowCommand: []string{tool, "hollow"}, GatewayCommand: []string{gateway}}
 	got, err := r.Play(context.Background())
 	require.NoError(t, err)
 	out := &bytes.Buffer{}
-	require.NoError(t, got.Text(out))
+	require.NoError(t, got.WriteText(out))
 	t.Log(out)
 	assert.NoError(t, got.Verdict())
 	assert.Zero(t, got.FalseDeaths)
@@ -31,6 +31,6 @@
 		assert.LessOrEqual(t, got.ByRole[role].BytesOut, budget*1.1, role) // plus one second's budget, over at least ten seconds
 	}
 	assert.Greater(t, got.Positions.Known, 23.0, "of 24 databases")
-	require.NotNil(t, got.Positions.P99)
-	assert.Less(t, *got.Positions.P99, 10.0)
+	require.NotNil(t, got.Positions.AgeP99)
+	assert.Less(t, *got.Positions.AgeP99, 10.0)
 }
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -25,12 +25,12 @@
 	}
 	zones := r.Plan.Zones()
 	zone := slices.Index(zones, event.Zone)
-	if event.Do == eventRack && zone < 0 {
+	if event.Kind == eventRack && zone < 0 {
 		zone = r.rnd.IntN(len(zones))
 	}
 	for _, i := range r.rnd.Perm(len(r.gateways)) {
 		g := r.gateways[i]
-		if g.live && (event.Do == eventZoneDown || len(list) < event.Count) && (zone < 0 || g.zone == zone) {
+		if g.live && (event.Kind == eventZoneDown || len(list) < event.Count) && (zone < 0 || g.zone == zone) {
 			list = append(list, g)
 		}
 	}
@@ -39,27 +39,27 @@
 
 // applyEvent applies an event to the fleet and reverts it after the event's duration.
 func (r *Run) applyEvent(event Event) {
-	switch event.Do {
+	switch event.Kind {
 	case eventKill, eventRack:
 		list := r.selectGateways(event)
 		r.killGateways(list)
-		r.trackConvergence(fmt.Sprintf("%s of %d gateways", event.Do, len(list)))
-		if event.Back > 0 && standin.Sleep(event.Back, r.stop) {
+		r.trackConvergence(fmt.Sprintf("%s of %d gateways", event.Kind, len(list)))
+		if event.RestartAfter > 0 && standin.Sleep(event.RestartAfter, r.stop) {
 			r.startGateways(list)
-			r.trackConvergence(fmt.Sprintf("return of %d gateways after %s", len(list), event.Do))
+			r.trackConvergence(fmt.Sprintf("return of %d gateways after %s", len(list), event.Kind))
 		}
 	case eventEnd:
 		list := r.selectGateways(event)
 		r.endGateways(list)
 		r.trackConvergence(fmt.Sprintf("shutdown of %d gateways", len(list)))
-		if event.Back > 0 && standin.Sleep(event.Back, r.stop) {
+		if event.RestartAfter > 0 && standin.Sleep(event.RestartAfter, r.stop) {
 			r.startGateways(list)
 			r.trackConvergence(fmt.Sprintf("return of %d gateways after shutdown", len(list)))
 		}
 	case eventRestart:
 		list := r.selectGateways(event)
 		for i, g := range list {
-			if i > 0 && !standin.Sleep(max(0, event.Every-restartDowntime), r.stop) {
+			if i > 0 && !standin.Sleep(max(0, event.Interval-restartDowntime), r.stop) {
 				return
 			}
 			r.endGateways([]*gatewayState{g})
@@ -74,7 +74,7 @@
 		r.killGateways(list)
 		changed := r.announceZone(event.Zone, "terminating")
 		r.trackConvergence(fmt.Sprintf("loss of zone %s: %d gateways, %d databases", event.Zone, len(list), changed))
-		if standin.Sleep(event.For, r.stop) {
+		if standin.Sleep(event.Duration, r.stop) {
 			r.announceZone(event.Zone, "in_service")
 			r.startGateways(list)
 			r.trackConvergence(fmt.Sprintf("return of zone %s", event.Zone))
@@ -82,7 +82,7 @@
 	case eventCut:
 		r.cutRegions(event)
 	case eventPrimaryChange:
-		groups := (r.Plan.Databases + r.Plan.Group - 1) / r.Plan.Group
+		groups := (r.Plan.Databases + r.Plan.GroupSize - 1) / r.Plan.GroupSize
 		for _, g := range r.drawIndexes(groups, event.Groups) {
 			if r.world.ChangePrimary(g) {
 				r.recordListChange()
@@ -121,7 +121,7 @@
 	host.Announce("terminating", time.Time{})
 	r.recordListChange()
 	wg.Wait()
-	if event.For > 0 && standin.Sleep(event.For, r.stop) {
+	if event.Duration > 0 && standin.Sleep(event.Duration, r.stop) {
 		host.Announce("in_service", time.Time{})
 		r.recordListChange()
 	}
@@ -167,7 +167,7 @@
 	var cut zoneCut
 	for i, side := range event.Sides {
 		for z, name := range zones {
-			if slices.Contains(side, r.Plan.Regions[r.Plan.Region(name)].Name) {
+			if slices.Contains(side, r.Plan.Regions[r.Plan.RegionOf(name)].Name) {
 				cut.sides[i] = append(cut.sides[i], z)
 			}
 		}
@@ -187,7 +187,7 @@
 	r.cuts = append(r.cuts, cut)
 	r.mu.Unlock()
 	set(true)
-	if !standin.Sleep(event.For, r.stop) {
+	if !standin.Sleep(event.Duration, r.stop) {
 		return
 	}
 	set(false)
--- a/internal/scale/files.go
+++ b/internal/scale/files.go
@@ -40,7 +40,7 @@
 		fmt.Fprintf(&buffer, "dial:\n")
 		for other := range p.Gateways {
 			if other != g {
-				fmt.Fprintf(&buffer, "  %s: %s\n", p.Name(other), relay.DialAddr(p.zoneOf(g), other))
+				fmt.Fprintf(&buffer, "  %s: %s\n", p.GatewayName(other), relay.DialAddr(p.zoneOf(g), other))
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	buffer.WriteString(strings.NewReplacer("{name}", p.Name(g), "{dir}", dir).Replace(string(text)))
+	buffer.WriteString(strings.NewReplacer("{name}", p.GatewayName(g), "{dir}", dir).Replace(string(text)))
 	return buffer.Bytes(), nil
 }
 
@@ -77,7 +77,7 @@
 	if !has("holders") {
 		list := &yaml.Node{Kind: yaml.SequenceNode}
 		for g := range p.Gateways {
-			list.Content = append(list.Content, scalar(p.Name(g)))
+			list.Content = append(list.Content, scalar(p.GatewayName(g)))
 		}
 		budgets.Content = append(budgets.Content, scalar("holders"), list)
 	}
@@ -90,7 +90,7 @@
 // Config returns the configuration that the platform would give gateway g.
 func (p *Plan) Config(g int, discovery string) map[string]any {
 	return map[string]any{
-		"name": p.Name(g), "listen": "127.0.0.1:0", "discovery": discovery, "seed": fmt.Sprintf("%x", p.Seed*1_000_003+uint64(g)+1),
+		"name": p.GatewayName(g), "listen": "127.0.0.1:0", "discovery": discovery, "seed": fmt.Sprintf("%x", p.Seed*1_000_003+uint64(g)+1),
 		"limits": map[string]any{"cores": 1, "memory_mb": p.Allowance.MemoryMB, "sockets": 4096},
 		"settings": map[string]any{
 			"Allowed": map[string]any{"Cancel": true, "Peers": true, "ConnIdleUs": 15000000, "DialTimeoutUs": 250000, "MaxRetryAfterUs": 1000000,
@@ -113,7 +113,7 @@
 func (p *Plan) databaseZones() (list []string) {
 	zones := p.Zones()
 	for database := range p.Databases {
-		group, member := database/p.Group, database%p.Group
+		group, member := database/p.GroupSize, database%p.GroupSize
 		list = append(list, zones[(group+member)%len(zones)])
 	}
 	return list
@@ -123,7 +123,7 @@
 // gateways ask discovery instead, which keeps the list out of hundreds of files.
 func (p *Plan) configJSON(g int, discovery string, known []byte) ([]byte, error) {
 	config := p.Config(g, discovery)
-	if g < p.Real {
+	if g < p.RealGateways {
 		config["known"] = json.RawMessage(known)
 	}
 	return json.Marshal(config)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -59,7 +59,7 @@
 }
 
 // addReport adds a sample from a report. cpuShare is the gateway's share, in ms, of what its process spends for all gateways together.
-func (g *gatewayState) addReport(at time.Time, report *hollow.State, rssBytes, cpuShare float64) {
+func (g *gatewayState) addReport(at time.Time, report *hollow.GatewayState, rssBytes, cpuShare float64) {
 	for role, traffic := range report.Roles {
 		if previous := g.currentTraffic[role]; traffic.OutBytes < previous.OutBytes || traffic.InBytes < previous.InBytes { // a new process counts from zero
 			for role, c := range g.currentTraffic {
@@ -75,8 +75,8 @@
 	}
 	g.currentCPUMS = cpu
 	s := sample{
-		at: at, cpuMS: g.previousCPUMS + g.currentCPUMS + cpuShare, sharedCPUMS: cpuShare, rssBytes: rssBytes, lagMS: report.LateMSMax, members: report.ViewMembers, listVersion: report.ListSeq,
-		knownPositions: report.KnownPositions, positionAgeMS: [2]float64{report.AgeP50, report.AgeP99}, roles: map[string]stats.Traffic{},
+		at: at, cpuMS: g.previousCPUMS + g.currentCPUMS + cpuShare, sharedCPUMS: cpuShare, rssBytes: rssBytes, lagMS: report.LateMSMax, members: report.ViewMembers, listVersion: report.ListVersion,
+		knownPositions: report.KnownPositions, positionAgeMS: [2]float64{report.PositionAgeP50MS, report.PositionAgeP99MS}, roles: map[string]stats.Traffic{},
 	}
 	s.digest, _ = strconv.ParseUint(cmp.Or(report.ViewDigest, "0"), 16, 64)
 	for role, c := range report.Roles {
@@ -255,8 +255,8 @@
 	return peak
 }
 
-// newDist returns nil for an empty list. It sorts list.
-func newDist(list []float64) *Dist {
+// newDistribution returns nil for an empty list. It sorts list.
+func newDistribution(list []float64) *Distribution {
 	if len(list) == 0 {
 		return nil
 	}
@@ -265,7 +265,7 @@
 	for _, x := range list {
 		sum += x
 	}
-	return &Dist{Mean: roundTo4Digits(sum / float64(len(list))), P99: roundTo4Digits(list[percentileIndex(len(list), 0.99)]), Max: roundTo4Digits(list[len(list)-1])}
+	return &Distribution{Mean: roundTo4Digits(sum / float64(len(list))), P99: roundTo4Digits(list[percentileIndex(len(list), 0.99)]), Max: roundTo4Digits(list[len(list)-1])}
 }
 
 // percentileIndex returns the index of a percentile in a sorted list of n: the first for which at least that share is not greater.
@@ -273,12 +273,12 @@
 	return max(0, min(n-1, int(share*float64(n)+0.999999)-1))
 }
 
-func newTimes(list []float64) *Times {
+func newPercentiles(list []float64) *Percentiles {
 	if len(list) == 0 {
 		return nil
 	}
 	slices.Sort(list)
-	return &Times{P50: roundTo4Digits(list[percentileIndex(len(list), 0.5)]), P99: roundTo4Digits(list[percentileIndex(len(list), 0.99)]), Max: roundTo4Digits(list[len(list)-1])}
+	return &Percentiles{P50: roundTo4Digits(list[percentileIndex(len(list), 0.5)]), P99: roundTo4Digits(list[percentileIndex(len(list), 0.99)]), Max: roundTo4Digits(list[len(list)-1])}
 }
 
 func roundTo4Digits(x float64) float64 {
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -44,7 +44,7 @@
 func TestScaleViewsEqualCountsLiveGateways(t *testing.T) {
 	gateways := newTestGateways(3)
 	addReport := func(g *gatewayState, s float64, members int, digest string) {
-		g.addReport(at(s), &hollow.State{ViewMembers: members, ViewDigest: digest, CPUMS: s}, 0, 0)
+		g.addReport(at(s), &hollow.GatewayState{ViewMembers: members, ViewDigest: digest, CPUMS: s}, 0, 0)
 	}
 	for _, g := range gateways {
 		addReport(g, 1, 3, "ab")
@@ -64,7 +64,7 @@
 func TestScaleTotalsContinueAcrossRestarts(t *testing.T) {
 	g := newTestGateways(1)[0]
 	for i, bytes := range []uint64{100, 250, 40, 90} {
-		g.addReport(at(float64(i)), &hollow.State{CPUMS: float64(bytes), Roles: map[string]traffic{"membership": {OutBytes: bytes}, "words": {OutBytes: 7}}}, 0, 0)
+		g.addReport(at(float64(i)), &hollow.GatewayState{CPUMS: float64(bytes), Roles: map[string]traffic{"membership": {OutBytes: bytes}, "words": {OutBytes: 7}}}, 0, 0)
 	}
 	s := g.lastSample()
 	assert.Equal(t, uint64(250+90), s.roles["membership"].OutBytes)
@@ -81,8 +81,8 @@
 			rate = 2000 // 6 s of a window's 10
 		}
 		sent += rate
-		gateways[0].addReport(at(float64(i)), &hollow.State{CPUMS: float64(i), Roles: map[string]traffic{"words": {OutBytes: sent}}}, 0, 0)
-		gateways[1].addReport(at(float64(i)), &hollow.State{CPUMS: float64(i), Roles: map[string]traffic{"words": {OutBytes: uint64(i) * 50}}}, 0, 0)
+		gateways[0].addReport(at(float64(i)), &hollow.GatewayState{CPUMS: float64(i), Roles: map[string]traffic{"words": {OutBytes: sent}}}, 0, 0)
+		gateways[1].addReport(at(float64(i)), &hollow.GatewayState{CPUMS: float64(i), Roles: map[string]traffic{"words": {OutBytes: uint64(i) * 50}}}, 0, 0)
 	}
 	peak := findPeakWindow(gateways, at(0), 1000)
 	assert.InDelta(t, (6*2000+4*100)/10.0, peak.rate, 0.1)
@@ -98,7 +98,7 @@
 	gateways[2].startedAt = at(4) // it starts after the change
 	change := &listChange{version: 8, changedAt: at(1), receivedBy: map[string]bool{}}
 	addReport := func(g *gatewayState, s float64, seq int64) {
-		g.addReport(at(s), &hollow.State{ListSeq: seq, CPUMS: s}, 0, 0)
+		g.addReport(at(s), &hollow.GatewayState{ListVersion: seq, CPUMS: s}, 0, 0)
 	}
 	addReport(gateways[0], 2, 8)
 	addReport(gateways[1], 2, 7)
@@ -119,16 +119,16 @@
 	for i := range 200 {
 		list = append(list, float64(200-i))
 	}
-	assert.Equal(t, &Dist{Mean: 100.5, P99: 198, Max: 200}, newDist(list))
-	assert.Equal(t, &Times{P50: 100, P99: 198, Max: 200}, newTimes(list))
-	assert.Equal(t, &Dist{Mean: 3, P99: 3, Max: 3}, newDist([]float64{3}))
-	assert.Nil(t, newDist(nil))
+	assert.Equal(t, &Distribution{Mean: 100.5, P99: 198, Max: 200}, newDistribution(list))
+	assert.Equal(t, &Percentiles{P50: 100, P99: 198, Max: 200}, newPercentiles(list))
+	assert.Equal(t, &Distribution{Mean: 3, P99: 3, Max: 3}, newDistribution([]float64{3}))
+	assert.Nil(t, newDistribution(nil))
 }
 
 // A run is invalid if it lagged itself, or lost datagrams that it was not configured to lose.
 func TestScaleReportIsInvalidWhenRunIsStarved(t *testing.T) {
 	report := func(lateness, relay time.Duration, overflowed uint64) *Report {
-		r := &Run{Plan: parsePlan(t, smallPlan, NoOverride()), measuredFrom: at(0), measuredTo: at(30), gateways: newTestGateways(2)}
+		r := &Run{Plan: parsePlan(t, smallPlan, NoFlagValues()), measuredFrom: at(0), measuredTo: at(30), gateways: newTestGateways(2)}
 		r.lagSamples = []float64{float64(lateness) / 1e6}
 		r.runSamples = []runSample{{at: at(1), lateness: wan.Lateness{Count: 1, P99: relay}, relay: wan.Counts{Overflowed: overflowed}}}
 		return r.report(false)
@@ -138,7 +138,7 @@
 	assert.NoError(t, good.Verdict())
 	for _, bad := range []*Report{report(21*time.Millisecond, 0, 0), report(0, 21*time.Millisecond, 0), report(0, 0, 1)} {
 		assert.False(t, bad.Valid)
-		assert.NotEmpty(t, bad.Invalid)
+		assert.NotEmpty(t, bad.InvalidReason)
 		assert.ErrorContains(t, bad.Verdict(), "INVALID")
 	}
 	good.Partial = true
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -19,23 +19,23 @@
 
 // Plan describes a scale run.
 type Plan struct {
-	Seed      uint64
-	Gateways  int
-	Databases int
-	Group     int // databases per group
-	Real      int // how many of the gateways are processes of the whole program, with clients
-	Hollow    int // hollow gateways per process
-	Regions   []Region
-	RTT, Loss Spread
-	Jitter    time.Duration // of the one-way delay between regions
-	Load      Load
-	Clients   float64       // requests per second to each real gateway
-	Pace      time.Duration // between the starts of two processes
-	Settle    time.Duration
-	For       time.Duration
-	Events    []Event
-	Allowance Allowance
-	Limits    Limits
+	Seed             uint64
+	Gateways         int
+	Databases        int
+	GroupSize        int // databases per group
+	RealGateways     int // how many of the gateways are processes of the whole program, with clients
+	HollowPerProcess int // hollow gateways per process
+	Regions          []Region
+	RTT, Loss        LinkProperty
+	Jitter           time.Duration // of the one-way delay between regions
+	Load             Load
+	RequestsPerS     float64       // requests per second to each real gateway
+	StartInterval    time.Duration // between the starts of two processes
+	Settle           time.Duration
+	Duration         time.Duration
+	Events           []Event
+	Allowance        Allowance
+	Limits           Limits
 
 	fleetNode *yaml.Node
 }
@@ -46,43 +46,43 @@
 	Zones []string
 }
 
-// Spread is a property of links within a region and between regions.
-type Spread struct{ Within, Between float64 } // seconds for RTT, shares for loss
+// LinkProperty is a property of links within a region and between regions.
+type LinkProperty struct{ Within, Between float64 } // seconds for RTT, shares for loss
 
 // Load is the load generated in each hollow gateway.
 type Load struct {
-	Statements float64 // per second
-	Skew       float64 // exponent of Zipf's law over the databases; 0: even
+	StatementsPerS float64 // per second
+	Skew           float64 // exponent of Zipf's law over the databases; 0: even
 }
 
 // Allowance is the most that the control side of one gateway may use.
 type Allowance struct {
-	BytesOut  float64 // per second, in any window of windowSeconds
-	Core      float64 // share of a core
-	MemoryMB  float64
-	Discovery float64 // calls per second to discovery by all gateways, after the settling time; 0: unlimited
+	BytesOutPerS       float64 // per second, in any window of windowSeconds
+	CoreShare          float64 // share of a core
+	MemoryMB           float64
+	DiscoveryCallsPerS float64 // calls per second to discovery by all gateways, after the settling time; 0: unlimited
 }
 
 // Limits bounds the resources of the run itself.
 type Limits struct {
-	Memory    float64       // share of the machine's memory
-	Processes int           // all, with the run itself
-	Lateness  time.Duration // p99 above which a run is invalid
+	MemoryShare float64       // share of the machine's memory
+	Processes   int           // all, with the run itself
+	Lateness    time.Duration // p99 above which a run is invalid
 }
 
 // Event is a fault or a change that the run applies to the fleet.
 type Event struct {
-	At       time.Duration
-	Do       string
-	Count    int      // number of gateways, drawn from the seed
-	Gateways []string // these gateways instead of Count
-	Zone     string
-	Back     time.Duration // time after which the gateways start again; 0: never
-	Every    time.Duration // between the restarts of two gateways
-	For      time.Duration
-	Sides    [2][]string // regions on each side of a cut
-	Groups   int
-	node     *yaml.Node
+	At           time.Duration
+	Kind         string
+	Count        int      // number of gateways, drawn from the seed
+	Gateways     []string // these gateways instead of Count
+	Zone         string
+	RestartAfter time.Duration // time after which the gateways start again; 0: never
+	Interval     time.Duration // between the restarts of two gateways
+	Duration     time.Duration
+	Sides        [2][]string // regions on each side of a cut
+	Groups       int
+	node         *yaml.Node
 }
 
 // Kinds of events.
@@ -103,19 +103,19 @@
 	eventZoneDown: {"zone", "for"}, eventCut: {"sides", "for"}, eventPrimaryChange: {"groups"}, eventListChange: {"gateways", "for"},
 }
 
-// Override holds the values of flags that replace those of the plan. Zero values replace nothing.
-type Override struct {
+// FlagValues holds the values of flags that replace those of the plan. Zero values replace nothing.
+type FlagValues struct {
 	Gateways, Databases, Regions int
 	RTT                          time.Duration
 	Seed                         int64 // -1: unset
-	Settle, For                  time.Duration
-	Real                         int      // -1: unset
-	Statements                   float64  // per second; below 0: unset
-	Without                      []string // keys to leave out of the plan's fleet mapping
+	Settle, Duration             time.Duration
+	RealGateways                 int      // -1: unset
+	StatementsPerS               float64  // per second; below 0: unset
+	OmittedFleetKeys             []string // keys to leave out of the plan's fleet mapping
 }
 
-// NoOverride returns an Override that replaces nothing.
-func NoOverride() Override { return Override{Seed: -1, Real: -1, Statements: -1} }
+// NoFlagValues returns an Override that replaces nothing.
+func NoFlagValues() FlagValues { return FlagValues{Seed: -1, RealGateways: -1, StatementsPerS: -1} }
 
 const (
 	faultGrace          = 20 * time.Second // time after a fault in which a gateway declared dead isn't counted as a false death
@@ -131,17 +131,17 @@
 }
 
 // Parse reads a plan and applies the values of flags. The error lists all faults of the plan, each with its position.
-func Parse(file string, text []byte, flags Override) (*Plan, error) {
+func Parse(file string, text []byte, flags FlagValues) (*Plan, error) {
 	base, top, err := yamlfile.Parse(file, text, "plan")
 	if err != nil {
 		return nil, err
 	}
 	reader := &planReader{Reader: base}
 	plan := &Plan{
-		Seed: 1, Gateways: 8, Databases: 16, Group: 4, Hollow: 35, RTT: Spread{Within: 0.0005}, Load: Load{Statements: 0}, Clients: 20,
-		Pace: 200 * time.Millisecond, Settle: 15 * time.Second, For: 30 * time.Second,
-		Allowance: Allowance{BytesOut: 5000, Core: 0.019, MemoryMB: 256, Discovery: 0},
-		Limits:    Limits{Memory: 0.5, Processes: 300, Lateness: 20 * time.Millisecond},
+		Seed: 1, Gateways: 8, Databases: 16, GroupSize: 4, HollowPerProcess: 35, RTT: LinkProperty{Within: 0.0005}, Load: Load{StatementsPerS: 0}, RequestsPerS: 20,
+		StartInterval: 200 * time.Millisecond, Settle: 15 * time.Second, Duration: 30 * time.Second,
+		Allowance: Allowance{BytesOutPerS: 5000, CoreShare: 0.019, MemoryMB: 256, DiscoveryCallsPerS: 0},
+		Limits:    Limits{MemoryShare: 0.5, Processes: 300, Lateness: 20 * time.Millisecond},
 	}
 	fields := reader.Fields(top, "", "seed", "gateways", "databases", "group", "real", "hollow_per_process", "regions", "rtt", "loss", "load",
 		"clients", "fleet", "pace", "settle", "for", "events", "allowance", "limits")
@@ -155,22 +155,22 @@
 	plan.Seed = uint64(seed)
 	readCount("gateways", &plan.Gateways, 1, 2000)
 	readCount("databases", &plan.Databases, 1, 4000)
-	readCount("group", &plan.Group, 1, 100)
-	readCount("real", &plan.Real, 0, 64)
-	readCount("hollow_per_process", &plan.Hollow, 1, 200)
+	readCount("group", &plan.GroupSize, 1, 100)
+	readCount("real", &plan.RealGateways, 0, 64)
+	readCount("hollow_per_process", &plan.HollowPerProcess, 1, 200)
 	reader.linkProperties(plan, fields)
 	if fields["clients"] != nil {
-		plan.Clients = reader.Rate(fields["clients"], "clients")
+		plan.RequestsPerS = reader.Rate(fields["clients"], "clients")
 	}
 	if load := reader.Fields(fields["load"], "load", "statements", "skew"); len(load) > 0 {
 		if load["statements"] != nil {
-			plan.Load.Statements = reader.Rate(load["statements"], "statements")
+			plan.Load.StatementsPerS = reader.Rate(load["statements"], "statements")
 		}
 		if load["skew"] != nil {
 			plan.Load.Skew = reader.Float(load["skew"], "skew")
 		}
 	}
-	for key, to := range map[string]*time.Duration{"pace": &plan.Pace, "settle": &plan.Settle, "for": &plan.For} {
+	for key, to := range map[string]*time.Duration{"pace": &plan.StartInterval, "settle": &plan.Settle, "for": &plan.Duration} {
 		if fields[key] != nil {
 			*to = reader.Duration(fields[key], key)
 		}
@@ -178,12 +178,12 @@
 	reader.regions(plan, fields["regions"], top)
 	reader.allowance(plan, fields["allowance"])
 	reader.limits(plan, fields["limits"])
-	if plan.applyFlags(flags); fields["real"] == nil && flags.Real < 0 {
-		plan.Real = min(defaultRealGateways, plan.Gateways)
+	if plan.applyFlags(flags); fields["real"] == nil && flags.RealGateways < 0 {
+		plan.RealGateways = min(defaultRealGateways, plan.Gateways)
 	}
 	reader.checkConsistency(plan, fields, top)
 	reader.events(plan, fields["events"])
-	reader.fleet(plan, fields["fleet"], flags.Without)
+	reader.fleet(plan, fields["fleet"], flags.OmittedFleetKeys)
 	if err := reader.Err(); err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 }
 
 // applyFlags applies the values of flags.
-func (p *Plan) applyFlags(flags Override) {
+func (p *Plan) applyFlags(flags FlagValues) {
 	if flags.Gateways > 0 {
 		p.Gateways = flags.Gateways
 	}
@@ -210,14 +210,14 @@
 	if flags.Settle > 0 {
 		p.Settle = flags.Settle
 	}
-	if flags.For > 0 {
-		p.For = flags.For
+	if flags.Duration > 0 {
+		p.Duration = flags.Duration
 	}
-	if flags.Real >= 0 {
-		p.Real = flags.Real
+	if flags.RealGateways >= 0 {
+		p.RealGateways = flags.RealGateways
 	}
-	if flags.Statements >= 0 {
-		p.Load.Statements = flags.Statements
+	if flags.StatementsPerS >= 0 {
+		p.Load.StatementsPerS = flags.StatementsPerS
 	}
 }
 
@@ -251,13 +251,13 @@
 	}
 }
 
-// Region returns the index of the region that a zone is in.
-func (p *Plan) Region(zone string) int {
+// RegionOf returns the index of the region that a zone is in.
+func (p *Plan) RegionOf(zone string) int {
 	return slices.IndexFunc(p.Regions, func(r Region) bool { return slices.Contains(r.Zones, zone) })
 }
 
-// Name returns the name of gateway g.
-func (p *Plan) Name(g int) string { return fmt.Sprintf("g%03d", g) }
+// GatewayName returns the name of gateway g.
+func (p *Plan) GatewayName(g int) string { return fmt.Sprintf("g%03d", g) }
 
 func (r *planReader) regions(p *Plan, node, top *yaml.Node) {
 	if node == nil {
@@ -323,23 +323,23 @@
 func (r *planReader) allowance(p *Plan, node *yaml.Node) {
 	fields := r.Fields(node, "allowance", "bytes_out", "core", "memory", "discovery")
 	if fields["bytes_out"] != nil {
-		p.Allowance.BytesOut, _ = r.Number(fields["bytes_out"], "bytes_out", "5 kB/s", map[string]float64{"B/s": 1, "kB/s": 1e3, "MB/s": 1e6})
+		p.Allowance.BytesOutPerS, _ = r.Number(fields["bytes_out"], "bytes_out", "5 kB/s", map[string]float64{"B/s": 1, "kB/s": 1e3, "MB/s": 1e6})
 	}
 	if fields["core"] != nil {
-		p.Allowance.Core = r.Percentage(fields["core"], "core")
+		p.Allowance.CoreShare = r.Percentage(fields["core"], "core")
 	}
 	if fields["memory"] != nil {
 		p.Allowance.MemoryMB, _ = r.Number(fields["memory"], "memory", "256 MB", map[string]float64{"MB": 1, "GB": 1000})
 	}
 	if fields["discovery"] != nil {
-		p.Allowance.Discovery = r.Rate(fields["discovery"], "discovery")
+		p.Allowance.DiscoveryCallsPerS = r.Rate(fields["discovery"], "discovery")
 	}
 }
 
 func (r *planReader) limits(p *Plan, node *yaml.Node) {
 	fields := r.Fields(node, "limits", "memory", "processes", "lateness")
 	if fields["memory"] != nil {
-		if p.Limits.Memory = r.Percentage(fields["memory"], "memory"); p.Limits.Memory > 0.5 {
+		if p.Limits.MemoryShare = r.Percentage(fields["memory"], "memory"); p.Limits.MemoryShare > 0.5 {
 			r.AddError(fields["memory"], "memory", "at most half of the machine's memory is allowed")
 		}
 	}
@@ -359,8 +359,8 @@
 		}
 		return top
 	}
-	if p.Real > p.Gateways {
-		r.AddError(nodeOf("real"), "real", "%d of %d gateways", p.Real, p.Gateways)
+	if p.RealGateways > p.Gateways {
+		r.AddError(nodeOf("real"), "real", "%d of %d gateways", p.RealGateways, p.Gateways)
 	}
 	if n := len(p.Zones()); n > p.Gateways {
 		r.AddError(nodeOf("gateways"), "gateways", "%d for %d zones: each zone needs at least one", p.Gateways, n)
@@ -371,17 +371,19 @@
 	if n := p.Processes(); n > p.Limits.Processes {
 		r.AddError(nodeOf("hollow_per_process"), "hollow_per_process", "%d processes in all, over the limit of %d; raise hollow_per_process", n, p.Limits.Processes)
 	}
-	if p.For < windowSeconds*time.Second {
-		r.AddError(nodeOf("for"), "for", "%v; must be at least %d s, the length of a measured window", p.For, windowSeconds)
+	if p.Duration < windowSeconds*time.Second {
+		r.AddError(nodeOf("for"), "for", "%v; must be at least %d s, the length of a measured window", p.Duration, windowSeconds)
 	}
 	r.gatewayIndex = map[string]int{}
 	for g := range p.Gateways {
-		r.gatewayIndex[p.Name(g)] = g
+		r.gatewayIndex[p.GatewayName(g)] = g
 	}
 }
 
 // Processes returns the number of processes of a run, with the run itself.
-func (p *Plan) Processes() int { return 1 + p.Real + (p.Gateways-p.Real+p.Hollow-1)/p.Hollow }
+func (p *Plan) Processes() int {
+	return 1 + p.RealGateways + (p.Gateways-p.RealGateways+p.HollowPerProcess-1)/p.HollowPerProcess
+}
 
 func (r *planReader) events(p *Plan, list *yaml.Node) {
 	if list == nil {
@@ -394,38 +396,38 @@
 	for _, eventNode := range list.Content {
 		fields := r.Fields(eventNode, "event", "at", "do", "gateways", "zone", "back", "every", "for", "sides", "groups")
 		event := Event{node: eventNode, Count: 1, Groups: 1}
-		if event.Do, _ = r.Text(fields["do"], "do"); eventKeys[event.Do] == nil {
-			r.AddError(eventNode, "do", "%q is not one of %s", event.Do, strings.Join(slices.Sorted(maps.Keys(eventKeys)), ", "))
+		if event.Kind, _ = r.Text(fields["do"], "do"); eventKeys[event.Kind] == nil {
+			r.AddError(eventNode, "do", "%q is not one of %s", event.Kind, strings.Join(slices.Sorted(maps.Keys(eventKeys)), ", "))
 			continue
 		}
 		for i := 0; i+1 < len(eventNode.Content); i += 2 {
-			if key := eventNode.Content[i]; key.Value != "at" && key.Value != "do" && fields[key.Value] != nil && !slices.Contains(eventKeys[event.Do], key.Value) {
-				r.AddError(key, key.Value, "not a key of events of kind %s", event.Do)
+			if key := eventNode.Content[i]; key.Value != "at" && key.Value != "do" && fields[key.Value] != nil && !slices.Contains(eventKeys[event.Kind], key.Value) {
+				r.AddError(key, key.Value, "not a key of events of kind %s", event.Kind)
 			}
 		}
-		for key, to := range map[string]*time.Duration{"at": &event.At, "back": &event.Back, "every": &event.Every, "for": &event.For} {
+		for key, to := range map[string]*time.Duration{"at": &event.At, "back": &event.RestartAfter, "every": &event.Interval, "for": &event.Duration} {
 			if fields[key] != nil {
 				*to = r.Duration(fields[key], key)
 			}
 		}
 		if fields["at"] == nil {
 			r.AddError(eventNode, "at", "missing")
-		} else if event.At+event.For > p.For {
-			r.AddError(fields["at"], "at", "the event lasts until %v, the run until %v; raise the run's for", event.At+event.For, p.For)
+		} else if event.At+event.Duration > p.Duration {
+			r.AddError(fields["at"], "at", "the event lasts until %v, the run until %v; raise the run's for", event.At+event.Duration, p.Duration)
 		}
-		if event.For == 0 && (event.Do == eventZoneDown || event.Do == eventCut) {
-			r.AddError(eventNode, "for", "missing; required for events of kind %s", event.Do)
+		if event.Duration == 0 && (event.Kind == eventZoneDown || event.Kind == eventCut) {
+			r.AddError(eventNode, "for", "missing; required for events of kind %s", event.Kind)
 		}
 		r.eventGateways(p, &event, fields["gateways"])
 		if fields["groups"] != nil {
-			event.Groups = r.Count(fields["groups"], "groups", 1, (p.Databases+p.Group-1)/p.Group)
+			event.Groups = r.Count(fields["groups"], "groups", 1, (p.Databases+p.GroupSize-1)/p.GroupSize)
 		}
 		if event.Zone, _ = r.Text(fields["zone"], "zone"); event.Zone != "" && !slices.Contains(p.Zones(), event.Zone) {
 			r.AddError(fields["zone"], "zone", "%q is unknown; the plan has %s", event.Zone, strings.Join(p.Zones(), ", "))
-		} else if event.Zone == "" && event.Do == eventZoneDown {
-			r.AddError(eventNode, "zone", "missing; required for events of kind %s", event.Do)
+		} else if event.Zone == "" && event.Kind == eventZoneDown {
+			r.AddError(eventNode, "zone", "missing; required for events of kind %s", event.Kind)
 		}
-		if event.Do == eventCut {
+		if event.Kind == eventCut {
 			r.cutSides(p, &event, fields["sides"], eventNode)
 		}
 		p.Events = append(p.Events, event)
@@ -434,16 +436,16 @@
 
 func (r *planReader) eventGateways(p *Plan, event *Event, node *yaml.Node) {
 	switch {
-	case node == nil && event.Do == eventRack:
+	case node == nil && event.Kind == eventRack:
 		event.Count = min(16, p.Gateways)
-	case node == nil && event.Do == eventListChange:
+	case node == nil && event.Kind == eventListChange:
 		event.Count = 0
 	case node == nil:
 	case node.Kind == yaml.SequenceNode:
 		for _, item := range node.Content {
 			name, ok := r.Text(item, "gateways")
 			if _, known := r.gatewayIndex[name]; ok && !known {
-				r.AddError(item, "gateways", "%q is unknown; gateways are named %s to %s", name, p.Name(0), p.Name(p.Gateways-1))
+				r.AddError(item, "gateways", "%q is unknown; gateways are named %s to %s", name, p.GatewayName(0), p.GatewayName(p.Gateways-1))
 			}
 			event.Gateways = append(event.Gateways, name)
 		}
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -33,16 +33,16 @@
   - {at: 2 s, do: cut, sides: [[north], [south]], for: 5 s}
 `
 
-func parsePlan(t *testing.T, text string, o Override) *Plan {
+func parsePlan(t *testing.T, text string, o FlagValues) *Plan {
 	p, err := Parse("p", []byte(text), o)
 	require.NoError(t, err)
 	return p
 }
 
 func TestScalePlan(t *testing.T) {
-	p := parsePlan(t, smallPlan, NoOverride())
+	p := parsePlan(t, smallPlan, NoFlagValues())
 	assert.Equal(t, []string{"n1", "s1", "n2"}, p.Zones(), "neighbours are in different regions")
-	assert.Equal(t, 1, p.Region("s1"))
+	assert.Equal(t, 1, p.RegionOf("s1"))
 	assert.Equal(t, 0.08, p.RTT.Between)
 	assert.Equal(t, 1+2+3, p.Processes())
 	assert.Equal(t, []string{"g003"}, p.Events[0].Gateways)
@@ -53,27 +53,27 @@
 
 func TestScaleFlagsOverridePlan(t *testing.T) {
 	text := strings.ReplaceAll(smallPlan, "  - {at: 2 s, do: cut, sides: [[north], [south]], for: 5 s}\n", "")
-	p := parsePlan(t, text, Override{Gateways: 20, Databases: 8, Regions: 3, RTT: 120 * time.Millisecond, Seed: 9, Settle: 7 * time.Second, For: 20 * time.Second, Real: 0, Statements: 70})
-	assert.Equal(t, []any{20, 8, 0, uint64(9), 0.12, 20 * time.Second}, []any{p.Gateways, p.Databases, p.Real, p.Seed, p.RTT.Between, p.For})
-	assert.Equal(t, 70.0, p.Load.Statements)
+	p := parsePlan(t, text, FlagValues{Gateways: 20, Databases: 8, Regions: 3, RTT: 120 * time.Millisecond, Seed: 9, Settle: 7 * time.Second, Duration: 20 * time.Second, RealGateways: 0, StatementsPerS: 70})
+	assert.Equal(t, []any{20, 8, 0, uint64(9), 0.12, 20 * time.Second}, []any{p.Gateways, p.Databases, p.RealGateways, p.Seed, p.RTT.Between, p.Duration})
+	assert.Equal(t, 70.0, p.Load.StatementsPerS)
 	assert.Equal(t, 7*time.Second, p.Settle)
 	assert.Equal(t, []Region{{"north", []string{"n1"}}, {"south", []string{"n2"}}, {"region3", []string{"s1"}}}, p.Regions)
-	p = parsePlan(t, text, Override{Regions: 1, Seed: -1, Real: -1, Statements: -1})
+	p = parsePlan(t, text, FlagValues{Regions: 1, Seed: -1, RealGateways: -1, StatementsPerS: -1})
 	assert.Equal(t, []Region{{"north", []string{"n1", "n2", "s1"}}}, p.Regions)
 	assert.Equal(t, uint64(3), p.Seed)
-	assert.Equal(t, 2, p.Real)
-	p = parsePlan(t, strings.Replace(text, "real: 2\n", "", 1), NoOverride())
-	assert.Equal(t, 8, p.Real, "default for a plan without real")
-	o := NoOverride()
-	o.Without = []string{"positions", "budgets"}
+	assert.Equal(t, 2, p.RealGateways)
+	p = parsePlan(t, strings.Replace(text, "real: 2\n", "", 1), NoFlagValues())
+	assert.Equal(t, 8, p.RealGateways, "default for a plan without real")
+	o := NoFlagValues()
+	o.OmittedFleetKeys = []string{"positions", "budgets"}
 	file, err := parsePlan(t, text, o).FleetFile(0, "/d", nil)
 	require.NoError(t, err)
 	assert.Equal(t, "fleet: scale\nlisten: 127.0.0.1:0\nwords: {dir: \"/d/words-g000\", keep: 1 days}\n", string(file))
-	o.Without = []string{"subsets"}
+	o.OmittedFleetKeys = []string{"subsets"}
 	_, err = Parse("p", []byte(text), o)
 	assert.ErrorContains(t, err, `p:11:3: fleet: "subsets" cannot be left out: the plan does not set it`)
 	// Parts of the plan that conflict with the flags are reported at their position in the plan.
-	_, err = Parse("p", []byte(smallPlan), Override{Gateways: 2, Regions: 1, Seed: -1, Real: -1, Statements: -1})
+	_, err = Parse("p", []byte(smallPlan), FlagValues{Gateways: 2, Regions: 1, Seed: -1, RealGateways: -1, StatementsPerS: -1})
 	assert.ErrorContains(t, err, "p:2:11: gateways: 2 for 3 zones")
 	assert.ErrorContains(t, err, `p:17:42: sides: region "south" is unknown; the plan has north`)
 	assert.ErrorContains(t, err, `p:16:36: gateways: "g003" is unknown; gateways are named g000 to g001`)
@@ -111,19 +111,19 @@
 		t.Run(x.name, func(t *testing.T) {
 			text := strings.Replace(smallPlan, x.from, x.to, 1)
 			require.NotEqual(t, smallPlan, text)
-			_, err := Parse("p", []byte(text), NoOverride())
+			_, err := Parse("p", []byte(text), NoFlagValues())
 			assert.ErrorContains(t, err, x.want)
 		})
 	}
 	text := strings.Replace(strings.Replace(smallPlan, "do: kill", "do: murder", 1), "south: [s1]", "south: []", 1)
-	_, err := Parse("p", []byte(text), NoOverride())
+	_, err := Parse("p", []byte(text), NoFlagValues())
 	assert.ErrorContains(t, err, "murder")
 	assert.ErrorContains(t, err, "has no zones")
 }
 
 // Each gateway's fleet file is valid and lists all other gateways at the relay's addresses for its own zone.
 func TestScaleFleetFile(t *testing.T) {
-	p := parsePlan(t, smallPlan, NoOverride())
+	p := parsePlan(t, smallPlan, NoFlagValues())
 	zoneOf := make([]int, p.Gateways)
 	for g := range zoneOf {
 		zoneOf[g] = p.zoneOf(g)
@@ -138,11 +138,11 @@
 		require.NoError(t, err, "%s", text)
 		assert.Equal(t, relay.ListenAddr(g), file.Listen)
 		assert.Len(t, file.Dial, p.Gateways-1)
-		assert.Equal(t, relay.DialAddr(g%3, (g+1)%14), file.Dial[p.Name((g+1)%14)])
+		assert.Equal(t, relay.DialAddr(g%3, (g+1)%14), file.Dial[p.GatewayName((g+1)%14)])
 		assert.NotContains(t, file.Seeds, relay.DialAddr(g%3, g))
 		assert.GreaterOrEqual(t, len(file.Seeds), seedCount)
 		assert.True(t, file.Positions)
-		assert.Equal(t, "/d/words-"+p.Name(g), file.Overrides.Dir)
+		assert.Equal(t, "/d/words-"+p.GatewayName(g), file.Overrides.Dir)
 		assert.Equal(t, 28, file.Budgets.Connections)
 		assert.Len(t, file.Budgets.Holders, 14)
 		assert.Equal(t, 4*time.Second, file.Budgets.Lease)
@@ -156,12 +156,12 @@
 	for _, path := range list {
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		_, err = Parse(path, text, NoOverride())
+		_, err = Parse(path, text, NoFlagValues())
 		assert.NoError(t, err)
 	}
 	text, err := os.ReadFile("../../deploy/load/scale.yaml")
 	require.NoError(t, err)
-	p := parsePlan(t, string(text), NoOverride())
+	p := parsePlan(t, string(text), NoFlagValues())
 	assert.Equal(t, []int{490, 810, 3, 11}, []int{p.Gateways, p.Databases, len(p.Regions), len(p.Zones())})
-	assert.Equal(t, Allowance{BytesOut: 5000, Core: 0.019, MemoryMB: 256, Discovery: 20}, p.Allowance)
+	assert.Equal(t, Allowance{BytesOutPerS: 5000, CoreShare: 0.019, MemoryMB: 256, DiscoveryCallsPerS: 20}, p.Allowance)
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -45,7 +45,7 @@
 
 func (g *realGateway) start() error {
 	dir := g.run.gatewayDir(g.state.name)
-	process := lab.NewProcess(exec.Command(g.run.Gateway[0], g.run.Gateway[1:]...))
+	process := lab.NewProcess(exec.Command(g.run.GatewayCommand[0], g.run.GatewayCommand[1:]...))
 	process.Setenv("GW_CONFIG="+filepath.Join(dir, "config.json"), "GW_FLEET="+filepath.Join(dir, "fleet.yaml"), "GW_MANAGEMENT=127.0.0.1:0", "TMPDIR="+dir)
 	g.mu.Lock()
 	g.process, g.clientAddr, g.managementAddr, g.viewDigest, g.stopRequested = process, "", "", "", false
@@ -91,7 +91,7 @@
 // addSample adds a sample from the process's metrics.
 func (g *realGateway) addSample(at time.Time) {
 	g.mu.Lock()
-	process, managementAddr, state := g.process, g.managementAddr, hollow.State{Name: g.state.name, Up: true, ViewDigest: g.viewDigest, DeadNames: g.deadNames, Roles: map[string]traffic{}}
+	process, managementAddr, state := g.process, g.managementAddr, hollow.GatewayState{Name: g.state.name, Up: true, ViewDigest: g.viewDigest, DeadNames: g.deadNames, Roles: map[string]traffic{}}
 	g.deadNames = nil
 	g.mu.Unlock()
 	run := g.run
@@ -111,10 +111,10 @@
 	last := g.state.lastSample()
 	run.mu.Unlock()
 	if last != nil {
-		state.ListSeq = last.listVersion
+		state.ListVersion = last.listVersion
 	}
-	if responding && (changePending || state.ListSeq == 0) {
-		state.ListSeq = g.listVersion(managementAddr)
+	if responding && (changePending || state.ListVersion == 0) {
+		state.ListVersion = g.listVersion(managementAddr)
 	}
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -202,12 +202,12 @@
 }
 
 func startClientLoad(p *Plan, gateways []*realGateway, balancer *lab.Balancer) (*clientLoad, error) {
-	if p.Clients <= 0 {
+	if p.RequestsPerS <= 0 {
 		return nil, nil
 	}
-	length := p.Settle + p.For + time.Minute
+	length := p.Settle + p.Duration + time.Minute
 	load := &plan.Plan{
-		Seed: p.Seed, Groups: (p.Databases + p.Group - 1) / p.Group, Keys: 1000, Sessions: 20 * len(gateways), FollowShare: 0.2, FollowAfter: 300 * time.Millisecond,
+		Seed: p.Seed, Groups: (p.Databases + p.GroupSize - 1) / p.GroupSize, Keys: 1000, Sessions: 20 * len(gateways), FollowShare: 0.2, FollowAfter: 300 * time.Millisecond,
 		HonourShare: 1, MaxConnections: 50, MaxOutstanding: 5000, MaxLateness: time.Second, MaxArrivals: 10_000_000,
 		Classes: []plan.Class{
 			{Name: "browse", Kind: plan.BoundedRead, Mix: 0.7, Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 1, Bound: 3 * time.Second},
@@ -215,7 +215,7 @@
 			{Name: "write", Kind: plan.Write, Mix: 0.2, Aim: 600 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
 		},
 	}
-	rate := p.Clients * float64(len(gateways))
+	rate := p.RequestsPerS * float64(len(gateways))
 	load.Stages = []plan.Stage{{Name: "all", Segments: []plan.RateSegment{{From: rate, To: rate, For: length}}}}
 	arrivals, err := plan.Schedule(load)
 	if err != nil {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -23,14 +23,14 @@
 	"lilaccove/internal/wan"
 )
 
-// Dist and Times summarize a figure over gateways or times.
+// Distribution and Percentiles summarize a figure over gateways or times.
 type (
-	Dist struct {
+	Distribution struct {
 		Mean float64 `json:"mean"`
 		P99  float64 `json:"p99"`
 		Max  float64 `json:"max"`
 	}
-	Times struct {
+	Percentiles struct {
 		P50 float64 `json:"p50"`
 		P99 float64 `json:"p99"`
 		Max float64 `json:"max"`
@@ -39,54 +39,54 @@
 
 // Report is the result of a run. Rates are over the measured time, which begins after the fleet's settling time.
 type Report struct {
-	Command   string  `json:"command"`
-	Gateways  int     `json:"gateways"`
-	Databases int     `json:"databases"`
-	Regions   int     `json:"regions"`
-	Zones     int     `json:"zones"`
-	RTT       float64 `json:"rtt_ms"` // between regions; within the region, if there is only one
-	RTTWithin float64 `json:"rtt_within_ms"`
-	Seed      uint64  `json:"seed"`
-	Seconds   float64 `json:"seconds"`
-	Settled   float64 `json:"settle_seconds"`
-	Real      int     `json:"real"`
-	Load      float64 `json:"statements_per_s"` // in each hollow gateway
-	Skew      float64 `json:"skew"`
-	Valid     bool    `json:"valid"`
-	Invalid   string  `json:"invalid_because,omitempty"`
-	Partial   bool    `json:"partial"`
+	Command          string  `json:"command"`
+	Gateways         int     `json:"gateways"`
+	Databases        int     `json:"databases"`
+	Regions          int     `json:"regions"`
+	Zones            int     `json:"zones"`
+	RTTMS            float64 `json:"rtt_ms"` // between regions; within the region, if there is only one
+	RTTWithinMS      float64 `json:"rtt_within_ms"`
+	Seed             uint64  `json:"seed"`
+	Seconds          float64 `json:"seconds"`
+	SettleSeconds    float64 `json:"settle_seconds"`
+	RealGatewayCount int     `json:"real"`
+	StatementsPerS   float64 `json:"statements_per_s"` // in each hollow gateway
+	Skew             float64 `json:"skew"`
+	Valid            bool    `json:"valid"`
+	InvalidReason    string  `json:"invalid_because,omitempty"`
+	Partial          bool    `json:"partial"`
 
-	Control       Control         `json:"control"` // bytes and messages over all gateways; core and memory over hollow ones, if there are any
-	RealOnes      *Control        `json:"real_gateways,omitempty"`
-	ByRole        map[string]Role `json:"by_role"`
-	Window        Window          `json:"window"`
-	InForce       *Times          `json:"in_force_s"`       // for a change of the configuration; always null, as the fleet distributes none
-	PrimaryChange *Times          `json:"primary_change_s"` // until the first write; always null, as it isn't measured
-	ListInForce   *Times          `json:"list_in_force_s"`  // from a change at discovery to a gateway's report that has it
-	ViewsEqual    []Settled       `json:"views_equal"`      // after each event
-	FalseDeaths   int             `json:"false_deaths"`     // declared by gateways in the measured time
-	FalseDeathsOf int             `json:"false_deaths_of"`  // number of gateways wrongly declared dead
-	EarlyDeaths   int             `json:"false_deaths_settling"`
-	Positions     Positions       `json:"positions"`
-	Discovery     Discovery       `json:"discovery"`
-	Lateness      *Dist           `json:"lateness_ms"` // per second: each gateway's maximum, and the larger of the run's own maximum and the relay's p99
-	RelayLateness *Dist           `json:"relay_lateness_ms"`
-	Relay         wan.Counts      `json:"relay"`     // since its start
-	MemoryMB      float64         `json:"memory_mb"` // maximum of the sum over all processes
-	Processes     int             `json:"processes"`
-	Clients       *run.Report     `json:"clients,omitempty"` // of the real gateways
-	Faults        []string        `json:"faults"`
-	measuredFrom  time.Time
-	run           *Run
+	Control             Control           `json:"control"` // bytes and messages over all gateways; core and memory over hollow ones, if there are any
+	RealGateways        *Control          `json:"real_gateways,omitempty"`
+	ByRole              map[string]Role   `json:"by_role"`
+	PeakWindow          Window            `json:"window"`
+	ConfigInForce       *Percentiles      `json:"in_force_s"`       // for a change of the configuration; always null, as the fleet distributes none
+	PrimaryChange       *Percentiles      `json:"primary_change_s"` // until the first write; always null, as it isn't measured
+	ListInForce         *Percentiles      `json:"list_in_force_s"`  // from a change at discovery to a gateway's report that has it
+	ViewsEqual          []ViewConvergence `json:"views_equal"`      // after each event
+	FalseDeaths         int               `json:"false_deaths"`     // declared by gateways in the measured time
+	FalseDeathsOf       int               `json:"false_deaths_of"`  // number of gateways wrongly declared dead
+	SettlingFalseDeaths int               `json:"false_deaths_settling"`
+	Positions           Positions         `json:"positions"`
+	Discovery           Discovery         `json:"discovery"`
+	LatenessMS          *Distribution     `json:"lateness_ms"` // per second: each gateway's maximum, and the larger of the run's own maximum and the relay's p99
+	RelayLatenessMS     *Distribution     `json:"relay_lateness_ms"`
+	Relay               wan.Counts        `json:"relay"`     // since its start
+	MemoryMB            float64           `json:"memory_mb"` // maximum of the sum over all processes
+	Processes           int               `json:"processes"`
+	Clients             *run.Report       `json:"clients,omitempty"` // of the real gateways
+	Faults              []string          `json:"faults"`
+	measuredFrom        time.Time
+	run                 *Run
 }
 
 // Control is the cost of a gateway, over all roles.
 type Control struct {
-	BytesOut *Dist `json:"bytes_out_per_s"`
-	BytesIn  *Dist `json:"bytes_in_per_s"`
-	Messages *Dist `json:"messages_per_s"` // sent
-	Core     *Dist `json:"core_percent"`
-	Memory   *Dist `json:"memory_mb"`
+	BytesOut    *Distribution `json:"bytes_out_per_s"`
+	BytesIn     *Distribution `json:"bytes_in_per_s"`
+	Messages    *Distribution `json:"messages_per_s"` // sent
+	CorePercent *Distribution `json:"core_percent"`
+	MemoryMB    *Distribution `json:"memory_mb"`
 }
 
 // Role is the mean over all gateways.
@@ -99,16 +99,16 @@
 
 // Window is the highest rate at which one gateway sent in any window of windowSeconds.
 type Window struct {
-	BytesOut float64 `json:"bytes_out_per_s"`
-	Gateway  string  `json:"gateway"`
-	From     float64 `json:"from_s"`
-	To       float64 `json:"to_s"`
-	Role     string  `json:"most_by"`
-	Over     int     `json:"gateways_over"` // gateways over the allowance in some window
+	BytesOut     float64 `json:"bytes_out_per_s"`
+	Gateway      string  `json:"gateway"`
+	From         float64 `json:"from_s"`
+	To           float64 `json:"to_s"`
+	Role         string  `json:"most_by"`
+	GatewaysOver int     `json:"gateways_over"` // gateways over the allowance in some window
 }
 
-// Settled is the time until all views were equal again after an event; null where they were not before the next event or the end.
-type Settled struct {
+// ViewConvergence is the time until all views were equal again after an event; null where they were not before the next event or the end.
+type ViewConvergence struct {
 	After string   `json:"after"`
 	At    float64  `json:"at_s"`
 	Took  *float64 `json:"took_s"`
@@ -116,16 +116,16 @@
 
 // Positions is the number of positions that a gateway knows, and their age.
 type Positions struct {
-	Known float64  `json:"known_mean"`
-	P50   *float64 `json:"stale_p50_s"` // mean over gateways and samples
-	P99   *float64 `json:"stale_p99_s"`
+	Known  float64  `json:"known_mean"`
+	AgeP50 *float64 `json:"stale_p50_s"` // mean over gateways and samples
+	AgeP99 *float64 `json:"stale_p99_s"`
 }
 
 // Discovery is the load at discovery.
 type Discovery struct {
-	Calls   float64 `json:"calls_per_s_max"` // in the measured time
-	Early   float64 `json:"calls_per_s_max_settling"`
-	Watches int     `json:"watches"` // at the end
+	MaxCallsPerS         float64 `json:"calls_per_s_max"` // in the measured time
+	MaxSettlingCallsPerS float64 `json:"calls_per_s_max_settling"`
+	Watches              int     `json:"watches"` // at the end
 }
 
 // report computes the run's report.
@@ -134,26 +134,26 @@
 	defer r.mu.Unlock()
 	plan := r.Plan
 	out := &Report{
-		Command: r.Command, Gateways: plan.Gateways, Databases: plan.Databases, Regions: len(plan.Regions), Zones: len(plan.Zones()), RTT: roundTo4Digits(plan.RTT.Between * 1000),
-		RTTWithin: roundTo4Digits(plan.RTT.Within * 1000), Seed: plan.Seed, Seconds: roundTo4Digits(r.measuredTo.Sub(r.measuredFrom).Seconds()), Settled: plan.Settle.Seconds(), Real: plan.Real, Load: plan.Load.Statements, Skew: plan.Load.Skew,
-		Partial: partial, ByRole: map[string]Role{}, Faults: slices.Clone(r.failures), EarlyDeaths: r.settlingFalseDeaths, measuredFrom: r.measuredFrom, run: r,
+		Command: r.CommandLine, Gateways: plan.Gateways, Databases: plan.Databases, Regions: len(plan.Regions), Zones: len(plan.Zones()), RTTMS: roundTo4Digits(plan.RTT.Between * 1000),
+		RTTWithinMS: roundTo4Digits(plan.RTT.Within * 1000), Seed: plan.Seed, Seconds: roundTo4Digits(r.measuredTo.Sub(r.measuredFrom).Seconds()), SettleSeconds: plan.Settle.Seconds(), RealGatewayCount: plan.RealGateways, StatementsPerS: plan.Load.StatementsPerS, Skew: plan.Load.Skew,
+		Partial: partial, ByRole: map[string]Role{}, Faults: slices.Clone(r.failures), SettlingFalseDeaths: r.settlingFalseDeaths, measuredFrom: r.measuredFrom, run: r,
 	}
 	if len(plan.Regions) == 1 {
-		out.RTT = out.RTTWithin
+		out.RTTMS = out.RTTWithinMS
 	}
 	r.reportRates(out)
-	peak := findPeakWindow(r.gateways, r.measuredFrom, plan.Allowance.BytesOut)
+	peak := findPeakWindow(r.gateways, r.measuredFrom, plan.Allowance.BytesOutPerS)
 	if peak.gateway != "" {
-		out.Window = Window{BytesOut: roundTo4Digits(peak.rate), Gateway: peak.gateway, From: out.secondsSince(peak.from), To: out.secondsSince(peak.to), Role: peak.role, Over: peak.gatewaysOver}
+		out.PeakWindow = Window{BytesOut: roundTo4Digits(peak.rate), Gateway: peak.gateway, From: out.secondsSince(peak.from), To: out.secondsSince(peak.to), Role: peak.role, GatewaysOver: peak.gatewaysOver}
 	}
 	if peak.gatewaysOver > 0 {
 		out.addFault("%d of %d gateways sent over %.0f B/s in a window of %d s, most by %s: %.0f B/s from %.0f s to %.0f s, mostly %s", peak.gatewaysOver, plan.Gateways,
-			plan.Allowance.BytesOut, windowSeconds, peak.gateway, peak.rate, out.Window.From, out.Window.To, peak.role)
+			plan.Allowance.BytesOutPerS, windowSeconds, peak.gateway, peak.rate, out.PeakWindow.From, out.PeakWindow.To, peak.role)
 	}
-	if core := out.Control.Core; core != nil && core.Mean > 100*plan.Allowance.Core {
-		out.addFault("a gateway's control side uses %.2f%% of a core (mean), over %.2f%%", core.Mean, 100*plan.Allowance.Core)
+	if core := out.Control.CorePercent; core != nil && core.Mean > 100*plan.Allowance.CoreShare {
+		out.addFault("a gateway's control side uses %.2f%% of a core (mean), over %.2f%%", core.Mean, 100*plan.Allowance.CoreShare)
 	}
-	if memory := out.Control.Memory; memory != nil && memory.Max > plan.Allowance.MemoryMB {
+	if memory := out.Control.MemoryMB; memory != nil && memory.Max > plan.Allowance.MemoryMB {
 		out.addFault("a gateway uses %.0f MB, over %.0f MB", memory.Max, plan.Allowance.MemoryMB)
 	}
 	declaredDead := map[string]bool{}
@@ -165,7 +165,7 @@
 		out.addFault("live gateways were declared dead %d times (%d gateways), first: %s by %s at %.1f s", len(r.falseDeaths), len(declaredDead), first.of, first.by, out.secondsSince(first.reportedAt))
 	}
 	for _, convergence := range r.convergences {
-		settled := Settled{After: convergence.description, At: out.secondsSince(convergence.since)}
+		settled := ViewConvergence{After: convergence.description, At: out.secondsSince(convergence.since)}
 		if convergence.took > 0 {
 			took := roundTo4Digits(convergence.took.Seconds())
 			settled.Took = &took
@@ -196,7 +196,7 @@
 		out.Faults = []string{}
 	}
 	slices.Sort(out.Faults)
-	out.Invalid = strings.Join(r.invalidReasons, "; ")
+	out.InvalidReason = strings.Join(r.invalidReasons, "; ")
 	out.Valid = len(r.invalidReasons) == 0
 	return out
 }
@@ -246,11 +246,11 @@
 	out.Control = all.summary()
 	if len(hollow[0]) > 0 {
 		h := hollow.summary()
-		out.Control.Core, out.Control.Memory = h.Core, h.Memory
+		out.Control.CorePercent, out.Control.MemoryMB = h.CorePercent, h.MemoryMB
 	}
 	if len(real[0]) > 0 {
 		c := real.summary()
-		out.RealOnes = &c
+		out.RealGateways = &c
 	}
 	r.reportPositions(out)
 }
@@ -272,7 +272,7 @@
 	}
 	if out.Positions.Known = roundTo4Digits(knownSum / max(1, samples)); samplesWithPositions > 0 {
 		p50Sum, p99Sum = roundTo4Digits(p50Sum/samplesWithPositions), roundTo4Digits(p99Sum/samplesWithPositions)
-		out.Positions.P50, out.Positions.P99 = &p50Sum, &p99Sum
+		out.Positions.AgeP50, out.Positions.AgeP99 = &p50Sum, &p99Sum
 	}
 }
 
@@ -286,7 +286,7 @@
 }
 
 func (c *controlFigures) summary() Control {
-	return Control{BytesOut: newDist(c[0]), BytesIn: newDist(c[1]), Messages: newDist(c[2]), Core: newDist(c[3]), Memory: newDist(c[4])}
+	return Control{BytesOut: newDistribution(c[0]), BytesIn: newDistribution(c[1]), Messages: newDistribution(c[2]), CorePercent: newDistribution(c[3]), MemoryMB: newDistribution(c[4])}
 }
 
 // samplesBetween returns the first and the last sample of a period.
@@ -321,7 +321,7 @@
 			out.addFault("%d gateways do not have list %d, %.0f s after the change", missing, change.version, r.measuredTo.Sub(change.changedAt).Seconds())
 		}
 	}
-	out.ListInForce = newTimes(delays)
+	out.ListInForce = newPercentiles(delays)
 	if len(lateGateways) > 0 {
 		out.addFault("%d times a gateway got a change of the list later than %v after it, the report interval included: %s",
 			len(lateGateways), maxListDelay+reportInterval, strings.Join(lateGateways, ", "))
@@ -337,9 +337,9 @@
 		calls := float64(sample.discoveryCalls - previousCalls)
 		previousCalls = sample.discoveryCalls
 		if sample.at.Before(r.measuredFrom) {
-			out.Discovery.Early = max(out.Discovery.Early, calls)
+			out.Discovery.MaxSettlingCallsPerS = max(out.Discovery.MaxSettlingCallsPerS, calls)
 		} else if !sample.at.After(r.measuredTo) {
-			out.Discovery.Calls = max(out.Discovery.Calls, calls)
+			out.Discovery.MaxCallsPerS = max(out.Discovery.MaxCallsPerS, calls)
 			if sample.lateness.Count > 0 {
 				relayP99MS = append(relayP99MS, float64(sample.lateness.P99)/1e6)
 			}
@@ -349,15 +349,15 @@
 		out.Processes = max(out.Processes, sample.processes)
 		out.Relay = sample.relay
 	}
-	if allowance := plan.Allowance.Discovery; allowance > 0 && out.Discovery.Calls > allowance {
-		out.addFault("discovery got %.0f calls in a second, over %.0f", out.Discovery.Calls, allowance)
+	if allowance := plan.Allowance.DiscoveryCallsPerS; allowance > 0 && out.Discovery.MaxCallsPerS > allowance {
+		out.addFault("discovery got %.0f calls in a second, over %.0f", out.Discovery.MaxCallsPerS, allowance)
 	}
-	out.Lateness, out.RelayLateness = newDist(slices.Clone(r.lagSamples)), newDist(relayP99MS)
+	out.LatenessMS, out.RelayLatenessMS = newDistribution(slices.Clone(r.lagSamples)), newDistribution(relayP99MS)
 	limitMS := float64(plan.Limits.Lateness) / 1e6
-	if lateness := out.Lateness; lateness != nil && lateness.P99 > limitMS {
+	if lateness := out.LatenessMS; lateness != nil && lateness.P99 > limitMS {
 		r.invalidReasons = append(r.invalidReasons, fmt.Sprintf("gateways' event loops were late by %.1f ms (p99 of their maxima per second), over %.0f ms", lateness.P99, limitMS))
 	}
-	if l := out.RelayLateness; l != nil && l.P99 > limitMS {
+	if l := out.RelayLatenessMS; l != nil && l.P99 > limitMS {
 		r.invalidReasons = append(r.invalidReasons, fmt.Sprintf("the relay was late by %.1f ms (p99), over %.0f ms", l.P99, limitMS))
 	}
 	if n := out.Relay.Overflowed; n > 0 {
@@ -365,24 +365,24 @@
 	}
 }
 
-// ErrRun is wrapped by every error of Report.Verdict.
-var ErrRun = errors.New("scale")
+// ErrBadRun is wrapped by every error of Report.Verdict.
+var ErrBadRun = errors.New("scale")
 
 // Verdict returns nil for a valid, complete run without faults, else an error that says what is wrong.
 func (o *Report) Verdict() error {
 	switch {
 	case !o.Valid:
-		return fmt.Errorf("%w: INVALID: %s", ErrRun, o.Invalid)
+		return fmt.Errorf("%w: INVALID: %s", ErrBadRun, o.InvalidReason)
 	case len(o.Faults) > 0:
-		return fmt.Errorf("%w: %s", ErrRun, strings.Join(o.Faults, "; "))
+		return fmt.Errorf("%w: %s", ErrBadRun, strings.Join(o.Faults, "; "))
 	case o.Partial:
-		return fmt.Errorf("%w: PARTIAL: the run was ended early", ErrRun)
+		return fmt.Errorf("%w: PARTIAL: the run was ended early", ErrBadRun)
 	}
 	return nil
 }
 
-// JSON writes the report to a file.
-func (o *Report) JSON(path string) error {
+// WriteJSON writes the report to a file.
+func (o *Report) WriteJSON(path string) error {
 	text, err := json.MarshalIndent(o, "", " ")
 	if err != nil {
 		return err
@@ -390,13 +390,13 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Text writes the report in a readable form.
-func (o *Report) Text(w io.Writer) error {
+// WriteText writes the report in a readable form.
+func (o *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%d gateways (%d of them real), %d databases, %d regions, %d zones, %g ms between regions, %g ms within; %.0f s after %.0f s to settle\n\n",
-		o.Gateways, o.Real, o.Databases, o.Regions, o.Zones, o.RTT, o.RTTWithin, o.Seconds, o.Settled)
+		o.Gateways, o.RealGatewayCount, o.Databases, o.Regions, o.Zones, o.RTTMS, o.RTTWithinMS, o.Seconds, o.SettleSeconds)
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "of a gateway\tmean\tp99\tmax\t\n")
-	row := func(name string, dist *Dist) {
+	row := func(name string, dist *Distribution) {
 		if dist != nil {
 			fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%.4g\t\n", name, dist.Mean, dist.P99, dist.Max)
 		}
@@ -404,15 +404,15 @@
 	row("B/s sent", o.Control.BytesOut)
 	row("B/s received", o.Control.BytesIn)
 	row("messages/s sent", o.Control.Messages)
-	row("% of a core", o.Control.Core)
-	row("MB", o.Control.Memory)
-	if real := o.RealOnes; real != nil {
+	row("% of a core", o.Control.CorePercent)
+	row("MB", o.Control.MemoryMB)
+	if real := o.RealGateways; real != nil {
 		row("real: B/s sent", real.BytesOut)
-		row("real: % of a core, clients included", real.Core)
-		row("real: MB", real.Memory)
+		row("real: % of a core, clients included", real.CorePercent)
+		row("real: MB", real.MemoryMB)
 	}
-	row("lateness, ms", o.Lateness)
-	row("relay's lateness, ms", o.RelayLateness)
+	row("lateness, ms", o.LatenessMS)
+	row("relay's lateness, ms", o.RelayLatenessMS)
 	if err := table.Flush(); err != nil {
 		return err
 	}
@@ -427,7 +427,7 @@
 		return err
 	}
 	fmt.Fprintf(w, "\nmaximum over 10 s: %.0f B/s, %s from %.0f s to %.0f s, mostly %s; %d gateways had a window over the allowance\n",
-		o.Window.BytesOut, o.Window.Gateway, o.Window.From, o.Window.To, o.Window.Role, o.Window.Over)
+		o.PeakWindow.BytesOut, o.PeakWindow.Gateway, o.PeakWindow.From, o.PeakWindow.To, o.PeakWindow.Role, o.PeakWindow.GatewaysOver)
 	for _, s := range o.ViewsEqual {
 		result := "not before the next event or the end"
 		if s.Took != nil {
@@ -438,12 +438,12 @@
 	if delays := o.ListInForce; delays != nil {
 		fmt.Fprintf(w, "a change of the list known after: p50 %.1f s, p99 %.1f s, at most %.1f s (as reported each second)\n", delays.P50, delays.P99, delays.Max)
 	}
-	fmt.Fprintf(w, "false deaths: %d of %d gateways; %d while the fleet settled\n", o.FalseDeaths, o.FalseDeathsOf, o.EarlyDeaths)
+	fmt.Fprintf(w, "false deaths: %d of %d gateways; %d while the fleet settled\n", o.FalseDeaths, o.FalseDeathsOf, o.SettlingFalseDeaths)
 	fmt.Fprintf(w, "positions known: %.0f", o.Positions.Known)
-	if o.Positions.P50 != nil {
-		fmt.Fprintf(w, ", age %.2f s (p50), %.2f s (p99)", *o.Positions.P50, *o.Positions.P99)
+	if o.Positions.AgeP50 != nil {
+		fmt.Fprintf(w, ", age %.2f s (p50), %.2f s (p99)", *o.Positions.AgeP50, *o.Positions.AgeP99)
 	}
-	fmt.Fprintf(w, "\ndiscovery: at most %.0f calls a second (%.0f while the fleet settled), %d watches\n", o.Discovery.Calls, o.Discovery.Early, o.Discovery.Watches)
+	fmt.Fprintf(w, "\ndiscovery: at most %.0f calls a second (%.0f while the fleet settled), %d watches\n", o.Discovery.MaxCallsPerS, o.Discovery.MaxSettlingCallsPerS, o.Discovery.Watches)
 	fmt.Fprintf(w, "relay: %d datagrams passed, %d lost, %d cut, %d unsent, %d foreign, %d overflowed; %d connections\n",
 		o.Relay.Passed, o.Relay.Lost, o.Relay.Cut, o.Relay.Unsent, o.Relay.Foreign, o.Relay.Overflowed, o.Relay.Streams)
 	fmt.Fprintf(w, "%.0f MB in %d processes\n", o.MemoryMB, o.Processes)
@@ -455,7 +455,7 @@
 		fmt.Fprintln(w, "PARTIAL: the run was ended early")
 	}
 	if !o.Valid {
-		fmt.Fprintln(w, "INVALID: "+o.Invalid)
+		fmt.Fprintln(w, "INVALID: "+o.InvalidReason)
 	}
 	for _, f := range o.Faults {
 		fmt.Fprintln(w, "FAULT: "+f)
@@ -463,8 +463,8 @@
 	return nil
 }
 
-// Plots draws PREFIX-bytes.png, the bytes that a gateway sends by role, and PREFIX-lateness.png.
-func (o *Report) Plots(prefix string) error {
+// WritePlots draws PREFIX-bytes.png, the bytes that a gateway sends by role, and PREFIX-lateness.png.
+func (o *Report) WritePlots(prefix string) error {
 	run := o.run
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -522,7 +522,7 @@
 	var labelPoints plotter.XYLabels
 	list := slices.Clone(o.ViewsEqual)
 	for _, c := range o.run.cuts {
-		list = append(list, Settled{After: "cut", At: o.secondsSince(c.from)})
+		list = append(list, ViewConvergence{After: "cut", At: o.secondsSince(c.from)})
 	}
 	for _, s := range list {
 		line, err := plotter.NewLine(plotter.XYs{{X: s.At, Y: 0}, {X: s.At, Y: plot.Y.Max}})
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -28,11 +28,11 @@
 
 // Run is a run of a plan.
 type Run struct {
-	Plan    *Plan
-	Command string    // command line, for the report
-	Hollow  []string  // command that starts a process of hollow gateways
-	Gateway []string  // command that starts a real gateway
-	Log     io.Writer // receives the log lines of all processes; may be nil
+	Plan           *Plan
+	CommandLine    string    // command line, for the report
+	HollowCommand  []string  // command that starts a process of hollow gateways
+	GatewayCommand []string  // command that starts a real gateway
+	Log            io.Writer // receives the log lines of all processes; may be nil
 
 	dir             string
 	rnd             *rand.Rand
@@ -90,12 +90,12 @@
 	r.rnd = rand.New(rand.NewPCG(plan.Seed, 0x7363616c))
 	r.stop = make(chan struct{})
 	r.processOf, r.byName = map[string]*hollowProcess{}, map[string]*gatewayState{}
-	r.balancer = lab.NewBalancer(plan.Real, nil)
+	r.balancer = lab.NewBalancer(plan.RealGateways, nil)
 	defer r.close()
 	if err := r.startFleet(ctx); err != nil {
 		return nil, err
 	}
-	if plan.Real > 0 {
+	if plan.RealGateways > 0 {
 		var err error
 		if r.clients, err = startClientLoad(plan, r.realGateways, r.balancer); err != nil {
 			return nil, err
@@ -127,7 +127,7 @@
 				}
 			}()
 		}
-		partial = !waitFor(runCtx, plan.For)
+		partial = !waitFor(runCtx, plan.Duration)
 		r.endMeasurement()
 		close(r.stop)
 		events.Wait()
@@ -171,7 +171,7 @@
 	zoneOf := make([]int, p.Gateways)
 	for g := range zoneOf {
 		zoneOf[g] = p.zoneOf(g)
-		gateway := &gatewayState{name: p.Name(g), index: g, zone: zoneOf[g], real: g < p.Real}
+		gateway := &gatewayState{name: p.GatewayName(g), index: g, zone: zoneOf[g], real: g < p.RealGateways}
 		r.gateways = append(r.gateways, gateway)
 		r.byName[gateway.name] = gateway
 	}
@@ -181,15 +181,15 @@
 	for a := range zones {
 		for b := range zones {
 			link := wan.Link{Delay: secondsToDuration(p.RTT.Within / 2), Loss: p.Loss.Within}
-			if p.Region(zones[a]) != p.Region(zones[b]) {
+			if p.RegionOf(zones[a]) != p.RegionOf(zones[b]) {
 				link = wan.Link{Delay: secondsToDuration(p.RTT.Between / 2), Jitter: p.Jitter, Loss: p.Loss.Between}
 			}
 			r.relay.SetLink(a, b, link)
 		}
 	}
-	groups := (p.Databases + p.Group - 1) / p.Group
+	groups := (p.Databases + p.GroupSize - 1) / p.GroupSize
 	r.world, err = standin.New(standin.Options{
-		Groups: groups, Members: p.Group, MaxDatabases: p.Databases, Sites: p.databaseZones(), NoListeners: p.Real == 0, Cores: 4, Queue: 100,
+		Groups: groups, Members: p.GroupSize, MaxDatabases: p.Databases, Sites: p.databaseZones(), NoListeners: p.RealGateways == 0, Cores: 4, Queue: 100,
 		Service: 2 * time.Millisecond, Lag: 10 * time.Millisecond, Seed: p.Seed, Bounds: map[string]time.Duration{"browse": 3 * time.Second},
 	})
 	if err != nil {
@@ -217,8 +217,8 @@
 			}
 		}
 		r.mu.Unlock()
-		if n := r.balancer.Admitted(); missing == "" && n < p.Real {
-			missing = fmt.Sprintf("%d of the real ones, which the balancer does not admit,", p.Real-n)
+		if n := r.balancer.Admitted(); missing == "" && n < p.RealGateways {
+			missing = fmt.Sprintf("%d of the real ones, which the balancer does not admit,", p.RealGateways-n)
 		}
 		if missing == "" {
 			return nil
@@ -267,18 +267,18 @@
 func (r *Run) startProcesses(ctx context.Context) error {
 	p := r.Plan
 	zones := p.Zones()
-	for g := p.Real; g < p.Gateways; g += p.Hollow {
+	for g := p.RealGateways; g < p.Gateways; g += p.HollowPerProcess {
 		first := hollow.Start{ReportMS: int(reportInterval.Milliseconds())}
-		list := r.gateways[g:min(g+p.Hollow, p.Gateways)]
+		list := r.gateways[g:min(g+p.HollowPerProcess, p.Gateways)]
 		for _, gateway := range list {
 			dir := r.gatewayDir(gateway.name)
-			first.Gateways = append(first.Gateways, hollow.Spec{
+			first.Gateways = append(first.Gateways, hollow.GatewaySpec{
 				Name: gateway.name, Config: filepath.Join(dir, "config.json"), Fleet: filepath.Join(dir, "fleet.yaml"), Zone: zones[gateway.zone],
-				StatementsPerS: p.Load.Statements, Skew: p.Load.Skew,
+				StatementsPerS: p.Load.StatementsPerS, Skew: p.Load.Skew,
 			})
 		}
 		r.markStarted(list)
-		process, err := startHollowProcess(r.Hollow, r.writeLog, first, r.addHollowReport)
+		process, err := startHollowProcess(r.HollowCommand, r.writeLog, first, r.addHollowReport)
 		if err != nil {
 			return err
 		}
@@ -286,11 +286,11 @@
 		for _, gateway := range list {
 			r.processOf[gateway.name] = process
 		}
-		if !waitFor(ctx, p.Pace) {
+		if !waitFor(ctx, p.StartInterval) {
 			return ctx.Err()
 		}
 	}
-	for _, gateway := range r.gateways[:p.Real] {
+	for _, gateway := range r.gateways[:p.RealGateways] {
 		process := &realGateway{run: r, state: gateway}
 		r.realGateways = append(r.realGateways, process)
 		r.markStarted([]*gatewayState{gateway})
@@ -459,8 +459,8 @@
 		}
 		var exceeded string
 		switch {
-		case sample.rssBytes > r.Plan.Limits.Memory*machineMemory:
-			exceeded = fmt.Sprintf("all processes use %.0f MB of memory, over %.0f%% of the machine's %.0f MB", sample.rssBytes/1e6, 100*r.Plan.Limits.Memory, machineMemory/1e6)
+		case sample.rssBytes > r.Plan.Limits.MemoryShare*machineMemory:
+			exceeded = fmt.Sprintf("all processes use %.0f MB of memory, over %.0f%% of the machine's %.0f MB", sample.rssBytes/1e6, 100*r.Plan.Limits.MemoryShare, machineMemory/1e6)
 		case sample.processes > r.Plan.Limits.Processes:
 			exceeded = fmt.Sprintf("%d processes, over the limit of %d", sample.processes, r.Plan.Limits.Processes)
 		}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -65,12 +65,12 @@
 func TestScaleFaultsBetweenHollowAndRealGateways(t *testing.T) {
 	t.Parallel()
 	tool, gateway := buildPrograms(t)
-	p := parsePlan(t, fmt.Sprintf(faultyPlan, "40 kB/s"), NoOverride())
-	r := &Run{Plan: p, Command: "test", Hollow: []string{tool, "hollow"}, Gateway: []string{gateway}}
+	p := parsePlan(t, fmt.Sprintf(faultyPlan, "40 kB/s"), NoFlagValues())
+	r := &Run{Plan: p, CommandLine: "test", HollowCommand: []string{tool, "hollow"}, GatewayCommand: []string{gateway}}
 	got, err := r.Play(context.Background())
 	require.NoError(t, err)
 	text := &bytes.Buffer{}
-	require.NoError(t, got.Text(text))
+	require.NoError(t, got.WriteText(text))
 	t.Log(text)
 	assert.NoError(t, got.Verdict())
 	assert.Zero(t, got.FalseDeaths)
@@ -90,12 +90,12 @@
 	assert.Positive(t, got.Relay.Lost)
 	assert.Zero(t, got.Relay.Foreign)
 	assert.Equal(t, 1+3+3, got.Processes)
-	require.NotNil(t, got.RealOnes)
+	require.NotNil(t, got.RealGateways)
 	assert.Greater(t, got.Clients.Total.Counts[run.InAim], got.Clients.Total.Count*3/4, "although a real gateway was killed and another restarted")
 	assert.Greater(t, got.Clients.Total.Count, 1000)
 
 	path := filepath.Join(t.TempDir(), "r.json")
-	require.NoError(t, got.JSON(path))
+	require.NoError(t, got.WriteJSON(path))
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
 	var top map[string]any
@@ -105,7 +105,7 @@
 		assert.Contains(t, top, key)
 	}
 	assert.Nil(t, top["in_force_s"])
-	require.NoError(t, got.Plots(filepath.Join(t.TempDir(), "r")))
+	require.NoError(t, got.WritePlots(filepath.Join(t.TempDir(), "r")))
 	for _, h := range r.hollowProcesses {
 		assert.NotNil(t, h.cmd.ProcessState, "the process has ended")
 	}
@@ -120,39 +120,39 @@
 func TestScaleAllowanceAndInterrupt(t *testing.T) {
 	t.Parallel()
 	tool, _ := buildPrograms(t)
-	p := parsePlan(t, calmPlan("10 B/s"), Override{Gateways: 8, Seed: -1, Real: 0, Statements: 70})
+	p := parsePlan(t, calmPlan("10 B/s"), FlagValues{Gateways: 8, Seed: -1, RealGateways: 0, StatementsPerS: 70})
 	p.Settle = 2 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
-	r := &Run{Plan: p, Hollow: []string{tool, "hollow"}}
+	r := &Run{Plan: p, HollowCommand: []string{tool, "hollow"}}
 	got, err := r.Play(ctx)
 	require.NoError(t, err)
 	assert.True(t, got.Partial)
 	assert.Less(t, got.Seconds, 20.0)
-	assert.Equal(t, 8, got.Window.Over)
+	assert.Equal(t, 8, got.PeakWindow.GatewaysOver)
 	assert.ErrorContains(t, got.Verdict(), "8 of 8 gateways sent over 10 B/s in a window of 10 s")
 	assert.Nil(t, got.ListInForce)
-	assert.Nil(t, got.RealOnes)
+	assert.Nil(t, got.RealGateways)
 }
 
 // A run stops when it exceeds its limits.
 func TestScaleStopsAtItsLimits(t *testing.T) {
 	tool, _ := buildPrograms(t)
-	p := parsePlan(t, calmPlan("1 MB/s"), Override{Gateways: 4, Seed: -1, Real: 0, Statements: 70})
-	p.Limits.Memory = 1e-6
+	p := parsePlan(t, calmPlan("1 MB/s"), FlagValues{Gateways: 4, Seed: -1, RealGateways: 0, StatementsPerS: 70})
+	p.Limits.MemoryShare = 1e-6
 	begun := time.Now()
-	got, err := (&Run{Plan: p, Hollow: []string{tool, "hollow"}}).Play(context.Background())
+	got, err := (&Run{Plan: p, HollowCommand: []string{tool, "hollow"}}).Play(context.Background())
 	require.NoError(t, err)
 	assert.Less(t, time.Since(begun), p.Settle)
 	assert.False(t, got.Valid)
-	assert.Contains(t, got.Invalid, "over 0% of the machine's")
+	assert.Contains(t, got.InvalidReason, "over 0% of the machine's")
 	assert.True(t, got.Partial)
 }
 
 func TestScaleFailsWhenHollowProcessEnds(t *testing.T) {
-	p := parsePlan(t, calmPlan("1 MB/s"), Override{Gateways: 4, Seed: -1, Real: 0, Statements: 70})
-	_, err := (&Run{Plan: p, Hollow: []string{"false"}}).Play(context.Background())
+	p := parsePlan(t, calmPlan("1 MB/s"), FlagValues{Gateways: 4, Seed: -1, RealGateways: 0, StatementsPerS: 70})
+	_, err := (&Run{Plan: p, HollowCommand: []string{"false"}}).Play(context.Background())
 	assert.Error(t, err)
-	_, err = (&Run{Plan: p, Hollow: []string{"/nonexistent"}}).Play(context.Background())
+	_, err = (&Run{Plan: p, HollowCommand: []string{"/nonexistent"}}).Play(context.Background())
 	assert.Error(t, err)
 }
