--- a/cmd/lilacload/datapath.go
+++ b/cmd/lilacload/datapath.go
@@ -98,10 +98,10 @@
 	flagSet.DurationVar(&options.ServiceTime, "service", 5*time.Millisecond, "mean service time of a statement at a database")
 	flagSet.DurationVar(&options.MaxLateness, "stall", 100*time.Millisecond, "timer lag of the clients' or databases' process above which the run is invalid")
 	flagSet.StringVar(&gateway, "gateway", "bin/lilaccove", "command of the gateway")
-	flagSet.StringVar(&jsonFile, "json", "", "write the report to this file as well")
+	flagSet.StringVar(&jsonFile, "json", "", "also write the report to this file")
 	flagSet.StringVar(&logFile, "logs", "", "write the gateway's log to this file")
 	command.AddCommand(
-		&cobra.Command{Use: "fit A.json B.json ...", Short: "Fit slopes of memory and processor time over reports", Args: cobra.MinimumNArgs(2), RunE: fitReports},
+		&cobra.Command{Use: "fit A.json B.json ...", Short: "Fit slopes of memory and CPU time over several reports", Args: cobra.MinimumNArgs(2), RunE: fitReports},
 		&cobra.Command{Use: "databases", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			return datapath.RunDatabases(os.Stdin, os.Stdout)
 		}},
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -120,9 +120,9 @@
 	return slices.Contains(c.sides[0], a) && slices.Contains(c.sides[1], b) || slices.Contains(c.sides[0], b) && slices.Contains(c.sides[1], a)
 }
 
-// isFalseDeath reports whether gateway by declared gateway of dead without a reason: of was alive, and the relay had not cut them off
-// from each other. A cut, or a process of that name, that ended less than faultGrace ago is a reason too, as the membership updates
-// about it may still be spreading.
+// isFalseDeath reports whether the gateway by had no reason to declare the gateway of dead. A reason is that of was down or that the
+// relay had cut the two off from each other. A downtime of that gateway, or any cut, that ended less than faultGrace ago is a reason
+// too, as membership updates about it may still be spreading.
 func isFalseDeath(by, of *gatewayState, at time.Time, cuts []zoneCut) bool {
 	if slices.ContainsFunc(of.downtimes, func(s period) bool { return s.includes(at, faultGrace) }) {
 		return false
@@ -146,8 +146,8 @@
 	superseded  bool          // another event came before the views were equal
 }
 
-// viewsEqual reports whether all live gateways, in reports from later than after, have the same view with as many members as there are
-// live gateways.
+// viewsEqual reports whether all live gateways have reported since after, and all with the same view, which has as many members as
+// there are live gateways.
 func viewsEqual(gateways []*gatewayState, after time.Time) bool {
 	live, digest := 0, uint64(0)
 	for _, g := range gateways {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -15,17 +15,18 @@
 	"lilaccove/internal/hollow"
 )
 
-// hollowProcess is a hollowProcess that runs hollow gateways.
+// hollowProcess is a process that runs hollow gateways.
 type hollowProcess struct {
 	cmd         *exec.Cmd
-	mu          sync.Mutex // guards in
+	mu          sync.Mutex // guards stdin
 	stdin       io.WriteCloser
 	done        chan struct{}
-	lastLogLine string // last line of its log
+	lastLogLine string
 	err         error
 }
 
-// startHollowProcess starts a process. It calls log for each log line and take for each report, on a goroutine each.
+// startHollowProcess starts a process. It calls onLogLine for each log line and onReport for each report,
+// from a goroutine each.
 func startHollowProcess(command []string, onLogLine func(line string), first hollow.Start, onReport func(*hollow.Report)) (*hollowProcess, error) {
 	process := &hollowProcess{cmd: exec.Command(command[0], command[1:]...), done: make(chan struct{})}
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // the terminal's interrupt reaches the run only
@@ -75,7 +76,7 @@
 	return process, process.send(first)
 }
 
-// send writes v as one line to the process's standard input.
+// send writes the message as one line to the process's standard input.
 func (h *hollowProcess) send(message any) error {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -115,10 +116,10 @@
 // processUse is a process's resource use according to /proc.
 type processUse struct {
 	rss   float64 // bytes
-	cpuMS float64 // ms
+	cpuMS float64
 }
 
-func processUsage(pid int) (result processUse, ok bool) {
+func readProcessUse(pid int) (result processUse, ok bool) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return result, false
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -104,7 +104,7 @@
 			state.Roles = stats.TrafficByRole(metrics)
 			state.ViewMembers = int(metrics["fleet_view_members"])
 		}
-		usage, _ = processUsage(process.Pid())
+		usage, _ = readProcessUse(process.Pid())
 	}
 	run.mu.Lock()
 	changePending := len(run.listChanges) > 0 && !run.listChanges[len(run.listChanges)-1].complete
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -401,7 +401,7 @@
 		r.mu.Lock()
 		for _, convergence := range r.convergences {
 			if convergence.took == 0 && viewsEqual(r.gateways, convergence.since) {
-				convergence.took = r.newestSample().Sub(convergence.since)
+				convergence.took = r.newestSampleTime().Sub(convergence.since)
 			}
 		}
 		for _, change := range r.listChanges {
@@ -414,8 +414,8 @@
 	}
 }
 
-// newestSample returns the time of the newest sample of a live gateway.
-func (r *Run) newestSample() (at time.Time) {
+// newestSampleTime returns the time of the newest sample of a live gateway.
+func (r *Run) newestSampleTime() (at time.Time) {
 	for _, g := range r.gateways {
 		if s := g.lastSample(); g.live && s != nil && s.at.After(at) {
 			at = s.at
@@ -443,7 +443,7 @@
 		calls := r.world.Discovery().Calls()
 		sample := runSample{at: time.Now(), discoveryCalls: calls.Requests, watches: calls.Watches, relay: r.relay.Counts(), lateness: lateness}
 		for _, pid := range r.pids() {
-			if usage, ok := processUsage(pid); ok {
+			if usage, ok := readProcessUse(pid); ok {
 				sample.rssBytes += usage.rss
 				sample.processes++
 			}
