--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -41,8 +41,8 @@
 	WriteShare     float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
 }
 
-// GatewayState is one gateway in a report. Counters are totals since its start; late_ms_max and dead_names cover the time since the last
-// report; the rest are current values.
+// GatewayState is one gateway in a report. Counters are totals since its start; late_ms_max and dead_names cover the time since
+// the last report; the rest are current values.
 type GatewayState struct {
 	Name                  string                   `json:"name"`
 	Up                    bool                     `json:"up"`
@@ -80,7 +80,7 @@
 	mu        sync.Mutex
 	current   *run          // nil: not running
 	finished  chan struct{} // closed when the last run has released everything
-	lastState GatewayState  // as last reported
+	lastState GatewayState  // last state reported
 	err       error         // why it did not start or ended unexpectedly
 }
 
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -51,7 +51,7 @@
 	RSSBytes      int64   `json:"rss_bytes"`
 	LiveHeapBytes uint64  `json:"heap_live_bytes"` // bytes live at the last garbage collection
 	LateMSMax     float64 `json:"late_ms_max"`
-	MonitorCPUMS  float64 `json:"monitor_cpu_ms"` // part of cpu_ms used by the runtime's monitor thread, see Threads
+	MonitorCPUMS  float64 `json:"monitor_cpu_ms"` // part of cpu_ms used by the runtime's monitor thread, see ThreadTimes
 }
 
 // Run reads the gateways and then orders from in, until quit or the end of input, and writes reports to out. The gateways' log
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -24,12 +24,12 @@
 	Databases        int
 	GroupSize        int // databases per group
 	RealGateways     int // how many of the gateways are processes of the whole program, with clients
-	HollowPerProcess int // hollow gateways per process
+	HollowPerProcess int // hollow gateways in one process
 	Regions          []Region
 	RTT, Loss        LinkProperty
 	Jitter           time.Duration // of the one-way delay between regions
 	Load             Load
-	RequestsPerS     float64       // requests per second to each real gateway
+	RequestsPerS     float64       // to each real gateway
 	StartInterval    time.Duration // between the starts of two processes
 	Settle           time.Duration
 	Duration         time.Duration
@@ -51,16 +51,16 @@
 
 // Load is the load generated in each hollow gateway.
 type Load struct {
-	StatementsPerS float64 // per second
+	StatementsPerS float64
 	Skew           float64 // exponent of Zipf's law over the databases; 0: even
 }
 
 // Allowance is the most that the control side of one gateway may use.
 type Allowance struct {
-	BytesOutPerS       float64 // per second, in any window of windowSeconds
-	CoreShare          float64 // share of a core
+	BytesOutPerS       float64 // in any window of windowSeconds
+	CoreShare          float64
 	MemoryMB           float64
-	DiscoveryCallsPerS float64 // calls per second to discovery by all gateways, after the settling time; 0: unlimited
+	DiscoveryCallsPerS float64 // by all gateways, after the settling time; 0: unlimited
 }
 
 // Limits bounds the resources of the run itself.
@@ -110,11 +110,11 @@
 	Seed                         int64 // -1: unset
 	Settle, Duration             time.Duration
 	RealGateways                 int      // -1: unset
-	StatementsPerS               float64  // per second; below 0: unset
+	StatementsPerS               float64  // below 0: unset
 	OmittedFleetKeys             []string // keys to leave out of the plan's fleet mapping
 }
 
-// NoFlagValues returns an Override that replaces nothing.
+// NoFlagValues returns FlagValues that replace nothing.
 func NoFlagValues() FlagValues { return FlagValues{Seed: -1, RealGateways: -1, StatementsPerS: -1} }
 
 const (
@@ -123,7 +123,7 @@
 	defaultRealGateways = 8 // unless the plan or a flag sets it
 )
 
-const windowSeconds = 10 // length of the windows in which Allowance.BytesOut is checked
+const windowSeconds = 10 // length of the windows in which Allowance.BytesOutPerS is checked
 
 type planReader struct {
 	*yamlfile.Reader
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -29,7 +29,7 @@
 // Run is a run of a plan.
 type Run struct {
 	Plan           *Plan
-	CommandLine    string    // command line, for the report
+	CommandLine    string    // for the report
 	HollowCommand  []string  // command that starts a process of hollow gateways
 	GatewayCommand []string  // command that starts a real gateway
 	Log            io.Writer // receives the log lines of all processes; may be nil
