--- a/internal/capacity/sizes.go
+++ b/internal/capacity/sizes.go
@@ -54,8 +54,8 @@
 	versionReportInterval  = time.Second             // fleet/audit, reportInterval
 	maxMembers             = 4096                    // fleet, MaxMembers
 	maxFrame               = 480 << 10               // B, peer
-	maxAnswer              = 8 << 20                 // B, lilacctl, mostAnswer
-	idleCloseDivisor       = 4                       // front starts closing idle clients when they use 1/4 of the descriptors (ARCHITECTURE.md, Bounds)
+	maxAnswer              = 8 << 20                 // B, lilacctl, maxAnswerBytes
+	idleCloseDivisor       = 4                       // front starts closing idle clients when they use 1/4 of the descriptors (ARCHITECTURE.md, Limits)
 	memberBytes            = 95                      // B of JSON for a member in GET /v1/fleet/members, name of four letters; TestSizesOfTypicalEntries
 	versionBytes           = 226                     // B of JSON for a gateway in GET /v1/fleet/versions; the same test
 	positionBytes          = 21                      // B of CBOR for a position, name of eight letters; the same test
