--- a/internal/repeats/repeats.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,8 +1,8 @@
-// Package repeats implements a retry budget: it bounds retries to a share of first attempts (Google's "Site Reliability
+// Package retrybudget implements a retry budget: it bounds retries to a share of first attempts (Google's "Site Reliability
 // Engineering", chapter 21). A share needs no coordination: if each gateway keeps to it, the fleet does, however load is
 // distributed, whichever gateways can communicate and whichever have just started. So a stalled group receives a bounded number
 // of retries from all gateways together, without leases or messages between them.
-package repeats
+package retrybudget
 
 // burst is the maximum number of saved-up retries and the initial number: a gateway with little load must be able to retry at
 // all. Each gateway may exceed its share by this number.
--- a/internal/repeats/repeats_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"testing"
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"lilaccove/internal/repeats"
+	"lilaccove/internal/retrybudget"
 )
 
 // onFleetEvent applies an event from the fleet. Such events only limit, order or time what this router could
@@ -33,7 +33,7 @@
 		r.overridesPending = e.Active
 		r.retryAll()
 	case RetryBudget:
-		r.retryBudget = repeats.New(e.Share)
+		r.retryBudget = retrybudget.New(e.Share)
 	case ProcessPaused:
 		r.pausedTotal, r.recentPause = e.Total, e.Total-r.pausedTotal
 	case PreferredHosts:
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lilaccove/internal/alarm"
-	"lilaccove/internal/repeats"
+	"lilaccove/internal/retrybudget"
 )
 
 const (
@@ -124,7 +124,7 @@
 	sessionCommits           map[SessionID]time.Duration // newest commit acknowledged to each session here
 	forgottenCommit          time.Duration               // entries of sessionCommits up to here were dropped
 	alarms                   alarm.Queue
-	retryBudget              repeats.Budget
+	retryBudget              retrybudget.Budget
 	retryGroups              []*group // whose waiting requests are routed again at the end of the step
 	timerID                  uint64
 	timerAt                  time.Duration    // earliest pending timer; maxDuration if none
