--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -14,7 +14,7 @@
 
 	"lilaccove/internal/fleet/state"
 	"lilaccove/internal/load/plan"
-	"lilaccove/internal/wordstore"
+	"lilaccove/internal/overridestore"
 )
 
 // storePlan has four gateways that store operator overrides on disk.
@@ -264,7 +264,7 @@
 		for i := range 4 {
 			require.NoError(t, os.RemoveAll(fleet.OverridesDir(i)))
 		}
-		store, _, err := wordstore.Open(wordstore.Options{Dir: fleet.OverridesDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
+		store, _, err := overridestore.Open(overridestore.Options{Dir: fleet.OverridesDir(0), Fleet: "lab", Gateway: "n0", Session: 1, Retention: time.Minute})
 		require.NoError(t, err)
 		saved := make(chan error, 1)
 		store.Save(overrides, func(err error) { saved <- err })
--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -512,10 +512,10 @@
 	{"membership", "`internal/fleet/membership`, `internal/peer`"},
 	{"positions", "`internal/fleet/state` (Positions), `internal/peer`"},
 	{"primaries", "`internal/fleet/state` (Positions), `internal/peer`"},
-	{"words", "`internal/fleet/state` (Words), `internal/peer`, `internal/wordstore`"},
+	{"words", "`internal/fleet/state` (Overrides), `internal/peer`, `internal/overridestore`"},
 	{"versions", "`internal/fleet/audit`, `internal/peer`"},
 	{"budgets", "`internal/fleet/budget`, `internal/peer`"},
-	{"discovery", "`internal/discovery`, `policy` (askForList)"},
+	{"discovery", "`internal/discovery`, `policy` (requestList)"},
 }
 
 // roleNames returns the names of roles and of any others that the runs have.
--- a/internal/capacity/parts.go
+++ b/internal/capacity/parts.go
@@ -104,7 +104,7 @@
 
 // database has what one database receives from all gateways.
 func (st *dataset) database() Part {
-	pool := "`internal/backend`, `policy` (seldom)"
+	pool := "`internal/backend`, `policy` (rareResultInterval)"
 	// perDatabase is a figure of one gateway's pool as one database sees it from all gateways. Neither it nor heldToRole is a
 	// sum of a share of the clients and a share of the list, so no slope applies: only runs of the same size count.
 	perDatabase := func(name, unit, formula string, get func(*Datapath) float64) Figure {
--- a/internal/wordstore/wordstore.go
+++ b/internal/overridestore/overridestore.go
@@ -1,10 +1,10 @@
-// Package wordstore stores the fleet's operator overrides in a file, on a goroutine of its own: a slow, full or failing disk
+// Package overridestore stores the fleet's operator overrides in a file, on a goroutine of its own: a slow, full or failing disk
 // is reported and never blocks the caller. The file is one more copy of the overrides and is merged like any other copy:
 // overrides that it has and the process lacks are kept, whichever process wrote them. It is replaced atomically, so that a
 // crash leaves either the old file or the new one, and carries a checksum, so that corruption is detected. A corrupt or
 // expired file is moved aside, one of another gateway, another fleet or a later build is left alone: the gateway starts
 // without it and gets the overrides from the other members.
-package wordstore
+package overridestore
 
 import (
 	"bytes"
--- a/internal/wordstore/wordstore_test.go
+++ b/internal/overridestore/overridestore_test.go
@@ -1,4 +1,4 @@
-package wordstore
+package overridestore
 
 import (
 	"fmt"
--- a/internal/peer/overrides.go
+++ b/internal/peer/overrides.go
@@ -14,7 +14,7 @@
 	"lilaccove/internal/fleet/membership"
 	"lilaccove/internal/fleet/state"
 	"lilaccove/internal/netloop"
-	"lilaccove/internal/wordstore"
+	"lilaccove/internal/overridestore"
 )
 
 const (
@@ -34,8 +34,8 @@
 	syncStart time.Duration // when waiting for the overrides of others began
 	onChange  func(host string, active bool)
 	changeLog netloop.RateLimitedLog
-	store     *wordstore.Store // nil: overrides are not stored
-	callbacks chan func()      // from the store's goroutine, to be run on the loop
+	store     *overridestore.Store // nil: overrides are not stored
+	callbacks chan func()          // from the store's goroutine, to be run on the loop
 	pending   []*pendingOverride
 
 	storeUnread bool // the store's file has not been read yet
@@ -79,7 +79,7 @@
 // other members, or, if the file cannot be read yet, this gateway waits for it.
 func (s *overrides) openStore(cfg *fleet.Overrides, own membership.Entry) {
 	s.callbacks = make(chan func(), 256)
-	store, stored, err := wordstore.Open(wordstore.Options{
+	store, stored, err := overridestore.Open(overridestore.Options{
 		Dir: cfg.Dir, Fleet: s.links.file.Fleet, Gateway: own.Name, Session: own.Session, Retention: cfg.Retention, OnFound: s.mergeFound,
 	})
 	if err != nil {
@@ -88,7 +88,7 @@
 	if store == nil {
 		return
 	}
-	s.store, s.storeUnread = store, errors.Is(err, wordstore.ErrUnreadable)
+	s.store, s.storeUnread = store, errors.Is(err, overridestore.ErrUnreadable)
 	s.set.Load(stored)
 	log.Printf("event=fleet_words_loaded words=%d", len(stored))
 	s.links.loop.OnWake(func() {
