--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,8 +8,8 @@
 )
 
 // hasCapacity reports whether h may get one more attempt. The limit follows answer times (see recordOutcome).
-// Below one it is a pause between attempts. Classes worth less for the time they take get a smaller part of
-// it.
+// A limit below one means a pause between attempts. Classes worth less for the time they take get a smaller
+// part of the limit.
 func (r *Router) hasCapacity(h *host, req *request) bool {
 	limit, isPrimary := h.limit, h == h.group.primary
 	if h.hasMaxAttempts && len(h.outstanding) >= h.maxAttempts {
@@ -30,8 +30,9 @@
 	return len(h.outstanding) == 0 && (r.now-h.sentAt).Seconds() >= pause
 }
 
-// adjustAdmission changes the admitted share of requests after an answer. It keeps queues short where results
-// of a single host are too rare to learn its limit, by the answers of all primaries or all replicas together.
+// adjustAdmission multiplies the admitted share of requests by factor if results of h are too rare to learn
+// its limit. The share follows the answers of all primaries or all replicas together, and keeps queues short
+// where limits of single hosts cannot.
 func (r *Router) adjustAdmission(h *host, factor float64) {
 	if isPrimary := h == h.group.primary; h.resultInterval > rareResultInterval {
 		if isPrimary && factor < 1 && r.settings.Routers > smallFleetSize {
--- a/policy/clock.go
+++ b/policy/clock.go
@@ -1,8 +1,8 @@
 // The offset of the databases' clock from this router's own.
 //
 // Positions, commits and start times are given on the clock that the databases share. A process keeps the
-// wall clock that it read at its start, which may have been wrong. So whatever is compared with those times
-// is databaseTime.
+// wall clock that it read at its start, which may have been wrong. So only databaseTime is compared with
+// those times.
 
 package policy
 
@@ -12,7 +12,7 @@
 	maxPositionLead    = time.Second            // of a plausible position over databaseTime
 	clockTolerance     = 100 * time.Millisecond // from the writing of an answer until it counts as received
 	minClockSamples    = 3                      // answers that have to agree on a clock step,
-	minClockSampleSpan = time.Second            // and the time they span, too long for a stopped log
+	minClockSampleSpan = time.Second            // from first to last: those of a stopped log disagree by then
 	clockTimeout       = 2 * time.Second        // until this router's clock is used, if no primary answers
 )
 
--- a/policy/list.go
+++ b/policy/list.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// subscribe requests the list after a pause; the call fails after a time of within.
+// subscribe requests the list after a pause. A call that brings nothing for the time within has failed.
 func (r *Router) subscribe(pause, within time.Duration) {
 	r.wakeAt(r.now+pause, func() { r.emit(Subscribe{Timeout: within}) })
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -21,7 +21,7 @@
 	agentTimeoutDivisor = 4                       // the agent's timeout is this part of the drain grace
 	minAgentTimeout     = 20 * time.Millisecond   // enough for an answer from this machine
 	maxQueueTimeouts    = 4                       // consecutive queueTimeouts before calls back off
-	fleetProbeInterval  = 25 * time.Millisecond   // between a fleet's probes, if these report no role
+	fleetProbeInterval  = 25 * time.Millisecond   // between a fleet's probes of a primary if they lack roles
 
 	// Up to this size each router often gets results of each host, and all may call discovery at once.
 	smallFleetSize      = 8
@@ -29,7 +29,7 @@
 
 	coldGrowthShare  = 0.45 // of OverloadFactor, by which a cold host's budget grows, see takeColdBudget
 	coldGrowthBonus  = 0.6  // what is added to that as hosts warm up and answer in time
-	coldBurstRouters = 400  // in so many, each meets a cold host too rarely to spend its budget
+	coldBurstRouters = 400  // so many use a cold host so rarely that each may save an OverloadWindow's budget
 
 	smoothingWeight     = 0.1   // of a new observation of a host
 	equalCostFactor     = 1.5   // members within this factor of the lowest cost count as equals
@@ -140,7 +140,7 @@
 	coldHealth               float64          // 0 to 1: how well all cold hosts together answer in time
 	coldHealthAt, workSince  time.Duration
 	startedAt                time.Duration // the first Step; negative: none yet
-	listReceived             bool          // a list was received since then
+	listReceived             bool          // a list other than ListCached was received since the start
 	fenced                   bool          // writes are refused
 	overridesPending         bool          // earlier operator overrides are not loaded yet
 	queueTimeouts            int           // consecutive calls that timed out in discovery's queue
--- a/policy/primary.go
+++ b/policy/primary.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// allowsHalfOpenTrial reports whether req is sent to the primary although the breaker is open. One request at
-// a time is, if the primary has passed a probe since the opening.
+// allowsHalfOpenTrial reports whether req is sent to the primary although the breaker is open. If the primary
+// has passed a probe since the opening, one request is sent after each pause. The pause doubles with each
+// opening, and is ten times as long for requests that need the primary.
 func (r *Router) allowsHalfOpenTrial(req *request) bool {
 	primary, pause := req.group.primary, suspectProbeInterval<<min(max(req.group.breakerTrips, 1)-1, 5)
 	if req.needsPrimary() {
@@ -97,7 +98,7 @@
 	return oldest
 }
 
-// recordFailure counts a failed attempt at h; late: it timed out.
+// recordFailure counts a failed attempt at h; late: it got no answer in time.
 func (r *Router) recordFailure(h *host, late bool) {
 	h.latencyRatio = cmp.Or(h.latencyRatio, 1)
 	if h.failures++; late && h.failures < 3 { // a host that only fails does not lack capacity
@@ -115,8 +116,8 @@
 }
 
 // searchPrimary probes the primary, or every member while the breaker is open or the primary is unknown, at
-// growing intervals, until a primary has answered. If probes report no role, only the primary is probed, and
-// the whole fleet shares one rate of probes.
+// growing intervals, until a primary has answered, for at most 50 times suspectProbeInterval. If probes
+// report no role, only the primary is probed, and the whole fleet shares one rate of probes.
 func (r *Router) searchPrimary(g *group) {
 	g.searching = false
 	searchAll := g.breakerOpen || g.primary == nil
--- a/policy/result.go
+++ b/policy/result.go
@@ -36,8 +36,8 @@
 		r.observeDatabaseTime(a, e.Role, e.Position)
 	}
 	if e.Outcome == OK && e.Role == Primary {
-		// A serving primary had reached the time of sending. A hung one still rejects requests as primary,
-		// which says nothing about its position.
+		// A primary that serves a request had reached the time of its sending. A hung one still rejects
+		// requests as primary, which says nothing about its position.
 		r.learnPosition(h, a.sentAt+r.clock.offset)
 	}
 	if e.HasPosition && r.Plausible(e.Position) {
@@ -117,8 +117,8 @@
 		r.adjustAdmission(h, admitRejectedFactor)
 		r.reduceLimit(h)
 	case Error, Timeout, Reset, ConnectFailed:
-		// The timeout of a read sent late in its aim shows nothing, nor does an error after one that may have
-		// run.
+		// The timeout of a read sent late in its aim shows nothing, nor does an error after an attempt that
+		// may have run.
 		if !a.overdue && (outcome != Timeout || latency >= a.req.class.Aim/2) && !ranBefore {
 			r.recordFailure(h, outcome == Timeout)
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -80,9 +80,9 @@
 type ListRole uint8
 
 const (
-	ListRoleNone ListRole = iota
-	ListRoleInitial
-	ListRoleDelayed
+	ListRoleNone    ListRole = iota // it names no primaries
+	ListRoleInitial                 // it names those of the start
+	ListRoleDelayed                 // it follows changes late
 )
 
 // ListSource is where the host list comes from.
