--- a/policy/herd_test.go
+++ b/policy/herd_test.go
@@ -505,8 +505,8 @@
 }
 
 // In a large fleet each router gets results of a primary so rarely that only the admitted share keeps its queue short.
-// There a late answer reduces the share for primaries twice, and a class worth a quarter for its time gets a quarter of
-// the other's share, not half: reads that no replica may serve must not displace writes.
+// There a late answer reduces the share for primaries twice, and the share of a class worth a quarter for its time is
+// raised to the fourth power, not squared: reads that no replica may serve must not displace writes.
 func TestLargeFleetsKeepPrimariesForWrites(t *testing.T) {
 	measure := func(routers int) (admitShare float64, sent map[int]int) {
 		set := baseSettings()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -584,8 +584,8 @@
 	}
 }
 
-// All routers choose the same member for long reads, and one from each at the same time overloads a host that has just
-// started.
+// Long reads are not sent to a host that has just started: all routers choose the same member for them, and one read from
+// each at the same time would overload it.
 func TestLongReadsAvoidColdHosts(t *testing.T) {
 	set := baseSettings()
 	set.Classes[loose].Aim, set.Classes[loose].Deadline = 4*time.Second, 8*time.Second
