--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -26,7 +26,8 @@
 // Served writes the complete value as the database delivered it.
 func (call *call) Served(value []byte) { call.answer(value) }
 
-// Refused answers that nothing has run, with the time after which to retry.
+// Refused answers that a retry is harmless, with the time after which to retry: the statement has not run, or may safely run
+// again.
 func (call *call) Refused(retryAfter time.Duration) {
 	detail := ""
 	if retryAfter > 0 {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// madeProgress reports whether enough of an incomplete packet has arrived to extend its time.
+// madeProgress reports whether the time of an incomplete packet is extended: of a large statement when enough of it has
+// arrived since the last time, of any other packet as long as maxPacketTime allows.
 func (c *conn) madeProgress(now time.Duration) bool {
 	if c.large == nil {
 		return now-c.enteredAt < maxPacketTime-stateTimeouts[statePartial]
@@ -315,7 +316,8 @@
 	return f.loop.Now() - max(0, f.loop.MaxEventAge()-arrivalSlack)
 }
 
-// sessionID returns the number of the session that a key names: 16 hexadecimal digits, or else a hash of the key.
+// sessionID returns the number of the session that a key names: the key as a hexadecimal number of up to 64 bits, or else a
+// hash of it.
 func sessionID(key []byte) policy.SessionID {
 	if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
 		return policy.SessionID(n)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -50,7 +50,7 @@
 	Classes                []string    // names of the classes, by number
 	MaxClients             int         // concurrent clients
 	Reserve                int         // descriptors reserved for databases and discovery
-	MaxLargeStatementBytes int         // total bytes of concurrent statements over pgwire.MostMessage
+	MaxLargeStatementBytes int         // total bytes of concurrent statements over pgwire.MaxBufferedMessage
 	FreeDescriptor         func() bool // frees an unneeded descriptor elsewhere; false: there is none
 
 	Guard    *invariant.Guard // nil: nothing is checked
