--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -21,7 +21,7 @@
 	host         *host
 	addr         netip.AddrPort // the dialled address: the host may have moved since
 	nc           *netloop.Conn
-	timer        *netloop.Timer // ends the dial or the quarantine
+	timer        *netloop.Timer // ends the dial, the quarantine or the wait for a late answer
 	established  bool           // the greeting is complete
 	idleSince    time.Duration
 	rowRemaining int           // unread bytes of the row that is being streamed
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -146,7 +146,8 @@
 	return h.open - p.options.Budget.Allowed(h.id, until)
 }
 
-// trimIdle closes idle connections that exceed the budget. Those in use stay: no job was started that could outlast it.
+// trimIdle closes idle connections that exceed the budget. Those in use stay: no job was started that could outlast the
+// budget for its connection.
 func (p *Pool) trimIdle(h *host, until time.Duration) {
 	for len(h.idle) > 0 && p.overBudget(h, until) > 0 {
 		h.idle[0].discard()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -150,7 +150,7 @@
 	counts        *stats.Counters
 	members       map[policy.HostID]policy.Member
 	onListChange  func()
-	onPosition    func(host policy.HostID, at time.Duration)
+	onPosition    func(host policy.HostID, position time.Duration)
 	onPrimary     func(host policy.HostID, at time.Duration)
 	observer      Observer // may be nil
 	suspended     map[policy.HostID]bool
--- a/internal/gateway/list.go
+++ b/internal/gateway/list.go
@@ -81,8 +81,8 @@
 // OnList sets a callback for changes of the list.
 func (g *Gateway) OnList(callback func()) { g.onListChange = callback }
 
-// OnPosition sets a callback for each position that a database reports.
-func (g *Gateway) OnPosition(callback func(host policy.HostID, at time.Duration)) {
+// OnPosition sets a callback for each plausible position that a database reports.
+func (g *Gateway) OnPosition(callback func(host policy.HostID, position time.Duration)) {
 	g.onPosition = callback
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// streamEnded is Resolved for an attempt whose value was streamed. The position it reports is still passed on.
+// streamEnded is Resolved for an attempt whose value was streamed. The position and role that the answer reports are
+// still passed on.
 func (g *Gateway) streamEnded(attempt *Attempt, outcome policy.Outcome, reply Reply) {
 	req, count := attempt.request, g.counts.Class(attempt.request.Class)
 	switch {
