--- a/policy/policy.go
+++ b/policy/policy.go
@@ -27,9 +27,11 @@
 	smallFleetSize      = 8
 	stateExpiryInterval = time.Minute
 
-	coldGrowthShare  = 0.45 // of OverloadFactor, by which a cold host's budget grows, see takeColdBudget
-	coldGrowthBonus  = 0.6  // what is added to that as hosts warm up and answer in time
-	coldBurstRouters = 400  // so many use a cold host so rarely that each may save an OverloadWindow's budget
+	coldGrowthShare = 0.45 // of OverloadFactor, by which a cold host's budget grows, see takeColdBudget
+	coldGrowthBonus = 0.6  // what is added to that as hosts warm up and answer in time
+	// In a fleet of this size each router sends to a cold host so rarely that it may save up the budget of a
+	// whole OverloadWindow.
+	coldBurstRouters = 400
 
 	smoothingWeight     = 0.1   // of a new observation of a host
 	equalCostFactor     = 1.5   // members within this factor of the lowest cost count as equals
