--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -641,143 +641,143 @@
 
 func groupOf(h HostID) GroupID { return GroupID(h[0] - '0') }
 
-func (w *simulation) members() []Member {
+func (sim *simulation) members() []Member {
 	var list []Member
-	for i, h := range w.hosts {
-		list = append(list, Member{Host: h, Group: groupOf(h), Zone: i % 2, Status: w.status[h],
-			Primary: i%3 == 0, StartedAt: w.started[h]})
-		w.listed[h] = true
+	for i, h := range sim.hosts {
+		list = append(list, Member{Host: h, Group: groupOf(h), Zone: i % 2, Status: sim.status[h],
+			Primary: i%3 == 0, StartedAt: sim.started[h]})
+		sim.listed[h] = true
 	}
 	return list
 }
 
 // randomEvent returns a random event, and false if the draw gave none.
-func (w *simulation) randomEvent(i int) (Event, bool) {
-	h := w.hosts[w.random.IntN(len(w.hosts))]
-	switch kind := w.random.IntN(20); {
+func (sim *simulation) randomEvent(i int) (Event, bool) {
+	h := sim.hosts[sim.random.IntN(len(sim.hosts))]
+	switch kind := sim.random.IntN(20); {
 	case kind < 8:
 		id := RequestID(string(rune('a'+i%26)) + string(rune(i+256)))
-		c := w.random.IntN(len(w.settings.Classes))
-		request := Request{ID: id, Class: c, Group: groupOf(h), Session: SessionID(w.random.IntN(4)),
-			Timeout: w.settings.Classes[c].Deadline * time.Duration(40+w.random.IntN(61)) / 100}
-		a := &trackedRequest{class: c, group: request.Group, deadline: w.now + request.Timeout}
-		if w.settings.Classes[c].Level == OwnWrites && w.random.IntN(2) == 0 {
-			request.LastCommitAge = time.Duration(1+w.random.IntN(500)) * ms
-			a.requiredPosition = w.now - request.LastCommitAge
-		}
-		w.requests[id], w.ids = a, append(w.ids, id)
+		c := sim.random.IntN(len(sim.settings.Classes))
+		request := Request{ID: id, Class: c, Group: groupOf(h), Session: SessionID(sim.random.IntN(4)),
+			Timeout: sim.settings.Classes[c].Deadline * time.Duration(40+sim.random.IntN(61)) / 100}
+		tracked := &trackedRequest{class: c, group: request.Group, deadline: sim.now + request.Timeout}
+		if sim.settings.Classes[c].Level == OwnWrites && sim.random.IntN(2) == 0 {
+			request.LastCommitAge = time.Duration(1+sim.random.IntN(500)) * ms
+			tracked.requiredPosition = sim.now - request.LastCommitAge
+		}
+		sim.requests[id], sim.ids = tracked, append(sim.ids, id)
 		return request, true
-	case kind < 15 && len(w.ids) > 0:
-		id := w.ids[w.random.IntN(len(w.ids))]
-		a := w.requests[id]
-		if len(a.hosts) == 0 {
+	case kind < 15 && len(sim.ids) > 0:
+		id := sim.ids[sim.random.IntN(len(sim.ids))]
+		tracked := sim.requests[id]
+		if len(tracked.hosts) == 0 {
 			return nil, false
 		}
-		n := w.random.IntN(len(a.hosts))
-		return w.randomResult(id, a, n), true
+		n := sim.random.IntN(len(tracked.hosts))
+		return sim.randomResult(id, tracked, n), true
 	case kind < 18:
-		w.positions[h] = max(w.positions[h], w.now-time.Duration(w.random.IntN(1500))*ms)
-		e := ProbeResult{Host: h, Outcome: Outcome(w.random.IntN(3) * 3 % 5)}
+		sim.positions[h] = max(sim.positions[h], sim.now-time.Duration(sim.random.IntN(1500))*ms)
+		e := ProbeResult{Host: h, Outcome: Outcome(sim.random.IntN(3) * 3 % 5)}
 		if e.Outcome == OK {
-			e.Report = Report{HasPosition: true, Position: w.positions[h], Role: Replica}
-			if w.random.IntN(8) == 0 {
-				w.positions[h], w.isReplica[h] = w.now, false
-				e.Report.Position, e.Report.Role = w.now, Primary
+			e.Report = Report{HasPosition: true, Position: sim.positions[h], Role: Replica}
+			if sim.random.IntN(8) == 0 {
+				sim.positions[h], sim.isReplica[h] = sim.now, false
+				e.Report.Position, e.Report.Role = sim.now, Primary
 			}
 		}
 		return e, true
 	case kind == 18:
 		return RequestAbandoned{Request: "nobody"}, true
 	}
-	switch w.random.IntN(3) {
+	switch sim.random.IntN(3) {
 	case 0:
 		return ListUpdate{Kind: ListFailed}, true
 	case 1:
-		w.started[h] = w.now
+		sim.started[h] = sim.now
 	default:
-		w.status[h] = Status(w.random.IntN(3))
+		sim.status[h] = Status(sim.random.IntN(3))
 	}
-	if w.status[h] == Healthy {
-		delete(w.unhealthySince, h)
-	} else if _, ok := w.unhealthySince[h]; !ok {
-		w.unhealthySince[h] = w.now
+	if sim.status[h] == Healthy {
+		delete(sim.unhealthySince, h)
+	} else if _, ok := sim.unhealthySince[h]; !ok {
+		sim.unhealthySince[h] = sim.now
 	}
-	return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Group: groupOf(h), Status: w.status[h], StartedAt: w.started[h]}}}, true
+	return ListUpdate{Kind: ListDelta, Entries: []Member{{Host: h, Group: groupOf(h), Status: sim.status[h], StartedAt: sim.started[h]}}}, true
 }
 
 // randomResult ends attempt n of a request, which may have ended before.
-func (w *simulation) randomResult(id RequestID, a *trackedRequest, n int) Event {
-	e := Result{Request: id, Attempt: n, Host: a.hosts[n], Latency: w.now - a.sentAt[n], Finished: a.finished}
-	if !a.outstanding[n] {
+func (sim *simulation) randomResult(id RequestID, tracked *trackedRequest, n int) Event {
+	e := Result{Request: id, Attempt: n, Host: tracked.hosts[n], Latency: sim.now - tracked.sentAt[n], Finished: tracked.finished}
+	if !tracked.outstanding[n] {
 		return e
 	}
-	a.outstanding[n] = false
-	e.Outcome = Outcome(w.random.IntN(int(Miss) + 1))
+	tracked.outstanding[n] = false
+	e.Outcome = Outcome(sim.random.IntN(int(Miss) + 1))
 	switch e.Outcome {
 	case OK:
-		e.Finished, a.finished = true, true
+		e.Finished, tracked.finished = true, true
 		e.Role = Primary
 	case Error, Timeout, Reset, Cancelled:
-		a.mayHaveRun = true
+		tracked.mayHaveRun = true
 	case Miss:
 		e.Role = Replica
-		w.isReplica[e.Host] = true
+		sim.isReplica[e.Host] = true
 	}
-	if e.Outcome != OK && !slices.Contains(a.outstanding, true) && !a.mayHaveRun {
-		a.firstSentAt = 0
+	if e.Outcome != OK && !slices.Contains(tracked.outstanding, true) && !tracked.mayHaveRun {
+		tracked.firstSentAt = 0
 	}
 	if e.Role == Primary {
-		w.isReplica[e.Host], w.positions[e.Host] = false, w.now
+		sim.isReplica[e.Host], sim.positions[e.Host] = false, sim.now
 	}
 	return e
 }
 
-func (w *simulation) check(action Action) {
+func (sim *simulation) check(action Action) {
 	switch action := action.(type) {
 	case Send:
-		a, h := w.requests[action.Request], action.Host
-		class := w.settings.Classes[a.class]
-		if a.finished || a.finalAnswers > 0 {
-			w.t.Fatalf("%v: sent after the final answer", action)
+		tracked, h := sim.requests[action.Request], action.Host
+		class := sim.settings.Classes[tracked.class]
+		if tracked.finished || tracked.finalAnswers > 0 {
+			sim.t.Fatalf("%v: sent after the final answer", action)
 		}
-		if !w.listed[h] || groupOf(h) != a.group {
-			w.t.Fatalf("%v: unlisted host or another group", action)
+		if !sim.listed[h] || groupOf(h) != tracked.group {
+			sim.t.Fatalf("%v: unlisted host or another group", action)
 		}
-		if since, ok := w.unhealthySince[h]; ok && w.now-since > w.settings.DrainGrace {
-			w.t.Fatalf("%v: the host was draining or gone %v ago", action, w.now-since)
+		if since, ok := sim.unhealthySince[h]; ok && sim.now-since > sim.settings.DrainGrace {
+			sim.t.Fatalf("%v: the host was draining or gone %v ago", action, sim.now-since)
 		}
-		mayHaveRun := a.mayHaveRun || slices.Contains(a.outstanding, true)
-		if mayHaveRun && (class.RetrySafety == AtMostOnce || class.RetrySafety == DedupGroup && w.now > a.firstSentAt+class.DedupWindow) {
-			w.t.Fatalf("%v: forbidden resend", action)
+		mayHaveRun := tracked.mayHaveRun || slices.Contains(tracked.outstanding, true)
+		if mayHaveRun && (class.RetrySafety == AtMostOnce || class.RetrySafety == DedupGroup && sim.now > tracked.firstSentAt+class.DedupWindow) {
+			sim.t.Fatalf("%v: forbidden resend", action)
 		}
-		required := a.requiredPosition
+		required := tracked.requiredPosition
 		if class.Level == Recent {
-			required = w.now - class.Bound
+			required = sim.now - class.Bound
 		}
-		if w.settings.StaleReadMode == StaleReadServe && class.Level != Write && required > 0 && w.positions[h] < required && w.isReplica[h] {
-			w.t.Fatalf("%v: position %v, required %v", action, w.positions[h], required)
+		if sim.settings.StaleReadMode == StaleReadServe && class.Level != Write && required > 0 && sim.positions[h] < required && sim.isReplica[h] {
+			sim.t.Fatalf("%v: position %v, required %v", action, sim.positions[h], required)
 		}
-		if a.firstSentAt == 0 {
-			a.firstSentAt = w.now
+		if tracked.firstSentAt == 0 {
+			tracked.firstSentAt = sim.now
 		}
-		a.hosts, a.outstanding, a.sentAt = append(a.hosts, h), append(a.outstanding, true), append(a.sentAt, w.now)
+		tracked.hosts, tracked.outstanding, tracked.sentAt = append(tracked.hosts, h), append(tracked.outstanding, true), append(tracked.sentAt, sim.now)
 	case Refuse:
-		a := w.requests[action.Request]
-		class := w.settings.Classes[a.class]
-		if class.RetrySafety != Retryable && (a.mayHaveRun || slices.Contains(a.outstanding, true)) {
-			w.t.Fatalf("%v: refused though it may have run", action)
+		tracked := sim.requests[action.Request]
+		class := sim.settings.Classes[tracked.class]
+		if class.RetrySafety != Retryable && (tracked.mayHaveRun || slices.Contains(tracked.outstanding, true)) {
+			sim.t.Fatalf("%v: refused though it may have run", action)
 		}
-		w.recordFinal(action.Request)
+		sim.recordFinal(action.Request)
 	case Fail:
-		w.recordFinal(action.Request)
+		sim.recordFinal(action.Request)
 	}
 }
 
-func (w *simulation) recordFinal(id RequestID) {
-	a := w.requests[id]
-	a.finalAnswers++
-	if a.finished || a.finalAnswers > 1 {
-		w.t.Fatalf("%s: a second final answer", id)
+func (sim *simulation) recordFinal(id RequestID) {
+	tracked := sim.requests[id]
+	tracked.finalAnswers++
+	if tracked.finished || tracked.finalAnswers > 1 {
+		sim.t.Fatalf("%s: a second final answer", id)
 	}
 }
 
