--- a/internal/gateway/balance_test.go
+++ b/internal/gateway/balance_test.go
@@ -31,28 +31,28 @@
 		for range 500 {
 			switch {
 			case len(open) == 0 || rnd.IntN(3) == 0:
-				q := &Request{Client: &environment{}, Class: rnd.IntN(2), Deadline: loop.Now() + time.Hour}
+				req := &Request{Client: &environment{}, Class: rnd.IntN(2), Deadline: loop.Now() + time.Hour}
 				submitted++
-				g.Submit(q)
-				open = append(open, q)
+				g.Submit(req)
+				open = append(open, req)
 			default:
-				q := open[rnd.IntN(len(open))]
+				req := open[rnd.IntN(len(open))]
 				switch rnd.IntN(8) {
 				case 0:
-					router.actions = []policy.Action{policy.Refuse{Request: q.id}}
+					router.actions = []policy.Action{policy.Refuse{Request: req.id}}
 				case 1:
-					router.actions = []policy.Action{policy.Fail{Request: q.id}, policy.Refuse{Request: q.id}}
+					router.actions = []policy.Action{policy.Fail{Request: req.id}, policy.Refuse{Request: req.id}}
 				case 2:
-					g.ClientGone(q)
+					g.ClientGone(req)
 					for _, a := range env.cancelled { // as a backend would
 						g.Resolved(a, policy.Cancelled, Reply{})
 						env.sent = slices.DeleteFunc(env.sent, func(o *Attempt) bool { return o == a })
 					}
 					env.cancelled = nil
 				case 3:
-					g.expire(q)
+					g.expire(req)
 				case 4, 5:
-					router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
+					router.actions = []policy.Action{policy.Send{Request: req.id, Host: "a"}, policy.Send{Request: req.id, Host: "b"}}
 				}
 				g.events = append(g.events, policy.TimerFired{})
 			}
@@ -129,8 +129,8 @@
 // up to then, no other attempt can win, and no deadline ends it. The position reported at its end is still passed on.
 func TestStreamedValue(t *testing.T) {
 	loop, g, router, env := newTestGateway(t)
-	q := g.submitFor(env, time.Second)
-	router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}, policy.Send{Request: q.id, Host: "b"}}
+	req := g.submitFor(env, time.Second)
+	router.actions = []policy.Action{policy.Send{Request: req.id, Host: "a"}, policy.Send{Request: req.id, Host: "b"}}
 	g.events = append(g.events, policy.TimerFired{})
 	g.Step()
 	a, b := env.sent[0], env.sent[1]
@@ -145,12 +145,12 @@
 	assert.Equal(t, max(0, loop.Now()-a.sentAt), result.Latency)
 	assert.True(t, g.StreamChunk(a, []byte("x")))
 	assert.False(t, g.StreamChunk(a, []byte("xyz")), "the client can take no more for now")
-	g.ResumeStream(q)
+	g.ResumeStream(req)
 	assert.Equal(t, []*Attempt{a}, env.resumed)
 	assert.Equal(t, 1, g.Gauges().InProgress)
 	g.Resolved(b, policy.OK, Reply{Value: []byte("second")})
 	g.Resolved(a, policy.OK, Reply{Role: policy.Replica, Position: 7, HasPosition: true})
-	g.ResumeStream(q)
+	g.ResumeStream(req)
 	g.Step()
 	assert.Equal(t, []string{"begin stream", "chunk x", "chunk xyz", "end stream", "released"}, env.calls)
 	assert.Equal(t, policy.Result{Host: "a", Report: policy.Report{Position: 7, HasPosition: true, Role: policy.Replica}}, router.events[len(router.events)-1])
@@ -162,8 +162,8 @@
 func TestProcessPauseIsNotCountedAsLatency(t *testing.T) {
 	const pause = 80 * time.Millisecond
 	loop, g, router, env := newTestGateway(t)
-	q := g.submitFor(env, time.Second)
-	router.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
+	req := g.submitFor(env, time.Second)
+	router.actions = []policy.Action{policy.Send{Request: req.id, Host: "a"}}
 	g.events = append(g.events, policy.TimerFired{})
 	iteration := 0
 	require.NoError(t, loop.Run(func() bool {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -77,17 +77,17 @@
 
 // submitFor submits a request of env and runs one Step.
 func (g *Gateway) submitFor(env *environment, timeout time.Duration) *Request {
-	q := &Request{Client: env, Deadline: g.loop.Now() + timeout, MinPosition: g.loop.Now() + time.Hour}
-	g.Submit(q)
+	req := &Request{Client: env, Deadline: g.loop.Now() + timeout, MinPosition: g.loop.Now() + time.Hour}
+	g.Submit(req)
 	g.Step()
-	return q
+	return req
 }
 
 // Only the first answer of a request reaches the client, and the statement is released when the
 // last attempt has ended.
 func TestOneFinalAnswer(t *testing.T) {
 	_, g, router, env := newTestGateway(t)
-	q := g.submitFor(env, time.Second)
+	req := g.submitFor(env, time.Second)
 	submitted := router.events[0].(policy.Request)
 	assert.InDelta(t, -time.Hour, submitted.LastCommitAge, 0, "a token from the future is kept as it is: this process's clock may be slow")
 	router.actions = []policy.Action{policy.Send{Request: submitted.ID, Host: "a", Timeout: time.Millisecond}, policy.Send{Request: submitted.ID, Host: "b"}}
@@ -95,11 +95,11 @@
 	g.Step()
 	require.Len(t, env.sent, 2)
 	assert.Equal(t, g.loop.Now()+time.Millisecond, env.sent[0].Deadline)
-	assert.Equal(t, q.Deadline, env.sent[1].Deadline, "no timeout: until the client's deadline")
+	assert.Equal(t, req.Deadline, env.sent[1].Deadline, "no timeout: until the client's deadline")
 
 	g.Resolved(env.sent[1], policy.OK, Reply{Value: []byte("v")})
 	g.Resolved(env.sent[1], policy.Reset, Reply{})
-	g.ClientGone(q)
+	g.ClientGone(req)
 	router.actions = []policy.Action{
 		policy.Refuse{Request: submitted.ID}, policy.Fail{Request: submitted.ID}, policy.Cancel{Request: submitted.ID, Attempt: 0},
 		policy.Cancel{Request: submitted.ID, Attempt: 1}, policy.Cancel{Request: "none"}, policy.Send{Request: submitted.ID, Host: "c"},
@@ -153,12 +153,12 @@
 // tells the client less.
 func TestModuleAnswersFirstInLateIteration(t *testing.T) {
 	loop, g, router, env := newTestGateway(t)
-	q := g.submitFor(env, time.Millisecond)
-	for time.Duration(time.Now().UnixNano()) < q.Deadline+5*deadlineGrace { // the iteration is late
+	req := g.submitFor(env, time.Millisecond)
+	for time.Duration(time.Now().UnixNano()) < req.Deadline+5*deadlineGrace { // the iteration is late
 	}
-	loop.At(q.Deadline, func() { g.events = append(g.events, policy.TimerFired{}) })
+	loop.At(req.Deadline, func() { g.events = append(g.events, policy.TimerFired{}) })
 	assert.NoError(t, loop.Run(func() bool {
-		router.actions = []policy.Action{policy.Refuse{Request: q.id, RetryAfter: time.Second}}
+		router.actions = []policy.Action{policy.Refuse{Request: req.id, RetryAfter: time.Second}}
 		g.Step()
 		if g.Unanswered() == 0 {
 			loop.Stop()
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -33,12 +33,12 @@
 }
 
 // sendAndBegin sends a request to a host and begins the attempt with a timeout.
-func (x *guardedGateway) sendAndBegin(q *Request, host policy.HostID, timeout time.Duration) *Attempt {
-	x.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: host}}
-	x.events = append(x.events, policy.TimerFired{})
-	x.Step()
-	a := x.env.sent[len(x.env.sent)-1]
-	x.BeginAttempt(a, x.loop.Clock()+timeout)
+func (guarded *guardedGateway) sendAndBegin(req *Request, host policy.HostID, timeout time.Duration) *Attempt {
+	guarded.stub.actions = []policy.Action{policy.Send{Request: req.id, Host: host}}
+	guarded.events = append(guarded.events, policy.TimerFired{})
+	guarded.Step()
+	a := guarded.env.sent[len(guarded.env.sent)-1]
+	guarded.BeginAttempt(a, guarded.loop.Clock()+timeout)
 	return a
 }
 
@@ -49,73 +49,73 @@
 	}
 	for name, c := range map[string]struct {
 		want invariant.Name
-		do   func(x *guardedGateway, q *Request)
+		do   func(guarded *guardedGateway, req *Request)
 	}{
-		"two attempts at once": {invariant.ConcurrentAttempt, func(x *guardedGateway, q *Request) {
-			x.sendAndBegin(q, "a", 0)
-			x.sendAndBegin(q, "b", 0)
+		"two attempts at once": {invariant.ConcurrentAttempt, func(guarded *guardedGateway, req *Request) {
+			guarded.sendAndBegin(req, "a", 0)
+			guarded.sendAndBegin(req, "b", 0)
 		}},
-		"retry after it may have run": {invariant.RetryForbidden, func(x *guardedGateway, q *Request) {
-			x.Resolved(x.sendAndBegin(q, "a", 0), policy.Reset, Reply{})
-			x.sendAndBegin(q, "b", 0)
+		"retry after it may have run": {invariant.RetryForbidden, func(guarded *guardedGateway, req *Request) {
+			guarded.Resolved(guarded.sendAndBegin(req, "a", 0), policy.Reset, Reply{})
+			guarded.sendAndBegin(req, "b", 0)
 		}},
-		"to a draining host": {invariant.ToDraining, func(x *guardedGateway, q *Request) {
-			x.ListUpdated(policy.ListDelta, entries(policy.Draining))
+		"to a draining host": {invariant.ToDraining, func(guarded *guardedGateway, req *Request) {
+			guarded.ListUpdated(policy.ListDelta, entries(policy.Draining))
 			time.Sleep(310 * time.Millisecond) // the grace period is in real time
-			x.sendAndBegin(q, "a", 0)
+			guarded.sendAndBegin(req, "a", 0)
 		}},
-		"to a host that left the list": {invariant.ToDraining, func(x *guardedGateway, q *Request) {
-			x.ListUpdated(policy.ListFull, entries(policy.Healthy))
-			x.ListUpdated(policy.ListFull, nil)
+		"to a host that left the list": {invariant.ToDraining, func(guarded *guardedGateway, req *Request) {
+			guarded.ListUpdated(policy.ListFull, entries(policy.Healthy))
+			guarded.ListUpdated(policy.ListFull, nil)
 			time.Sleep(310 * time.Millisecond)
-			x.sendAndBegin(q, "a", 0)
+			guarded.sendAndBegin(req, "a", 0)
 		}},
-		"to a suspended host": {invariant.ToSuspended, func(x *guardedGateway, q *Request) {
-			x.SetSuspended("a", true)
+		"to a suspended host": {invariant.ToSuspended, func(guarded *guardedGateway, req *Request) {
+			guarded.SetSuspended("a", true)
 			time.Sleep(310 * time.Millisecond)
-			x.sendAndBegin(q, "a", 0)
+			guarded.sendAndBegin(req, "a", 0)
 		}},
-		"with too long a timeout": {invariant.DeadlineTooLong, func(x *guardedGateway, q *Request) { x.sendAndBegin(q, "a", 2*time.Second) }},
-		"after the client disconnected": {invariant.AfterClientGone, func(x *guardedGateway, q *Request) {
-			a := x.sendAndBegin(q, "a", 0)
-			x.ClientGone(q)
+		"with too long a timeout": {invariant.DeadlineTooLong, func(guarded *guardedGateway, req *Request) { guarded.sendAndBegin(req, "a", 2*time.Second) }},
+		"after the client disconnected": {invariant.AfterClientGone, func(guarded *guardedGateway, req *Request) {
+			a := guarded.sendAndBegin(req, "a", 0)
+			guarded.ClientGone(req)
 			time.Sleep(110 * time.Millisecond)
-			x.BeginAttempt(a, 0)
+			guarded.BeginAttempt(a, 0)
 		}},
-		"after the answer": {invariant.AfterAnswer, func(x *guardedGateway, q *Request) {
-			a := x.sendAndBegin(q, "a", 0)
-			x.stub.actions = []policy.Action{policy.Fail{Request: q.id}}
-			x.events = append(x.events, policy.TimerFired{})
-			x.Step()
-			x.BeginAttempt(a, 0)
+		"after the answer": {invariant.AfterAnswer, func(guarded *guardedGateway, req *Request) {
+			a := guarded.sendAndBegin(req, "a", 0)
+			guarded.stub.actions = []policy.Action{policy.Fail{Request: req.id}}
+			guarded.events = append(guarded.events, policy.TimerFired{})
+			guarded.Step()
+			guarded.BeginAttempt(a, 0)
 		}},
-		"after the deadline": {invariant.AfterDeadline, func(x *guardedGateway, q *Request) {
-			a := x.sendAndBegin(q, "a", 0)
-			q.Deadline = x.loop.Clock() - time.Millisecond
-			x.BeginAttempt(a, 0)
+		"after the deadline": {invariant.AfterDeadline, func(guarded *guardedGateway, req *Request) {
+			a := guarded.sendAndBegin(req, "a", 0)
+			req.Deadline = guarded.loop.Clock() - time.Millisecond
+			guarded.BeginAttempt(a, 0)
 		}},
-		"to a replica known to lag too far": {invariant.StaleRead, func(x *guardedGateway, q *Request) {
-			now := x.loop.Now()
+		"to a replica known to lag too far": {invariant.StaleRead, func(guarded *guardedGateway, req *Request) {
+			now := guarded.loop.Now()
 			answer := func(host policy.HostID, role policy.Role, position time.Duration) {
-				read := x.submitFor(x.env, time.Second)
-				x.Resolved(x.sendAndBegin(read, host, 0), policy.OK, Reply{Role: role, Position: position, HasPosition: true})
+				read := guarded.submitFor(guarded.env, time.Second)
+				guarded.Resolved(guarded.sendAndBegin(read, host, 0), policy.OK, Reply{Role: role, Position: position, HasPosition: true})
 			}
 			answer("p", policy.Primary, now)
 			answer("a", policy.Replica, now-10*time.Second)
 			time.Sleep(110 * time.Millisecond) // an answer counts as known by then
-			q.Class = recentClass
-			x.sendAndBegin(q, "a", 0)
+			req.Class = recentClass
+			guarded.sendAndBegin(req, "a", 0)
 		}},
-		"no answer by the deadline": {invariant.NeverAnswered, func(x *guardedGateway, q *Request) {
-			x.expired = append(x.expired, q)
-			x.Step()
+		"no answer by the deadline": {invariant.NeverAnswered, func(guarded *guardedGateway, req *Request) {
+			guarded.expired = append(guarded.expired, req)
+			guarded.Step()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := newGuarded(t)
-			c.do(x, x.submitFor(x.env, time.Second))
-			assert.Equal(t, []invariant.Name{c.want}, x.violations)
+			guarded := newGuarded(t)
+			c.do(guarded, guarded.submitFor(guarded.env, time.Second))
+			assert.Equal(t, []invariant.Name{c.want}, guarded.violations)
 		})
 	}
 }
@@ -124,8 +124,8 @@
 // then.
 func TestPauseBeforeFirstByteStartsNoAttempt(t *testing.T) {
 	guarded := newGuarded(t)
-	q := guarded.submitFor(guarded.env, 50*time.Millisecond)
-	guarded.stub.actions = []policy.Action{policy.Send{Request: q.id, Host: "a"}}
+	req := guarded.submitFor(guarded.env, 50*time.Millisecond)
+	guarded.stub.actions = []policy.Action{policy.Send{Request: req.id, Host: "a"}}
 	guarded.events = append(guarded.events, policy.TimerFired{})
 	guarded.Step()
 	a := guarded.env.sent[len(guarded.env.sent)-1]
@@ -138,9 +138,9 @@
 // Correct decisions cause no reports.
 func TestGuardReportsNothingWithoutViolation(t *testing.T) {
 	guarded := newGuarded(t)
-	q := guarded.submitFor(guarded.env, time.Second)
-	guarded.Resolved(guarded.sendAndBegin(q, "a", time.Second), policy.ConnectFailed, Reply{})
-	guarded.Resolved(guarded.sendAndBegin(q, "b", time.Second), policy.OK, Reply{})
+	req := guarded.submitFor(guarded.env, time.Second)
+	guarded.Resolved(guarded.sendAndBegin(req, "a", time.Second), policy.ConnectFailed, Reply{})
+	guarded.Resolved(guarded.sendAndBegin(req, "b", time.Second), policy.OK, Reply{})
 	assert.Empty(t, guarded.violations)
 	assert.Equal(t, []string{"served ", "released"}, guarded.env.calls)
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -29,32 +29,36 @@
 
 // staleReplica returns a change that records a database whose position lags a primary's by age, and makes the attempt a
 // read with a staleness bound of a second.
-func staleReplica(role policy.Role, age time.Duration) func(g *Guard, s *Attempt) {
-	return func(g *Guard, s *Attempt) {
+func staleReplica(role policy.Role, age time.Duration) func(g *Guard, attempt *Attempt) {
+	return func(g *Guard, attempt *Attempt) {
 		const reportedAt = now - 200*ms
 		g.RecordAnswer("d", role, now-age-socketSlack, reportedAt)
 		g.RecordAnswer("p", policy.Primary, reportedAt, reportedAt)
-		s.Class = 3
+		attempt.Class = 3
 	}
 }
 
 func TestCheckAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(g *Guard, s *Attempt)
+		change func(g *Guard, attempt *Attempt)
 		want   []Name
 	}{
-		"a first attempt":              {change: func(*Guard, *Attempt) {}},
-		"a harmless retry":             {change: func(_ *Guard, s *Attempt) { s.MayRun = true }},
-		"a retry within its window":    {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second }},
-		"a retry after its window":     {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class, s.MayRunSince = true, 1, now-time.Second-51*ms }, want: []Name{AfterDedupWindow}},
-		"a forbidden retry":            {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 2 }, want: []Name{RetryForbidden}},
-		"after the deadline":           {change: func(_ *Guard, s *Attempt) { s.Deadline, s.DatabaseTimeout = now-ms, 0 }, want: []Name{AfterDeadline}},
-		"within the client grace":      {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 100*ms }},
-		"after the client left":        {change: func(_ *Guard, s *Attempt) { s.ClientGoneTime = now - 101*ms }, want: []Name{AfterClientGone}},
-		"after the answer":             {change: func(_ *Guard, s *Attempt) { s.Answered = true }, want: []Name{AfterAnswer}},
-		"with another outstanding":     {change: func(_ *Guard, s *Attempt) { s.OtherAttempts = 1 }, want: []Name{ConcurrentAttempt}},
-		"timeout within the tolerance": {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 150 * ms }},
-		"timeout too long":             {change: func(_ *Guard, s *Attempt) { s.DatabaseTimeout += 151 * ms }, want: []Name{DeadlineTooLong}},
+		"a first attempt":  {change: func(*Guard, *Attempt) {}},
+		"a harmless retry": {change: func(_ *Guard, attempt *Attempt) { attempt.MayRun = true }},
+		"a retry within its window": {change: func(_ *Guard, attempt *Attempt) {
+			attempt.MayRun, attempt.Class, attempt.MayRunSince = true, 1, now-time.Second
+		}},
+		"a retry after its window": {change: func(_ *Guard, attempt *Attempt) {
+			attempt.MayRun, attempt.Class, attempt.MayRunSince = true, 1, now-time.Second-51*ms
+		}, want: []Name{AfterDedupWindow}},
+		"a forbidden retry":            {change: func(_ *Guard, attempt *Attempt) { attempt.MayRun, attempt.Class = true, 2 }, want: []Name{RetryForbidden}},
+		"after the deadline":           {change: func(_ *Guard, attempt *Attempt) { attempt.Deadline, attempt.DatabaseTimeout = now-ms, 0 }, want: []Name{AfterDeadline}},
+		"within the client grace":      {change: func(_ *Guard, attempt *Attempt) { attempt.ClientGoneTime = now - 100*ms }},
+		"after the client left":        {change: func(_ *Guard, attempt *Attempt) { attempt.ClientGoneTime = now - 101*ms }, want: []Name{AfterClientGone}},
+		"after the answer":             {change: func(_ *Guard, attempt *Attempt) { attempt.Answered = true }, want: []Name{AfterAnswer}},
+		"with another outstanding":     {change: func(_ *Guard, attempt *Attempt) { attempt.OtherAttempts = 1 }, want: []Name{ConcurrentAttempt}},
+		"timeout within the tolerance": {change: func(_ *Guard, attempt *Attempt) { attempt.DatabaseTimeout += 150 * ms }},
+		"timeout too long":             {change: func(_ *Guard, attempt *Attempt) { attempt.DatabaseTimeout += 151 * ms }, want: []Name{DeadlineTooLong}},
 		"draining, within the grace":   {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-300*ms) }},
 		"draining":                     {change: func(g *Guard, _ *Attempt) { g.RecordStatus("d", policy.Draining, now-301*ms) }, want: []Name{ToDraining}},
 		"draining, listed again": {change: func(g *Guard, _ *Attempt) {
@@ -81,29 +85,29 @@
 		"stale by its own report": {change: staleReplica(policy.Replica, 2*time.Second+ms), want: []Name{StaleRead}},
 		"not quite stale":         {change: staleReplica(policy.Replica, 2*time.Second-ms)},
 		"stale, but a primary":    {change: staleReplica(policy.Primary, time.Minute)},
-		"stale, and promoted since": {change: func(g *Guard, s *Attempt) {
-			staleReplica(policy.Replica, time.Minute)(g, s)
+		"stale, and promoted since": {change: func(g *Guard, attempt *Attempt) {
+			staleReplica(policy.Replica, time.Minute)(g, attempt)
 			g.RecordPrimary("d")
 		}},
-		"stale, but fresh by a later report of others": {change: func(g *Guard, s *Attempt) {
-			staleReplica(policy.Replica, time.Minute)(g, s)
+		"stale, but fresh by a later report of others": {change: func(g *Guard, attempt *Attempt) {
+			staleReplica(policy.Replica, time.Minute)(g, attempt)
 			g.RecordPosition("d", now-time.Second)
 		}},
-		"stale, also by a later report of others": {change: func(g *Guard, s *Attempt) {
-			staleReplica(policy.Replica, time.Minute)(g, s)
+		"stale, also by a later report of others": {change: func(g *Guard, attempt *Attempt) {
+			staleReplica(policy.Replica, time.Minute)(g, attempt)
 			g.RecordPosition("d", now-3*time.Second)
 		}, want: []Name{StaleRead}},
-		"stale by an old report": {change: func(g *Guard, s *Attempt) {
-			staleReplica(policy.Replica, time.Minute)(g, s)
-			s.Now += 900 * ms
-			s.Deadline += time.Second
+		"stale by an old report": {change: func(g *Guard, attempt *Attempt) {
+			staleReplica(policy.Replica, time.Minute)(g, attempt)
+			attempt.Now += 900 * ms
+			attempt.Deadline += time.Second
 		}},
-		"stale, if databases check reads": {change: func(g *Guard, s *Attempt) {
+		"stale, if databases check reads": {change: func(g *Guard, attempt *Attempt) {
 			g.settings.StaleReadMode = policy.StaleReadReject
-			staleReplica(policy.Replica, time.Minute)(g, s)
+			staleReplica(policy.Replica, time.Minute)(g, attempt)
 		}},
-		"two violations":   {change: func(_ *Guard, s *Attempt) { s.OtherAttempts, s.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
-		"an unknown class": {change: func(_ *Guard, s *Attempt) { s.MayRun, s.Class = true, 9 }},
+		"two violations":   {change: func(_ *Guard, attempt *Attempt) { attempt.OtherAttempts, attempt.Answered = 1, true }, want: []Name{AfterAnswer, ConcurrentAttempt}},
+		"an unknown class": {change: func(_ *Guard, attempt *Attempt) { attempt.MayRun, attempt.Class = true, 9 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []Name
@@ -112,9 +116,9 @@
 				assert.Equal(t, policy.HostID("d"), v.Database)
 				got = append(got, v.Name)
 			})
-			s := validAttempt()
-			c.change(g, &s)
-			g.CheckAttempt(&s)
+			attempt := validAttempt()
+			c.change(g, &attempt)
+			g.CheckAttempt(&attempt)
 			assert.Equal(t, c.want, got)
 			for n := range NameCount {
 				assert.Equal(t, countOf(c.want, n), g.Count(n), n)
@@ -154,8 +158,8 @@
 // A nil guard, of a gateway without checks, does nothing.
 func TestNilGuardChecksNothing(t *testing.T) {
 	var g *Guard
-	s := validAttempt()
-	g.CheckAttempt(&s)
+	attempt := validAttempt()
+	g.CheckAttempt(&attempt)
 	g.RecordStatus("d", policy.Draining, now)
 	g.RecordSuspension("d", true, now)
 	g.CheckAnswer("", 0, true)
@@ -169,8 +173,8 @@
 func BenchmarkCheckAttempt(b *testing.B) {
 	g := New(testSettings, func(Violation) {})
 	g.RecordStatus("d", policy.Draining, now)
-	s := validAttempt()
+	attempt := validAttempt()
 	for b.Loop() {
-		g.CheckAttempt(&s)
+		g.CheckAttempt(&attempt)
 	}
 }
