--- a/internal/fleet/audit/fence.go
+++ b/internal/fleet/audit/fence.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	quorumParts     = 3                       // a gateway is fenced only if two of three are ahead of it
+	quorumParts     = 3                       // a gateway is fenced only if two thirds of the fleet are ahead of it
 	unfenceDelay    = time.Second             // how long it has had the current list before it accepts writes again
 	maxReportAge    = 5 * time.Second         // older reports say nothing about the list that a gateway has now
 	pauseFenceLimit = 2 * time.Second         // a gateway that receives nothing after a pause goes on after that
@@ -14,12 +14,12 @@
 )
 
 // Fence decides whether this process fences itself: it accepts no writes and no new clients while it acts on information
-// that it knows to be outdated and cannot update. It resembles a lease that the process grants itself: no other process can
-// revoke it. Use NewFence.
+// that it knows to be outdated and cannot update. It resembles a lease that only the process itself can revoke. Use
+// NewFence.
 type Fence struct {
 	maxLag       time.Duration
 	laggingSince time.Duration // since when two thirds have had a newer list; 0: they have not
-	unfenceAt    time.Duration // when the fence opens after the list has caught up
+	unfenceAt    time.Duration // when the fence is lifted, as the list has caught up; 0: not planned
 	fenced       bool
 	pauseEnd     time.Duration // end of the last pause if nothing has been received since; 0: something has
 	totalPause   time.Duration
@@ -27,7 +27,7 @@
 	overrideList int64 // the list for which an override that lifts the fence holds
 }
 
-// NewFence returns a fence that closes after the list has lagged for longer than maxLag.
+// NewFence returns a Fence that fences the process once its list has lagged for maxLag.
 func NewFence(maxLag time.Duration) *Fence { return &Fence{maxLag: maxLag} }
 
 // Override sets an operator override. One that lifts the fence holds only for the given list: with the next one the fence
--- a/internal/fleet/audit/records_test.go
+++ b/internal/fleet/audit/records_test.go
@@ -87,7 +87,7 @@
 	assert.Len(t, p.Recent(), 4)
 }
 
-// Any changed byte of a line and any missing line is detected.
+// Any changed byte of a line and any missing line between two others are detected.
 func TestChainsRevealChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newProcess("n0", 7)
@@ -126,7 +126,7 @@
 	assert.Contains(t, kinds(Analyze(parseRecords(t, p), DefaultTolerances())), BrokenChain)
 }
 
-// Each kind of finding is reported, and situations that resemble one are not.
+// Each kind of finding about work at databases is reported, and situations that resemble one are not.
 func TestFindings(t *testing.T) {
 	sec := func(n float64) time.Duration { return testStart + time.Duration(n*float64(time.Second)) }
 	cases := map[string]struct {
--- a/internal/fleet/audit/versions.go
+++ b/internal/fleet/audit/versions.go
@@ -13,10 +13,10 @@
 const (
 	reportInterval     = time.Second
 	reportFanout       = 2           // members that a report goes to
-	versionsPerMessage = 8           // versions in one report
+	versionsPerMessage = 8           // versions in one report, the sender's own included
 	minRetention       = time.Minute // of the version of a gateway that no longer reports
-	// Added to minRetention for each gateway of the fleet: two reports with nine versions arrive each second, so that with N
-	// gateways a version is renewed every N/18 s on average; this is about four times that.
+	// Added to minRetention for each gateway of the fleet: two reports of eight versions each arrive per second, so that with
+	// N gateways a version is renewed every N/16 s on average; this is about three times that.
 	retentionPerGateway = 200 * time.Millisecond
 	maxKnownVersions    = 4096
 	maxRequests         = 3 // without a newer list, after which the newer version is assumed to belong to another service
@@ -57,7 +57,7 @@
 type KnownVersion struct {
 	Version
 	ReceivedAt   time.Duration // when it was last received
-	SentAt       time.Duration // the earliest time at which its gateway can have sent it, whichever member passed it on
+	SentAt       time.Duration // the latest time at which its gateway can have sent it: AgeMS lacks the time in transit
 	LaggingSince time.Duration // since when others have had a newer list; 0: it has the newest
 }
 
@@ -65,7 +65,7 @@
 type VersionsConfig struct {
 	Name          string
 	MaxLag        time.Duration // how long the list may lag before it is requested out of turn
-	RequestSpread time.Duration // per gateway of the fleet: the requests of stragglers are spread over as long
+	RequestSpread time.Duration // the requests of stragglers are spread over this time multiplied by the number of gateways
 	Seed          uint64
 }
 
