--- a/internal/fleet/antientropy/machine.go
+++ b/internal/fleet/antientropy/machine.go
@@ -24,7 +24,7 @@
 
 const (
 	maxDatagramBytes  = 1200
-	bytesPerRequest   = 200 // interval between requests, as bytes earned by their half of the budget
+	bytesPerRequest   = 200 // that its half of the budget earns between two requests; bounded by the intervals below
 	minInterval       = 100 * time.Millisecond
 	maxInterval       = time.Second
 	retryDelay        = 500 * time.Millisecond // before a database is asked for again; doubled while nothing newer comes
@@ -32,10 +32,10 @@
 	agedSteps         = 5                // times older than this many steps are stale: the digest has each of them, and any gain counts
 	maxFuture         = time.Second      // times further ahead of the own clock are rejected
 	byNameDuration    = 10 * time.Second // how long a gateway with another list is asked by name
-	maxMismatched     = 64
-	pushCount         = 3    // requests that push a large rise
-	maxWindow         = 128  // a wider window asks for the freshest of many and leaves the oldest waiting
-	sameZoneShare     = 0.75 // of requests go to the own zone
+	maxMismatched     = 64               // gateways with another list that are remembered
+	pushCount         = 3                // requests that push a large rise
+	maxWindow         = 128              // a wider window asks for the freshest of many and leaves the oldest waiting
+	sameZoneShare     = 0.75             // of requests go to the own zone
 	initialWindow     = 64
 	minWindow         = 8
 	windowIncrement   = 8
@@ -409,14 +409,14 @@
 }
 
 // sendEmpty sends a message without entries, if the budget allows it.
-func (m *Machine) sendEmpty(to *Message, msg Message) []Send {
+func (m *Machine) sendEmpty(request *Message, msg Message) []Send {
 	body := msg.Append(nil)
 	if m.responseTokens < float64(len(body)+m.cfg.MessageOverhead) {
 		return nil
 	}
 	m.responseTokens -= float64(len(body) + m.cfg.MessageOverhead)
 	m.countSent(body)
-	return []Send{{To: to.From, Body: body}}
+	return []Send{{To: request.From, Body: body}}
 }
 
 // respond sends what is newer than in the digest of a request, the largest gain first.
--- a/internal/fleet/antientropy/machine_test.go
+++ b/internal/fleet/antientropy/machine_test.go
@@ -484,7 +484,7 @@
 	})
 }
 
-// BenchmarkSecond is one second of two gateways' work with 810 databases, 2,041 answers and 1,500 bytes.
+// BenchmarkSecond is one second of two gateways' work with 810 databases, 2,040 answers to each and 1,500 bytes of budget.
 func BenchmarkSecond(b *testing.B) {
 	list := hosts(810)
 	f := newFleet(1, 2, 1500, list)
--- a/internal/fleet/antientropy/trial_test.go
+++ b/internal/fleet/antientropy/trial_test.go
@@ -84,29 +84,29 @@
 
 // simulation is a fleet in simulated time.
 type simulation struct {
-	rnd               *rand.Rand
-	now               time.Duration
-	n, d              int // gateways and databases
-	interRegionDelay  time.Duration
-	loss              float64
-	ownZone           bool // nine of ten answers come from databases of the own zone
-	answerRate        float64
-	nodes             []node
-	known             [][]time.Duration // by gateway and database
-	pending           map[time.Duration][]arrival
-	bytesOut, bytesIn []int
-	bytesThisSecond   []int // sent in the current second
-	worstSecond       int
-	messages          int
-	entries           int
-	newer             int
-	newerByStep       int
-	partitioned       func(from, to int) bool
-	unreachable       func(gateway, db int) bool // the database does not answer
-	down              func(gateway int) bool
-	step              time.Duration
-	part              string
-	index             map[string]int
+	rnd                         *rand.Rand
+	now                         time.Duration
+	gatewayCount, databaseCount int
+	interRegionDelay            time.Duration
+	loss                        float64
+	ownZone                     bool // nine of ten answers come from databases of the own zone
+	answerRate                  float64
+	nodes                       []node
+	known                       [][]time.Duration // by gateway and database
+	pending                     map[time.Duration][]arrival
+	bytesOut, bytesIn           []int
+	bytesThisSecond             []int // sent in the current second
+	worstSecond                 int
+	messages                    int
+	entries                     int
+	newer                       int
+	newerByStep                 int
+	partitioned                 func(from, to int) bool
+	unreachable                 func(gateway, db int) bool // the database does not answer
+	down                        func(gateway int) bool
+	step                        time.Duration
+	part                        string
+	index                       map[string]int
 }
 
 func name(i int) string { return fmt.Sprintf("gateway-%03d", i) }
@@ -116,14 +116,14 @@
 
 func dbName(i int) string { return fmt.Sprintf("s-%04d", i) }
 
-func newSimulation(seed uint64, n, d int, interRegionDelay time.Duration, loss float64, ownZone bool) *simulation {
+func newSimulation(seed uint64, gatewayCount, databaseCount int, interRegionDelay time.Duration, loss float64, ownZone bool) *simulation {
 	sim := &simulation{
-		rnd: rand.New(rand.NewPCG(seed, 3)), now: simStart, n: n, d: d, interRegionDelay: interRegionDelay, loss: loss, ownZone: ownZone,
+		rnd: rand.New(rand.NewPCG(seed, 3)), now: simStart, gatewayCount: gatewayCount, databaseCount: databaseCount, interRegionDelay: interRegionDelay, loss: loss, ownZone: ownZone,
 		answerRate: answersPerSecond, step: simStep, part: "positions",
-		pending: map[time.Duration][]arrival{}, bytesOut: make([]int, n), bytesIn: make([]int, n), bytesThisSecond: make([]int, n),
+		pending: map[time.Duration][]arrival{}, bytesOut: make([]int, gatewayCount), bytesIn: make([]int, gatewayCount), bytesThisSecond: make([]int, gatewayCount),
 	}
-	for range n {
-		sim.known = append(sim.known, make([]time.Duration, d))
+	for range gatewayCount {
+		sim.known = append(sim.known, make([]time.Duration, databaseCount))
 	}
 	return sim
 }
@@ -174,15 +174,15 @@
 		pendingAnswers += answersPerTick
 		count := int(pendingAnswers)
 		pendingAnswers -= float64(count)
-		for gateway := range sim.n {
+		for gateway := range sim.gatewayCount {
 			if sim.down != nil && sim.down(gateway) {
 				continue
 			}
 			for range count {
-				db := sim.rnd.IntN(sim.d)
-				if sim.ownZone && sim.d > zones && sim.rnd.Float64() < 0.9 {
+				db := sim.rnd.IntN(sim.databaseCount)
+				if sim.ownZone && sim.databaseCount > zones && sim.rnd.Float64() < 0.9 {
 					db = db/zones*zones + gateway%zones
-					if db >= sim.d {
+					if db >= sim.databaseCount {
 						continue
 					}
 				}
@@ -231,7 +231,7 @@
 }
 
 func (a *ageHistogram) add(sim *simulation) {
-	for gateway := range sim.n {
+	for gateway := range sim.gatewayCount {
 		for _, at := range sim.known[gateway] {
 			a.total++
 			if at == 0 {
@@ -267,7 +267,7 @@
 	histogram := &ageHistogram{}
 	sim.run(window, func() { histogram.add(sim) })
 	r := trial{
-		Part: sim.part, Mode: mode, Gateways: sim.n, Databases: sim.d, OneWayMS: float64(sim.interRegionDelay) / 1e6, Loss: sim.loss,
+		Part: sim.part, Mode: mode, Gateways: sim.gatewayCount, Databases: sim.databaseCount, OneWayMS: float64(sim.interRegionDelay) / 1e6, Loss: sim.loss,
 		Answers: "even", AnswersPS: sim.answerRate,
 		Seconds: window.Seconds(), Window: float64(sim.worstSecond),
 		AgeP50: histogram.quantile(0.5), AgeP99: histogram.quantile(0.99), AgeP999: histogram.quantile(0.999),
@@ -276,8 +276,8 @@
 	if sim.ownZone {
 		r.Answers = "home"
 	}
-	each := float64(sim.n) * window.Seconds()
-	for gateway := range sim.n {
+	each := float64(sim.gatewayCount) * window.Seconds()
+	for gateway := range sim.gatewayCount {
 		r.BytesOut += float64(sim.bytesOut[gateway]) / each
 		r.BytesIn += float64(sim.bytesIn[gateway]) / each
 		r.BytesOutMax = max(r.BytesOutMax, float64(sim.bytesOut[gateway])/window.Seconds())
@@ -294,7 +294,7 @@
 // meanAge returns the mean age of what the included gateways know of all databases; unknown ones count as a minute.
 func (sim *simulation) meanAge(include func(gateway int) bool) float64 {
 	sum, n := 0.0, 0
-	for g := range sim.n {
+	for g := range sim.gatewayCount {
 		if !include(g) {
 			continue
 		}
@@ -330,8 +330,8 @@
 	}
 	before := sim.bytesOut[0]
 	from := sim.now
-	d := sim.catchUp(func(g int) bool { return g == 0 }, func() float64 { return sim.meanAge(func(g int) bool { return g > 0 }) })
-	r := trial{Part: "positions", Mode: mode, Event: "a gateway starts", CatchUpS: d, Seconds: (sim.now - from).Seconds()}
+	catchUpSeconds := sim.catchUp(func(g int) bool { return g == 0 }, func() float64 { return sim.meanAge(func(g int) bool { return g > 0 }) })
+	r := trial{Part: "positions", Mode: mode, Event: "a gateway starts", CatchUpS: catchUpSeconds, Seconds: (sim.now - from).Seconds()}
 	return sim.complete(r, sim.bytesOut[0]-before)
 }
 
@@ -349,9 +349,9 @@
 	clear(sim.bytesOut)
 	sim.worstSecond = 0
 	from := sim.now
-	d := sim.catchUp(all, func() float64 { return before })
+	catchUpSeconds := sim.catchUp(all, func() float64 { return before })
 	r := trial{
-		Part: "positions", Mode: mode, Event: "a region is cut off for 20 s and comes back", CatchUpS: d, Seconds: (sim.now - from).Seconds(),
+		Part: "positions", Mode: mode, Event: "a region is cut off for 20 s and comes back", CatchUpS: catchUpSeconds, Seconds: (sim.now - from).Seconds(),
 		Window: float64(sim.worstSecond),
 	}
 	sum := 0
@@ -359,12 +359,12 @@
 		sum += b
 		r.BytesOutMax = max(r.BytesOutMax, float64(b)/r.Seconds)
 	}
-	return sim.complete(r, sum/sim.n)
+	return sim.complete(r, sum/sim.gatewayCount)
 }
 
 // complete fills in the parameters of the simulation.
 func (sim *simulation) complete(r trial, bytes int) trial {
-	r.Gateways, r.Databases, r.OneWayMS, r.Loss, r.AnswersPS, r.Answers = sim.n, sim.d, float64(sim.interRegionDelay)/1e6, sim.loss, sim.answerRate, "even"
+	r.Gateways, r.Databases, r.OneWayMS, r.Loss, r.AnswersPS, r.Answers = sim.gatewayCount, sim.databaseCount, float64(sim.interRegionDelay)/1e6, sim.loss, sim.answerRate, "even"
 	if sim.ownZone {
 		r.Answers = "home"
 	}
@@ -386,14 +386,14 @@
 	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	require.NoError(t, err)
 	names, index := []string{}, map[string]int{}
-	for i := range sim.n {
+	for i := range sim.gatewayCount {
 		names = append(names, name(i))
 		index[name(i)] = i
 	}
-	for i := range sim.d {
+	for i := range sim.databaseCount {
 		index[dbName(i)] = i
 	}
-	for gateway := range sim.n {
+	for gateway := range sim.gatewayCount {
 		m := &gossiper{
 			sim: sim, gateway: gateway,
 			positions: state.NewPositions(name(gateway), uint64(gateway), sim.step, func(string) bool { return true }),
@@ -457,13 +457,13 @@
 	for i, member := range members {
 		sim.index[member.Name] = i
 	}
-	for gateway := range sim.n {
+	for gateway := range sim.gatewayCount {
 		sim.nodes = append(sim.nodes, sim.newReconciler(gateway, bytes, members))
 	}
 }
 
 func (sim *simulation) names() (names []string) {
-	for i := range sim.n {
+	for i := range sim.gatewayCount {
 		names = append(names, name(i))
 	}
 	return names
@@ -486,7 +486,7 @@
 		MessageOverhead: envelopeBytes + 3, Step: sim.step,
 	}, sim.now)
 	machine.SetMembers(members)
-	machine.SetDatabases(dbNames[:sim.d])
+	machine.SetDatabases(dbNames[:sim.databaseCount])
 	return &reconciler{sim, gateway, machine}
 }
 
