--- a/internal/peer/budgets.go
+++ b/internal/peer/budgets.go
@@ -14,7 +14,7 @@
 const (
 	channelBudget  = 2
 	budgetInterval = 100 * time.Millisecond
-	maxClockDrift  = 0.01
+	maxClockDrift  = 0.01 // as a fraction, see budget.Config
 )
 
 // Budgets holds this gateway's leases of the connection budgets that the fleet shares. It implements backend.Budget.
@@ -75,7 +75,7 @@
 	}
 }
 
-// setMembers passes the live members to the machine, and whether this process still owns its gateway's name.
+// setMembers passes the members of the view to the machine, and whether a sibling or another process has this gateway's name.
 func (b *Budgets) setMembers(view membership.View) {
 	b.machine.SetLive(view.Names())
 	superseded, now := b.links.machine.Superseded(), b.links.loop.Now()
--- a/internal/peer/overrides.go
+++ b/internal/peer/overrides.go
@@ -50,8 +50,8 @@
 	reply      func(result string)
 }
 
-// OnOverride sets a function that is called whenever an override is set or lifted, and calls it for all overrides that were
-// kept across a restart.
+// OnOverride sets a function that is called whenever an override of a database or gateway is set or lifted, and calls it for
+// all overrides that were kept across a restart.
 func (l *Links) OnOverride(callback func(host string, active bool)) {
 	l.overrides.onChange = callback
 	for _, override := range l.overrides.set.All() {
@@ -115,7 +115,7 @@
 	s.links.loop.Wake()
 }
 
-// save writes all overrides to the store, if there is one, and then calls done on the loop.
+// save writes all overrides to the store and then calls done, unless it is nil, on the loop. Without a store it does nothing.
 func (s *overrides) save(done func(err error)) {
 	if s.store == nil {
 		return
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// applyOverride logs and reports the effective state of a database after its overrides have changed.
+// applyOverride logs and reports the effective state of a database or gateway after its overrides have changed.
 func (s *overrides) applyOverride(host, from string) {
 	active, conflict := s.set.Active(host)
 	s.changeLog.Printf(s.links.loop.Now(), "event=fleet_word host=%q out=%t conflict=%t from=%s", host, active, conflict, from)
@@ -226,7 +226,8 @@
 // NotOnDisk marks the answer about an override that a restart of all gateways at once would lose.
 const NotOnDisk = "not on disk"
 
-// SetOverride sets an operator override of a database for the whole fleet; false: the maximum number of overrides is reached.
+// SetOverride sets an operator override of a database or gateway for the whole fleet; host is its key, see
+// [state.GatewayKey]. It returns false if the maximum number of overrides is reached.
 // It takes effect here at once; reply is called within a second with how many other gateways hold it, and, where overrides
 // are stored, whether it is on disk.
 func (l *Links) SetOverride(host string, active bool, reply func(result string)) bool {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -204,7 +204,7 @@
 	return own.Name
 }
 
-// Knows reports whether a gateway of that name is or was a member, or is this one.
+// Knows reports whether a gateway of that name is in the member list, live or not, or is this one.
 func (l *Links) Knows(name string) bool {
 	own, _ := l.machine.Self()
 	return name == own.Name || slices.ContainsFunc(l.machine.Members(), func(e membership.Entry) bool { return e.Name == name })
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -17,7 +17,7 @@
 // countSent counts a sent envelope, with prefix bytes before it.
 func (t *traffic) countSent(b []byte, prefix int) { t[b[3]].CountOut(len(b) + prefix) }
 
-// countReceived counts a received envelope. The channel is known only of a valid one.
+// countReceived counts a valid envelope; one of an unknown channel is not counted.
 func (t *traffic) countReceived(channel byte, size int) {
 	if int(channel) < len(t) {
 		t[channel].CountIn(size)
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -12,8 +12,8 @@
 const (
 	channelVersions   = 5
 	versionsInterval  = 250 * time.Millisecond
-	maxListLag        = time.Second
-	listRequestSpread = 100 * time.Millisecond // spreads the requests of many lagging gateways, like the policy's pace of discovery calls
+	maxListLag        = time.Second            // after which a lagging gateway requests the list
+	listRequestSpread = 100 * time.Millisecond // per gateway of the fleet, like listCallInterval of package policy
 )
 
 // LocalVersions names the versions on which this process acts, to be shared with the fleet.
