--- a/internal/auditfile/auditfile.go
+++ b/internal/auditfile/auditfile.go
@@ -48,7 +48,7 @@
 }
 
 // Open opens the file and starts the writer. An unusable path is an error. A temporary lack of system resources is not: it
-// loses lines, as it does later, and is logged.
+// is logged, and lines are lost until the file can be opened.
 func Open(opt Options) (*Writer, error) {
 	w := &Writer{opt: opt, lines: make(chan []byte, queueSize), done: make(chan struct{})}
 	if err := w.open(); err != nil {
--- a/internal/fleet/membership/machine.go
+++ b/internal/fleet/membership/machine.go
@@ -259,8 +259,9 @@
 	m.finish()
 }
 
-// advanceClock sets the current time. If it is later than the planned wake-up by more than a period, this process
-// was paused: answers may still be unread, so it extends its deadlines by the gap and worsens its own health score.
+// advanceClock sets the current time. If it is later than the planned wake-up by more than half a period, answers may
+// still be unread: the outstanding probe is abandoned and the other deadlines are extended by the gap. A gap of more than
+// a period counts as a pause of this process and worsens its health score.
 func (m *Machine) advanceClock(now time.Duration) {
 	m.now = max(m.now, now)
 	gap := m.now - m.wake
--- a/internal/fleet/membership/machine_test.go
+++ b/internal/fleet/membership/machine_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A paused process detects the pause, worsens its own health score and refutes the suspicion raised meanwhile.
+// A paused process detects the pause, declares no other member dead and refutes the suspicion raised meanwhile.
 func TestPausedProcessDeclaresNoOtherDead(t *testing.T) {
 	for seed := range uint64(20) {
 		w := joinedFleet(t, seed, 8)
--- a/internal/fleet/membership/types.go
+++ b/internal/fleet/membership/types.go
@@ -56,7 +56,7 @@
 	Ping     Kind = iota + 1 // probe
 	Ack                      // answer to a Ping; or from a helper: the target answered
 	PingReq                  // request for an indirect probe of Target
-	Nack                     // from a helper: it is alive, but the target has not answered yet
+	Nack                     // from a helper: the target has not answered yet, but the helper is alive
 	Gossip                   // updates only
 	Sync                     // digest of the member list
 	Exchange                 // full member list, over a stream
--- a/internal/fleet/state/overrides.go
+++ b/internal/fleet/state/overrides.go
@@ -49,7 +49,7 @@
 	return o.Key != "" && len(o.Key) <= maxNameBytes && len(o.Origin) <= 64 && len(o.VersionVector) > 0 && len(o.VersionVector) <= maxWriters
 }
 
-// size returns the number of bytes that an override takes in a message, or slightly less.
+// size returns an upper bound of the bytes that an override takes in a message.
 func (o Override) size() int {
 	n := overrideOverhead + len(o.Key) + len(o.Origin)
 	for writer := range o.VersionVector {
@@ -68,7 +68,7 @@
 }
 
 // LimitWriters folds an override with more writers than are accepted, as earlier builds made them: it then represents only
-// itself, and a copy that has one from before it keeps both.
+// itself, and a copy that has an earlier override keeps both.
 func (o *Override) LimitWriters() {
 	if len(o.VersionVector) > maxWriters {
 		o.VersionVector = map[string]uint64{o.foldedEntry(): 1}
--- a/internal/handover/share.go
+++ b/internal/handover/share.go
@@ -22,7 +22,7 @@
 	stateFileName     = "lilaccove-state.json"
 	processFilePrefix = "lilaccove-process-"
 	tempFilePrefix    = "lilaccove-new-" // a state file that is being written
-	maxStateSize      = 1 << 20
+	maxStateSize      = 1 << 20          // bytes
 	timestampDigits   = 20
 
 	logInterval = time.Second
