--- a/internal/fleet/state/overrides.go
+++ b/internal/fleet/state/overrides.go
@@ -49,7 +49,7 @@
 	return o.Key != "" && len(o.Key) <= maxNameBytes && len(o.Origin) <= 64 && len(o.VersionVector) > 0 && len(o.VersionVector) <= maxWriters
 }
 
-// size returns an upper bound of the bytes that an override takes in a message.
+// size returns an upper bound of the bytes that an override takes in a message. Writers' names are shorter than 256 bytes.
 func (o Override) size() int {
 	n := overrideOverhead + len(o.Key) + len(o.Origin)
 	for writer := range o.VersionVector {
