--- a/cmd/lilaccove/norace_test.go
+++ b/cmd/lilaccove/norace_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-const raceMemoryKiB = 0
+const raceMemoryKiB = 0 // without the race detector, see race_test.go
 
 const raceExitDelay = 0
--- a/cmd/lilaccove/race_test.go
+++ b/cmd/lilaccove/race_test.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-const racePart = 1 << 20 // what the race detector may add to the program's memory
+const raceMemoryKiB = 1 << 20 // what the race detector may add to the program's memory
 
-const raceExit = time.Second // how long the race detector delays the program's exit
+const raceExitDelay = time.Second // how long the race detector delays the program's exit
