--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -96,7 +96,7 @@
 func (c *chaos) pickVictim() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := c.rnd.IntN(c.n)
+	i := c.rnd.IntN(c.gatewayCount)
 	if len(c.down) >= 3 || c.down[i] {
 		return 0, false
 	}
@@ -136,8 +136,8 @@
 			})
 		}
 	case 4:
-		k := 1 + c.rnd.IntN(c.n-1)
-		order := c.rnd.Perm(c.n)
+		k := 1 + c.rnd.IntN(c.gatewayCount-1)
+		order := c.rnd.Perm(c.gatewayCount)
 		if sides := [][]int{order[:k], order[k:]}; !c.linksFaulty {
 			c.linksFaulty = true
 			c.logStep("partition %v for %v", sides, d)
@@ -181,7 +181,7 @@
 		}
 	}
 	if c.rnd.IntN(3) == 0 && !c.noOperators { // an operator sets an override
-		host, verb, i := c.World().Members()[c.rnd.IntN(8)].ID, []string{"suspend", "resume"}[c.rnd.IntN(2)], c.rnd.IntN(c.n)
+		host, verb, i := c.World().Members()[c.rnd.IntN(8)].ID, []string{"suspend", "resume"}[c.rnd.IntN(2)], c.rnd.IntN(c.gatewayCount)
 		c.mu.Lock()
 		down := c.down[i]
 		c.mu.Unlock()
@@ -193,8 +193,8 @@
 }
 
 func (c *chaos) setLinks(l plan.Link) {
-	for i := range c.n {
-		for j := range c.n {
+	for i := range c.gatewayCount {
+		for j := range c.gatewayCount {
 			if i != j {
 				c.Mesh().SetLink(i, j, l)
 			}
@@ -204,7 +204,7 @@
 
 // auditFileRecords returns the records of all processes that ran, from the gateways' audit files.
 func (c *chaos) auditFileRecords() (records []audit.ChainedRecord) {
-	for i := range c.n {
+	for i := range c.gatewayCount {
 		lines, err := auditfile.Lines(c.AuditFile(i))
 		require.NoError(c.t, err)
 		for _, l := range lines {
@@ -273,7 +273,7 @@
 // plantViolation draws a violation and causes it.
 func (c *chaos) plantViolation() (planted plantedViolation) {
 	planted.kind = []string{"", audit.TwoPrimaries, audit.AfterOverride, audit.AfterDrain}[c.rnd.IntN(4)]
-	planted.victim = c.rnd.IntN(c.n)
+	planted.victim = c.rnd.IntN(c.gatewayCount)
 	members := c.World().Members()
 	sides := [][]int{{planted.victim}, c.except(planted.victim)}
 	switch planted.kind {
@@ -283,7 +283,7 @@
 	case audit.AfterOverride: // the override does not reach the victim
 		planted.host = members[4*c.rnd.IntN(2)]
 		c.Mesh().Partition(sides, true)
-		c.setOverride((planted.victim+1)%c.n, planted.host.ID, "suspend")
+		c.setOverride((planted.victim+1)%c.gatewayCount, planted.host.ID, "suspend")
 	case audit.AfterDrain: // neither the list nor the other gateways' list versions reach the victim
 		planted.host = members[1+4*c.rnd.IntN(2)]
 		c.makeLagging(planted.victim)
--- a/cmd/lilaccove/cold_test.go
+++ b/cmd/lilaccove/cold_test.go
@@ -40,7 +40,7 @@
 }
 
 // checkColdLoad waits until the cold databases have served some requests, then ends the load and checks the report.
-func (fleet *testFleet) checkColdLoad(atLeast float64) {
+func (fleet *testFleet) checkColdLoad(minServed float64) {
 	fleet.t.Helper()
 	fleet.eventually("the old databases are gone", func() bool { return len(fleet.World().Members()) == 6 })
 	cold := fleet.World().Members()[4:]
@@ -56,7 +56,7 @@
 	fleet.t.Logf("a cold database got up to %.2f times its capacity", c.MostCold)
 	assert.Positive(fleet.t, c.MostCold, "the stand-ins measure the load")
 	assert.Less(fleet.t, c.MostCold, 1.0)
-	fleet.finishAndCheck(atLeast)
+	fleet.finishAndCheck(minServed)
 }
 
 // Databases are cold on both sides of a partition. Neither side knows what the other sends; the total stays within the limit.
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -30,7 +30,7 @@
 type testFleet struct {
 	*lab.Lab
 	t      *testing.T
-	n      int
+	gatewayCount      int
 	report *loadrun.Report
 	finish func()
 }
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	arrivals, err := plan.Schedule(pl)
 	require.NoError(t, err)
-	fleet := &testFleet{t: t, n: n, Lab: &lab.Lab{
+	fleet := &testFleet{t: t, gatewayCount: n, Lab: &lab.Lab{
 		Plan: pl, Arrivals: arrivals, Gateway: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"},
 	}}
 	if configure != nil {
@@ -128,7 +128,7 @@
 }
 
 func (fleet *testFleet) all() (gateways []int) {
-	for i := range fleet.n {
+	for i := range fleet.gatewayCount {
 		gateways = append(gateways, i)
 	}
 	return gateways
@@ -169,7 +169,7 @@
 		_, err := fleet.Start(i)
 		require.NoError(fleet.t, err)
 	}
-	fleet.waitView(fleet.n, fleet.all()...)
+	fleet.waitView(fleet.gatewayCount, fleet.all()...)
 }
 
 // metric returns the value of one of a gateway's metrics.
--- a/cmd/lilaccove/store_test.go
+++ b/cmd/lilaccove/store_test.go
@@ -49,7 +49,7 @@
 func (fleet *testFleet) waitOverridesEqual() {
 	fleet.t.Helper()
 	fleet.eventually("all copies are equal", func() bool {
-		for i := range fleet.n {
+		for i := range fleet.gatewayCount {
 			if s := fleet.overrideState(i); !s.Synced || s.Digest != fleet.overrideState(0).Digest {
 				return false
 			}
