--- a/cmd/lilaccove/chaos_test.go
+++ b/cmd/lilaccove/chaos_test.go
@@ -56,7 +56,7 @@
 	mu             sync.Mutex
 	steps          []string
 	down           map[int]bool // gateways that are killed or paused
-	replacedCount  int          // databases of each group that were replaced
+	replacedCount  int          // how many databases of each group were replaced
 	lastListChange time.Time    // when the list last began to change or watches last fell silent
 	linksFaulty    bool         // links have had their fault of this schedule
 	noOperators    bool         // no operator sets overrides
@@ -92,7 +92,7 @@
 	return from + time.Duration(c.rnd.Int64N(int64(to-from)))
 }
 
-// pickVictim draws a gateway for a fault and marks it down. It fails if that gateway is down already or three others are.
+// pickVictim draws a gateway for a fault and marks it down. It returns false if that gateway is down already or three others are.
 func (c *chaos) pickVictim() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/lilaccove/cold_test.go
+++ b/cmd/lilaccove/cold_test.go
@@ -182,7 +182,7 @@
 	fleet.eventually("each has a watch", func() bool { return calls().Watches == 5 })
 	start := time.Now()
 	fleet.World().SilenceWatches()
-	time.Sleep(time.Until(start.Add(6 * time.Second))) // until the change is binding
+	time.Sleep(time.Until(start.Add(6 * time.Second))) // from then on each change must reach every gateway in time
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() { _ = fleet.World().Replace(fleet.World().Members()[0], 20*time.Second, stop) }()
--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -29,10 +29,10 @@
 // testFleet runs several gateway processes under load, with relays between them that inject network faults.
 type testFleet struct {
 	*lab.Lab
-	t      *testing.T
-	gatewayCount      int
-	report *loadrun.Report
-	finish func()
+	t            *testing.T
+	gatewayCount int
+	report       *loadrun.Report
+	finish       func()
 }
 
 var (
--- a/cmd/lilaccove/rig_test.go
+++ b/cmd/lilaccove/rig_test.go
@@ -111,7 +111,7 @@
 	log                         *bytes.Buffer
 	logMu                       sync.Mutex
 	settings                    string
-	sockets                     int
+	sockets                     int // limit of its descriptors
 	memory                      int // MB
 	configPath                  string
 
--- a/cmd/lilaccove/slow_test.go
+++ b/cmd/lilaccove/slow_test.go
@@ -79,7 +79,7 @@
 	const (
 		deadline     = 2 * time.Second
 		pause        = 1200 * time.Millisecond
-		allowedStall = 150 * time.Millisecond // allowed by the terms of service
+		allowedStall = 150 * time.Millisecond // of a gateway; arrivalSlack in internal/front is derived from it
 		maxLateness  = 500 * time.Millisecond // an answer this long after the deadline is lost
 	)
 	gw := startGateway(t, nil)
--- a/cmd/lilacctl/audit.go
+++ b/cmd/lilacctl/audit.go
@@ -177,18 +177,18 @@
 			i = len(processes)
 			processes = append(processes, &process{gateway: record.Gateway, session: record.Session, from: record.From, lists: [2]int64{record.ListVersion, record.ListVersion}})
 		}
-		l := processes[i]
-		l.from, l.to, l.records = min(l.from, record.From), max(l.to, record.To), l.records+1
-		l.lists = [2]int64{min(l.lists[0], record.ListVersion), max(l.lists[1], record.ListVersion)}
+		summary := processes[i]
+		summary.from, summary.to, summary.records = min(summary.from, record.From), max(summary.to, record.To), summary.records+1
+		summary.lists = [2]int64{min(summary.lists[0], record.ListVersion), max(summary.lists[1], record.ListVersion)}
 		for _, a := range record.Databases {
-			l.sent, l.writes = l.sent+a.Sent, l.writes+a.Writes
+			summary.sent, summary.writes = summary.sent+a.Sent, summary.writes+a.Writes
 		}
 	}
 	slices.SortFunc(processes, func(a, b *process) int { return strings.Compare(a.gateway+" "+a.session, b.gateway+" "+b.session) })
 	table := tabwriter.NewWriter(w, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "GATEWAY\tSESSION\tFROM\tTO\tLISTS\tRECORDS\tSENT\tWRITES TAKEN")
-	for _, l := range processes {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d..%d\t%d\t%d\t%d\n", l.gateway, l.session, clockTime(l.from), clockTime(l.to), l.lists[0], l.lists[1], l.records, l.sent, l.writes)
+	for _, summary := range processes {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d..%d\t%d\t%d\t%d\n", summary.gateway, summary.session, clockTime(summary.from), clockTime(summary.to), summary.lists[0], summary.lists[1], summary.records, summary.sent, summary.writes)
 	}
 	for _, n := range r.Notes {
 		fmt.Fprintln(table, n)
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -37,7 +37,7 @@
 	Fleet          string  `json:"fleet"` // path of the fleet file; empty: in no fleet
 	Zone           string  `json:"zone"`  // overrides the zone of the configuration
 	StatementsPerS float64 `json:"statements_per_s"`
-	Skew           float64 `json:"skew"`
+	Skew           float64 `json:"skew"`   // exponent of Zipf's law over the databases; 0: even
 	WriteShare     float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
 }
 
@@ -86,7 +86,7 @@
 
 // run is a gateway from its start to its end. It belongs to the loop's goroutine.
 type run struct {
-	h         *hollowGateway
+	gateway   *hollowGateway
 	loop      *netloop.Loop
 	side      *control.Side
 	feed      *feed
@@ -95,7 +95,7 @@
 	maxLag    time.Duration
 	deadNames []string
 	startCPU  time.Duration // threadCPU at the start
-	feedCPU   time.Duration // CPU time of State.FeedCPUMS
+	feedCPU   time.Duration // reported as GatewayState.FeedCPUMS
 	ending    bool
 	stopped   bool
 	feedTurn  bool // the current tick generates answers; every second one does
@@ -186,7 +186,7 @@
 		loop.Close()
 		return nil, err
 	}
-	r := &run{h: h, loop: loop, side: side, queue: make(chan func(), 64), closed: make(chan struct{}), deadNames: []string{}}
+	r := &run{gateway: h, loop: loop, side: side, queue: make(chan func(), 64), closed: make(chan struct{}), deadNames: []string{}}
 	options := backend.Options{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: maxSockets / 16}
 	budgets := side.Budgets()
 	if budgets != nil {
@@ -321,7 +321,7 @@
 func (r *run) state() GatewayState {
 	startCPU := threadCPU()
 	s := GatewayState{
-		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListVersion: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
+		Name: r.gateway.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListVersion: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
 		AnswersLearned: r.feed.learned, PrimaryAnswersLearned: r.feed.learnedPrimary, BudgetTimeouts: r.feed.budgetTimeouts, Roles: r.side.Traffic(),
 	}
 	r.maxLag, r.deadNames = 0, []string{}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -130,7 +130,7 @@
 			forEach(list, func(_ int, h *hollowGateway) { h.end() })
 		case "start":
 			if err := startAll(list); err != nil {
-				fmt.Fprintln(os.Stderr, err) // also in the reports, as State.Error
+				fmt.Fprintln(os.Stderr, err) // also in the reports, as GatewayState.Error
 			}
 		case "quit":
 			return nil
--- a/internal/lab/balancer.go
+++ b/internal/lab/balancer.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// checkGateway sends an empty query. It returns false, false if the gateway does not answer.
+// checkGateway sends an empty query. A connection that the gateway closes without an answer counts as refused. It returns
+// false, false if the gateway does not answer.
 func checkGateway(addr string) (healthy, refused bool) {
 	if addr == "" {
 		return false, false
--- a/internal/load/run/record.go
+++ b/internal/load/run/record.go
@@ -210,7 +210,7 @@
 	return report
 }
 
-// steps returns the numbers from from up to but excluding to.
+// steps returns from, from+by and so on, as long as they are below to.
 func steps(from, to, by float64) (list []float64) {
 	for x := from; x < to; x += by {
 		list = append(list, x)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -28,7 +28,7 @@
 	samples         []sample
 }
 
-// period is a period of time; a zero to means that it has not ended.
+// period is the time between from and to; a zero to means that it has not ended.
 type period struct{ from, to time.Time }
 
 // includes reports whether the period, extended by grace, contains at.
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -18,7 +18,7 @@
 	"lilaccove/internal/load/run"
 )
 
-// buildPrograms builds the buildPrograms that a run starts and returns their paths.
+// buildPrograms builds the programs that a run starts and returns their paths.
 func buildPrograms(t *testing.T) (tool, gateway string) {
 	dir := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir+"/", "lilaccove/cmd/lilacload", "lilaccove/cmd/lilaccove").CombinedOutput()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -28,8 +28,8 @@
 type Item struct {
 	Kind     ItemKind
 	Router   int
-	Seed     int64           // of a start
-	Settings policy.Settings // of a start
+	Seed     int64           // of a RouterStart
+	Settings policy.Settings // of a RouterStart
 	Event    policy.Event    // of a RouterEvent
 }
 
@@ -209,7 +209,7 @@
 			Finished: f.optional(6) == "1",
 			Report:   r.parseReport(f, 8, router),
 		}
-		if note := f.int(7); note > 0 {
+		if note := f.int(7); note > 0 { // a role code, plus 4 times the position in ms if there is one
 			result.Role = parseRole(note % 4)
 			if note >= 4 {
 				result.Position, result.HasPosition = r.positionEpochs[router]+time.Duration(note/4)*time.Millisecond, true
