--- a/cmd/lilaccove/fleet_test.go
+++ b/cmd/lilaccove/fleet_test.go
@@ -66,7 +66,7 @@
 }
 
 // newTestFleetWithLab is newTestFleetWithPlan with a lab to which configure is applied, unless it is nil, before it opens.
-func newTestFleetWithLab(t *testing.T, n int, text string, configure func(*lab.Lab)) *testFleet {
+func newTestFleetWithLab(t *testing.T, gatewayCount int, text string, configure func(*lab.Lab)) *testFleet {
 	if testing.Short() {
 		t.Skip("several processes and real time")
 	}
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	arrivals, err := plan.Schedule(pl)
 	require.NoError(t, err)
-	fleet := &testFleet{t: t, gatewayCount: n, Lab: &lab.Lab{
+	fleet := &testFleet{t: t, gatewayCount: gatewayCount, Lab: &lab.Lab{
 		Plan: pl, Arrivals: arrivals, Gateway: []string{os.Args[0]}, Env: []string{"LILACCOVE_RUN=1"},
 	}}
 	if configure != nil {
@@ -120,9 +120,9 @@
 		fleet.Close()
 	})
 	if pl.Lab.Fleet {
-		fleet.waitView(n, fleet.all()...)
+		fleet.waitView(gatewayCount, fleet.all()...)
 	} else {
-		fleet.eventually("the load balancer admits all gateways", func() bool { return fleet.Balancer().Admitted() == n })
+		fleet.eventually("the load balancer admits all gateways", func() bool { return fleet.Balancer().Admitted() == gatewayCount })
 	}
 	return fleet
 }
--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -86,7 +86,7 @@
 
 // run is a gateway from its start to its end. It belongs to the loop's goroutine.
 type run struct {
-	gateway   *hollowGateway
+	h         *hollowGateway
 	loop      *netloop.Loop
 	side      *control.Side
 	feed      *feed
@@ -186,7 +186,7 @@
 		loop.Close()
 		return nil, err
 	}
-	r := &run{gateway: h, loop: loop, side: side, queue: make(chan func(), 64), closed: make(chan struct{}), deadNames: []string{}}
+	r := &run{h: h, loop: loop, side: side, queue: make(chan func(), 64), closed: make(chan struct{}), deadNames: []string{}}
 	options := backend.Options{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, ProbeReport: set.ProbeReport, Reserve: maxSockets / 16}
 	budgets := side.Budgets()
 	if budgets != nil {
@@ -321,7 +321,7 @@
 func (r *run) state() GatewayState {
 	startCPU := threadCPU()
 	s := GatewayState{
-		Name: r.gateway.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListVersion: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
+		Name: r.h.spec.Name, Up: true, LateMSMax: millis(r.maxLag), DeadNames: r.deadNames, ListVersion: r.side.Watch.ListVersion(), ListDatabases: r.side.Core.ListSize(),
 		AnswersLearned: r.feed.learned, PrimaryAnswersLearned: r.feed.learnedPrimary, BudgetTimeouts: r.feed.budgetTimeouts, Roles: r.side.Traffic(),
 	}
 	r.maxLag, r.deadNames = 0, []string{}
--- a/internal/wan/lateness.go
+++ b/internal/wan/lateness.go
@@ -10,7 +10,7 @@
 	latenessBuckets    = 2000 // one more holds all that is later
 )
 
-// lateness is a histogram of how late datagrams were forwarded. Only the loop writes it; reads are concurrent.
+// lateness is a histogram of how late datagrams were forwarded. Only the loop adds to it; reads are concurrent.
 type lateness struct {
 	buckets [latenessBuckets + 1]atomic.Uint64
 	sum     atomic.Int64 // in ns
@@ -29,7 +29,7 @@
 // Lateness summarizes how late datagrams were forwarded, including the time they waited to be read.
 type Lateness struct {
 	Count          uint64
-	Mean, P99, Max time.Duration // P99 is rounded up to 0.1 ms
+	Mean, P99, Max time.Duration // P99 is rounded up to 0.1 ms; Max is since the previous call
 	buckets        []uint64
 	sum            int64
 }
