--- a/internal/hollow/gateway.go
+++ b/internal/hollow/gateway.go
@@ -37,7 +37,7 @@
 	Fleet          string  `json:"fleet"` // path of the fleet file; empty: in no fleet
 	Zone           string  `json:"zone"`  // overrides the zone of the configuration
 	StatementsPerS float64 `json:"statements_per_s"`
-	Skew           float64 `json:"skew"`
+	Skew           float64 `json:"skew"`   // exponent of Zipf's law over the databases; 0: even
 	WriteShare     float64 `json:"writes"` // share of the statements; 0: defaultWriteShare
 }
 
@@ -95,7 +95,7 @@
 	maxLag    time.Duration
 	deadNames []string
 	startCPU  time.Duration // threadCPU at the start
-	feedCPU   time.Duration // CPU time of State.FeedCPUMS
+	feedCPU   time.Duration // reported as GatewayState.FeedCPUMS
 	ending    bool
 	stopped   bool
 	feedTurn  bool // the current tick generates answers; every second one does
