--- a/internal/netloop/lag.go
+++ b/internal/netloop/lag.go
@@ -11,8 +11,8 @@
 type eventLoopLag struct {
 	lastPoll  time.Duration // when epoll_wait last returned
 	complete  bool          // that poll returned all ready events
-	maxAge    time.Duration
-	stallTime time.Duration
+	maxAge    time.Duration // see MaxEventAge
+	stallTime time.Duration // see StallTime
 }
 
 // observe records that epoll_wait was called and returned at the given times. nextTimer is the time of the
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -50,8 +50,8 @@
 	events              [eventsPerPoll]unix.EpollEvent
 }
 
-// New returns a loop that may have so many descriptors open and allocate so many bytes of buffers. The limit
-// includes the descriptors that the process has open already; alreadyOpen is their number.
+// New returns a loop with limits on the number of open descriptors and on the bytes of allocated buffers.
+// alreadyOpen is the number of descriptors that the process has open; they count against the limit.
 func New(descriptors, alreadyOpen, maxBufferBytes int) (*Loop, error) {
 	l := &Loop{
 		startTime:       time.Now(),
@@ -183,7 +183,7 @@
 }
 
 // overdue reports whether the earliest timer is late by more than the tolerable lag, which shows that this
-// process was stalled.
+// process was stalled. There must be a timer.
 func (l *Loop) overdue() bool { return l.now-l.nextTimer() > tolerableLag }
 
 // pollTimeout returns how many milliseconds the next round may wait for events: until the next timer, rounded
