--- a/cmd/lilaccove/main.go
+++ b/cmd/lilaccove/main.go
@@ -104,8 +104,8 @@
 	if budgets != nil {
 		budgets.OnGrant = pool.Granted
 	}
-	// Clients get at most half of the descriptors, so that idle clients cannot prevent connections to databases. Those
-	// may use all the others but the few reserved for discovery and for refusing clients.
+	// Clients get at most half of the descriptors, so that idle clients cannot prevent connections to databases.
+	// Connections to databases may use all the others but the few reserved for discovery and for refusing clients.
 	ops := &operations{loop: loop, core: core, side: side, discovery: side.Watch, pool: pool, counts: side.Counts, links: side.Links, guard: side.Guard}
 	frontend := front.New(loop, core, front.Options{
 		Classes: gatewaySettings.Classes, MaxClients: maxDescriptors / 2, Reserve: maxDescriptors / 8, MaxLargeStatementBytes: memoryBytes / 6, FreeDescriptor: pool.CloseOldestIdle,
@@ -166,9 +166,9 @@
 	return d
 }
 
-// tuneRuntime configures the Go runtime for one shared core and the memory limit, which it returns in bytes. One P is
-// enough because the event loop is the only busy goroutine. The garbage collector lets the heap grow well beyond the
-// live data and runs more often only near the limit.
+// tuneRuntime configures the Go runtime for one shared core and the memory limit (192 MiB if none is given), which it
+// returns in bytes. One P is enough because the event loop is the only busy goroutine. The garbage collector lets the
+// heap grow well beyond the live data and runs more often only near the limit.
 func tuneRuntime(megabytes float64) int {
 	if megabytes <= 0 {
 		megabytes = 192
--- a/cmd/lilaccove/operations.go
+++ b/cmd/lilaccove/operations.go
@@ -126,7 +126,7 @@
 	}
 	o.loop.At(now+interval, o.pollSibling)
 	if len(o.pendingReplies) > 0 && o.acknowledged() {
-		o.sendExpiredReplies(now + acknowledgeTimeout)
+		o.sendExpiredReplies(now + acknowledgeTimeout) // all of them: no deadline is later
 	}
 	o.sendExpiredReplies(now)
 }
@@ -209,9 +209,9 @@
 	o.applyDrain()
 }
 
-// sendExpiredReplies sends the replies whose deadline is not after now.
-func (o *operations) sendExpiredReplies(now time.Duration) {
-	for len(o.pendingReplies) > 0 && o.pendingReplies[0].deadline <= now {
+// sendExpiredReplies sends the replies whose deadline is not after the given time.
+func (o *operations) sendExpiredReplies(until time.Duration) {
+	for len(o.pendingReplies) > 0 && o.pendingReplies[0].deadline <= until {
 		o.reply(o.pendingReplies[0].reply, o.persisted())
 		o.pendingReplies = o.pendingReplies[1:]
 	}
@@ -288,7 +288,7 @@
 	return o.links.State(), true
 }
 
-// FleetVersions returns the list versions that the gateways act on; false: this gateway is in no fleet.
+// FleetVersions returns which versions each gateway acts on; false: this gateway is in no fleet.
 func (o *operations) FleetVersions() ([]byte, bool) {
 	if o.links == nil {
 		return nil, false
@@ -308,7 +308,7 @@
 }
 
 // FleetSuspend sets the fleet's override for a database. Once it is in effect here, it calls reply with how many other
-// gateways hold it. It returns false if the database is unknown or the fleet accepts no more overrides.
+// gateways hold it. It returns false if the database is unknown or the maximum number of overrides is reached.
 func (o *operations) FleetSuspend(id string, active bool, reply func(result string)) bool {
 	if o.links == nil || !o.core.InList(policy.HostID(id)) && !o.links.OverrideActive(id) {
 		return false
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -175,7 +175,7 @@
 	return s.positions.UpdateCounts()
 }
 
-// Preferred returns the databases that this gateway prefers as its subset; none if the settings decide.
+// Preferred returns the databases that this gateway prefers as its subset; none if the fleet file does not enable subsets.
 func (s *Side) Preferred() []policy.HostID {
 	if s.subsets == nil {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 	"lilaccove/policy"
 )
 
-// Settings holds all the settings that the program uses.
+// Settings holds the decoded settings.
 type Settings struct {
 	Policy        policy.Settings
 	PositionEpoch time.Duration // origin of the simulator's replication positions
@@ -88,7 +88,8 @@
 	return number
 }
 
-// Upper limits for all settings, far above any deployment's values: a larger value is a mistake or would overflow.
+// Upper limits for durations and for other numbers, far above any deployment's values: a larger value is a mistake or would
+// overflow.
 const (
 	maxDuration = 10 * 365 * 24 * time.Hour
 	maxNumber   = math.MaxInt32
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -14,7 +14,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Parse parses a file. The description names the kind of file in errors.
+// Parse parses a file and returns a reader for it and the root of its tree. The description names the kind of file in
+// errors.
 func Parse(fileName string, text []byte, description string) (*Reader, *yaml.Node, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -34,7 +35,7 @@
 	return r.Errors
 }
 
-// Errors lists all errors of a file, in the order of the file.
+// Errors lists all errors of a file, in the order in which they were found.
 type Errors []string
 
 func (e Errors) Error() string { return strings.Join(e, "\n") }
@@ -57,7 +58,7 @@
 	r.Errors = append(r.Errors, position+": "+key+fmt.Sprintf(format, args...))
 }
 
-// Fields reads a mapping and rejects duplicate keys and, if known names are given, all others.
+// Fields reads a mapping. It rejects aliases, duplicate keys and, if known names are given, unknown keys.
 func (r *Reader) Fields(node *yaml.Node, key string, known ...string) map[string]*yaml.Node {
 	fields := map[string]*yaml.Node{}
 	if node == nil {
