--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxResponseHead = 16 << 10
-	maxChunkHead    = 256
+	maxResponseHead = 16 << 10 // bytes; also the maximum length of a line of the trailer
+	maxChunkHead    = 256      // bytes
 )
 
 // Response parses one HTTP/1.1 response incrementally.
--- a/internal/pgwire/head.go
+++ b/internal/pgwire/head.go
@@ -17,9 +17,9 @@
 	ID, Class      []byte
 	DeadlineMillis int64 // how long the client waits, counted from when it sent the request
 	Cluster        int64
-	After          int64 // a position in Unix milliseconds; 0: none
-	Key            []byte
-	deadlineStart  int // position of the digits of d in the statement
+	After          int64  // a position in Unix milliseconds; 0: none
+	Key            []byte // the first quoted text after the comment; nil: there is none
+	deadlineStart  int    // position of the digits of d in the statement
 	deadlineEnd    int
 }
 
--- a/internal/pgwire/message.go
+++ b/internal/pgwire/message.go
@@ -60,7 +60,7 @@
 )
 
 // Next splits the first message off b. n is the message's length including its header, or 0 if it is incomplete. A length
-// over maxLength is an error as soon as the header has arrived.
+// field above maxLength is an error as soon as the header has arrived.
 func Next(b []byte, maxLength int) (kind byte, body []byte, n int, err error) {
 	if len(b) < 5 {
 		return 0, nil, 0, nil
@@ -87,7 +87,8 @@
 	return 0
 }
 
-// maxMessageLength holds the maximum length in bytes of each type of message in an answer; 0 for all other types.
+// maxMessageLength holds the maximum length in bytes of each type of message in an answer, as the message's length field
+// counts it, without the type byte; 0 for all other types.
 var maxMessageLength = [256]int{
 	AuthRequest: 8, BackendKey: 12, CommandComplete: 68, DataRow: MaxServerMessage, ErrorResponse: 16 << 10, Notice: 16 << 10,
 	ParameterStatus: 16 << 10, Ready: 5, RowDescription: 1 << 10,
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -38,7 +38,8 @@
 	return &c.classes[class]
 }
 
-// Gauges are the current values of the gateway's gauges.
+// Gauges are the current values of the gateway's gauges: requests in progress, databases in the list, and those of them that
+// get no requests.
 type Gauges struct {
 	InProgress, KnownDatabases, SkippedDatabases int
 	StallTime                                    time.Duration // for which this process was stalled, since its start
--- a/internal/sys/faults.go
+++ b/internal/sys/faults.go
@@ -28,8 +28,8 @@
 type Fault struct {
 	Call       string  `json:"call"`     // accept, socket, connect, read, write, epoll_add, epoll_mod, epoll_wait, create, open, write_file, sync, rename
 	Error      string  `json:"error"`    // name of an errno, such as EMFILE; empty: the call doesn't fail
-	MaxBytes   int     `json:"short"`    // maximum of bytes transferred; 0: all
-	DelayMS    int64   `json:"delay_ms"` // after the call
+	MaxBytes   int     `json:"short"`    // maximum of bytes transferred, for read and write; 0: all
+	DelayMS    int64   `json:"delay_ms"` // after the call, for accept, read and epoll_wait
 	Fraction   float64 `json:"share"`    // fraction of the calls that are affected; 0: all
 	Peer       string  `json:"peer"`     // ADDRESS:PORT of the peer, for connect, read and write; empty: any
 	File       string  `json:"file"`     // base name of the path, for open, write_file, sync and rename (the new path); empty: any
