--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-// Package deploy_test checks what the deploy file promises to the platform.
+// Package deploy_test checks that the deploy file and the site files match the program.
 package deploy_test
 
 import (
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// list is what go list says with these arguments, run at the root. The test's cached result depends on what the test itself
-// opens and not on what go list does; so all sources are opened here.
-func list(t *testing.T, args ...string) []string {
+// goList runs go list with the arguments at the root of the module and returns the words of its output. It opens all source
+// files first: a cached test result depends on the files that the test opens, but not on those that go list reads.
+func goList(t *testing.T, args ...string) []string {
 	t.Helper()
 	for _, dir := range []string{"../cmd", "../internal", "../policy"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ os.DirEntry, err error) error {
@@ -40,8 +40,8 @@
 	return strings.Fields(string(out))
 }
 
-// value is that of a key in the deploy file.
-func value(t *testing.T, key string) string {
+// deployValue returns the value of a key in the deploy file.
+func deployValue(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
 	require.NoError(t, err)
@@ -50,14 +50,14 @@
 	return string(m[1])
 }
 
-// What is loaded into a process from outside (LD_PRELOAD) reaches only a program that starts with the
-// dynamic loader and takes the C library from it: a static one would run on real clocks and sockets.
-func TestTheBuiltGatewayIsLinkedDynamically(t *testing.T) {
-	run := strings.Fields(value(t, "run"))
-	require.Len(t, run, 2, "run is one exec of one program")
+// A library that the platform loads with LD_PRELOAD affects only a program that is started by the dynamic loader and uses
+// the shared C library. A statically linked gateway would run on real clocks and sockets.
+func TestGatewayIsLinkedDynamically(t *testing.T) {
+	run := strings.Fields(deployValue(t, "run"))
+	require.Len(t, run, 2, "run must be exec with one program and no arguments")
 	require.Equal(t, "exec", run[0])
 	dir := filepath.Join(t.TempDir(), "bin")
-	build := strings.ReplaceAll(value(t, "build"), " bin", " "+dir)
+	build := strings.ReplaceAll(deployValue(t, "build"), " bin", " "+dir)
 	require.Contains(t, build, dir)
 	cmd := exec.Command("sh", "-c", build)
 	cmd.Dir = ".."
@@ -68,26 +68,26 @@
 	require.NoError(t, err)
 	defer f.Close()
 	interp := f.Section(".interp")
-	require.NotNil(t, interp, "no interpreter: linked statically")
+	require.NotNil(t, interp, "no .interp section: the program is linked statically")
 	libs, err := f.ImportedLibraries()
 	require.NoError(t, err)
 	found := false
 	for _, l := range libs {
 		found = found || strings.HasPrefix(l, "libc.")
 	}
-	require.True(t, found, "no C library among %v", libs)
+	require.True(t, found, "no C library among the imported libraries %v", libs)
 
 	symbols, err := f.Symbols()
 	require.NoError(t, err)
 	for _, s := range symbols {
-		require.False(t, strings.HasPrefix(s.Name, "lilaccove/internal/sys.drawn"), "the program is built without the tag faults")
-		require.NotEqual(t, "lilaccove/internal/sys.plan", s.Name, "its system calls go by no plan")
+		require.False(t, strings.HasPrefix(s.Name, "lilaccove/internal/sys.pickFault"), "the program must be built without the tag faults")
+		require.NotEqual(t, "lilaccove/internal/sys.plan", s.Name, "the program must not contain a fault plan")
 	}
 }
 
-// The tools beside the gateway use libraries; the gateway and the adapter gain no weight from them. What the
-// gateway has besides is for the fleet: its file, its messages, their digests.
-func TestTheProgramsDependOnFewModules(t *testing.T) {
+// The gateway and the adapter must not depend on the libraries of the other tools. The gateway's own libraries are for the
+// fleet: YAML for its file, CBOR for its messages, xxhash for their digests.
+func TestProgramsDependOnFewModules(t *testing.T) {
 	for program, modules := range map[string][]string{
 		"adapter": {"golang.org/x/sys", "lilaccove"},
 		"lilaccove": {
@@ -95,14 +95,14 @@
 			"golang.org/x/sys", "lilaccove",
 		},
 	} {
-		found := list(t, "-deps", "-f", "{{with .Module}}{{.Path}}{{end}}", "./cmd/"+program)
+		found := goList(t, "-deps", "-f", "{{with .Module}}{{.Path}}{{end}}", "./cmd/"+program)
 		slices.Sort(found)
 		require.Subset(t, modules, slices.Compact(found), program)
 	}
 }
 
-// nodeProblems holds the folders of the deploy file's node against the packages that the gateway links. A folder names
-// all that lies in it; present are the packages that there are. Every text says what to do.
+// nodeProblems compares the folders that the deploy file lists under node with the packages that the gateway links. A folder
+// includes all packages below it; present lists all packages of the module. Each returned text says what to change.
 func nodeProblems(node, linked, present []string) []string {
 	within := func(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
 	var problems []string
@@ -114,18 +114,18 @@
 	for i, folder := range node {
 		for j, other := range node {
 			if i != j && within(folder, other) && (folder != other || i > j) {
-				problems = append(problems, fmt.Sprintf("take %q out of node: %q names it already", folder, other))
+				problems = append(problems, fmt.Sprintf("remove %q from node: %q already includes it", folder, other))
 			}
 		}
 		inFolder := func(pkg string) bool { return within(pkg, folder) }
 		if !slices.ContainsFunc(linked, inFolder) {
-			problems = append(problems, fmt.Sprintf("take %q out of node: the gateway links nothing in it", folder))
+			problems = append(problems, fmt.Sprintf("remove %q from node: the gateway links nothing in it", folder))
 			continue
 		}
 		for _, pkg := range present {
 			if inFolder(pkg) && !slices.Contains(linked, pkg) {
 				problems = append(problems, fmt.Sprintf(
-					"name the linked packages of %q one by one in node, or move %q: the gateway does not link it", folder, pkg))
+					"list the linked packages of %q one by one in node, or move %q: the gateway does not link it", folder, pkg))
 			}
 		}
 	}
@@ -136,28 +136,28 @@
 	linked := []string{"cmd/lilaccove", "internal/fleet", "internal/fleet/state", "internal/front"}
 	present := append([]string{"cmd/adapter", "internal/frontal"}, linked...)
 	for name, c := range map[string]struct{ node, present, want []string }{
-		"as it should be": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front"}, present, nil},
+		"correct": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front"}, present, nil},
 		"missing": {[]string{"cmd/lilaccove", "internal/fleet"}, present,
 			[]string{`add "internal/front" to node: the gateway links it`}},
-		"missing beside its child": {[]string{"cmd/lilaccove", "internal/fleet/state", "internal/front"}, present,
+		"missing, only a package below it is listed": {[]string{"cmd/lilaccove", "internal/fleet/state", "internal/front"}, present,
 			[]string{`add "internal/fleet" to node: the gateway links it`}},
 		"not linked": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front", "internal/frontal"}, present,
-			[]string{`take "internal/frontal" out of node: the gateway links nothing in it`}},
+			[]string{`remove "internal/frontal" from node: the gateway links nothing in it`}},
 		"twice": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front", "internal/front"}, present,
-			[]string{`take "internal/front" out of node: "internal/front" names it already`}},
-		"below another": {[]string{"cmd/lilaccove", "internal/fleet", "internal/fleet/state", "internal/front"}, present,
-			[]string{`take "internal/fleet/state" out of node: "internal/fleet" names it already`}},
-		"not linked within a folder": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front"},
+			[]string{`remove "internal/front" from node: "internal/front" already includes it`}},
+		"included by another": {[]string{"cmd/lilaccove", "internal/fleet", "internal/fleet/state", "internal/front"}, present,
+			[]string{`remove "internal/fleet/state" from node: "internal/fleet" already includes it`}},
+		"unlinked package within a folder": {[]string{"cmd/lilaccove", "internal/fleet", "internal/front"},
 			append([]string{"internal/fleet/model"}, present...),
-			[]string{`name the linked packages of "internal/fleet" one by one in node, or move "internal/fleet/model": the gateway does not link it`}},
+			[]string{`list the linked packages of "internal/fleet" one by one in node, or move "internal/fleet/model": the gateway does not link it`}},
 	} {
 		assert.Equal(t, c.want, nodeProblems(c.node, linked, c.present), name)
 	}
 }
 
-// node names what the platform takes for the gateway: all of our packages that it links, and no others. The decision
-// module stands in policy.
-func TestNodeNamesWhatTheGatewayLinks(t *testing.T) {
+// node must list what the platform counts as the gateway: all packages of this module that the gateway links, and no others.
+// The decision module is listed under policy instead.
+func TestNodeListsLinkedPackages(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	require.NoError(t, err)
 	var file struct{ Policy, Node []string }
@@ -165,7 +165,7 @@
 	packages := func(args ...string) []string {
 		const ours = `{{with .Module}}{{if .Main}}{{if or $.GoFiles $.CgoFiles}}{{$.ImportPath}}{{end}}{{end}}{{end}}`
 		var names []string
-		for _, path := range list(t, append([]string{"-f", ours}, args...)...) {
+		for _, path := range goList(t, append([]string{"-f", ours}, args...)...) {
 			name := strings.TrimPrefix(path, "lilaccove/")
 			if !slices.ContainsFunc(file.Policy, func(f string) bool { return filepath.Dir(f) == name }) {
 				names = append(names, name)
@@ -179,8 +179,8 @@
 	require.Empty(t, problems, "deploy/balancer.toml:\n%s", strings.Join(problems, "\n"))
 }
 
-// Every file of the decisions is named, so that none is left out where they are read or counted.
-func TestAllDecisionsAreNamed(t *testing.T) {
+// policy must list every source file of the decision module, so that none is missed where the platform reads or counts them.
+func TestPolicyListsAllSourceFiles(t *testing.T) {
 	text, err := os.ReadFile("balancer.toml")
 	require.NoError(t, err)
 	var file struct{ Policy []string }
--- a/deploy/sites_test.go
+++ b/deploy/sites_test.go
@@ -15,7 +15,7 @@
 	"lilaccove/policy"
 )
 
-// deployment is what a gateway's settings take from a site file.
+// deployment holds the values of a site file that a gateway's settings contain.
 type deployment struct {
 	Name    string
 	Net     struct{ Zones []string }
@@ -49,26 +49,26 @@
 	}
 }
 
-// The site file's words, as the settings have them.
+// Values in the site files, and the values in the settings that correspond to them.
 var (
-	effects = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-	reads   = map[string]string{"any": "loose", "bounded": "recent", "session": "own_writes", "fresh": "latest", "write": "update"}
+	repeatByEffect  = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+	readLevelByRead = map[string]string{"any": "loose", "bounded": "recent", "session": "own_writes", "fresh": "latest", "write": "update"}
 )
 
-// pairs are the settings that a gateway of this deployment is given, as far as its site file tells them.
-func (d *deployment) pairs() (list []string) {
+// settingPairs returns the settings of a gateway of this deployment, as far as its site file determines them.
+func (d *deployment) settingPairs() (list []string) {
 	add := func(path string, value any) { list = append(list, fmt.Sprint(path, "=", value)) }
 	var levels, bounds []string
 	for i, c := range d.Class {
-		at := fmt.Sprintf("Lanes.%d.", i)
-		add(at+"Name", c.Name)
-		add(at+"Repeat", effects[c.Effect])
-		add(at+"GoalTimeUs", c.Aim*1000)
-		add(at+"DeadlineUs", c.Deadline*1000)
-		add(at+"DedupWindowUs", c.Window*1000)
-		add(at+"Worth", c.Worth)
-		add(at+"LateWorth", c.LateWorth)
-		levels = append(levels, reads[d.Fam.Class[i].Read])
+		prefix := fmt.Sprintf("Lanes.%d.", i)
+		add(prefix+"Name", c.Name)
+		add(prefix+"Repeat", repeatByEffect[c.Effect])
+		add(prefix+"GoalTimeUs", c.Aim*1000)
+		add(prefix+"DeadlineUs", c.Deadline*1000)
+		add(prefix+"DedupWindowUs", c.Window*1000)
+		add(prefix+"Worth", c.Worth)
+		add(prefix+"LateWorth", c.LateWorth)
+		levels = append(levels, readLevelByRead[d.Fam.Class[i].Read])
 		bounds = append(bounds, fmt.Sprint(d.Fam.Class[i].Bound*1000))
 	}
 	add("Lanes.count", len(d.Class))
@@ -89,7 +89,8 @@
 	return list
 }
 
-func deployments(t *testing.T) (list []*deployment) {
+// loadDeployments reads all site files and checks that the files without a deployment exist.
+func loadDeployments(t *testing.T) (list []*deployment) {
 	t.Helper()
 	paths, err := filepath.Glob("sites/*.toml")
 	require.NoError(t, err)
@@ -103,16 +104,16 @@
 		require.Len(t, d.Fam.Class, len(d.Class), path)
 		list = append(list, d)
 	}
-	for _, beside := range []string{"real.json", "wire.json", "unlock.txt"} {
-		assert.FileExists(t, "sites/"+beside)
+	for _, name := range []string{"real.json", "wire.json", "unlock.txt"} {
+		assert.FileExists(t, "sites/"+name)
 	}
 	return list
 }
 
-// Each deployment is read by the program as a gateway's settings are, and its decisions begin on them.
-func TestDeploymentsAreRead(t *testing.T) {
-	for _, d := range deployments(t) {
-		set, err := settings.FromPairs(d.pairs())
+// The settings of each deployment can be decoded, and a router can be created with them.
+func TestDeploymentsGiveValidSettings(t *testing.T) {
+	for _, d := range loadDeployments(t) {
+		set, err := settings.FromPairs(d.settingPairs())
 		require.NoError(t, err, d.Name)
 		require.Len(t, set.Classes, len(d.Class))
 		for i, c := range d.Class {
@@ -125,8 +126,8 @@
 	}
 }
 
-// Nothing in the program is fitted to one deployment: it names none of their classes and zones.
-func TestTheProgramNamesNoDeployment(t *testing.T) {
+// The program must not be tailored to one deployment: its sources contain no deployment's, class's or zone's name as a string.
+func TestProgramNamesNoDeployment(t *testing.T) {
 	var sources strings.Builder
 	for _, dir := range []string{"../policy", "../internal", "../cmd"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
@@ -138,7 +139,7 @@
 			return err
 		}))
 	}
-	for _, d := range deployments(t) {
+	for _, d := range loadDeployments(t) {
 		names := append([]string{d.Name}, d.Net.Zones...)
 		for _, c := range d.Class {
 			names = append(names, c.Name)
