--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -79,7 +79,8 @@
 	assert.Error(t, err)
 }
 
-// A missing setting is read as the most restrictive value: no retries, cancel requests, probes or advice to clients.
+// What the settings do not allow is forbidden: probes, cancel requests, contact between gateways, and advice to clients when to
+// retry. A missing maximum of attempts or of requests in progress means no limit.
 func TestMissingSettingsAllowNothing(t *testing.T) {
 	var minimal []string
 	for _, pair := range pairs {
